--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,6 +1,9 @@
 import * as Effect from 'effect/Effect';
 import { Batcher } from '../batch.js';
-import { ACKNOWLEDGEMENT_BATCH_MS, ACKNOWLEDGEMENT_BATCH_MAX } from '../constants.js';
+import {
+  ACKNOWLEDGEMENT_BATCH_DELAY_MS,
+  MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
+} from '../constants/cancellation.js';
 import type { Summary } from '../fleet/records.js';
 import type { Store } from '../store/client.js';
 import type { LinearizableReads } from '../store/linearizable-reads.js';
@@ -60,8 +63,14 @@
   private asker(node: string): Batcher<Cancellation, boolean> {
     let asker = this.askers.get(node);
     if (!asker) {
-      asker = new Batcher(ACKNOWLEDGEMENT_BATCH_MS, ACKNOWLEDGEMENT_BATCH_MAX, async (list) =>
-        readAcknowledgeReply(await this.input.ask(node, '/heed', writeAcknowledgeRequest(list)), list.length),
+      asker = new Batcher(
+        ACKNOWLEDGEMENT_BATCH_DELAY_MS,
+        MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
+        async (list) =>
+          readAcknowledgeReply(
+            await this.input.ask(node, '/heed', writeAcknowledgeRequest(list)),
+            list.length,
+          ),
       );
       this.askers.set(node, asker);
     }
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { DURABLE_ACKNOWLEDGEMENT_MS } from '../constants.js';
+import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
 import type { Store } from '../store/client.js';
 import { claimKey, markKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -61,7 +61,7 @@
 
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_MS);
+      yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
       const held = this.input.held();
       for (const slot of this.wanted.keys())
         if (!held.some((share) => share.slot === slot)) this.wanted.delete(slot);
--- a/src/claims/decide.ts
+++ b/src/claims/decide.ts
@@ -1,10 +1,10 @@
 import {
-  CLAIM_GRACE_MS,
-  CLAIM_HELD_PAUSE_MS,
-  CLAIM_RANK_PAUSE_MS,
-  HANDBACK_STABLE_MS,
-  LEADER_RANK_PAUSE_MS,
-} from '../constants.js';
+  HANDBACK_STABILITY_MS,
+  HELD_SHARD_DELAY_MS,
+  LEADER_RANK_DELAY_MS,
+  PREFERRED_HOLDER_GRACE_MS,
+  SHARD_RANK_DELAY_MS,
+} from '../constants/leases.js';
 
 /** Which claims to take or hand back. Plain data in, plain data out. */
 export const LEADER = 'L';
@@ -63,13 +63,13 @@
 /** ms that this node leaves a free claim to others. */
 const patienceMs = (view: ClaimsView, slot: string): number => {
   const rank = Math.max(0, view.nodes.indexOf(view.me.node));
-  if (slot === LEADER) return rank * LEADER_RANK_PAUSE_MS;
+  if (slot === LEADER) return rank * LEADER_RANK_DELAY_MS;
   const owner = preferred(view, slot);
   if (owner === view.me.node) return 0;
-  const pause = heldBy(view, view.me.node) * CLAIM_HELD_PAUSE_MS + rank * CLAIM_RANK_PAUSE_MS;
+  const pause = heldBy(view, view.me.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
   // One that fell silent is not waited for: the leases of its workers run out meanwhile.
   const silent = view.peers.some((peer) => peer.node === owner && peer.steadyMs < 0);
-  return silent ? pause : CLAIM_GRACE_MS + pause;
+  return silent ? pause : PREFERRED_HOLDER_GRACE_MS + pause;
 };
 
 /** Free claims, and those of an earlier process of this node: a node runs one process, so that one is dead. */
@@ -102,7 +102,7 @@
     if (!claim || !isMine(view, claim) || owner === undefined || owner === view.me.node) continue;
     if (heldBy(view, owner) > 0) continue;
     const to = view.peers.find((peer) => peer.node === owner);
-    if (to && !to.deaf && to.stateOk && to.lease !== null && to.steadyMs >= HANDBACK_STABLE_MS)
+    if (to && !to.deaf && to.stateOk && to.lease !== null && to.steadyMs >= HANDBACK_STABILITY_MS)
       return [{ _tag: 'hand', slot, version: claim.version, to }];
   }
   return [];
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -1,5 +1,10 @@
 import * as Effect from 'effect/Effect';
-import { CLAIM_RENEW_MS, CLAIM_TICK_MS, CLAIM_TTL_MS, UNREACHABLE_PAUSE_MS } from '../constants.js';
+import {
+  SHARD_CHECK_INTERVAL_MS,
+  SHARD_LEASE_RENEWAL_INTERVAL_MS,
+  SHARD_LEASE_TTL_MS,
+  UNREACHABLE_HANDBACK_PAUSE_MS,
+} from '../constants/leases.js';
 import { log } from '../log.js';
 import type { Store } from '../store/client.js';
 import { claimKey } from '../store/keys.js';
@@ -65,7 +70,7 @@
 
   private step(event: LeaseEvent): void {
     const before = this.leaseState._tag;
-    this.leaseState = nextLeaseState(this.leaseState, event, CLAIM_TTL_MS);
+    this.leaseState = nextLeaseState(this.leaseState, event, SHARD_LEASE_TTL_MS);
     if (before !== this.leaseState._tag)
       log.info({ event: 'lease.change', from: before, to: this.leaseState._tag });
   }
@@ -77,7 +82,7 @@
         const result = yield* this.store.grant();
         if (result._tag === 'held')
           this.step({ _tag: 'granted', lease: result.lease, sentAt: result.sentAt });
-        else yield* Effect.sleep(CLAIM_TICK_MS);
+        else yield* Effect.sleep(SHARD_CHECK_INTERVAL_MS);
         continue;
       }
       const result = yield* this.store.renew(lease);
@@ -86,13 +91,13 @@
         this.step({ _tag: 'ended', lease });
         continue;
       }
-      yield* Effect.sleep(result._tag === 'held' ? CLAIM_RENEW_MS : CLAIM_TICK_MS);
+      yield* Effect.sleep(result._tag === 'held' ? SHARD_LEASE_RENEWAL_INTERVAL_MS : SHARD_CHECK_INTERVAL_MS);
     }
   });
 
   private readonly looks: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(CLAIM_TICK_MS);
+      yield* Effect.sleep(SHARD_CHECK_INTERVAL_MS);
       const now = this.input.now();
       this.step({ _tag: 'tick', now, outageGraceUntil: this.input.outageGraceUntil() });
       const lease = this.lease;
@@ -106,7 +111,7 @@
         } else if (!this.freeSince.has(slot)) this.freeSince.set(slot, now);
       }
       const unheard = this.input.unheard();
-      if (unheard.size > 0) this.deafUntil = now + UNREACHABLE_PAUSE_MS;
+      if (unheard.size > 0) this.deafUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
       const actions = decideClaims({
         me: this.input.me,
         nodes: this.input.nodes,
--- a/src/claims/lease-state.ts
+++ b/src/claims/lease-state.ts
@@ -1,4 +1,5 @@
-import { HEARTBEAT_FRESH_MS, CLAIM_MARGIN_MS, CLOCK_DRIFT } from '../constants.js';
+import { CLOCK_DRIFT_FRACTION, LEASE_EXPIRY_MARGIN_MS } from '../constants/leases.js';
+import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 
 /**
  * How long this node may act on the claims attached to its lease. The deadline is this node's own reckoning
@@ -28,7 +29,7 @@
 
 /** ms, steady: until when a lease surely lasts whose last good renewal was sent at `sentAt`. */
 export const deadline = (sentAt: number, ttlMs: number): number =>
-  sentAt + ttlMs * (1 - CLOCK_DRIFT) - CLAIM_MARGIN_MS;
+  sentAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - LEASE_EXPIRY_MARGIN_MS;
 
 /** The one place where the state of a lease changes. */
 export const nextLeaseState = (tenure: LeaseState, event: LeaseEvent, ttlMs: number): LeaseState => {
@@ -50,7 +51,7 @@
         case 'outageGrace': {
           if (event.outageGraceUntil !== null) {
             // After the outage the lease has its full time again, and peers' word is at most this old.
-            const confirmed = Math.max(tenure.until, deadline(event.now - HEARTBEAT_FRESH_MS, ttlMs));
+            const confirmed = Math.max(tenure.until, deadline(event.now - HEARTBEAT_FRESHNESS_MS, ttlMs));
             const until = Math.min(confirmed, event.outageGraceUntil);
             if (event.now < tenure.until && tenure._tag === 'holding') return tenure;
             return event.now < until
--- a/src/claims/outage.ts
+++ b/src/claims/outage.ts
@@ -1,10 +1,8 @@
 import { outageGraceUntil } from '../cancellation/evidence.js';
-import {
-  CLOCK_DRIFT,
-  HEARTBEAT_FRESH_MS,
-  OUTAGE_GRACE_MARGIN_MS,
-  PROTOCOL_ACKNOWLEDGES_CANCELLATIONS,
-} from '../constants.js';
+import { OUTAGE_GRACE_MARGIN_MS } from '../constants/cancellation.js';
+import { CLOCK_DRIFT_FRACTION } from '../constants/leases.js';
+import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
+import { ACKNOWLEDGEMENT_PROTOCOL_VERSION } from '../constants/protocol.js';
 import type { PeerNetwork } from '../peers/network.js';
 import type { ProtocolVersion } from '../peers/protocol-version.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -22,7 +20,7 @@
 
 /** Most nodes, this one included, can't reach the state service, and no node says that it can. */
 const confirmed = ({ stateAge, peers, nodes }: OutageInput): boolean => {
-  if (stateAge() < HEARTBEAT_FRESH_MS) return false;
+  if (stateAge() < HEARTBEAT_FRESHNESS_MS) return false;
   const word = peers.stateReachability();
   return word.up === 0 && (word.down + 1) * 2 > nodes;
 };
@@ -31,9 +29,9 @@
 export const outageGrace = (input: OutageInput): number | null =>
   outageGraceUntil({
     confirmed: confirmed(input),
-    nobodyTells: input.protocolVersion.agreed >= PROTOCOL_ACKNOWLEDGES_CANCELLATIONS && input.peers.allDown(),
+    nobodyTells: input.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && input.peers.allDown(),
     freshAt: input.cache.freshAt,
-    cancelMs: input.workers.cancel_s * 1000 * (1 - CLOCK_DRIFT),
-    leaseMs: input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT),
+    cancelMs: input.workers.cancel_s * 1000 * (1 - CLOCK_DRIFT_FRACTION),
+    leaseMs: input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION),
     marginMs: OUTAGE_GRACE_MARGIN_MS,
   });
--- a/src/duties/compose.ts
+++ b/src/duties/compose.ts
@@ -1,6 +1,6 @@
 import { EMPTY_BOOK, readBook, RentalJournal, type RentalBook } from '@dalegate/fencing';
 import { LEADER } from '../claims/decide.js';
-import { VALUE_FILL } from '../constants.js';
+import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import type { Store } from '../store/client.js';
 import { RENTALS_KEY } from '../store/keys.js';
 import { fencedValue } from './fenced-store.js';
@@ -35,7 +35,7 @@
 export const composeDuties = (input: DutiesInput): Duties => {
   const { store, wall, enforce, tokensRequired } = input;
   const registry = new DutyRegistry(input);
-  const maxBytes = input.valueBytes * VALUE_FILL;
+  const maxBytes = input.valueBytes * VALUE_FILL_FRACTION;
   const rentals = fencedValue(store, RENTALS_KEY, LEADER, 'user');
   return {
     registry,
--- a/src/duties/urgent-return.ts
+++ b/src/duties/urgent-return.ts
@@ -1,5 +1,6 @@
 import type { Duty } from '@dalegate/fencing';
-import { CLOUD_TIMEOUT_MS, HEARTBEAT_FRESH_MS, RELEASE_MAX } from '../constants.js';
+import { CLOUD_REQUEST_TIMEOUT_MS, MAX_MACHINES_PER_RELEASE_REQUEST } from '../constants/fleet.js';
+import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import type { ReturnOrder } from '../peers/peer-requests.js';
 
 /** What an urgent return needs of its controller. */
@@ -23,14 +24,15 @@
   input: UrgentReturnInput,
   machines: readonly string[],
 ): Promise<boolean> => {
-  if (machines.length > RELEASE_MAX || input.stateAge() < HEARTBEAT_FRESH_MS) return false;
+  if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST || input.stateAge() < HEARTBEAT_FRESHNESS_MS)
+    return false;
   const to = input.leaderNode();
   const permit = to === undefined ? null : input.duty.begin('order to return machines at once');
   if (to === undefined || permit === null) return false;
   try {
     if (to === input.me) return await input.returnHere(machines);
     const order: ReturnOrder = { machines, share: input.share, token: permit.token };
-    const answer = await input.ask(to, '/return', order, CLOUD_TIMEOUT_MS);
+    const answer = await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS);
     return (answer as { returned?: boolean } | null)?.returned === true;
   } finally {
     permit.end();
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -1,6 +1,11 @@
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { LIST_MS } from '../constants.js';
+import {
+  MACHINE_LIST_INTERVAL_MS,
+  RETURNED_MACHINE_LISTING_FACTOR,
+  UNKNOWN_MACHINE_LAG_FACTOR,
+  UNKNOWN_MACHINE_SLACK_S,
+} from '../constants/fleet.js';
 import { log } from '../log.js';
 import type { Store } from '../store/client.js';
 import { machineKey } from '../store/keys.js';
@@ -12,11 +17,6 @@
 import { newMachineRecord } from './records.js';
 import type { Returner } from './returner.js';
 
-/** s: added to twice the list's lag, before a listed machine that nobody knows is taken for unknown. */
-const LIST_SLACK_S = 5;
-/** Multiple of that time for which a returned machine may still be listed. */
-const LISTED_AFTER_RETURN = 4;
-
 /** What the adopter needs of the leader. */
 export interface AdopterInput {
   readonly store: Store;
@@ -80,12 +80,12 @@
   /** Machines that nobody knows are used or returned; those that stopped by themselves are cleared away. */
   readonly readList: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const now = this.input.now();
-    if (now - this.listedAt < LIST_MS) return;
+    if (now - this.listedAt < MACHINE_LIST_INTERVAL_MS) return;
     this.listedAt = now;
     const listed = yield* this.list;
     if (listed === null) return;
-    const lagS = this.input.listLagS * 2 + LIST_SLACK_S;
-    this.input.returner.forgetOlderThan(lagS * LISTED_AFTER_RETURN * 1_000);
+    const lagS = this.input.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
+    this.input.returner.forgetOlderThan(lagS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
     for (const { id, type, zone, spot, ageS } of listed) {
       if (ageS >= lagS) this.adopt(id, type, zone, spot, this.input.wall() - ageS * 1_000);
     }
--- a/src/fleet/boot-bound-types.ts
+++ b/src/fleet/boot-bound-types.ts
@@ -1,4 +1,4 @@
-import { BOOT_BOUND_FACTOR } from '../constants.js';
+import { BOOT_BOUND_TARGET_FACTOR } from '../constants/machines.js';
 import { fitsIn, typeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import type { Objectives } from '../placement/urgency.js';
 
@@ -21,7 +21,11 @@
     const loosestS = this.objectives.get(spec.klass)?.wait.at(-1);
     if (!catalog || loosestS === undefined || spec.spot) return;
     for (const type of catalog.values()) {
-      if (type.bootS > loosestS * BOOT_BOUND_FACTOR && typeAllowed(spec, type.name) && fitsIn(spec, type))
+      if (
+        type.bootS > loosestS * BOOT_BOUND_TARGET_FACTOR &&
+        typeAllowed(spec, type.name) &&
+        fitsIn(spec, type)
+      )
         this.types.add(type.name);
     }
   }
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -1,4 +1,4 @@
-import { CLOUD_RETRY_MS, NO_CAPACITY_MAX_MS, NO_CAPACITY_MS } from '../constants.js';
+import { CLOUD_RETRY_DELAY_MS, MAX_NO_CAPACITY_PAUSE_MS, NO_CAPACITY_PAUSE_MS } from '../constants/fleet.js';
 
 /** Kinds of machines that the cloud lately refused, and until when they are not asked for again. */
 export class CapacityRefusals {
@@ -9,13 +9,13 @@
   /** There was none, or fewer than asked for: repeated refusals double the pause. */
   refused(kind: string): void {
     const before = this.until.get(kind);
-    const spanMs = Math.min(NO_CAPACITY_MAX_MS, before ? before.spanMs * 2 : NO_CAPACITY_MS);
+    const spanMs = Math.min(MAX_NO_CAPACITY_PAUSE_MS, before ? before.spanMs * 2 : NO_CAPACITY_PAUSE_MS);
     this.until.set(kind, { at: this.now() + spanMs, spanMs });
   }
 
   /** The call failed, which says nothing about capacity. */
   failed(kind: string): void {
-    this.until.set(kind, { at: this.now() + CLOUD_RETRY_MS, spanMs: NO_CAPACITY_MS / 2 });
+    this.until.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, spanMs: NO_CAPACITY_PAUSE_MS / 2 });
   }
 
   /** There is some, or some was given back. */
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -1,6 +1,7 @@
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { CATALOG_MS, CLOUD_RETRY_MS, VALUE_FILL } from '../constants.js';
+import { CATALOG_REFRESH_INTERVAL_MS, CLOUD_RETRY_DELAY_MS } from '../constants/fleet.js';
+import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
@@ -33,7 +34,10 @@
   private due(leads: boolean): boolean {
     const known = this.input.catalog() !== null;
     if (!this.input.cache.ready || (known && !leads)) return false;
-    return this.readAt === 0 || this.input.now() - this.readAt >= (known ? CATALOG_MS : CLOUD_RETRY_MS);
+    return (
+      this.readAt === 0 ||
+      this.input.now() - this.readAt >= (known ? CATALOG_REFRESH_INTERVAL_MS : CLOUD_RETRY_DELAY_MS)
+    );
   }
 
   readonly refresh: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
@@ -49,7 +53,7 @@
     if (before && JSON.stringify(before) === JSON.stringify(result.types)) return;
     const writes = storeCatalog(
       result.types,
-      this.input.valueBytes * VALUE_FILL,
+      this.input.valueBytes * VALUE_FILL_FRACTION,
       this.input.store.txnOps,
       this.input.maySplit(),
     );
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,3 +1,4 @@
+import { JSON_BRACKETS_BYTES, JSON_COMMA_BYTES } from '../constants/key-value-store.js';
 import type { Catalog, MachineType } from '../jobs/model.js';
 import type { Item, Write } from '../store/client.js';
 import { CATALOG_KEY, catalogPartKey } from '../store/keys.js';
@@ -14,12 +15,12 @@
 ): readonly Write[] | null => {
   if (!maySplit || bytesOf(types) <= bytes) return [{ _tag: 'put', key: CATALOG_KEY, value: types }];
   const parts: MachineType[][] = [[]];
-  let size = 2;
+  let size = JSON_BRACKETS_BYTES;
   for (const type of types) {
-    const more = bytesOf(type) + 1;
+    const more = bytesOf(type) + JSON_COMMA_BYTES;
     if (size + more > bytes) {
       parts.push([]);
-      size = 2;
+      size = JSON_BRACKETS_BYTES;
     }
     parts.at(-1)?.push(type);
     size += more;
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -1,6 +1,11 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { CLOUD_TIMEOUT_MS } from '../constants.js';
+import {
+  CLOUD_RATE_FRACTION,
+  CLOUD_REQUEST_TIMEOUT_MS,
+  CLOUD_SOCKETS,
+  MACHINE_LIST_PAGE_ITEMS,
+} from '../constants/fleet.js';
 import type { Answer, Caller, Callers, Target } from '../http.js';
 import type { MachineType } from '../jobs/model.js';
 import { RateLimiter } from '../store/rate-limiter.js';
@@ -91,20 +96,25 @@
   private readonly client: Caller;
   private readonly budget: RateLimiter;
   constructor(target: Target, rps: number, nodes: number, now: () => number, callers: Callers) {
-    this.client = callers(target, 4);
+    this.client = callers(target, CLOUD_SOCKETS);
     // Only the leader calls regularly; the others read the catalog at their start.
-    this.budget = new RateLimiter(rps * (nodes > 1 ? 0.8 : 1), 0, CLOUD_TIMEOUT_MS, now);
+    this.budget = new RateLimiter(
+      rps * (nodes > 1 ? CLOUD_RATE_FRACTION : 1),
+      0,
+      CLOUD_REQUEST_TIMEOUT_MS,
+      now,
+    );
   }
 
   private async read(path: string): Promise<Answer> {
     if (!(await this.budget.take(1, 'user'))) return OVER_RATE;
-    return this.client.request('GET', path, undefined, CLOUD_TIMEOUT_MS);
+    return this.client.request('GET', path, undefined, CLOUD_REQUEST_TIMEOUT_MS);
   }
 
   /** A call with an effect: the right to make it is asked for again as its bytes leave. */
   private async act(path: string, body: unknown, { mayProceed }: Permit): Promise<Answer> {
     if (!(await this.budget.take(1, 'user'))) return OVER_RATE;
-    return this.client.request('POST', path, body, CLOUD_TIMEOUT_MS, mayProceed);
+    return this.client.request('POST', path, body, CLOUD_REQUEST_TIMEOUT_MS, mayProceed);
   }
 
   readonly catalog: Effect.Effect<CatalogResult> = Effect.promise(async (): Promise<CatalogResult> => {
@@ -139,7 +149,7 @@
   page(after: string | null): Effect.Effect<MachinesResult> {
     return Effect.promise(async (): Promise<MachinesResult> => {
       const answer = await this.read(
-        `/machines?most=500${after === null ? '' : `&since=${encodeURIComponent(after)}`}`,
+        `/machines?most=${MACHINE_LIST_PAGE_ITEMS}${after === null ? '' : `&since=${encodeURIComponent(after)}`}`,
       );
       if (answer._tag === 'silence') return { _tag: 'failed', why: answer.why };
       if (answer.status !== 200) return { _tag: 'failed', why: `status ${answer.status}` };
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -1,6 +1,11 @@
 import { type Permit, type RentalJournal } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { LEADER_IDLE_MS, LEADER_TICK_MS, MOVE_SHOWN_MS, RESERVATION_MAX_MS } from '../constants.js';
+import {
+  LEADERSHIP_CHECK_INTERVAL_MS,
+  LEADER_ROUND_INTERVAL_MS,
+  MOVE_CONFIRMATION_TIMEOUT_MS,
+} from '../constants/fleet.js';
+import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
 import type { ReleaseIntentView } from '../duties/admin-api.js';
 import type { DutyRegistry } from '../duties/registry.js';
 import type { Catalog } from '../jobs/model.js';
@@ -126,7 +131,7 @@
     return Effect.gen({ self: this }, function* () {
       let leads = false;
       for (;;) {
-        yield* Effect.sleep(leads ? LEADER_TICK_MS : LEADER_IDLE_MS);
+        yield* Effect.sleep(leads ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS);
         leads = this.input.entitled() !== null && this.input.cache.ready;
         if (leads) yield* work;
         else this.rest();
@@ -141,7 +146,9 @@
   /** Without a catalog no node is ready, so it is looked for more often then. */
   private readonly refreshCatalog: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(this.input.catalog() === null ? LEADER_TICK_MS : LEADER_IDLE_MS);
+      yield* Effect.sleep(
+        this.input.catalog() === null ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS,
+      );
       yield* this.catalogKeeper.refresh;
     }
   });
@@ -183,7 +190,7 @@
       const item = this.input.cache.get(machineKey(id));
       const shown = summaries.find((summary) => summary.share === move.to)?.revision ?? 0;
       const arrived = item !== undefined && this.machines.get(id)?.share === move.to && shown >= item.version;
-      if (arrived || now - at > MOVE_SHOWN_MS) this.moving.delete(id);
+      if (arrived || now - at > MOVE_CONFIRMATION_TIMEOUT_MS) this.moving.delete(id);
     }
   }
 
@@ -202,7 +209,7 @@
     // A share that is not to be heard for a moment does not lose what was gathered for it.
     const unheard = before.filter(
       (hold) =>
-        hold.ageMs < RESERVATION_MAX_MS &&
+        hold.ageMs < MAX_RESERVATION_AGE_MS &&
         !summaries.some((summary) => summary.share === hold.share) &&
         !planned.some((other) => other.zone === hold.zone),
     );
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,9 +1,8 @@
+import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
 import type { StoreEvent } from '../store/client.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
 const RECORDS = 'w/m/';
-/** What a machine in the same zone counts beyond the others: it only decides between shares that have as many. */
-const SAME_ZONE_WEIGHT = 0.1;
 
 /** Names a type, zone and kind of machine. */
 export const kindKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -1,4 +1,6 @@
-import { HIRE_MAX, RESERVATION_MAX_MS, TASKS_MAX } from '../constants.js';
+import { MAX_MACHINES_PER_PROVISIONING_REQUEST } from '../constants/fleet.js';
+import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
+import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import { howMany, typeAllowed, type Catalog, type Demand, type MachineType } from '../jobs/model.js';
 import type { Reservation, UnmetDemand, Summary, WaitingGang } from './records.js';
 
@@ -78,7 +80,7 @@
     if (need.types !== null && !need.types.includes(type.name)) continue;
     const fits = howMany(demand(need), type, need.tasks);
     if (fits === 0) continue;
-    const whole = howMany(demand(need), type, TASKS_MAX);
+    const whole = howMany(demand(need), type, MAX_TASKS_PER_JOB);
     for (const zone of type.zones) {
       if (need.zone !== null && need.zone !== zone) continue;
       // Work that may use spot machines is worth an ordinary one only to save a target.
@@ -229,7 +231,7 @@
       // An ordinary machine for work that could use spot is worth its price only when filled.
       const filled = need.spot && !offer.spot;
       const count = Math.min(
-        HIRE_MAX,
+        MAX_MACHINES_PER_PROVISIONING_REQUEST,
         filled ? Math.floor(missing / offer.whole) : Math.ceil(missing / offer.fits),
       );
       if (count === 0) continue;
@@ -252,7 +254,7 @@
     for (const type of this.input.catalog.values()) {
       if (need.types !== null && !need.types.includes(type.name)) continue;
       for (const spot of need.spot ? [true, false] : [false])
-        room += howMany(demand(need), type, TASKS_MAX) * this.input.machines(type.name, zone, spot);
+        room += howMany(demand(need), type, MAX_TASKS_PER_JOB) * this.input.machines(type.name, zone, spot);
     }
     return room >= tasks;
   }
@@ -315,7 +317,7 @@
       (need.zone === null || need.zone === zone) &&
       !this.holds.some((hold) => hold.zone === zone) &&
       this.couldHold(need, zone, gang.tasks);
-    let zone = held && held.ageMs < RESERVATION_MAX_MS && open(held.zone) ? held.zone : null;
+    let zone = held && held.ageMs < MAX_RESERVATION_AGE_MS && open(held.zone) ? held.zone : null;
     if (zone === null) {
       let least = Number.POSITIVE_INFINITY;
       const known = [...this.input.catalog.values()].flatMap((type) => type.zones);
@@ -410,7 +412,7 @@
     }
     const key = `${step.type}|${step.zone}|${step.spot}`;
     const known = rents.get(key);
-    const shares = [...(known?.shares ?? []), ...step.shares].slice(0, HIRE_MAX);
+    const shares = [...(known?.shares ?? []), ...step.shares].slice(0, MAX_MACHINES_PER_PROVISIONING_REQUEST);
     rents.set(key, { ...step, shares, count: shares.length });
   }
   return [...out, ...rents.values()];
--- a/src/fleet/renter.ts
+++ b/src/fleet/renter.ts
@@ -8,7 +8,11 @@
   type Settlement,
 } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { RENT_REPEATS, RENTS_AT_ONCE, SETTLE_RETRY_MS } from '../constants.js';
+import {
+  MAX_CONCURRENT_PROVISIONING_REQUESTS,
+  PROVISIONING_RECOVERY_RETRY_DELAY_MS,
+  PROVISIONING_RETRIES,
+} from '../constants/fleet.js';
 import { log } from '../log.js';
 import type { Store } from '../store/client.js';
 import type { AdoptionQueue } from './adoption-queue.js';
@@ -74,7 +78,7 @@
   begin(step: RentStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
     // What is asked for already shows in the next summaries.
-    if (this.renting.has(kind) || this.renting.size >= RENTS_AT_ONCE) return;
+    if (this.renting.has(kind) || this.renting.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
     const permit = this.input.duty.begin('rental request');
     if (permit === null) return;
     this.renting.add(kind);
@@ -119,7 +123,7 @@
   /** Without an answer the same request is sent again under its name: that rents nothing more, and tells what came of it. */
   private request(permit: Permit, intent: RentalIntent): Effect.Effect<RentResult> {
     return Effect.gen({ self: this }, function* () {
-      const repeats = this.input.journal ? RENT_REPEATS : 0;
+      const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
       for (let tries = 0; ; tries += 1) {
         const result = yield* this.input.cloud.rent(requestOf(intent), permit);
         const machines = machinesOf(result);
@@ -181,7 +185,7 @@
     if (permit === null) return;
     const settled = yield* Effect.ensuring(this.settleUnder(permit), Effect.sync(permit.end));
     if (settled) duty.apply({ _tag: 'settled', token: permit.token });
-    else yield* Effect.sleep(SETTLE_RETRY_MS);
+    else yield* Effect.sleep(PROVISIONING_RECOVERY_RETRY_DELAY_MS);
   });
 
   private settleUnder(permit: Permit): Effect.Effect<boolean> {
--- a/src/fleet/returner.ts
+++ b/src/fleet/returner.ts
@@ -1,6 +1,11 @@
 import type { Duty, Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { RECORDS_GONE, RELEASE_MAX, STORE_RETRY_MS } from '../constants.js';
+import {
+  MAX_MACHINES_PER_RELEASE_REQUEST,
+  MAX_RECORD_DELETIONS_PER_TRANSACTION,
+  RECORD_DELETION_ATTEMPTS,
+} from '../constants/fleet.js';
+import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
 import type { Item, Store } from '../store/client.js';
@@ -10,9 +15,6 @@
 import type { Cloud } from './cloud.js';
 import { kindKey, type MachineIndex } from './machine-index.js';
 
-/** Times that the removal of records is tried before the machines are simply released once more. */
-const FORGET_TRIES = 5;
-
 /** What the returner needs of the leader. */
 export interface ReturnerInput {
   readonly store: Store;
@@ -46,7 +48,7 @@
    * later, and are released once more then, which changes nothing. Only who surely leads may say that they are gone.
    */
   async returnNow(machines: readonly string[]): Promise<boolean> {
-    if (machines.length > RELEASE_MAX) return false;
+    if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
     const permit = this.input.duty.begin('return at once');
     if (permit === null) return false;
     try {
@@ -62,7 +64,7 @@
   /** Returns the machines whose records ask for it: that record is the durable intent, which no holder contradicts. */
   readonly returnAsked: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     // As many as one call takes: the cloud's rate is the scarcest, and replacements need it too.
-    const ids = [...this.input.machines.releasing].slice(0, RELEASE_MAX);
+    const ids = [...this.input.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
     const permit = this.input.duty.begin('release request');
     if (permit === null) return;
@@ -82,14 +84,17 @@
         if (record) this.input.refusals.lift(kindKey(record.type, record.zone, record.spot));
       }
       while (wanted.length > 0)
-        yield* this.forget(permit, wanted.splice(0, Math.min(this.input.store.txnOps, RECORDS_GONE)));
+        yield* this.forget(
+          permit,
+          wanted.splice(0, Math.min(this.input.store.txnOps, MAX_RECORD_DELETIONS_PER_TRANSACTION)),
+        );
     });
   }
 
   /** Records of machines that are gone; what is not deleted now is released once more, which changes nothing. */
   private forget(permit: Permit, gone: readonly Item[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      for (let tries = 0; tries < FORGET_TRIES; tries += 1) {
+      for (let tries = 0; tries < RECORD_DELETION_ATTEMPTS; tries += 1) {
         const result = yield* fencedTransaction(
           this.input.store,
           permit,
@@ -98,7 +103,7 @@
           'bind',
         );
         if (result._tag === 'committed' || result._tag === 'conflict') return;
-        yield* Effect.sleep(STORE_RETRY_MS);
+        yield* Effect.sleep(STORE_RETRY_DELAY_MS);
       }
     });
   }
--- a/src/http.test.ts
+++ b/src/http.test.ts
@@ -2,7 +2,7 @@
 import * as http from 'node:http';
 import { test } from 'node:test';
 import { Client, decode, encode, parseTarget, serve, WITHHELD } from './http.js';
-import { ONE_WRITE_BYTES } from './constants.js';
+import { MAX_SINGLE_WRITE_BYTES } from './constants/http.js';
 
 /** Sockets on loopback: what a node does at its limit of connections, and that bodies arrive as they were sent. */
 const portOf = (server: http.Server): number => (server.address() as { port: number }).port;
@@ -86,8 +86,8 @@
   const bodies = [
     { text: 'äöü€ \u0000\u007f\u0080\u00ff 𝄞' },
     { numbers: [0, -1, 127, 128, 255, 256, 65_535, 2 ** 40, 1.5, -0.1] },
-    { small: 'x'.repeat(ONE_WRITE_BYTES - 20) },
-    { large: 'é'.repeat(ONE_WRITE_BYTES) },
+    { small: 'x'.repeat(MAX_SINGLE_WRITE_BYTES - 20) },
+    { large: 'é'.repeat(MAX_SINGLE_WRITE_BYTES) },
   ];
   for (const body of bodies) {
     const answer = await client.request('POST', '/echo', body, 2_000);
--- a/src/http.ts
+++ b/src/http.ts
@@ -2,12 +2,17 @@
 import type { Socket } from 'node:net';
 import { Packr } from 'msgpackr';
 import {
-  ANSWER_MAX_BYTES,
-  BODY_MAX_BYTES,
-  CONNECTION_IDLE_MS,
-  ONE_WRITE_BYTES,
-  CROWDED_SOCKET_SHARE,
-} from './constants.js';
+  CONNECTION_IDLE_TIMEOUT_MS,
+  CROWDED_SOCKET_FRACTION,
+  IDLE_CHECKS_PER_TIMEOUT,
+  JSON_EXPANSION_FACTOR,
+  LISTEN_BACKLOG_CONNECTIONS,
+  MAX_BODY_BYTES,
+  MAX_IDLE_SOCKETS_PER_ADDRESS,
+  MAX_RESPONSE_BYTES,
+  MAX_SINGLE_WRITE_BYTES,
+  REQUEST_HEAD_TIMEOUT_MS,
+} from './constants/http.js';
 
 /** MessagePack over Node's own HTTP: one keep-alive agent per address, bounded sockets, bounded bodies. */
 const packr = new Packr({ useRecords: false, mapsAsObjects: true, int64AsType: 'number' });
@@ -20,7 +25,7 @@
  * body are corked and gathered, which costs more than the copy of a small body.
  */
 export const oneWrite = (payload: Buffer): [string | Buffer, BufferEncoding] =>
-  payload.length <= ONE_WRITE_BYTES ? [payload.toString('latin1'), 'latin1'] : [payload, 'latin1'];
+  payload.length <= MAX_SINGLE_WRITE_BYTES ? [payload.toString('latin1'), 'latin1'] : [payload, 'latin1'];
 
 /** Unpacks a body; throws if it is malformed. */
 export const decode = (body: Buffer): unknown => packr.unpack(body);
@@ -78,7 +83,7 @@
     this.agent = new http.Agent({
       keepAlive: true,
       maxSockets: sockets,
-      maxFreeSockets: Math.min(8, sockets),
+      maxFreeSockets: Math.min(MAX_IDLE_SOCKETS_PER_ADDRESS, sockets),
     });
   }
 
@@ -114,7 +119,7 @@
           let size = 0;
           res.on('data', (part: Buffer) => {
             size += part.length;
-            if (size > ANSWER_MAX_BYTES) req.destroy(new Error('answer too large'));
+            if (size > MAX_RESPONSE_BYTES) req.destroy(new Error('answer too large'));
             else parts.push(part);
           });
           res.on('end', () => {
@@ -192,7 +197,11 @@
   if (size === 0) return { _tag: 'empty' };
   try {
     const value = decode(parts.length === 1 && parts[0] ? parts[0] : Buffer.concat(parts));
-    if (limit === BODY_MAX_BYTES && size > limit / 4 && JSON.stringify(value).length > limit)
+    if (
+      limit === MAX_BODY_BYTES &&
+      size > limit / JSON_EXPANSION_FACTOR &&
+      JSON.stringify(value).length > limit
+    )
       return { _tag: 'tooLarge' };
     return { _tag: 'value', value };
   } catch {
@@ -220,7 +229,7 @@
 ): Promise<http.Server> => {
   /** When each open connection was last used. */
   const used = new Map<Socket, number>();
-  const full = guests.connections * CROWDED_SOCKET_SHARE;
+  const full = guests.connections * CROWDED_SOCKET_FRACTION;
   const server = http.createServer((req, res) => {
     used.set(req.socket, performance.now());
     const parts: Buffer[] = [];
@@ -262,18 +271,18 @@
     socket.once('close', () => used.delete(socket));
   });
   // The far end of a machine that died, or is cut off, never closes: such connections would add up.
-  const idleMs = guests.idleMs ?? CONNECTION_IDLE_MS;
+  const idleMs = guests.idleMs ?? CONNECTION_IDLE_TIMEOUT_MS;
   const sweep = setInterval(() => {
     const since = performance.now() - idleMs;
     for (const [socket, last] of used) if (last < since) socket.destroy();
-  }, idleMs / 4).unref();
+  }, idleMs / IDLE_CHECKS_PER_TIMEOUT).unref();
   server.once('close', () => clearInterval(sweep));
   server.maxConnections = guests.connections;
   server.keepAliveTimeout = 0;
   server.requestTimeout = 0;
-  server.headersTimeout = 30_000;
+  server.headersTimeout = REQUEST_HEAD_TIMEOUT_MS;
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(at.port, at.host, 1024, () => resolve(server));
+    server.listen(at.port, at.host, LISTEN_BACKLOG_CONNECTIONS, () => resolve(server));
   });
 };
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,5 +1,11 @@
 import * as Effect from 'effect/Effect';
-import { CACHE_FRESH_MS, FINAL_READS_MAX, RETRY_AFTER_S, VALUE_FILL } from '../constants.js';
+import {
+  CACHE_FRESHNESS_MS,
+  FOLLOWED_IDS_OVERHEAD_BYTES,
+  VALUE_FILL_FRACTION,
+} from '../constants/key-value-store.js';
+import { MAX_CONCURRENT_FINAL_RECORD_READS } from '../constants/pipelines.js';
+import { CANCELLATION_ATTEMPTS, MAX_ECHOED_ID_CHARS, RETRY_AFTER_S } from '../constants/users-api.js';
 import type { Call, Reply } from '../http.js';
 import { quotaRoom, type Limit } from '../placement/pack.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
@@ -173,7 +179,7 @@
       const { record, version } = known;
       const stands = this.input.pipelines.readiness(id);
       if (stands._tag === 'waiting') {
-        if (this.input.copyAgeMs() > CACHE_FRESH_MS) return later;
+        if (this.input.copyAgeMs() > CACHE_FRESHNESS_MS) return later;
         if (!(yield* this.input.pipelines.resolve(id))) return later;
       }
       if (this.input.pipelines.readiness(id)._tag !== 'doomed') {
@@ -204,7 +210,9 @@
     return Effect.gen({ self: this }, function* () {
       // What this node's copy shows was accepted; only of the others it must be read.
       const others = ids.filter((id) => !this.input.cache.get(jobKey(id)) && !this.input.finals.get(id));
-      const looks = yield* Effect.forEach(others, (id) => this.look(id), { concurrency: FINAL_READS_MAX });
+      const looks = yield* Effect.forEach(others, (id) => this.look(id), {
+        concurrency: MAX_CONCURRENT_FINAL_RECORD_READS,
+      });
       const never = others.find((_, index) => looks[index]?._tag === 'never');
       if (never !== undefined) return { never };
       return looks.some((known) => known._tag === 'unsure') ? 'unsure' : 'all';
@@ -235,10 +243,10 @@
       parts: 0,
     };
     const put = (key: string, value: unknown): Write => ({ _tag: 'put', key, value });
-    const room = this.input.valueBytes * VALUE_FILL;
+    const room = this.input.valueBytes * VALUE_FILL_FRACTION;
     const whole = writeJobRecord({ ...plain, follows });
     if (jsonBytes(whole) <= room) return [put(jobKey(spec.id), whole)];
-    const parts = splitIds(follows, room - 64).map((ids, part) =>
+    const parts = splitIds(follows, room - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
       put(followsKey(spec.id, part), packIds(ids)),
     );
     const record = writeJobRecord({ ...plain, parts: parts.length });
@@ -290,7 +298,7 @@
 
   private cancel(id: string): Effect.Effect<Reply> {
     return Effect.gen({ self: this }, function* () {
-      for (let tries = 0; tries < 4; tries += 1) {
+      for (let tries = 0; tries < CANCELLATION_ATTEMPTS; tries += 1) {
         const known = yield* this.look(id);
         if (known._tag !== 'active' || known.record.cancelled) return yield* this.state(id, known);
         const reply = yield* this.callOff(id, known.record, known.version);
@@ -311,7 +319,8 @@
     if (rest.length > 2 || (verb !== undefined && verb !== 'abort')) return Effect.succeed({ status: 404 });
     const wanted = verb === undefined ? 'GET' : 'POST';
     if (call.method !== wanted) return Effect.succeed({ status: 405, headers: { allow: wanted } });
-    if (!isJobId(id)) return Effect.succeed({ status: 404, body: { error: `no job ${id.slice(0, 64)}` } });
+    if (!isJobId(id))
+      return Effect.succeed({ status: 404, body: { error: `no job ${id.slice(0, MAX_ECHOED_ID_CHARS)}` } });
     return verb === undefined
       ? Effect.flatMap(this.look(id), (known) => this.state(id, known))
       : this.cancel(id);
--- a/src/jobs/codec.ts
+++ b/src/jobs/codec.ts
@@ -1,12 +1,12 @@
 import * as Schema from 'effect/Schema';
 import * as Result from 'effect/Result';
-import { TASKS_MAX, TEXT_MAX } from '../constants.js';
+import { MAX_ERROR_TEXT_CHARS, MAX_TASKS_PER_JOB, MAX_TEXT_CHARS } from '../constants/users-api.js';
 import { packIds, unpackIds } from '../pipelines/codec.js';
 import type { FinalRecord, FinalState, JobKind, JobRecord, JobSpec, Priority } from './model.js';
 
 /** The users' wire words, and the records in the state service. */
 const Amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0));
-const Text = Schema.String.check(Schema.isMinLength(1), Schema.isMaxLength(TEXT_MAX));
+const Text = Schema.String.check(Schema.isMinLength(1), Schema.isMaxLength(MAX_TEXT_CHARS));
 const nullable = <S extends Schema.Top>(schema: S) => Schema.optional(Schema.NullOr(schema));
 
 const ID = /^job-\d{1,18}$/;
@@ -19,7 +19,7 @@
   owner: Text,
   shape: Schema.Literals(['sweep', 'group', 'service']),
   urgency: Schema.Literals(['prod', 'urgent', 'standard', 'best_effort']),
-  heads: Schema.Int.check(Schema.isGreaterThanOrEqualTo(1), Schema.isLessThanOrEqualTo(TASKS_MAX)),
+  heads: Schema.Int.check(Schema.isGreaterThanOrEqualTo(1), Schema.isLessThanOrEqualTo(MAX_TASKS_PER_JOB)),
   vcpus: Amount,
   accelerators: Amount,
   memoryGb: Amount,
@@ -51,7 +51,10 @@
 export const readSubmission = (value: unknown): Submitted => {
   const result = decodeSubmission(value);
   if (!Result.isSuccess(result)) {
-    return { _tag: 'malformed', why: String(result.failure).replace(/\s+/g, ' ').slice(0, 300) };
+    return {
+      _tag: 'malformed',
+      why: String(result.failure).replace(/\s+/g, ' ').slice(0, MAX_ERROR_TEXT_CHARS),
+    };
   }
   const s = result.success;
   return {
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -1,5 +1,7 @@
 /** Jobs, their tasks and what is durable about them. Plain data; no wire words. */
 
+import { AMOUNT_TOLERANCE } from '../constants/placement.js';
+
 /** The shape of a job. */
 export type JobKind = 'array' | 'gang' | 'service';
 /** Larger is more important. */
@@ -76,19 +78,19 @@
   readonly memoryGb: number;
 }
 
-/** Tolerance when amounts are compared, since decimal numbers are added and subtracted. */
-export const EPS = 1e-9;
-
 /** Do these amounts fit into those? */
 export const fitsIn = (need: Demand, room: Demand): boolean =>
-  need.cpus <= room.cpus + EPS && need.gpus <= room.gpus + EPS && need.memoryGb <= room.memoryGb + EPS;
+  need.cpus <= room.cpus + AMOUNT_TOLERANCE &&
+  need.gpus <= room.gpus + AMOUNT_TOLERANCE &&
+  need.memoryGb <= room.memoryGb + AMOUNT_TOLERANCE;
 
 /** How many tasks of this size a room holds; bounded, since a task may ask for nothing at all. */
 export const howMany = (need: Demand, room: Demand, most: number): number => {
   let count = most;
-  if (need.cpus > 0) count = Math.min(count, Math.floor((room.cpus + EPS) / need.cpus));
-  if (need.gpus > 0) count = Math.min(count, Math.floor((room.gpus + EPS) / need.gpus));
-  if (need.memoryGb > 0) count = Math.min(count, Math.floor((room.memoryGb + EPS) / need.memoryGb));
+  if (need.cpus > 0) count = Math.min(count, Math.floor((room.cpus + AMOUNT_TOLERANCE) / need.cpus));
+  if (need.gpus > 0) count = Math.min(count, Math.floor((room.gpus + AMOUNT_TOLERANCE) / need.gpus));
+  if (need.memoryGb > 0)
+    count = Math.min(count, Math.floor((room.memoryGb + AMOUNT_TOLERANCE) / need.memoryGb));
   return Math.max(0, count);
 };
 
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -1,14 +1,16 @@
 import * as Effect from 'effect/Effect';
+import { EVEN_RATE_FRACTION } from '../constants/key-value-store.js';
 import {
   HEARTBEAT_DUE_FRACTION,
-  HEARTBEAT_FRESH_MS,
-  HEARTBEAT_NOTIFY_MS,
-  HEARTBEAT_MS,
+  HEARTBEAT_FRESHNESS_MS,
+  HEARTBEAT_INTERVAL_MS,
+  HEARTBEAT_NOTIFICATION_INTERVAL_MS,
   HEARTBEAT_RESPONDER_FACTOR,
-  RATE_EVEN_FRACTION,
-  PEER_TIMEOUT_MS,
-  PEER_SOCKETS,
-} from '../constants.js';
+  MAX_SOCKETS_PER_PEER,
+  MAX_STEADY_HEARTBEAT_GAP_MS,
+  MIN_HEARTBEAT_PAUSE_MS,
+  PEER_REQUEST_TIMEOUT_MS,
+} from '../constants/peers.js';
 import type { Peer } from '../claims/decide.js';
 import type { Reservation, Summary } from '../fleet/records.js';
 import { parseTarget, type Call, type Caller, type Callers, type Reply } from '../http.js';
@@ -73,7 +75,7 @@
   const nodes = others.length + 1;
   const all = others.reduce((sum, demand) => sum + demand, own);
   const byDemand = all > 0 ? own / all : 1 / nodes;
-  return total * (RATE_EVEN_FRACTION / nodes + (1 - RATE_EVEN_FRACTION) * byDemand);
+  return total * (EVEN_RATE_FRACTION / nodes + (1 - EVEN_RATE_FRACTION) * byDemand);
 };
 
 /** Heartbeats and requests between the controllers, and what each last heard of the others. */
@@ -86,7 +88,7 @@
 
   constructor(private readonly input: PeerNetworkInput) {
     for (const sibling of input.peers) {
-      this.clients.set(sibling.host_name, input.callers(parseTarget(sibling.endpoint), PEER_SOCKETS));
+      this.clients.set(sibling.host_name, input.callers(parseTarget(sibling.endpoint), MAX_SOCKETS_PER_PEER));
     }
   }
 
@@ -98,7 +100,7 @@
     const steady =
       before !== undefined &&
       before.heartbeat.incarnation === beat.incarnation &&
-      now - before.at < HEARTBEAT_FRESH_MS * 2;
+      now - before.at < MAX_STEADY_HEARTBEAT_GAP_MS;
     this.known.set(beat.from, {
       heartbeat: beat,
       at: now,
@@ -109,7 +111,7 @@
 
   fresh(node: string): Heartbeat | null {
     const known = this.known.get(node);
-    return known && this.input.now() - known.at < HEARTBEAT_FRESH_MS ? known.heartbeat : null;
+    return known && this.input.now() - known.at < HEARTBEAT_FRESHNESS_MS ? known.heartbeat : null;
   }
 
   peers(): readonly Peer[] {
@@ -118,8 +120,8 @@
       node,
       incarnation: known.heartbeat.incarnation,
       lease: known.heartbeat.lease,
-      steadyMs: now - known.at < HEARTBEAT_FRESH_MS ? now - known.steadySince : -1,
-      stateOk: known.heartbeat.stateAgeMs < HEARTBEAT_FRESH_MS,
+      steadyMs: now - known.at < HEARTBEAT_FRESHNESS_MS ? now - known.steadySince : -1,
+      stateOk: known.heartbeat.stateAgeMs < HEARTBEAT_FRESHNESS_MS,
       deaf: known.heartbeat.deaf,
     }));
   }
@@ -131,7 +133,7 @@
     for (const node of this.clients.keys()) {
       const beat = this.fresh(node);
       if (!beat) continue;
-      if (beat.stateAgeMs < HEARTBEAT_FRESH_MS) up += 1;
+      if (beat.stateAgeMs < HEARTBEAT_FRESHNESS_MS) up += 1;
       else down += 1;
     }
     return { down, up };
@@ -174,7 +176,7 @@
   counts(slot: number, id: string): { done: number; running: number } | null {
     const now = this.input.now();
     for (const known of this.known.values()) {
-      if (now - known.at > HEARTBEAT_FRESH_MS) continue;
+      if (now - known.at > HEARTBEAT_FRESHNESS_MS) continue;
       known.counts ??= new Map(
         known.heartbeat.counts.map((share) => [
           share.slot,
@@ -196,7 +198,12 @@
     return best;
   }
 
-  async ask(node: string, path: string, body: unknown, timeoutMs = PEER_TIMEOUT_MS): Promise<unknown> {
+  async ask(
+    node: string,
+    path: string,
+    body: unknown,
+    timeoutMs = PEER_REQUEST_TIMEOUT_MS,
+  ): Promise<unknown> {
     const answer = await this.clients.get(node)?.request('POST', path, body, timeoutMs);
     return answer?._tag === 'answer' && answer.status === 200 ? answer.body : null;
   }
@@ -219,7 +226,7 @@
   }
 
   private waitMs(node: string): number {
-    return HEARTBEAT_MS * (this.input.me < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
+    return HEARTBEAT_INTERVAL_MS * (this.input.me < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
   }
 
   /** ms until this node would begin an exchange with that one. */
@@ -228,7 +235,7 @@
     const age = known ? this.input.now() - known.at : 0;
     const wait = this.waitMs(node);
     // One that does not answer is tried every heartbeat.
-    return age >= wait ? HEARTBEAT_MS : Math.max(HEARTBEAT_NOTIFY_MS / 4, wait - age);
+    return age >= wait ? HEARTBEAT_INTERVAL_MS : Math.max(MIN_HEARTBEAT_PAUSE_MS, wait - age);
   }
 
   private pause(node: string): Promise<void> {
@@ -239,7 +246,7 @@
         this.wakes.delete(node);
         this.notified.add(node);
         clearTimeout(timer);
-        setTimeout(resolve, Math.max(0, HEARTBEAT_NOTIFY_MS - (this.input.now() - begun)));
+        setTimeout(resolve, Math.max(0, HEARTBEAT_NOTIFICATION_INTERVAL_MS - (this.input.now() - begun)));
       });
     });
   }
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -1,6 +1,6 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { PROTOCOL_VERSION, PROTOCOL_VERSION_CHECK_MS } from '../constants.js';
+import { PROTOCOL_VERSION, PROTOCOL_VERSION_CHECK_INTERVAL_MS } from '../constants/protocol.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
 import type { Store } from '../store/client.js';
@@ -32,7 +32,7 @@
 
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(PROTOCOL_VERSION_CHECK_MS);
+      yield* Effect.sleep(PROTOCOL_VERSION_CHECK_INTERVAL_MS);
       if (!this.input.cache.ready || this.agreed >= PROTOCOL_VERSION) continue;
       if (this.input.announced().some((level) => level === null || level < PROTOCOL_VERSION)) continue;
       const permit = this.input.begin();
--- a/src/peers/rate-sharing.ts
+++ b/src/peers/rate-sharing.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { HEARTBEAT_MS } from '../constants.js';
+import { HEARTBEAT_INTERVAL_MS } from '../constants/peers.js';
 import type { Store } from '../store/client.js';
 import { rateFor, type Demand } from './network.js';
 
@@ -12,5 +12,5 @@
     store.requests.setRate(rateFor(store.rates.requests, store.requests.demand(), requests));
     store.changes.setRate(rateFor(store.rates.changes, store.changes.demand(), changes));
   };
-  return Effect.forever(Effect.andThen(Effect.sleep(HEARTBEAT_MS), Effect.sync(share)));
+  return Effect.forever(Effect.andThen(Effect.sleep(HEARTBEAT_INTERVAL_MS), Effect.sync(share)));
 };
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -1,6 +1,13 @@
 import * as Effect from 'effect/Effect';
 import { LEADER } from '../claims/decide.js';
-import { RELAY_FRESH_MS, RELAY_MS, VALUE_FILL } from '../constants.js';
+import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
+import {
+  MAX_RELAYED_GANGS_PER_DEMAND,
+  MIN_RELAYED_RESERVATIONS,
+  RELAY_CHECK_INTERVAL_MS,
+  RELAY_FRESHNESS_MS,
+  RELAY_INTERVAL_MS,
+} from '../constants/peers.js';
 import type { Reservation, Move, Summary } from '../fleet/records.js';
 import type { Store, StoreEvent } from '../store/client.js';
 import { claimKey, ordersKey, summaryKey } from '../store/keys.js';
@@ -53,18 +60,18 @@
   /** What a share's holder last said this way, if that is recent and by this very claim. */
   summary(slot: number, claim: number): Summary | null {
     const heard = this.heard.get(slot);
-    return heard && heard.summary.claim === claim && this.input.now() - heard.at < RELAY_FRESH_MS
+    return heard && heard.summary.claim === claim && this.input.now() - heard.at < RELAY_FRESHNESS_MS
       ? heard.summary
       : null;
   }
 
   holds(slot: number): readonly Reservation[] {
     const told = this.told.get(slot);
-    return told && this.input.now() - told.at < RELAY_FRESH_MS ? told.orders.holds : [];
+    return told && this.input.now() - told.at < RELAY_FRESHNESS_MS ? told.orders.holds : [];
   }
 
   private due(key: string): boolean {
-    return this.input.now() - (this.wroteAt.get(key) ?? Number.NEGATIVE_INFINITY) >= RELAY_MS;
+    return this.input.now() - (this.wroteAt.get(key) ?? Number.NEGATIVE_INFINITY) >= RELAY_INTERVAL_MS;
   }
 
   /** Conditional on the claim of whoever writes: a late copy of a replaced one must not hide what is newer. */
@@ -83,7 +90,7 @@
   }
 
   private tooLong(value: unknown): boolean {
-    return Buffer.byteLength(JSON.stringify(value)) > this.input.valueBytes * VALUE_FILL;
+    return Buffer.byteLength(JSON.stringify(value)) > this.input.valueBytes * VALUE_FILL_FRACTION;
   }
 
   /** What doesn't fit comes with the next orders. */
@@ -93,7 +100,10 @@
       fit = {
         ...fit,
         moves: fit.moves.slice(0, Math.floor(fit.moves.length / 2)),
-        holds: fit.holds.length > 4 ? fit.holds.slice(0, Math.floor(fit.holds.length / 2)) : fit.holds,
+        holds:
+          fit.holds.length > MIN_RELAYED_RESERVATIONS
+            ? fit.holds.slice(0, Math.floor(fit.holds.length / 2))
+            : fit.holds,
       };
       if (fit.moves.length === 0 && this.tooLong(fit)) fit = { ...fit, holds: fit.holds.slice(0, -1) };
     }
@@ -108,7 +118,7 @@
         ...fit,
         needs: fit.needs
           .slice(0, Math.ceil(fit.needs.length / 2))
-          .map((need) => ({ ...need, gangs: need.gangs.slice(0, 8) })),
+          .map((need) => ({ ...need, gangs: need.gangs.slice(0, MAX_RELAYED_GANGS_PER_DEMAND) })),
         spares: fit.spares.slice(0, Math.floor(fit.spares.length / 2)),
       };
     }
@@ -117,7 +127,7 @@
 
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(RELAY_MS / 2);
+      yield* Effect.sleep(RELAY_CHECK_INTERVAL_MS);
       for (const summary of this.input.cutOff()) {
         const key = summaryKey(summary.share);
         if (!this.due(key)) continue;
--- a/src/pipelines/finals.ts
+++ b/src/pipelines/finals.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { FINAL_CACHE } from '../constants.js';
+import { MAX_CACHED_FINAL_RECORDS } from '../constants/pipelines.js';
 import { readFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord } from '../jobs/model.js';
 import type { Store } from '../store/client.js';
@@ -22,7 +22,7 @@
 
   remember(id: string, final: FinalRecord): void {
     this.known.set(id, final);
-    if (this.known.size <= FINAL_CACHE) return;
+    if (this.known.size <= MAX_CACHED_FINAL_RECORDS) return;
     const oldest = this.known.keys().next().value;
     if (oldest !== undefined) this.known.delete(oldest);
   }
--- a/src/pipelines/pipelines.ts
+++ b/src/pipelines/pipelines.ts
@@ -1,5 +1,9 @@
 import * as Effect from 'effect/Effect';
-import { FINAL_READS_MAX, FINAL_READS_PAUSE_MS, STAGE_EXTRA_MS } from '../constants.js';
+import {
+  FINAL_RECORD_CHECK_INTERVAL_MS,
+  MAX_CONCURRENT_FINAL_RECORD_READS,
+  STAGE_TRANSITION_MS,
+} from '../constants/pipelines.js';
 import type { FinalRecord, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
 import { jobKey } from '../store/keys.js';
@@ -25,7 +29,7 @@
  * from its durable final record, so nothing that comes late can start a job too early.
  */
 export class Pipelines {
-  private readonly index = new PipelineIndex(STAGE_EXTRA_MS);
+  private readonly index = new PipelineIndex(STAGE_TRANSITION_MS);
   /** Jobs that are over, and followed by jobs of ours, whose final records are still to be read. */
   private readonly toRead = new Set<string>();
   private wake: (() => void) | null = null;
@@ -111,7 +115,9 @@
           else if (!this.input.cache.get(jobKey(dep))) over.push(dep);
         }
       }
-      const reads = yield* Effect.forEach(over, (dep) => this.read(dep), { concurrency: FINAL_READS_MAX });
+      const reads = yield* Effect.forEach(over, (dep) => this.read(dep), {
+        concurrency: MAX_CONCURRENT_FINAL_RECORD_READS,
+      });
       return reads.every(Boolean);
     });
   }
@@ -138,11 +144,11 @@
             }),
         );
       this.wake = null;
-      const ids = [...this.toRead].slice(0, FINAL_READS_MAX);
+      const ids = [...this.toRead].slice(0, MAX_CONCURRENT_FINAL_RECORD_READS);
       yield* Effect.forEach(ids, (id) => this.read(id), { concurrency: 'unbounded' });
       // What could not be read goes behind the others.
       for (const id of ids) if (this.toRead.delete(id)) this.toRead.add(id);
-      yield* Effect.sleep(FINAL_READS_PAUSE_MS);
+      yield* Effect.sleep(FINAL_RECORD_CHECK_INTERVAL_MS);
     }
   });
 }
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,5 +1,6 @@
 import * as Effect from 'effect/Effect';
-import { COMMITS_AT_ONCE, STORE_RETRY_MS } from '../constants.js';
+import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
+import { MAX_CONCURRENT_TRANSACTIONS } from '../constants/placement.js';
 import type { Condition, Store, TxnResult, Write } from '../store/client.js';
 import { claimKey } from '../store/keys.js';
 import type { Rank } from '../store/rate-limiter.js';
@@ -27,7 +28,7 @@
 
   /** Transactions under way are few: each has its time limit, which waiting for a socket would use up. */
   private async slotted<A>(work: () => Promise<A>): Promise<A> {
-    if (this.running >= COMMITS_AT_ONCE)
+    if (this.running >= MAX_CONCURRENT_TRANSACTIONS)
       await new Promise<void>((resolve) => {
         this.queue.push(resolve);
       });
@@ -94,7 +95,7 @@
           }
         }
         if (this.input.isLost()) return { _tag: 'refused', why: 'lost' };
-        yield* Effect.sleep(STORE_RETRY_MS);
+        yield* Effect.sleep(STORE_RETRY_DELAY_MS);
       }
     });
   }
--- a/src/placement/left-over-keys.ts
+++ b/src/placement/left-over-keys.ts
@@ -1,6 +1,6 @@
 import { Remover, type Duty, type LeftOver, type MarkedKey } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { VALUE_FILL } from '../constants.js';
+import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { fencedValue } from '../duties/fenced-store.js';
 import { log } from '../log.js';
 import type { Store } from '../store/client.js';
@@ -66,7 +66,7 @@
       inUse: (key) => this.inUse(key),
       // The book of removals is one more change.
       batch: () => Math.max(1, store.batchOps - 1),
-      maxBytes: input.valueBytes * VALUE_FILL,
+      maxBytes: input.valueBytes * VALUE_FILL_FRACTION,
       timeOfDay: input.wall,
       revisionOf: async (key) => {
         const result = await Effect.runPromise(store.get(key, 'work'));
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,4 +1,5 @@
-import { RETURN_ASK_MS, WATCH_MACHINES_MS } from '../constants.js';
+import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
+import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
 import type { Move } from '../fleet/records.js';
 import { log } from '../log.js';
 import type { Store } from '../store/client.js';
@@ -34,7 +35,7 @@
 
   watch(): void {
     const now = this.input.now();
-    if (now - this.watchedAt < WATCH_MACHINES_MS) return;
+    if (now - this.watchedAt < MACHINE_CHECK_INTERVAL_MS) return;
     this.watchedAt = now;
     for (const machine of this.input.liveness.watch()) {
       log.info({ event: 'machine.lease_over', machine: machine.id, tasks: machine.bound.size });
@@ -74,7 +75,7 @@
   /** While the state service can't be written, the leader is asked directly; twice is no harm, nor is too early. */
   private returnNow(machines: readonly string[]): void {
     const now = this.input.now();
-    if (machines.length === 0 || now - this.returnAskedAt < RETURN_ASK_MS) return;
+    if (machines.length === 0 || now - this.returnAskedAt < URGENT_RETURN_INTERVAL_MS) return;
     this.returnAskedAt = now;
     // The request may be carried out late, whatever its answer: nothing new goes there from now on.
     for (const id of machines) {
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -1,21 +1,24 @@
+import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
+import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
 import {
-  BOOT_FACTOR,
-  BOOT_SLACK_S,
-  BOOT_USUAL,
-  BOOT_USUAL_S,
-  CLOCK_DRIFT,
-  UNREACHABLE_REPORTS,
-  TRANSFER_CONTACT_MS,
-  IDLE_KEPT_LONGER,
-  IDLE_BOOTS,
-  IDLE_BOOTS_MANY,
-  IDLE_BOOTS_BOOT_BOUND,
-  IDLE_RETURN_S,
-  LEASE_MARGIN_MS,
-  REBUILD_REPORTS,
-  RETURN_RESERVE_MS,
-  SPOT_SILENT_REPORTS,
-} from '../constants.js';
+  BOOT_BOUND_IDLE_HOLD_BOOT_TIMES,
+  BOOT_TIMEOUT_FACTOR,
+  BOOT_TIMEOUT_SLACK_S,
+  IDLE_HOLD_BOOT_TIMES,
+  LIVE_LEASE_FRACTION,
+  LONG_IDLE_HOLD_MACHINES,
+  MIN_IDLE_HOLD_S,
+  MOVED_MACHINE_CONTACT_TIMEOUT_MS,
+  SETTLING_SPOT_SILENCES,
+  SPOT_SILENCE_REPORT_INTERVALS,
+  SURPLUS_IDLE_HOLD_BOOT_TIMES,
+  UNCONFIRMED_TOKEN_LEASES,
+  UNKNOWN_TYPE_BOOT_S,
+  USUAL_BOOT_FACTOR,
+  USUAL_BOOT_SLACK_S,
+  WORKER_LEASE_MARGIN_MS,
+} from '../constants/machines.js';
+import { TAKEOVER_WAIT_REPORT_INTERVALS } from '../constants/placement.js';
 import type { Catalog } from '../jobs/model.js';
 import type { ShareJob, ShareMachine } from './state.js';
 
@@ -60,11 +63,11 @@
 
   constructor(private readonly input: MachineLivenessInput) {
     const reportMs = input.workers.report_s * 1000;
-    this.deafMs = reportMs * UNREACHABLE_REPORTS;
-    this.rebuildMs = reportMs * REBUILD_REPORTS;
-    this.spotSilentMs = reportMs * SPOT_SILENT_REPORTS;
-    this.returnMs = input.workers.cancel_s * 1000 - RETURN_RESERVE_MS;
-    this.leaseMs = input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+    this.deafMs = reportMs * UNREACHABLE_REPORT_INTERVALS;
+    this.rebuildMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
+    this.spotSilentMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
+    this.returnMs = input.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
+    this.leaseMs = input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
   private bootS(machine: ShareMachine, unknown: number): number {
@@ -76,7 +79,8 @@
     return (
       machine.answeredAt === null &&
       machine.bound.size === 0 &&
-      wall - machine.since < (this.bootS(machine, 60) * BOOT_FACTOR + BOOT_SLACK_S) * 1000
+      wall - machine.since <
+        (this.bootS(machine, UNKNOWN_TYPE_BOOT_S) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_SLACK_S) * 1000
     );
   }
 
@@ -84,10 +88,10 @@
   expected(machine: ShareMachine, now: number, wall: number): boolean {
     // It came from another share, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
-      return now - machine.takenAt < TRANSFER_CONTACT_MS;
+      return now - machine.takenAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
       this.booting(machine, wall) &&
-      wall - machine.since < (this.bootS(machine, 0) * BOOT_USUAL + BOOT_USUAL_S) * 1000
+      wall - machine.since < (this.bootS(machine, 0) * USUAL_BOOT_FACTOR + USUAL_BOOT_SLACK_S) * 1000
     );
   }
 
@@ -97,7 +101,9 @@
   }
 
   live(machine: ShareMachine, now: number): boolean {
-    return machine.confirmedToken !== 0 && now - (machine.answeredAt ?? 0) < this.leaseMs / 2;
+    return (
+      machine.confirmedToken !== 0 && now - (machine.answeredAt ?? 0) < this.leaseMs * LIVE_LEASE_FRACTION
+    );
   }
 
   idle(machine: ShareMachine): boolean {
@@ -151,11 +157,11 @@
   private idleHoldMs(machine: ShareMachine, rank: number): number {
     const boots =
       !machine.spot && this.input.bootBound(machine.type)
-        ? IDLE_BOOTS_BOOT_BOUND
-        : rank < IDLE_KEPT_LONGER
-          ? IDLE_BOOTS
-          : IDLE_BOOTS_MANY;
-    return Math.max(IDLE_RETURN_S, this.bootS(machine, 0) * boots) * 1000;
+        ? BOOT_BOUND_IDLE_HOLD_BOOT_TIMES
+        : rank < LONG_IDLE_HOLD_MACHINES
+          ? IDLE_HOLD_BOOT_TIMES
+          : SURPLUS_IDLE_HOLD_BOOT_TIMES;
+    return Math.max(MIN_IDLE_HOLD_S, this.bootS(machine, 0) * boots) * 1000;
   }
 
   /** Machines to be released now, each with the reason. Looks at each machine once. */
@@ -192,7 +198,7 @@
     return {
       hears: heard * 2 >= machines,
       isHeard: unconfirmed * 2 <= reporting,
-      settledIn: this.loadedAt !== null && now - this.loadedAt > this.spotSilentMs * 2,
+      settledIn: this.loadedAt !== null && now - this.loadedAt > this.spotSilentMs * SETTLING_SPOT_SILENCES,
     };
   }
 
@@ -211,7 +217,11 @@
     if (spotSilent && hearing.hears && hearing.settledIn) return 'spot silent';
     // It reports, and yet does not take up our token for longer than its lease: it does not hear us.
     const { unconfirmedSince } = machine;
-    if (unconfirmedSince !== null && hearing.isHeard && now - unconfirmedSince > this.leaseMs * 2)
+    if (
+      unconfirmedSince !== null &&
+      hearing.isHeard &&
+      now - unconfirmedSince > this.leaseMs * UNCONFIRMED_TOKEN_LEASES
+    )
       return 'does not hear';
     return machine.health._tag === 'sick' && machine.bound.size === 0 ? 'sick' : null;
   }
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -1,4 +1,8 @@
-import { IMAGES_RECORD_BYTES, TXN_BYTES } from '../constants.js';
+import {
+  IMAGE_NAMES_VALUE_FRACTION,
+  MAX_IMAGE_NAMES_BYTES,
+  MAX_RECORD_BATCH_BYTES,
+} from '../constants/key-value-store.js';
 import { writeMachineRecord } from '../fleet/records.js';
 import { machineKey } from '../store/keys.js';
 import type { Rank } from '../store/rate-limiter.js';
@@ -47,7 +51,11 @@
     if (!first) return true;
     const sent = machines.map((entry) => ({ ...entry, version: entry.machine.version }));
     for (const { machine } of sent) machine.releasing = true;
-    const imageBytes = Math.min(IMAGES_RECORD_BYTES, this.input.valueBytes / 4, TXN_BYTES / 2 / sent.length);
+    const imageBytes = Math.min(
+      MAX_IMAGE_NAMES_BYTES,
+      this.input.valueBytes * IMAGE_NAMES_VALUE_FRACTION,
+      MAX_RECORD_BATCH_BYTES / sent.length,
+    );
     const result = await this.input.transactions.commit(
       sent.map(({ machine, version }) => ({ key: machineKey(machine.id), version })),
       sent.map(({ machine, share, release }) => ({
--- a/src/placement/pack.ts
+++ b/src/placement/pack.ts
@@ -1,5 +1,6 @@
+import { AMOUNT_TOLERANCE, SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import type { Urgency } from './urgency.js';
-import { EPS, fitsIn, howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
+import { fitsIn, howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 
 /** Where tasks go: pure functions over plain data. */
 export interface AvailableCapacity {
@@ -111,9 +112,10 @@
   most: number,
 ): number => {
   let count = most;
-  if (spec.gpus > 0) count = Math.min(count, Math.floor((limit.gpusMax - use.gpus + EPS) / spec.gpus));
+  if (spec.gpus > 0)
+    count = Math.min(count, Math.floor((limit.gpusMax - use.gpus + AMOUNT_TOLERANCE) / spec.gpus));
   if (spec.cpus > 0 && limit.cpusMax > 0) {
-    count = Math.min(count, Math.floor((limit.cpusMax - use.cpus + EPS) / spec.cpus));
+    count = Math.min(count, Math.floor((limit.cpusMax - use.cpus + AMOUNT_TOLERANCE) / spec.cpus));
   }
   return Math.max(0, count);
 };
@@ -273,7 +275,9 @@
   reach: Reach,
 ): Candidate | null => {
   const gang = ask.spec.kind === 'gang';
-  const zoneCap = ask.spec.spread ? Math.ceil(ask.spec.tasks / 2) : Number.POSITIVE_INFINITY;
+  const zoneCap = ask.spec.spread
+    ? Math.ceil(ask.spec.tasks * SPREAD_ZONE_FRACTION)
+    : Number.POSITIVE_INFINITY;
   const fits = usable(ask, rooms, reach);
   let best: Candidate | null = null;
   for (const [zone, candidates] of [...zonesOf(ask, fits)].sort(([a], [b]) => (a < b ? -1 : 1))) {
@@ -281,7 +285,7 @@
     const count = chosen.reduce((sum, entry) => sum + entry.count, 0);
     if (count === 0 || (gang && count < ask.spec.tasks)) continue;
     const score = fullness(zone === '' ? candidates : rooms.filter((room) => room.zone === zone));
-    if (!best || count > best.count || (count === best.count && score > best.score + EPS)) {
+    if (!best || count > best.count || (count === best.count && score > best.score + AMOUNT_TOLERANCE)) {
       best = { score, count, chosen };
     }
   }
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -1,11 +1,11 @@
 import {
-  REQUEST_TASKS_MAX,
-  FETCH_GUESS_S,
-  ORDINARY_AFTER_GUARANTEED_S,
-  ORDINARY_AFTER_S,
-  RESERVED_IDLE,
-  TASKS_MAX,
-} from '../constants.js';
+  ESTIMATED_IMAGE_FETCH_S,
+  GUARANTEED_ON_DEMAND_PATIENCE_S,
+  MAX_TASKS_PER_PLACEMENT_REQUEST,
+  ON_DEMAND_PATIENCE_S,
+  RESERVED_IDLE_MACHINES,
+} from '../constants/placement.js';
+import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import { heldBy } from '../fleet/plan.js';
 import type { Reservation } from '../fleet/records.js';
 import {
@@ -87,7 +87,7 @@
  */
 const besideOf = (machine: ShareMachine, free: Free, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.dependent) return NOTHING;
-  const tasks = howMany(scarce, machine.total, TASKS_MAX);
+  const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
   const over = (field: keyof Demand): number =>
     Math.max(0, Math.min(free[field], machine.total[field] - tasks * scarce[field] - free.others[field]));
   return { cpus: over('cpus'), gpus: over('gpus'), memoryGb: over('memoryGb') };
@@ -100,7 +100,7 @@
 const keptForOthers = (machine: ShareMachine, idle: number, input: ViewInput): AvailableCapacity['kept'] => {
   if (machine.spot || input.scarceDemand(machine.type) === null) return 'no';
   if (input.catalog.size > 1) return 'always';
-  return machine.bound.size === 0 && idle <= RESERVED_IDLE ? 'reserve' : 'no';
+  return machine.bound.size === 0 && idle <= RESERVED_IDLE_MACHINES ? 'reserve' : 'no';
 };
 
 /** Room on each machine that may take tasks, now or once it is up. */
@@ -155,7 +155,7 @@
 const waitingTasks = (job: ShareJob): readonly number[] => {
   const waiting: number[] = [];
   // A job of 100,000 tasks need not be walked whole each round, but a gang is placed whole.
-  const most = job.spec.kind === 'gang' ? job.spec.tasks : REQUEST_TASKS_MAX;
+  const most = job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PER_PLACEMENT_REQUEST;
   while (job.done.has(job.firstOpen)) job.firstOpen += 1;
   for (let index = job.firstOpen; index < job.spec.tasks && waiting.length < most; index += 1) {
     if (!job.done.has(index) && !job.bindings.has(index)) waiting.push(index);
@@ -200,7 +200,7 @@
       guarantee !== undefined &&
       use.gpus <= guarantee.gpus &&
       (guarantee.cpus === 0 || use.cpus <= guarantee.cpus);
-    const pressing = urgency(spec, objectives, waitedS, bootS(spec, input.catalog), FETCH_GUESS_S);
+    const pressing = urgency(spec, objectives, waitedS, bootS(spec, input.catalog), ESTIMATED_IMAGE_FETCH_S);
     asks.push({
       job: spec.id,
       spec,
@@ -211,7 +211,8 @@
       tier: tier(objectives, waitedS),
       urgency: pressing,
       ordinary:
-        pressing.place || waitedS > (withinGuarantee ? ORDINARY_AFTER_GUARANTEED_S : ORDINARY_AFTER_S),
+        pressing.place ||
+        waitedS > (withinGuarantee ? GUARANTEED_ON_DEMAND_PATIENCE_S : ON_DEMAND_PATIENCE_S),
       withinGuarantee,
       hasAlternatives: hasAlternatives(spec, input.catalog),
       gathering: input.holds.some((hold) => hold.job === spec.id),
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,3 +1,5 @@
+import { SPREAD_ZONE_FRACTION } from '../constants/placement.js';
+import { CPUS_PER_GPU_IN_GROUP_SIZE } from '../constants/preemption.js';
 import { howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
@@ -27,7 +29,7 @@
   readonly job: string;
 }
 
-const size = (group: Group): number => group.demand.gpus + group.demand.cpus / 1_000;
+const size = (group: Group): number => group.demand.gpus + group.demand.cpus / CPUS_PER_GPU_IN_GROUP_SIZE;
 const keyOf = (machine: string, group: Group): string => (group.gang ? group.job : `${group.job}@${machine}`);
 
 interface Plan {
@@ -150,7 +152,7 @@
 
   constructor({ spec, inZones }: PreemptingJob) {
     this.used = new Map(inZones);
-    this.cap = spec.spread ? Math.ceil(spec.tasks / 2) : Number.POSITIVE_INFINITY;
+    this.cap = spec.spread ? Math.ceil(spec.tasks * SPREAD_ZONE_FRACTION) : Number.POSITIVE_INFINITY;
   }
   in(zone: string): number {
     return this.cap - (this.used.get(zone) ?? 0);
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -1,4 +1,8 @@
-import { PREEMPT_AFTER_MS, PREEMPT_INTERVAL_MS, PREEMPT_REQUESTS_MAX } from '../constants.js';
+import {
+  MAX_JOBS_PER_PREEMPTION_SEARCH,
+  PREEMPTION_DELAY_MS,
+  PREEMPTION_SEARCH_INTERVAL_MS,
+} from '../constants/preemption.js';
 import type { JobSpec } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { AvailableCapacity } from './pack.js';
@@ -31,10 +35,10 @@
    */
   run(left: readonly UnplacedRequest[], rooms: readonly AvailableCapacity[]): void {
     const now = this.input.now();
-    if (now - this.lastSearchAt < PREEMPT_INTERVAL_MS) return;
+    if (now - this.lastSearchAt < PREEMPTION_SEARCH_INTERVAL_MS) return;
     const candidates = left
-      .filter(({ ask }) => ask.spec.priority > 0 && this.input.wall() - ask.at >= PREEMPT_AFTER_MS)
-      .slice(0, PREEMPT_REQUESTS_MAX);
+      .filter(({ ask }) => ask.spec.priority > 0 && this.input.wall() - ask.at >= PREEMPTION_DELAY_MS)
+      .slice(0, MAX_JOBS_PER_PREEMPTION_SEARCH);
     if (candidates.length === 0 || this.evictionsUnderWay()) return;
     this.lastSearchAt = now;
     let machines = this.occupied(rooms);
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -1,4 +1,4 @@
-import { FLUSH_AGE_MS, FLUSH_AT_ONCE, FLUSH_MS } from '../constants.js';
+import { FLUSH_DELAY_MS, FLUSH_INTERVAL_MS, IMMEDIATE_FLUSH_RATE_FRACTION } from '../constants/placement.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
 import type { LeftOverKeys } from './left-over-keys.js';
 import type { Store } from '../store/client.js';
@@ -33,9 +33,9 @@
   /** Finished tasks, and bindings that are gone. Jobs that are all done go straight to their final record. */
   flush(): void {
     const now = this.input.now();
-    if (this.flushing || now - this.flushedAt < FLUSH_MS || this.input.lost()) return;
+    if (this.flushing || now - this.flushedAt < FLUSH_INTERVAL_MS || this.input.lost()) return;
     const { changes } = this.input.store;
-    const ageMs = changes.demand() < changes.perSecond * FLUSH_AT_ONCE ? 0 : FLUSH_AGE_MS;
+    const ageMs = changes.demand() < changes.perSecond * IMMEDIATE_FLUSH_RATE_FRACTION ? 0 : FLUSH_DELAY_MS;
     const entries: { write: RunWrite }[] = [];
     for (const job of this.input.shareState.jobs.values()) {
       if (job.finishing || job.writing > 0) continue;
--- a/src/placement/records.ts
+++ b/src/placement/records.ts
@@ -1,4 +1,8 @@
-import { CHUNK_TASKS } from '../constants.js';
+import {
+  JSON_COMMA_BYTES,
+  RUN_RECORD_OVERHEAD_BYTES,
+  TASKS_PER_RUN_RECORD,
+} from '../constants/key-value-store.js';
 import { bindingKey, type ShareJob } from './state.js';
 
 /** The durable record of a run of tasks: which are done, which are bound where, the highest attempt used. */
@@ -12,16 +16,16 @@
   readonly attempt: number;
 }
 
-const firstOf = (chunk: number): number => chunk * CHUNK_TASKS;
+const firstOf = (chunk: number): number => chunk * TASKS_PER_RUN_RECORD;
 /** The number of the run record that holds a task. */
-export const chunkOf = (index: number): number => Math.floor(index / CHUNK_TASKS);
+export const chunkOf = (index: number): number => Math.floor(index / TASKS_PER_RUN_RECORD);
 
 /** The run record of a job as it should be stored now. */
 export const runRecord = (job: ShareJob, chunk: number): RunRecord => {
   const first = firstOf(chunk);
   const done: number[] = [];
   const bindings: { index: number; machine: string; attempt: number }[] = [];
-  for (let index = first; index < Math.min(first + CHUNK_TASKS, job.spec.tasks); index += 1) {
+  for (let index = first; index < Math.min(first + TASKS_PER_RUN_RECORD, job.spec.tasks); index += 1) {
     if (job.done.has(index)) done.push(index);
     const binding = job.bindings.get(index);
     if (binding && binding.phase._tag !== 'gone')
@@ -39,7 +43,7 @@
 const unpackBits = (text: string, first: number): number[] => {
   const bits = BigInt(`0x${text}`);
   const indexes: number[] = [];
-  for (let k = 0; k < CHUNK_TASKS; k += 1) if ((bits >> BigInt(k)) & 1n) indexes.push(first + k);
+  for (let k = 0; k < TASKS_PER_RUN_RECORD; k += 1) if ((bits >> BigInt(k)) & 1n) indexes.push(first + k);
   return indexes;
 };
 
@@ -63,9 +67,6 @@
   return rows;
 };
 
-/** Bytes of a run's record beside its bindings: the bit field, the attempt, the number of parts, and braces. */
-const RUN_FRAME = 96;
-
 /**
  * A run within values of so many bytes. As it always was where that fits, or where a node of an earlier version may
  * have to read it; else with rows for tasks side by side, and the rest in parts that are written in the same transaction.
@@ -74,12 +75,12 @@
   const plain = writeRunRecord(record, chunk) as { d: string; b: Row[]; n: number };
   if (!maySplit || JSON.stringify(plain).length <= bytes) return { record: plain, parts: [] };
   const lists: Row[][] = [[]];
-  let size = RUN_FRAME;
+  let size = RUN_RECORD_OVERHEAD_BYTES;
   for (const row of rowsOf(record)) {
-    const more = JSON.stringify(row).length + 1;
+    const more = JSON.stringify(row).length + JSON_COMMA_BYTES;
     if (size + more > bytes) {
       lists.push([]);
-      size = RUN_FRAME;
+      size = RUN_RECORD_OVERHEAD_BYTES;
     }
     lists.at(-1)?.push(row);
     size += more;
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -1,8 +1,15 @@
-import { ROUND_AVERAGE_WEIGHT, ROUND_GAP_MS, ROUND_SHARE } from '../constants.js';
+import {
+  MIN_PLACEMENT_ROUND_PAUSE_MS,
+  PLACEMENT_ROUND_CORE_FRACTION,
+  ROUND_AVERAGE_WEIGHT,
+} from '../constants/placement.js';
 
 /** ms of rest that a round of so much processor time earns: its node has a part of a core, and rounds a part of that. */
 export const restMs = (processorMs: number, coreShare: number): number =>
-  Math.max(ROUND_GAP_MS, processorMs * (1 / (Math.min(1, coreShare) * ROUND_SHARE) - 1));
+  Math.max(
+    MIN_PLACEMENT_ROUND_PAUSE_MS,
+    processorMs * (1 / (Math.min(1, coreShare) * PLACEMENT_ROUND_CORE_FRACTION) - 1),
+  );
 
 /**
  * How long placement rests between rounds. It goes by the processor time of the last rounds, averaged: a single round during
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -1,4 +1,11 @@
-import { TXN_BYTES, VALUE_FILL, WRITE_FRAME_BYTES } from '../constants.js';
+import {
+  ESTIMATED_BINDING_BYTES,
+  ESTIMATED_RUN_RECORD_BYTES,
+  MAX_RECORD_BATCH_BYTES,
+  MAX_TRANSACTION_BYTES,
+  RUN_WRITE_OVERHEAD_BYTES,
+  VALUE_FILL_FRACTION,
+} from '../constants/key-value-store.js';
 import { log } from '../log.js';
 import type { Store, Write } from '../store/client.js';
 import { jobKey, runKey, runPartKey } from '../store/keys.js';
@@ -35,12 +42,13 @@
 }
 
 /** Guess of a run record's size on the wire: a binding is an index, a machine's name and an attempt. */
-export const sizeOf = (record: RunRecord): number => 120 + record.bindings.length * 40;
+export const sizeOf = (record: RunRecord): number =>
+  ESTIMATED_RUN_RECORD_BYTES + record.bindings.length * ESTIMATED_BINDING_BYTES;
 
 /** bytes on the wire, as the protocol measures them, of a run with its parts, its keys and its condition. */
 const storedBytes = (stored: StoredRun): number =>
   [stored.record, ...stored.parts].reduce<number>(
-    (sum, value) => sum + JSON.stringify(value).length + WRITE_FRAME_BYTES,
+    (sum, value) => sum + JSON.stringify(value).length + RUN_WRITE_OVERHEAD_BYTES,
     0,
   );
 
@@ -50,7 +58,7 @@
 
   runWrite(job: ShareJob, chunk: number): RunWrite {
     const record = runRecord(job, chunk);
-    const bytes = this.input.valueBytes * VALUE_FILL;
+    const bytes = this.input.valueBytes * VALUE_FILL_FRACTION;
     const stored = storeRun(record, chunk, bytes, this.input.maySplit());
     const keeps = chunk === 0 && job.validAttempt > 0;
     return { job, chunk, record, stored: keeps ? validating(stored, job.validAttempt) : stored };
@@ -69,7 +77,10 @@
     for (const entry of entries) {
       const size = sizeOf(entry.write.record);
       const more = this.changesOf(entry.write);
-      if (batch.length > 0 && (changes + more > this.input.store.batchOps || bytes + size > TXN_BYTES / 2)) {
+      if (
+        batch.length > 0 &&
+        (changes + more > this.input.store.batchOps || bytes + size > MAX_RECORD_BATCH_BYTES)
+      ) {
         batches.push(batch);
         batch = [];
         bytes = 0;
@@ -131,7 +142,7 @@
       changes += this.changesOf(write);
       bytes += storedBytes(write.stored);
     }
-    return changes <= this.input.store.txnOps && bytes <= TXN_BYTES;
+    return changes <= this.input.store.txnOps && bytes <= MAX_TRANSACTION_BYTES;
   }
 
   /** Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was prepared. */
--- a/src/placement/share-state.ts
+++ b/src/placement/share-state.ts
@@ -1,10 +1,12 @@
+import { SUSPECT_MACHINE_PAUSE_MS } from '../constants/machines.js';
 import {
-  JOB_BACKOFF_MAX_MS,
+  FAULTY_JOB_MACHINES,
   JOB_BACKOFF_MS,
-  JOB_ERRORS,
-  STOP_GRACE_EXTRA_S,
-  SUSPECT_MS,
-} from '../constants.js';
+  MAX_JOB_BACKOFF_DOUBLINGS,
+  MAX_JOB_BACKOFF_MS,
+  NO_ROOM_BACKOFF_MS,
+} from '../constants/placement.js';
+import { STOP_GRACE_EXTRA_S } from '../constants/workers.js';
 import type { MachineRecord } from '../fleet/records.js';
 import type { Demand, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
@@ -297,7 +299,7 @@
     if (how._tag === 'exited' && (how.cause === 'error' || how.cause === 'unknown'))
       this.onError(binding, job, machine);
     if (how._tag === 'exited' && how.cause === 'noRoom')
-      job.backoffUntil = Math.max(job.backoffUntil, this.input.now() + 1_000);
+      job.backoffUntil = Math.max(job.backoffUntil, this.input.now() + NO_ROOM_BACKOFF_MS);
     if (job.spec.kind === 'gang' && !isFinished(job)) this.breakGang(job);
   }
 
@@ -312,10 +314,14 @@
       machine: binding.machine,
       errors: job.errors,
     });
-    const jobAtFault = !job.proven && job.failedOn.size >= JOB_ERRORS;
+    const jobAtFault = !job.proven && job.failedOn.size >= FAULTY_JOB_MACHINES;
     if (!job.proven) {
       const pause = jobAtFault
-        ? Math.min(JOB_BACKOFF_MAX_MS, JOB_BACKOFF_MS * 2 ** Math.min(10, job.failedOn.size - JOB_ERRORS))
+        ? Math.min(
+            MAX_JOB_BACKOFF_MS,
+            JOB_BACKOFF_MS *
+              2 ** Math.min(MAX_JOB_BACKOFF_DOUBLINGS, job.failedOn.size - FAULTY_JOB_MACHINES),
+          )
         : 0;
       job.backoffUntil = Math.max(job.backoffUntil, now + pause);
     }
@@ -334,7 +340,7 @@
     else if (machine.health._tag === 'fine') {
       machine.health = job.proven
         ? { _tag: 'sick' }
-        : { _tag: 'suspect', job: job.spec.id, until: now + SUSPECT_MS };
+        : { _tag: 'suspect', job: job.spec.id, until: now + SUSPECT_MACHINE_PAUSE_MS };
     }
     if (machine.health._tag === 'sick') log.info({ event: 'machine.sick', machine: machine.id });
   }
--- a/src/placement/share-summary.ts
+++ b/src/placement/share-summary.ts
@@ -1,4 +1,4 @@
-import { PLAN_MS } from '../constants.js';
+import { SHARD_SUMMARY_INTERVAL_MS } from '../constants/peers.js';
 import type { Summary } from '../fleet/records.js';
 import type { Catalog } from '../jobs/model.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -41,7 +41,7 @@
     catalog: Catalog,
   ): void {
     const now = this.input.now();
-    if (now - this.plannedAt < PLAN_MS) return;
+    if (now - this.plannedAt < SHARD_SUMMARY_INTERVAL_MS) return;
     this.plannedAt = now;
     const needs = unmetDemand(
       left,
--- a/src/placement/share.test.ts
+++ b/src/placement/share.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ROUND_AVERAGE_WEIGHT, ROUND_GAP_MS, ROUND_SHARE } from '../constants.js';
+import {
+  MIN_PLACEMENT_ROUND_PAUSE_MS,
+  PLACEMENT_ROUND_CORE_FRACTION,
+  ROUND_AVERAGE_WEIGHT,
+} from '../constants/placement.js';
 import { ShareState } from './share-state.js';
 import { restMs, RoundPacer } from './round-pacer.js';
 
@@ -21,9 +25,9 @@
   // Guards against rounds of hundreds of waiting gangs that took a quarter of a whole core on every node.
   test(`rounds: ${row.name} leaves the rest to reports and users`, () => {
     const rest = restMs(row.roundMs, row.coreShare);
-    assert.ok(rest >= ROUND_GAP_MS);
+    assert.ok(rest >= MIN_PLACEMENT_ROUND_PAUSE_MS);
     const part = row.roundMs / (row.roundMs + rest);
-    assert.ok(part <= Math.min(1, row.coreShare) * ROUND_SHARE + 1e-9, `${part} of a core`);
+    assert.ok(part <= Math.min(1, row.coreShare) * PLACEMENT_ROUND_CORE_FRACTION + 1e-9, `${part} of a core`);
     assert.ok(Math.abs(part - row.partOfCore) < 0.001, `${part} of a core`);
   });
 }
--- a/src/placement/share.ts
+++ b/src/placement/share.ts
@@ -1,6 +1,8 @@
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { TASK_COUNTS_MAX, PLACE_TICK_MS, STORE_RETRY_MS } from '../constants.js';
+import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
+import { MAX_JOBS_WITH_TASK_COUNTS } from '../constants/peers.js';
+import { PLACEMENT_INTERVAL_MS } from '../constants/placement.js';
 import { readMachineRecord, type Reservation, type Move, type Summary } from '../fleet/records.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { Catalog, Demand, FinalRecord, JobSpec } from '../jobs/model.js';
@@ -275,7 +277,7 @@
     for (;;) {
       const all = yield* this.input.store.list(runsPrefix(this.slot), 'user');
       if (all._tag === 'failed') {
-        yield* Effect.sleep(STORE_RETRY_MS);
+        yield* Effect.sleep(STORE_RETRY_DELAY_MS);
         continue;
       }
       this.stage = 'rebuilding';
@@ -336,7 +338,7 @@
             setTimeout(resolve, Math.max(1, this.restUntil - this.input.now()));
           };
           if (this.poked) return soon();
-          const timer = setTimeout(resolve, PLACE_TICK_MS);
+          const timer = setTimeout(resolve, PLACEMENT_INTERVAL_MS);
           this.wake = () => {
             clearTimeout(timer);
             this.wake = null;
@@ -452,7 +454,7 @@
   allCounts(): readonly (readonly [id: string, done: number, running: number])[] {
     const list: (readonly [string, number, number])[] = [];
     for (const job of this.shareState.jobs.values()) {
-      if (list.length >= TASK_COUNTS_MAX) break;
+      if (list.length >= MAX_JOBS_WITH_TASK_COUNTS) break;
       const counts = job.bindings.size > 0 || job.done.size > 0 ? this.counts(job.spec.id) : null;
       if (counts) list.push([job.spec.id, counts.done, counts.running]);
     }
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -1,13 +1,12 @@
+import { MAX_DEMAND_CLASSES, MAX_SPARES_PER_KIND } from '../constants/peers.js';
+import { MAX_TASKS_PER_PLACEMENT_REQUEST } from '../constants/placement.js';
 import {
-  REQUEST_TASKS_MAX,
-  RESERVE_AFTER_MAX_MS,
-  RESERVE_AFTER_MS,
-  RESERVE_AFTER_TARGET,
-  RESERVE_ARRAY_AFTER_MS,
-  DEMAND_CLASSES_MAX,
-  SPARES_PER_KIND_MAX,
-  TASKS_MAX,
-} from '../constants.js';
+  ARRAY_RESERVE_DELAY_MS,
+  DEFAULT_RESERVE_DELAY_MS,
+  MAX_RESERVE_DELAY_MS,
+  RESERVE_DELAY_TARGET_FRACTION,
+} from '../constants/reservations.js';
+import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import type { UnlistedSpares, UnmetDemand, SpareMachine, Summary, WaitingGang } from '../fleet/records.js';
 import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import { packAll, type PlacementRequest, type Limit, type AvailableCapacity, type Usage } from './pack.js';
@@ -33,7 +32,7 @@
     spec.spot,
     spec.priority,
     urgent,
-    ...[...catalog.values()].map((type) => howMany(spec, type, TASKS_MAX)),
+    ...[...catalog.values()].map((type) => howMany(spec, type, MAX_TASKS_PER_JOB)),
   ].join('|');
 
 /**
@@ -41,11 +40,11 @@
  * loosest start target; an array longer, since any machine that comes free will do for a start.
  */
 const patience = (spec: JobSpec, objectives: ReadonlyMap<string, Objectives>): number => {
-  if (spec.kind !== 'gang') return RESERVE_ARRAY_AFTER_MS;
+  if (spec.kind !== 'gang') return ARRAY_RESERVE_DELAY_MS;
   const target = objectives.get(spec.klass)?.wait.at(-1);
   return target === undefined
-    ? RESERVE_AFTER_MS
-    : Math.min(RESERVE_AFTER_MAX_MS, target * 1000 * RESERVE_AFTER_TARGET);
+    ? DEFAULT_RESERVE_DELAY_MS
+    : Math.min(MAX_RESERVE_DELAY_MS, target * 1000 * RESERVE_DELAY_TARGET_FRACTION);
 };
 
 interface Open extends UnmetDemand {
@@ -84,7 +83,8 @@
     const key = needClass(spec, ask.urgency.rent, catalog);
     const waitedMs = wall - ask.at;
     // Of the others only those of which nothing has begun.
-    const listed = spec.kind === 'gang' || ask.waiting.length >= Math.min(spec.tasks, REQUEST_TASKS_MAX);
+    const listed =
+      spec.kind === 'gang' || ask.waiting.length >= Math.min(spec.tasks, MAX_TASKS_PER_PLACEMENT_REQUEST);
     const gang = listed
       ? [{ job: spec.id, tasks: count, waitedMs, patienceMs: patience(spec, objectives) }]
       : [];
@@ -97,7 +97,7 @@
       known.memoryGb = Math.max(known.memoryGb, spec.memoryGb);
       continue;
     }
-    if (needs.size >= DEMAND_CLASSES_MAX) continue;
+    if (needs.size >= MAX_DEMAND_CLASSES) continue;
     const room: Record<string, number> = {};
     if (spec.oneZone) {
       for (const free of rooms) {
@@ -150,12 +150,12 @@
   }
   const lists = [...kinds.values()];
   return {
-    listed: lists.flatMap((list) => list.sort((a, b) => b.idleS - a.idleS).slice(0, SPARES_PER_KIND_MAX)),
+    listed: lists.flatMap((list) => list.sort((a, b) => b.idleS - a.idleS).slice(0, MAX_SPARES_PER_KIND)),
     unlisted: lists.flatMap((list) => {
       const [first] = list;
-      if (!first || list.length <= SPARES_PER_KIND_MAX) return [];
+      if (!first || list.length <= MAX_SPARES_PER_KIND) return [];
       const { type, zone, spot } = first;
-      return [{ type, zone, spot, count: list.length - SPARES_PER_KIND_MAX }];
+      return [{ type, zone, spot, count: list.length - MAX_SPARES_PER_KIND }];
     }),
   };
 };
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,4 +1,9 @@
-import { URGENT_PLACE_S, URGENT_RENT_S, SPOT_PATIENCE_S, STARVING_FACTOR } from '../constants.js';
+import {
+  ON_DEMAND_PROVISIONING_PATIENCE_S,
+  STARVATION_FACTOR,
+  URGENT_PLACEMENT_SLACK_S,
+  URGENT_PROVISIONING_SLACK_S,
+} from '../constants/placement.js';
 import type { JobSpec } from '../jobs/model.js';
 
 /** What the settings say is expected of a class of jobs, in seconds from submission. */
@@ -63,7 +68,7 @@
   bootS: number,
   fetchS: number,
 ): Urgency => {
-  const long = waitedS > SPOT_PATIENCE_S;
+  const long = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
   /** Time left before the work must begin, for each target. */
   const slacks = [
     ...targets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
@@ -71,8 +76,8 @@
   ];
   if (slacks.length === 0) return { place: long, rent: long };
   return {
-    place: slacks.some((slack) => slack >= 0 && slack < URGENT_PLACE_S),
-    rent: long || slacks.some((slack) => slack >= bootS && slack < bootS + URGENT_RENT_S),
+    place: slacks.some((slack) => slack >= 0 && slack < URGENT_PLACEMENT_SLACK_S),
+    rent: long || slacks.some((slack) => slack >= bootS && slack < bootS + URGENT_PROVISIONING_SLACK_S),
   };
 };
 
@@ -84,6 +89,6 @@
   const list = objectives?.wait ?? [];
   const last = list.at(-1);
   if (last === undefined) return 0;
-  if (waitedS > last * STARVING_FACTOR) return 0;
+  if (waitedS > last * STARVATION_FACTOR) return 0;
   return list.filter((target) => waitedS > target).length;
 };
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -1,4 +1,4 @@
-import { RUN_TRIES } from '../constants.js';
+import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
 import type { Command, Report } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
@@ -86,7 +86,7 @@
   /** A `run` that went out with several answers and shows in no report after them was not heard. */
   private checkHeard(machine: ShareMachine): void {
     for (const binding of machine.bound.values()) {
-      if (binding.phase._tag === 'bound' && !binding.stop && binding.asked >= RUN_TRIES)
+      if (binding.phase._tag === 'bound' && !binding.stop && binding.asked >= MAX_RUN_COMMAND_ATTEMPTS)
         return this.findDeaf(machine, 'it starts nothing');
     }
   }
--- a/src/router.ts
+++ b/src/router.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { RETRY_AFTER_S, USER_BUDGET_MS } from './constants.js';
+import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from './constants/users-api.js';
 import type { DutiesApi } from './duties/admin-api.js';
 import type { Call, Reply } from './http.js';
 import type { UsersApi } from './jobs/api.js';
@@ -23,7 +23,7 @@
         body: { error: 'took too long' },
         headers: { 'retry-after': String(RETRY_AFTER_S) },
       });
-    }, USER_BUDGET_MS);
+    }, USER_CALL_TIMEOUT_MS);
     Effect.runPromise(reply)
       .then(resolve, reject)
       .finally(() => clearTimeout(timer));
--- a/src/service.ts
+++ b/src/service.ts
@@ -6,13 +6,13 @@
 import { LEADER } from './claims/decide.js';
 import { LeaseManager } from './claims/lease-manager.js';
 import { outageGrace } from './claims/outage.js';
+import { HEARTBEAT_FRESHNESS_MS, STRAY_REPORT_FRESHNESS_MS } from './constants/peers.js';
 import {
-  HEARTBEAT_FRESH_MS,
+  ACKNOWLEDGEMENT_PROTOCOL_VERSION,
+  FENCED_ORDERS_PROTOCOL_VERSION,
+  PIPELINES_PROTOCOL_VERSION,
   PROTOCOL_VERSION,
-  PROTOCOL_ACKNOWLEDGES_CANCELLATIONS,
-  PROTOCOL_FENCED_ORDERS,
-  PROTOCOL_PIPELINES,
-} from './constants.js';
+} from './constants/protocol.js';
 import { Cloud } from './fleet/cloud.js';
 import { CatalogView } from './fleet/catalog-view.js';
 import { DutiesApi } from './duties/admin-api.js';
@@ -142,7 +142,7 @@
       counts: [...shares].map(([slot, { share }]) => ({ slot, jobs: share.allCounts() })),
       summaries: to === leaderNode() ? ownSummaries() : ownSummaries().map(briefly),
       deaf: leases.deaf,
-      strays: reportHandler.strayCounts(HEARTBEAT_FRESH_MS * 2),
+      strays: reportHandler.strayCounts(STRAY_REPORT_FRESHNESS_MS),
       demand: { requests: store.requests.demand(), changes: store.changes.demand() },
       holds: leases.entitled(LEADER) === null ? [] : leader.holds,
     }),
@@ -172,8 +172,8 @@
     summaries: () => peerNetwork.summaries(),
     understands: (node) =>
       node === me.node ||
-      protocolVersion.agreed >= PROTOCOL_ACKNOWLEDGES_CANCELLATIONS ||
-      peerNetwork.understands(node, PROTOCOL_ACKNOWLEDGES_CANCELLATIONS),
+      protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION ||
+      peerNetwork.understands(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
   });
 
   const durableAcknowledgements = new DurableAcknowledgements({
@@ -223,7 +223,7 @@
     valueBytes,
     wall,
     enforce: features.fencing,
-    tokensRequired: () => protocolVersion.agreed >= PROTOCOL_FENCED_ORDERS,
+    tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
 
   const entitledShare = (slot: number): Share | null => {
@@ -247,7 +247,7 @@
     shares: slots,
     listLagS: facts.cloud.list_lag_s,
     valueBytes,
-    maySplit: () => protocolVersion.agreed >= PROTOCOL_PIPELINES,
+    maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     catalog,
     entitled: () => leases.entitled(LEADER),
     summaries: () => {
@@ -325,7 +325,7 @@
     objectives,
     workers: facts.workers,
     valueBytes,
-    maySplit: () => protocolVersion.agreed >= PROTOCOL_PIPELINES,
+    maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     coreShare: facts.quota.core_share,
     holds: () => holdsFor(slot),
     entitled: () => leases.entitled(String(slot)) === claim,
@@ -445,7 +445,7 @@
     fresh,
     finals,
     pipelines,
-    takesPipelines: () => protocolVersion.agreed >= PROTOCOL_PIPELINES,
+    takesPipelines: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     valueBytes,
     copyAgeMs: () => leaseClock() - cache.freshAt,
     assured: (id, team, version) => acknowledgement.assured(shareOfTeam.get(team) ?? 0, id, version),
@@ -463,7 +463,7 @@
   /** Ready means: takes users' requests at least as well as the other nodes. */
   const ready = (): boolean => {
     if (!cache.ready || catalog() === null) return false;
-    return stateAge() < HEARTBEAT_FRESH_MS || peerNetwork.stateReachability().up === 0;
+    return stateAge() < HEARTBEAT_FRESHNESS_MS || peerNetwork.stateReachability().up === 0;
   };
 
   const duties = new DutiesApi({
--- a/src/settings/teams.ts
+++ b/src/settings/teams.ts
@@ -1,3 +1,4 @@
+import { CPUS_PER_GPU_WEIGHT } from '../constants/placement.js';
 import type { Settings, Team } from './schema.js';
 
 /**
@@ -7,7 +8,7 @@
 export const divideTeams = (teams: readonly Team[], slots: number): ReadonlyMap<string, number> => {
   const loads = Array.from({ length: slots }, () => 0);
   const shares = new Map<string, number>();
-  const weight = (team: Team): number => team.gpus * 8 + team.cpus;
+  const weight = (team: Team): number => team.gpus * CPUS_PER_GPU_WEIGHT + team.cpus;
   const order = [...teams].sort((a, b) => weight(b) - weight(a) || (a.name < b.name ? -1 : 1));
   for (const team of order) {
     let best = 0;
--- a/src/start.ts
+++ b/src/start.ts
@@ -1,11 +1,12 @@
 import { randomUUID } from 'node:crypto';
 import * as Effect from 'effect/Effect';
 import {
-  ANSWER_MAX_BYTES,
-  BODY_MAX_BYTES,
-  INCOMING_SOCKET_SHARE,
-  WORKER_CLIENT_SOCKET_SHARE,
-} from './constants.js';
+  INCOMING_SOCKET_FRACTION,
+  MAX_BODY_BYTES,
+  MAX_RESPONSE_BYTES,
+  WORKER_CLIENT_SOCKET_FRACTION,
+} from './constants/http.js';
+import { MAX_INCOMING_SOCKETS_PER_NODE } from './constants/peers.js';
 import { Client, parseTarget, serve } from './http.js';
 import { log } from './log.js';
 import type { Features } from './settings/features.js';
@@ -31,22 +32,22 @@
     },
     incarnation: randomUUID(),
     callers: (target, sockets) => new Client(target, sockets),
-    workerClient: new WorkerClient(Math.floor(settings.facts.quota.fd_limit * WORKER_CLIENT_SOCKET_SHARE)),
+    workerClient: new WorkerClient(Math.floor(settings.facts.quota.fd_limit * WORKER_CLIENT_SOCKET_FRACTION)),
   };
   const controller = compose(settings, ports, features, adminAccess);
   const failed = (error: unknown): void => log.error({ event: 'request.failed', error: String(error) });
-  const connections = Math.floor(settings.facts.quota.fd_limit * INCOMING_SOCKET_SHARE);
+  const connections = Math.floor(settings.facts.quota.fd_limit * INCOMING_SOCKET_FRACTION);
   await serve(
     parseTarget(settings.api_addr),
     { connections, crowd: (path) => path === '/hello' },
-    BODY_MAX_BYTES,
+    MAX_BODY_BYTES,
     controller.route,
     failed,
   );
   await serve(
     parseTarget(settings.mesh_addr),
-    { connections: (settings.siblings.length + 1) * 16 },
-    ANSWER_MAX_BYTES,
+    { connections: (settings.siblings.length + 1) * MAX_INCOMING_SOCKETS_PER_NODE },
+    MAX_RESPONSE_BYTES,
     controller.peerRoute,
     failed,
   );
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,18 +1,23 @@
 import * as Effect from 'effect/Effect';
 import {
-  BATCH_LEAST,
-  BATCH_SHARE,
-  CLAIM_TTL_MS,
-  LIST_PAGE,
-  RATE_RETRIES,
-  RATE_RETRY_MS,
-  RENEW_TIMEOUT_MS,
-  STORE_QUEUE_MS,
-  STORE_RESERVE,
-  STORE_TIMEOUT_MS,
-  WATCH_MS,
-  WATCH_SHARE,
-} from '../constants.js';
+  LEASE_REQUEST_TIMEOUT_MS,
+  LEASE_SOCKETS,
+  LIST_PAGE_ITEMS,
+  MAX_RATE_LIMITED_RETRIES,
+  MIN_TRANSACTION_CHANGES,
+  RATE_LIMITED_RETRY_DELAY_MS,
+  RATE_QUEUE_TIMEOUT_MS,
+  RATE_RESERVE_FRACTION,
+  STORE_LIST_TIMEOUT_MS,
+  STORE_REQUEST_TIMEOUT_MS,
+  STORE_SOCKETS,
+  TRANSACTION_RATE_FRACTION,
+  WATCH_REQUEST_FRACTION,
+  WATCH_REQUEST_TIMEOUT_MS,
+  WATCH_SOCKETS,
+  WATCH_TIMEOUT_MS,
+} from '../constants/key-value-store.js';
+import { SHARD_LEASE_TTL_MS } from '../constants/leases.js';
 import type { Answer, Caller, Callers, Target } from '../http.js';
 import { RateLimiter, type Rank } from './rate-limiter.js';
 
@@ -96,19 +101,32 @@
     private readonly now: () => number,
     callers: Callers,
   ) {
-    this.calls = callers(target, 12);
-    this.watches = callers(target, 4);
-    this.leases = callers(target, 2);
-    this.requests = new RateLimiter(limits.rps / limits.nodes, STORE_RESERVE, STORE_QUEUE_MS, now);
-    this.changes = new RateLimiter(limits.write_rps / limits.nodes, STORE_RESERVE, STORE_QUEUE_MS, now);
+    this.calls = callers(target, STORE_SOCKETS);
+    this.watches = callers(target, WATCH_SOCKETS);
+    this.leases = callers(target, LEASE_SOCKETS);
+    this.requests = new RateLimiter(
+      limits.rps / limits.nodes,
+      RATE_RESERVE_FRACTION,
+      RATE_QUEUE_TIMEOUT_MS,
+      now,
+    );
+    this.changes = new RateLimiter(
+      limits.write_rps / limits.nodes,
+      RATE_RESERVE_FRACTION,
+      RATE_QUEUE_TIMEOUT_MS,
+      now,
+    );
     this.txnOps = limits.txn_ops;
-    this.watchGapMs = (1000 * limits.nodes) / (limits.rps * WATCH_SHARE);
+    this.watchGapMs = (1000 * limits.nodes) / (limits.rps * WATCH_REQUEST_FRACTION);
     this.rates = { requests: limits.rps, changes: limits.write_rps };
   }
   readonly txnOps: number;
   /** Changes that one transaction should hold at the present rate. */
   get batchOps(): number {
-    return Math.min(this.txnOps, Math.max(BATCH_LEAST, Math.floor(this.changes.perSecond * BATCH_SHARE)));
+    return Math.min(
+      this.txnOps,
+      Math.max(MIN_TRANSACTION_CHANGES, Math.floor(this.changes.perSecond * TRANSACTION_RATE_FRACTION)),
+    );
   }
   /** ms: pause between two watches, so that they take a bounded part of the requests. */
   readonly watchGapMs: number;
@@ -125,17 +143,29 @@
       if (!(await this.requests.take(1, rank))) return null;
       const answer = this.seen(await client.request(method, path, body, ms));
       // 429: not carried out. All nodes together asked for more than there is; soon there is some again.
-      if (rank !== 'user' || answer._tag !== 'answer' || answer.status !== 429 || tries >= RATE_RETRIES)
+      if (
+        rank !== 'user' ||
+        answer._tag !== 'answer' ||
+        answer.status !== 429 ||
+        tries >= MAX_RATE_LIMITED_RETRIES
+      )
         return answer;
       await new Promise((resolve) => {
-        setTimeout(resolve, RATE_RETRY_MS);
+        setTimeout(resolve, RATE_LIMITED_RETRY_DELAY_MS);
       });
     }
   }
 
   get(key: string, rank: Rank): Effect.Effect<GetResult> {
     return Effect.promise(async (): Promise<GetResult> => {
-      const answer = await this.call(rank, this.calls, 'GET', `/store/${key}`, undefined, STORE_TIMEOUT_MS);
+      const answer = await this.call(
+        rank,
+        this.calls,
+        'GET',
+        `/store/${key}`,
+        undefined,
+        STORE_REQUEST_TIMEOUT_MS,
+      );
       if (answer === null) return { _tag: 'failed', why: 'over budget' };
       if (answer._tag === 'answer' && answer.status === 200)
         return { _tag: 'found', item: item(answer.body as RawItem) };
@@ -146,8 +176,8 @@
 
   page(prefix: string, after: string | null, rank: Rank): Effect.Effect<ListResult> {
     return Effect.promise(async (): Promise<ListResult> => {
-      const path = `/store?under=${encodeURIComponent(prefix)}&most=${LIST_PAGE}${after === null ? '' : `&since=${encodeURIComponent(after)}`}`;
-      const answer = await this.call(rank, this.calls, 'GET', path, undefined, STORE_TIMEOUT_MS * 2);
+      const path = `/store?under=${encodeURIComponent(prefix)}&most=${LIST_PAGE_ITEMS}${after === null ? '' : `&since=${encodeURIComponent(after)}`}`;
+      const answer = await this.call(rank, this.calls, 'GET', path, undefined, STORE_LIST_TIMEOUT_MS);
       if (answer === null) return { _tag: 'failed', why: 'over budget' };
       if (answer._tag !== 'answer' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
       const body = answer.body as { rows: RawItem[]; more: boolean; epoch: number };
@@ -190,7 +220,7 @@
             : { remove: write.key },
         ),
       };
-      const answer = await this.call(rank, this.calls, 'POST', '/txn', body, STORE_TIMEOUT_MS);
+      const answer = await this.call(rank, this.calls, 'POST', '/txn', body, STORE_REQUEST_TIMEOUT_MS);
       if (answer === null) return { _tag: 'refused', why: 'over budget' };
       if (answer._tag === 'silence') return { _tag: 'unknown', why: answer.why };
       const data = answer.body as { epoch?: number; failed?: string[]; error?: string } | null;
@@ -213,7 +243,7 @@
   }
 
   grant(): Effect.Effect<LeaseResult> {
-    return this.lease('POST', '/holds', { ttlMs: CLAIM_TTL_MS });
+    return this.lease('POST', '/holds', { ttlMs: SHARD_LEASE_TTL_MS });
   }
   renew(lease: number): Effect.Effect<LeaseResult> {
     return this.lease('POST', `/holds/${lease}/renew`, {});
@@ -223,7 +253,7 @@
     return Effect.promise(async (): Promise<LeaseResult> => {
       if (!(await this.requests.take(1, 'vital'))) return { _tag: 'failed', why: 'over budget' };
       const sentAt = this.now();
-      const answer = this.seen(await this.leases.request(method, path, body, RENEW_TIMEOUT_MS));
+      const answer = this.seen(await this.leases.request(method, path, body, LEASE_REQUEST_TIMEOUT_MS));
       if (answer._tag === 'answer' && answer.status === 200) {
         return { _tag: 'held', lease: (answer.body as { permit: number }).permit, sentAt };
       }
@@ -235,10 +265,8 @@
   watch(prefix: string, since: number): Effect.Effect<WatchResult> {
     return Effect.promise(async (): Promise<WatchResult> => {
       if (!(await this.requests.take(1, 'user'))) return { _tag: 'failed', why: 'over budget' };
-      const path = `/follow?under=${encodeURIComponent(prefix)}&since=${since}&waitMs=${WATCH_MS}`;
-      const answer = this.seen(
-        await this.watches.request('GET', path, undefined, WATCH_MS + STORE_TIMEOUT_MS),
-      );
+      const path = `/follow?under=${encodeURIComponent(prefix)}&since=${since}&waitMs=${WATCH_TIMEOUT_MS}`;
+      const answer = this.seen(await this.watches.request('GET', path, undefined, WATCH_REQUEST_TIMEOUT_MS));
       if (answer._tag === 'answer' && answer.status === 410) return { _tag: 'tooOld' };
       if (answer._tag !== 'answer' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
       const body = answer.body as {
--- a/src/store/limits.test.ts
+++ b/src/store/limits.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import { VALUE_FILL } from '../constants.js';
+import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
 import type { Answer } from '../http.js';
 import { UsersApi } from '../jobs/api.js';
@@ -78,7 +78,7 @@
 ];
 for (const row of runs) {
   test(`limits: a run, ${row.name}`, () => {
-    const { record, parts } = storeRun(row.record, 780, BYTES * VALUE_FILL, true);
+    const { record, parts } = storeRun(row.record, 780, BYTES * VALUE_FILL_FRACTION, true);
     for (const value of [record, ...parts]) assert.ok(bytesOf(value) <= BYTES, `${bytesOf(value)} B`);
     assert.equal(partsOf(record), parts.length);
     assert.ok(1 + parts.length <= OPS);
@@ -100,7 +100,7 @@
   }));
 for (const count of [1, 40]) {
   test(`limits: a catalog of ${count} types`, () => {
-    const writes = storeCatalog(types(count), BYTES * VALUE_FILL, OPS, true);
+    const writes = storeCatalog(types(count), BYTES * VALUE_FILL_FRACTION, OPS, true);
     assert.ok(writes !== null && writes.length <= OPS);
     const items = new Map<string, Item>();
     for (const write of writes) {
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,6 +1,10 @@
 import * as Effect from 'effect/Effect';
 import { Batcher } from '../batch.js';
-import { FRESH_BATCH_MS } from '../constants.js';
+import {
+  LINEARIZABLE_READ_ATTEMPTS,
+  LINEARIZABLE_READ_BATCH_DELAY_MS,
+  LINEARIZABLE_READ_BATCH_FACTOR,
+} from '../constants/key-value-store.js';
 import type { Store } from './client.js';
 
 /** Does a key still have the version that this node's copy shows? */
@@ -15,7 +19,11 @@
 
   constructor(private readonly store: Store) {
     // Four times as many conditions as changes are allowed; a conflict costs a second look at the others.
-    this.batcher = new Batcher(FRESH_BATCH_MS, store.txnOps * 2, (questions) => this.compare(questions));
+    this.batcher = new Batcher(
+      LINEARIZABLE_READ_BATCH_DELAY_MS,
+      store.txnOps * LINEARIZABLE_READ_BATCH_FACTOR,
+      (questions) => this.compare(questions),
+    );
   }
 
   confirm(key: string, version: number): Effect.Effect<Freshness> {
@@ -28,7 +36,7 @@
     const known = new Map<string, number>();
     for (const { key, version } of questions) known.set(key, Math.max(version, known.get(key) ?? 0));
     const changed = new Set<string>();
-    for (let tries = 0; tries < 3; tries += 1) {
+    for (let tries = 0; tries < LINEARIZABLE_READ_ATTEMPTS; tries += 1) {
       const when = [...known]
         .filter(([key]) => !changed.has(key))
         .map(([key, version]) => ({ key, version }));
--- a/src/store/rate-limiter.ts
+++ b/src/store/rate-limiter.ts
@@ -1,9 +1,11 @@
 import {
-  RATE_DOWN_PAYMENT,
-  RATE_QUEUE_MAX_MS,
-  RATE_QUEUE_MIN_MS,
+  BATCH_ADMISSION_FRACTION,
+  BIND_RESERVE_FRACTION,
+  MAX_RATE_QUEUE_CHECK_INTERVAL_MS,
+  MIN_RATE_QUEUE_CHECK_INTERVAL_MS,
   RATE_DEMAND_WINDOW_MS,
-} from '../constants.js';
+  VITAL_OVERDRAFT_FRACTION,
+} from '../constants/key-value-store.js';
 
 /** A token bucket with ranks: renewals and users' calls pass while background work waits. */
 export type Rank = 'vital' | 'user' | 'bind' | 'work';
@@ -68,11 +70,11 @@
   private floor(rank: Rank): number {
     switch (rank) {
       case 'vital':
-        return -this.rate * 0.1;
+        return -this.rate * VITAL_OVERDRAFT_FRACTION;
       case 'user':
         return 0;
       case 'bind':
-        return (this.rate * this.reserve) / 2;
+        return this.rate * this.reserve * BIND_RESERVE_FRACTION;
       case 'work':
         return this.rate * this.reserve;
     }
@@ -89,7 +91,7 @@
    * it. Were the whole asked for, a batch as large as the bucket would need it full, which others never leave it.
    */
   private need(count: number, rank: Rank): number {
-    return Math.min(count, this.rate * RATE_DOWN_PAYMENT, this.rate - this.floor(rank));
+    return Math.min(count, this.rate * BATCH_ADMISSION_FRACTION, this.rate - this.floor(rank));
   }
 
   tryTake(count: number, rank: Rank): boolean {
@@ -113,14 +115,14 @@
   /** When the first in some queue can have its tokens, or gives up: looking more often only costs time. */
   private nextLookMs(): number {
     this.refill();
-    let least = RATE_QUEUE_MAX_MS;
+    let least = MAX_RATE_QUEUE_CHECK_INTERVAL_MS;
     for (const rank of RANKS) {
       const head = this.queues[rank][0];
       if (!head) continue;
       const missing = this.floor(rank) + this.need(head.count, rank) - this.level;
       least = Math.min(least, (missing / this.rate) * 1000, head.until - this.now());
     }
-    return Math.max(RATE_QUEUE_MIN_MS, least);
+    return Math.max(MIN_RATE_QUEUE_CHECK_INTERVAL_MS, least);
   }
 
   private async pump(): Promise<void> {
--- a/src/store/watch-cache.test.ts
+++ b/src/store/watch-cache.test.ts
@@ -2,7 +2,7 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import { CACHE_FRESH_MS } from '../constants.js';
+import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
 import { StateStandIn } from '../testing/state-stand-in.js';
 import { Store } from './client.js';
 import { WatchCache } from './watch-cache.js';
@@ -14,7 +14,7 @@
   ageAt60S: readonly [least: number, most: number];
 }[] = [
   // Where nothing changes watches end empty; the copy must count as fresh enough to answer from all the same.
-  { name: 'nothing changes for a minute', refusedFromS: 99, ageAt60S: [0, CACHE_FRESH_MS] },
+  { name: 'nothing changes for a minute', refusedFromS: 99, ageAt60S: [0, CACHE_FRESHNESS_MS] },
   // A watch that hangs says nothing: what happened since may be unknown here.
   { name: 'this node alone is refused from 20 s on', refusedFromS: 20, ageAt60S: [40_000, 50_000] },
 ];
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { STORE_RETRY_MS } from '../constants.js';
+import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { log } from '../log.js';
 import type { Item, Store, StoreEvent } from './client.js';
 import { SHARED } from './keys.js';
@@ -66,7 +66,7 @@
       const all = yield* this.store.list(SHARED, 'user');
       if (all._tag === 'failed') {
         log.debug({ event: 'cache.list_failed', why: all.why });
-        yield* Effect.sleep(STORE_RETRY_MS);
+        yield* Effect.sleep(STORE_RETRY_DELAY_MS);
         continue;
       }
       this.reload(all.items, all.revision);
@@ -77,7 +77,7 @@
         const result = yield* this.store.watch(SHARED, this.revision);
         if (result._tag === 'tooOld') break;
         if (result._tag === 'failed') {
-          yield* Effect.sleep(STORE_RETRY_MS);
+          yield* Effect.sleep(STORE_RETRY_DELAY_MS);
           continue;
         }
         for (const event of result.events) this.apply(event);
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -8,7 +8,7 @@
 import * as http from 'node:http';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { BODY_MAX_BYTES } from '../constants.js';
+import { MAX_BODY_BYTES } from '../constants/http.js';
 import { Client, decode, encode, parseTarget, serve, type Call, type Reply } from '../http.js';
 import { CATALOG } from './cloud-stand-in.js';
 import { StateStandIn } from './state-stand-in.js';
@@ -214,7 +214,7 @@
   await serve(
     parseTarget(`${HOST}:${PORT + 1}`),
     { connections: 200 },
-    16 * BODY_MAX_BYTES,
+    16 * MAX_BODY_BYTES,
     async (call) => {
       count(`state ${call.method} ${call.path.split('/')[1] ?? ''}`);
       const path = call.query === '' ? call.path : `${call.path}?${call.query}`;
@@ -231,14 +231,14 @@
   await serve(
     parseTarget(`${HOST}:${PORT + 2}`),
     { connections: 200 },
-    BODY_MAX_BYTES,
+    MAX_BODY_BYTES,
     (call) => Promise.resolve(cloud(call)),
     failed,
   );
   await serve(
     parseTarget(`${HOST}:${PORT + 3}`),
     { connections: 4_000 },
-    BODY_MAX_BYTES,
+    MAX_BODY_BYTES,
     () => {
       count('direct');
       return Promise.resolve({ status: 409, body: {} });
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -8,7 +8,7 @@
 import { createServer, type AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { BODY_MAX_BYTES } from '../constants.js';
+import { MAX_BODY_BYTES } from '../constants/http.js';
 import { Client, parseTarget, serve, type Answer, type Call, type Reply } from '../http.js';
 import { CloudStandIn } from './cloud-stand-in.js';
 import { StateStandIn } from './state-stand-in.js';
@@ -110,7 +110,7 @@
         const target = { host: HOST, port: this.portsOf(node)[service] };
         const handle = (call: Call): Promise<Reply> => this.answer({ node, service, call });
         const ignore = (): void => undefined;
-        this.servers.push(await serve(target, { connections: 64 }, 16 * BODY_MAX_BYTES, handle, ignore));
+        this.servers.push(await serve(target, { connections: 64 }, 16 * MAX_BODY_BYTES, handle, ignore));
       }
     }
   }
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FORGET_AFTER_MS } from '../constants.js';
+import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
 import type { Binding, ShareMachine } from '../placement/state.js';
 import { bindingKey } from '../placement/state.js';
 import { nextPhase, type Phase } from '../placement/task.js';
@@ -223,7 +223,7 @@
     name: 'a settled exit is forgotten, after a while in which others may join it',
     binding: null,
     report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    now: FORGET_AFTER_MS + 1_000,
+    now: MAX_FORGET_DELAY_MS + 1_000,
     expect: ['forget 3'],
   },
   {
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,4 +1,4 @@
-import { FORGET_AFTER_MS, FORGET_TOGETHER, STOP_GRACE_OVERRUN_MS } from '../constants.js';
+import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
 import { bindingKey, type Binding, type ShareMachine } from '../placement/state.js';
 import { nextPhase, type Gone } from '../placement/task.js';
 import type { Command, Report } from './model.js';
@@ -102,7 +102,7 @@
   // Each makes the worker report anew, so they go with other commands or several at once, within bounds.
   const wait =
     commands.length === 0 &&
-    forgets.length < FORGET_TOGETHER &&
-    (machine.forgetFrom === null || now - machine.forgetFrom < FORGET_AFTER_MS);
+    forgets.length < FORGET_BATCH_EXITS &&
+    (machine.forgetFrom === null || now - machine.forgetFrom < MAX_FORGET_DELAY_MS);
   return wait ? commands : [...commands, ...forgets];
 };
--- a/src/workers/report-handler.ts
+++ b/src/workers/report-handler.ts
@@ -1,4 +1,4 @@
-import { ANSWER_WAIT_MS } from '../constants.js';
+import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
 import type { Reply } from '../http.js';
 import { claimKey, machineKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -61,7 +61,7 @@
     }
     this.strays.delete(report.machine);
     const heard = this.input.share(share)?.onReport(report) ?? null;
-    if (heard?.hurry) await this.input.share(share)?.nextRound(report.machine, ANSWER_WAIT_MS);
+    if (heard?.hurry) await this.input.share(share)?.nextRound(report.machine, MAX_REPORT_ANSWER_DELAY_MS);
     // Asked again after the wait: the claim may have gone meanwhile.
     const orders = heard ? (this.input.share(share)?.orders(report) ?? null) : null;
     if (!orders) return { status: 503 };
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -1,5 +1,5 @@
 import * as http from 'node:http';
-import { DIRECT_TIMEOUT_MS } from '../constants.js';
+import { DIRECT_COMMAND_TIMEOUT_MS } from '../constants/workers.js';
 import { decode, encode, oneWrite, parseTarget } from '../http.js';
 import { readReport, writeOrders } from './codec.js';
 import type { Command, Report } from './model.js';
@@ -81,7 +81,7 @@
         // A connection that was never made never completes later, so nothing of it can arrive.
         end(connected ? { _tag: 'unsure' } : { _tag: 'refused', report: null });
         req.destroy();
-      }, DIRECT_TIMEOUT_MS);
+      }, DIRECT_COMMAND_TIMEOUT_MS);
       req.on('socket', (socket) => {
         if (!socket.connecting) connected = true;
         else socket.once('connect', () => (connected = true));
