--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { Batcher } from '../batch.js';
+import { Batcher } from '../concurrency/batcher.js';
 import { ACKNOWLEDGEMENT_BATCH_MS, ACKNOWLEDGEMENT_BATCH_MAX } from '../constants.js';
 import type { Summary } from '../fleet/records.js';
 import type { Store } from '../store/client.js';
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -99,6 +99,6 @@
   if (command !== undefined || values.config === undefined) return fail(USAGE, EXIT_USAGE);
   const settings = readSettings(values.config);
   const features = readFeatures(values.features);
-  const { start } = await import('../start.js');
+  const { start } = await import('../controller/start.js');
   await start(settings, features, readNetworks(values.networks));
 };
--- a/src/batch.ts
+++ b/src/concurrency/batcher.ts
@@ -1,3 +1,5 @@
+/** Batches requests that come close together. Owns the requests that wait; any module may use it. */
+
 /**
  * Questions that come together are asked together: the first waits a moment for others, then one call answers
  * all. An answer is always younger than its question.
--- a/src/service.ts
+++ b/src/controller/compose.ts
@@ -1,56 +1,56 @@
 import { SuspensionAwareClock } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import { CancellationAcknowledgement, type Cancellation } from './cancellation/acknowledgement.js';
-import { DurableAcknowledgements } from './cancellation/durable-acknowledgement.js';
-import { LEADER } from './claims/decide.js';
-import { LeaseManager } from './claims/lease-manager.js';
-import { outageGrace } from './claims/outage.js';
+import { CancellationAcknowledgement, type Cancellation } from '../cancellation/acknowledgement.js';
+import { DurableAcknowledgements } from '../cancellation/durable-acknowledgement.js';
+import { LEADER } from '../claims/decide.js';
+import { LeaseManager } from '../claims/lease-manager.js';
+import { outageGrace } from '../claims/outage.js';
 import {
   HEARTBEAT_FRESH_MS,
   PROTOCOL_VERSION,
   PROTOCOL_ACKNOWLEDGES_CANCELLATIONS,
   PROTOCOL_FENCED_ORDERS,
   PROTOCOL_PIPELINES,
-} from './constants.js';
-import { Cloud } from './fleet/cloud.js';
-import { CatalogView } from './fleet/catalog-view.js';
-import { DutiesApi } from './duties/admin-api.js';
-import { composeDuties } from './duties/compose.js';
-import { returnUrgently } from './duties/urgent-return.js';
-import { BootBoundTypes } from './fleet/boot-bound-types.js';
-import { ScarceTypes } from './fleet/scarce-types.js';
-import { Leader } from './fleet/leader.js';
-import type { Reservation, Summary } from './fleet/records.js';
-import { parseTarget, type Call, type Callers, type Reply } from './http.js';
+} from '../constants.js';
+import { Cloud } from '../fleet/cloud.js';
+import { CatalogView } from '../fleet/catalog-view.js';
+import { DutiesApi } from '../duties/admin-api.js';
+import { composeDuties } from '../duties/compose.js';
+import { returnUrgently } from '../duties/urgent-return.js';
+import { BootBoundTypes } from '../fleet/boot-bound-types.js';
+import { ScarceTypes } from '../fleet/scarce-types.js';
+import { Leader } from '../fleet/leader.js';
+import type { Reservation, Summary } from '../fleet/records.js';
+import { parseTarget, type Call, type Callers, type Reply } from '../http.js';
 import { createRouter } from './router.js';
 import { supervise } from './supervise.js';
-import { UsersApi } from './jobs/api.js';
-import { readJobRecord } from './jobs/codec.js';
-import { fitsIn, placeAllowed, type JobRecord } from './jobs/model.js';
-import { log } from './log.js';
-import { StoreRelay } from './peers/store-relay.js';
-import { ProtocolVersion } from './peers/protocol-version.js';
-import { PeerNetwork } from './peers/network.js';
-import { PeerRequests, type MoveOrder } from './peers/peer-requests.js';
-import { shareRates } from './peers/rate-sharing.js';
-import { unpackIds } from './pipelines/codec.js';
-import { Finals } from './pipelines/finals.js';
-import { Pipelines } from './pipelines/pipelines.js';
-import { briefly } from './placement/unmet-demand.js';
-import { readObjectives } from './placement/urgency.js';
-import { Share, type ShareInput } from './placement/share.js';
-import type { Settings } from './settings/schema.js';
-import { NO_FEATURES, type Features } from './settings/features.js';
-import { ANYONE, type AdminAccess } from './settings/networks.js';
-import { lasting } from './settings/limits.js';
-import { divideTeams, nodeNames } from './settings/teams.js';
-import { Store } from './store/client.js';
-import { claimKey, followsKey, jobKey } from './store/keys.js';
-import { LinearizableReads } from './store/linearizable-reads.js';
-import { WatchCache } from './store/watch-cache.js';
-import { type DirectCommands } from './workers/worker-client.js';
-import { ReportHandler } from './workers/report-handler.js';
+import { UsersApi } from '../jobs/api.js';
+import { readJobRecord } from '../jobs/codec.js';
+import { fitsIn, placeAllowed, type JobRecord } from '../jobs/model.js';
+import { log } from '../log.js';
+import { StoreRelay } from '../peers/store-relay.js';
+import { ProtocolVersion } from '../peers/protocol-version.js';
+import { PeerNetwork } from '../peers/network.js';
+import { PeerRequests, type MoveOrder } from '../peers/peer-requests.js';
+import { shareRates } from '../peers/rate-sharing.js';
+import { unpackIds } from '../pipelines/codec.js';
+import { Finals } from '../pipelines/finals.js';
+import { Pipelines } from '../pipelines/pipelines.js';
+import { briefly } from '../placement/unmet-demand.js';
+import { readObjectives } from '../placement/urgency.js';
+import { Share, type ShareInput } from '../placement/share.js';
+import type { Settings } from '../settings/schema.js';
+import { NO_FEATURES, type Features } from '../settings/features.js';
+import { ANYONE, type AdminAccess } from '../settings/networks.js';
+import { lasting } from '../settings/limits.js';
+import { divideTeams, nodeNames } from '../settings/teams.js';
+import { Store } from '../store/client.js';
+import { claimKey, followsKey, jobKey } from '../store/keys.js';
+import { LinearizableReads } from '../store/linearizable-reads.js';
+import { WatchCache } from '../store/watch-cache.js';
+import { type DirectCommands } from '../workers/worker-client.js';
+import { ReportHandler } from '../workers/report-handler.js';
 
 /** What a controller needs of the world outside; tests put stand-ins here. */
 export interface Ports {
--- a/src/router.ts
+++ b/src/controller/router.ts
@@ -1,9 +1,13 @@
+/** Routes requests on the API address to the subsystem that answers them. Holds no state; `start.ts` serves it. */
 import * as Effect from 'effect/Effect';
-import { RETRY_AFTER_S, USER_BUDGET_MS } from './constants.js';
-import type { DutiesApi } from './duties/admin-api.js';
-import type { Call, Reply } from './http.js';
-import type { UsersApi } from './jobs/api.js';
-import type { ReportHandler } from './workers/report-handler.js';
+import { RETRY_AFTER_S, USER_BUDGET_MS } from '../constants.js';
+import type { DutiesApi } from '../duties/admin-api.js';
+import type { Call, Reply } from '../http.js';
+import type { UsersApi } from '../jobs/api.js';
+import type { ReportHandler } from '../workers/report-handler.js';
+
+/** Where workers send their heartbeats. */
+export const WORKER_PATH = '/hello';
 
 /** What requests on the API address are routed to. */
 export interface RouterInput {
@@ -34,7 +38,7 @@
   ({ ready, reports, users, duties }: RouterInput): ((call: Call) => Promise<Reply>) =>
   (call) => {
     if (call.path === '/ready') return Promise.resolve({ status: ready() ? 200 : 503 });
-    if (call.path === '/hello') {
+    if (call.path === WORKER_PATH) {
       if (call.method !== 'POST') return Promise.resolve({ status: 405, headers: { allow: 'POST' } });
       return call.body._tag === 'value' ? reports.handle(call.body.value) : Promise.resolve({ status: 400 });
     }
--- /dev/null
+++ b/src/controller/start.ts
@@ -0,0 +1,80 @@
+/** Starts a composed controller as this process: real clocks and sockets, and the two listening addresses. */
+import { randomUUID } from 'node:crypto';
+import * as Effect from 'effect/Effect';
+import {
+  ANSWER_MAX_BYTES,
+  BODY_MAX_BYTES,
+  INCOMING_SOCKET_SHARE,
+  WORKER_CLIENT_SOCKET_SHARE,
+} from '../constants.js';
+import { Client, parseTarget, serve } from '../http.js';
+import { log } from '../log.js';
+import type { Features } from '../settings/features.js';
+import type { AdminAccess } from '../settings/networks.js';
+import type { Settings } from '../settings/schema.js';
+import { WorkerClient } from '../workers/worker-client.js';
+import { compose, type Ports } from './compose.js';
+import { WORKER_PATH } from './router.js';
+
+const MICROSECONDS_PER_MS = 1_000;
+/** Connections that the peer address may hold open for each controller of the deployment. */
+const INCOMING_CONNECTIONS_PER_CONTROLLER = 16;
+
+/** Connections that the API address may hold open. */
+const apiConnections = (settings: Settings): number =>
+  Math.floor(settings.facts.quota.fd_limit * INCOMING_SOCKET_SHARE);
+
+/** Connections that the peer address may hold open. */
+const peerConnections = (settings: Settings): number =>
+  (settings.siblings.length + 1) * INCOMING_CONNECTIONS_PER_CONTROLLER;
+
+/** Connections that this process may hold open to workers. */
+const workerConnections = (settings: Settings): number =>
+  Math.floor(settings.facts.quota.fd_limit * WORKER_CLIENT_SOCKET_SHARE);
+
+/** The ports of a real process. */
+const processPorts = (settings: Settings): Ports => ({
+  now: () => performance.now(),
+  wall: () => Date.now(),
+  processorMs: () => {
+    const { user, system } = process.cpuUsage();
+    return (user + system) / MICROSECONDS_PER_MS;
+  },
+  incarnation: randomUUID(),
+  callers: (target, sockets) => new Client(target, sockets),
+  workerClient: new WorkerClient(workerConnections(settings)),
+});
+
+const logFailedRequest = (error: unknown): void =>
+  log.error({ event: 'request.failed', error: String(error) });
+
+/** Runs one controller as this process. */
+export const start = async (
+  settings: Settings,
+  features: Features,
+  adminAccess: AdminAccess,
+): Promise<void> => {
+  const controller = compose(settings, processPorts(settings), features, adminAccess);
+  await serve(
+    parseTarget(settings.api_addr),
+    { connections: apiConnections(settings), crowd: (path) => path === WORKER_PATH },
+    BODY_MAX_BYTES,
+    controller.route,
+    logFailedRequest,
+  );
+  await serve(
+    parseTarget(settings.mesh_addr),
+    { connections: peerConnections(settings) },
+    ANSWER_MAX_BYTES,
+    controller.peerRoute,
+    logFailedRequest,
+  );
+  log.info({
+    event: 'service.started',
+    node: settings.host_name,
+    zone: settings.area,
+    slots: settings.facts.count,
+    features,
+  });
+  await Effect.runPromise(controller.run);
+};
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -6,7 +6,7 @@
 import type { JobRecord, JobSpec } from './jobs/model.js';
 import type { Heartbeat } from './peers/network.js';
 import { prepared, readRunRecord, storeRun, validating, type RunRecord } from './placement/records.js';
-import { compose } from './service.js';
+import { compose } from './controller/compose.js';
 import * as keys from './store/keys.js';
 import { settingsOf } from './testing/cluster.js';
 
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { Batcher } from '../batch.js';
+import { Batcher } from '../concurrency/batcher.js';
 import { FRESH_BATCH_MS } from '../constants.js';
 import type { Store } from './client.js';
 
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,7 +1,7 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import type { Answer, Call, Reply } from '../http.js';
-import { compose, type Controller, type Ports } from '../service.js';
+import { compose, type Controller, type Ports } from '../controller/compose.js';
 import { ALL_FEATURES } from '../settings/features.js';
 import type { Settings } from '../settings/schema.js';
 import { readReport } from '../workers/codec.js';
--- a/src/testing/day.ts
+++ b/src/testing/day.ts
@@ -1,6 +1,6 @@
 import { mock } from 'node:test';
 import type { Answer } from '../http.js';
-import type { compose } from '../service.js';
+import type { compose } from '../controller/compose.js';
 import { CANCEL_MS, Cluster, jobOf, LEASE_MS, NODES, REPORT_MS, STEP_MS, tick } from './cluster.js';
 import { Luck } from './luck.js';
 import { World } from './world.js';
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import { buildSync } from 'esbuild';
-import type { compose, Controller, Ports } from '../service.js';
+import type { compose, Controller, Ports } from '../controller/compose.js';
 
 /** What the tests use of the version that production runs. */
 export interface Production {
