--- /dev/null
+++ b/src/controller/change-dispatcher.test.ts
@@ -0,0 +1,171 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { newMachineRecord } from '../fleet/records.js';
+import { writeJobRecord } from '../jobs/codec.js';
+import type { JobRecord, JobSpec } from '../jobs/model.js';
+import { packIds } from '../pipelines/codec.js';
+import type { Change } from '../store/change-feed.js';
+import type { Item } from '../store/client.js';
+import { followsKey, jobKey } from '../store/keys.js';
+import { ChangeDispatcher, type ShardListener } from './change-dispatcher.js';
+
+const VERSION = 7;
+const JOB = 'job-1';
+
+const spec: JobSpec = {
+  id: JOB,
+  klass: 'train',
+  team: 'red',
+  kind: 'array',
+  priority: 1,
+  tasks: 2,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
+  image: 'img',
+  imageGb: 1,
+  estimateS: 10,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+};
+const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 0 };
+const cancelled: JobRecord = { ...job, cancelled: true, cancelledAt: 18 };
+const inParts: JobRecord = { ...job, follows: ['job-2'], parts: 1 };
+const machine = newMachineRecord(1, { type: 'g', zone: 'x', spot: false }, 5);
+
+/** Dispatches a change to subscribers that only note what they hear, in order. */
+const heardOf = (change: Change, stored: ReadonlyMap<string, unknown>): readonly string[] => {
+  const heard: string[] = [];
+  const note = (text: string): void => void heard.push(text);
+  const shard = (name: string): ShardListener => ({
+    onMachineRecord: (id, { share }, version) => note(`${name}: machine ${id} of ${share} at ${version}`),
+    onMachineGone: (id) => note(`${name}: no machine ${id}`),
+    onJobRecord: (record, version) => note(`${name}: ${record.spec.id} at ${version}`),
+    onJobGone: (id) => note(`${name}: no ${id}`),
+  });
+  const shards = [shard('first'), shard('second')];
+  new ChangeDispatcher({
+    cache: {
+      get: (key): Item | undefined =>
+        stored.has(key) ? { key, value: stored.get(key), version: VERSION } : undefined,
+    },
+    relay: {
+      onSummary: (from) => note(`relay: summary of ${from}`),
+      onOrders: (to) => note(`relay: orders for ${to}`),
+    },
+    gate: { seen: (slot, revision) => note(`gate: ${slot} at ${revision}`) },
+    registry: { onClaim: (slot) => note(`registry: ${slot}`) },
+    shards: {
+      followClaim: (slot) => note(`shards: ${slot}`),
+      forEach: (action) => shards.forEach(action),
+    },
+    scarceTypes: { note: ({ id }) => note(`scarce types: ${id}`) },
+    bootBoundTypes: { note: ({ id }) => note(`boot-bound types: ${id}`) },
+    pipelines: {
+      onJob: (id, _record, follows) => note(`pipelines: ${id} after ${JSON.stringify(follows)}`),
+      onJobGone: (id) => note(`pipelines: no ${id}`),
+    },
+    durableAcknowledgements: { saw: (slot, version) => note(`acknowledgements: ${slot} at ${version}`) },
+    shardOf: () => 2,
+  }).dispatch(change);
+  return heard;
+};
+
+const rows: readonly {
+  name: string;
+  change: Change;
+  stored?: Readonly<Record<string, unknown>>;
+  heard: readonly string[];
+}[] = [
+  {
+    name: 'a claim: its duties before the shard',
+    change: { _tag: 'claimChanged', slot: '1', revision: VERSION },
+    heard: ['gate: 1 at 7', 'registry: 1', 'shards: 1'],
+  },
+  {
+    name: 'the end of a claim: nothing new for the gate',
+    change: { _tag: 'claimChanged', slot: 'L', revision: null },
+    heard: ['registry: L', 'shards: L'],
+  },
+  {
+    name: 'a machine: the shards in their order',
+    change: { _tag: 'machineChanged', machine: 'i-1', record: machine, version: VERSION },
+    heard: ['first: machine i-1 of 1 at 7', 'second: machine i-1 of 1 at 7'],
+  },
+  {
+    name: 'the end of a machine',
+    change: { _tag: 'machineRemoved', machine: 'i-1' },
+    heard: ['first: no machine i-1', 'second: no machine i-1'],
+  },
+  {
+    name: 'a job: the shards last',
+    change: { _tag: 'jobChanged', job: JOB, record: job, version: VERSION },
+    heard: [
+      'scarce types: job-1',
+      'boot-bound types: job-1',
+      'pipelines: job-1 after []',
+      'first: job-1 at 7',
+      'second: job-1 at 7',
+    ],
+  },
+  {
+    name: 'a cancelled job: acknowledged before the shards hear of it',
+    change: { _tag: 'jobChanged', job: JOB, record: cancelled, version: VERSION },
+    heard: [
+      'scarce types: job-1',
+      'boot-bound types: job-1',
+      'pipelines: job-1 after []',
+      'acknowledgements: 2 at 7',
+      'first: job-1 at 7',
+      'second: job-1 at 7',
+    ],
+  },
+  {
+    name: 'a job whose dependency list is not whole',
+    change: { _tag: 'jobChanged', job: JOB, record: inParts, version: VERSION },
+    heard: [
+      'scarce types: job-1',
+      'boot-bound types: job-1',
+      'pipelines: job-1 after null',
+      'first: job-1 at 7',
+      'second: job-1 at 7',
+    ],
+  },
+  {
+    name: 'the end of a job: the shards first',
+    change: { _tag: 'jobRemoved', job: JOB },
+    heard: ['first: no job-1', 'second: no job-1', 'pipelines: no job-1'],
+  },
+  {
+    name: 'a part of a dependency list: only the pipelines',
+    change: { _tag: 'dependencyListChanged', job: JOB },
+    stored: { [jobKey(JOB)]: writeJobRecord(inParts), [followsKey(JOB, 0)]: packIds(['job-3']) },
+    heard: ['pipelines: job-1 after ["job-2","job-3"]'],
+  },
+  {
+    name: 'a part of a dependency list before its job',
+    change: { _tag: 'dependencyListChanged', job: JOB },
+    heard: [],
+  },
+  {
+    name: 'a relayed summary',
+    change: { _tag: 'summaryRelayed', shard: 1, value: {} },
+    heard: ['relay: summary of 1'],
+  },
+  {
+    name: 'relayed orders',
+    change: { _tag: 'ordersRelayed', shard: 1, value: {} },
+    heard: ['relay: orders for 1'],
+  },
+  { name: 'any other key', change: { _tag: 'other' }, heard: [] },
+];
+for (const { name, change, stored = {}, heard } of rows) {
+  test(`change dispatcher: ${name}`, () =>
+    assert.deepEqual(heardOf(change, new Map(Object.entries(stored))), heard));
+}
--- /dev/null
+++ b/src/controller/change-dispatcher.ts
@@ -0,0 +1,104 @@
+/**
+ * Passes each change of the shared keys to the subsystems that follow it, in a fixed order. No state; called
+ * by the watch cache's listener, in the order of the changes.
+ */
+import type { DurableAcknowledgements } from '../cancellation/durable-acknowledgement.js';
+import type { OrderGate } from '../duties/order-gate.js';
+import type { DutyRegistry } from '../duties/registry.js';
+import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
+import type { ScarceTypes } from '../fleet/scarce-types.js';
+import { readJobRecord } from '../jobs/codec.js';
+import type { StoreRelay } from '../peers/store-relay.js';
+import type { Pipelines } from '../pipelines/pipelines.js';
+import type { Share } from '../placement/share.js';
+import type { Change } from '../store/change-feed.js';
+import { jobKey } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
+import { readDependencyList } from './dependency-list.js';
+
+/** What a shard hears of changes. */
+export type ShardListener = Pick<Share, 'onMachineRecord' | 'onMachineGone' | 'onJobRecord' | 'onJobGone'>;
+
+/** Who follows changes of the shared keys. */
+export interface ChangeSubscribers {
+  readonly cache: Pick<WatchCache, 'get'>;
+  readonly relay: Pick<StoreRelay, 'onSummary' | 'onOrders'>;
+  readonly gate: Pick<OrderGate, 'seen'>;
+  readonly registry: Pick<DutyRegistry, 'onClaim'>;
+  readonly shards: {
+    followClaim(slot: string): void;
+    forEach(action: (shard: ShardListener) => void): void;
+  };
+  readonly scarceTypes: Pick<ScarceTypes, 'note'>;
+  readonly bootBoundTypes: Pick<BootBoundTypes, 'note'>;
+  readonly pipelines: Pick<Pipelines, 'onJob' | 'onJobGone'>;
+  readonly durableAcknowledgements: Pick<DurableAcknowledgements, 'saw'>;
+  /** The shard of a team. */
+  readonly shardOf: (team: string) => number;
+}
+
+type ChangeOf<Tag extends Change['_tag']> = Extract<Change, { readonly _tag: Tag }>;
+
+/** Passes changes on to their subscribers. */
+export class ChangeDispatcher {
+  constructor(private readonly subscribers: ChangeSubscribers) {}
+
+  dispatch(change: Change): void {
+    const { relay, shards } = this.subscribers;
+    switch (change._tag) {
+      case 'claimChanged':
+        return this.onClaim(change);
+      case 'machineChanged':
+        return shards.forEach((shard) =>
+          shard.onMachineRecord(change.machine, change.record, change.version),
+        );
+      case 'machineRemoved':
+        return shards.forEach((shard) => shard.onMachineGone(change.machine));
+      case 'jobChanged':
+        return this.onJob(change);
+      case 'jobRemoved':
+        return this.onJobRemoved(change);
+      case 'dependencyListChanged':
+        return this.onDependencyList(change);
+      case 'summaryRelayed':
+        return relay.onSummary(change.shard, change.value);
+      case 'ordersRelayed':
+        return relay.onOrders(change.shard, change.value);
+      case 'other':
+        return;
+    }
+  }
+
+  /** The duties come first: a shard that is taken begins with them. */
+  private onClaim({ slot, revision }: ChangeOf<'claimChanged'>): void {
+    const { gate, registry, shards } = this.subscribers;
+    if (revision !== null) gate.seen(slot, revision);
+    registry.onClaim(slot);
+    shards.followClaim(slot);
+  }
+
+  /** The shards come last: what they decide about the job depends on what the others know of it. */
+  private onJob({ job, record, version }: ChangeOf<'jobChanged'>): void {
+    const { cache, scarceTypes, bootBoundTypes, pipelines, shards, shardOf } = this.subscribers;
+    scarceTypes.note(record.spec);
+    bootBoundTypes.note(record.spec);
+    pipelines.onJob(job, record, readDependencyList(cache, record));
+    if (record.cancelled) this.subscribers.durableAcknowledgements.saw(shardOf(record.spec.team), version);
+    shards.forEach((shard) => shard.onJobRecord(record, version));
+  }
+
+  private onJobRemoved({ job }: ChangeOf<'jobRemoved'>): void {
+    const { pipelines, shards } = this.subscribers;
+    shards.forEach((shard) => shard.onJobGone(job));
+    pipelines.onJobGone(job);
+  }
+
+  /** A part may be seen after the record that it belongs to. */
+  private onDependencyList({ job }: ChangeOf<'dependencyListChanged'>): void {
+    const { cache, pipelines } = this.subscribers;
+    const item = cache.get(jobKey(job));
+    if (!item) return;
+    const record = readJobRecord(item.value);
+    pipelines.onJob(record.spec.id, record, readDependencyList(cache, record));
+  }
+}
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -23,18 +23,17 @@
 import { Leader } from '../fleet/leader.js';
 import type { Reservation, Summary } from '../fleet/records.js';
 import { parseTarget, type Call, type Callers, type Reply } from '../http.js';
+import { ChangeDispatcher } from './change-dispatcher.js';
 import { createRouter } from './router.js';
 import { supervise } from './supervise.js';
 import { UsersApi } from '../jobs/api.js';
-import { readJobRecord } from '../jobs/codec.js';
-import { fitsIn, placeAllowed, type JobRecord } from '../jobs/model.js';
+import { fitsIn, placeAllowed } from '../jobs/model.js';
 import { log } from '../log.js';
 import { StoreRelay } from '../peers/store-relay.js';
 import { ProtocolVersion } from '../peers/protocol-version.js';
 import { PeerNetwork } from '../peers/network.js';
 import { PeerRequests, type MoveOrder } from '../peers/peer-requests.js';
 import { shareRates } from '../peers/rate-sharing.js';
-import { unpackIds } from '../pipelines/codec.js';
 import { Finals } from '../pipelines/finals.js';
 import { Pipelines } from '../pipelines/pipelines.js';
 import { briefly } from '../placement/unmet-demand.js';
@@ -46,7 +45,8 @@
 import { lasting } from '../settings/limits.js';
 import { divideTeams, nodeNames } from '../settings/teams.js';
 import { Store } from '../store/client.js';
-import { claimKey, followsKey, jobKey } from '../store/keys.js';
+import { decodeChange } from '../store/change-feed.js';
+import { parseShard } from '../store/keys.js';
 import { LinearizableReads } from '../store/linearizable-reads.js';
 import { WatchCache } from '../store/watch-cache.js';
 import { type DirectCommands } from '../workers/worker-client.js';
@@ -391,54 +391,30 @@
       for (const id of ids) for (const { share } of shares.values()) share.onStanding(id);
     },
   });
-  /** The jobs that one follows; null: not all parts of the list are there yet. */
-  const followsOf = (record: JobRecord): readonly string[] | null => {
-    const parts = Array.from({ length: record.parts }, (_, part) =>
-      cache.get(followsKey(record.spec.id, part)),
-    );
-    if (parts.some((part) => part === undefined)) return null;
-    return [...record.follows, ...parts.flatMap((part) => unpackIds(part?.value as string[]))];
+  /** A share object follows the claim on its slot; other slots have none. */
+  const followClaimOn = (slot: string): void => {
+    const number = parseShard(slot);
+    if (number !== null && number < slots) followClaim(number);
   };
 
-  cache.onEvent((event) => {
-    const key = event._tag === 'put' ? event.item.key : event.key;
-    const id = key.slice(4);
-    relay.onEvent(event);
-    if (key.startsWith('w/c/')) {
-      const slot = key.slice('w/c/'.length);
-      const held = leases.claim(slot);
-      if (held) gate.seen(slot, held.version);
-      registry.onClaim(slot);
-      for (let slot = 0; slot < slots; slot += 1) if (key === claimKey(String(slot))) followClaim(slot);
-      return;
-    }
-    if (event._tag === 'put' && key.startsWith('w/j/')) {
-      const record = readJobRecord(event.item.value);
-      scarceTypes.note(record.spec);
-      bootBoundTypes.note(record.spec);
-      pipelines.onJob(id, record, followsOf(record));
-      if (record.cancelled)
-        durableAcknowledgements.saw(shareOfTeam.get(record.spec.team) ?? 0, event.item.version);
-    }
-    // A part may be seen after the record that it belongs to.
-    if (event._tag === 'put' && key.startsWith('w/d/')) {
-      const item = cache.get(jobKey(id.slice(0, id.indexOf('/'))));
-      if (item) {
-        const record = readJobRecord(item.value);
-        pipelines.onJob(record.spec.id, record, followsOf(record));
-      }
-    }
-    for (const { share } of shares.values()) {
-      if (key.startsWith('w/m/')) {
-        if (event._tag === 'put') share.onMachineRecord(event.item);
-        else share.onMachineGone(id);
-      } else if (key.startsWith('w/j/')) {
-        if (event._tag === 'put') share.onJobRecord(event.item);
-        else share.onJobGone(id);
-      }
-    }
-    if (event._tag === 'delete' && key.startsWith('w/j/')) pipelines.onJobGone(id);
+  const dispatcher = new ChangeDispatcher({
+    cache,
+    relay,
+    gate,
+    registry,
+    shards: {
+      followClaim: followClaimOn,
+      forEach: (action) => {
+        for (const { share } of shares.values()) action(share);
+      },
+    },
+    scarceTypes,
+    bootBoundTypes,
+    pipelines,
+    durableAcknowledgements,
+    shardOf: (team) => shareOfTeam.get(team) ?? 0,
   });
+  cache.onEvent((event) => dispatcher.dispatch(decodeChange(event)));
 
   const users = new UsersApi({
     store,
--- /dev/null
+++ b/src/controller/dependency-list.ts
@@ -0,0 +1,22 @@
+/**
+ * Reads the whole list of jobs that a job depends on. No state; the change dispatcher calls it with each
+ * record.
+ */
+import type { JobRecord } from '../jobs/model.js';
+import { unpackIds } from '../pipelines/codec.js';
+import { followsKey } from '../store/keys.js';
+import type { WatchCache } from '../store/watch-cache.js';
+
+/**
+ * The jobs that must be done before this one; null: the copy of the shared keys does not show all parts yet.
+ */
+export const readDependencyList = (
+  cache: Pick<WatchCache, 'get'>,
+  record: JobRecord,
+): readonly string[] | null => {
+  const parts = Array.from({ length: record.parts }, (_, part) =>
+    cache.get(followsKey(record.spec.id, part)),
+  );
+  if (parts.some((part) => part === undefined)) return null;
+  return [...record.follows, ...parts.flatMap((part) => unpackIds(part?.value as string[]))];
+};
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,7 +1,7 @@
 import type { StoreEvent } from '../store/client.js';
+import { parseSharedKey } from '../store/keys.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
-const RECORDS = 'w/m/';
 /** What a machine in the same zone counts beyond the others: it only decides between shares that have as many. */
 const SAME_ZONE_WEIGHT = 0.1;
 
@@ -42,9 +42,9 @@
   readonly releasing = new Set<string>();
 
   onEvent(event: StoreEvent): void {
-    const key = event._tag === 'put' ? event.item.key : event.key;
-    if (!key.startsWith(RECORDS)) return;
-    const id = key.slice(RECORDS.length);
+    const key = parseSharedKey(event._tag === 'put' ? event.item.key : event.key);
+    if (key._tag !== 'machine') return;
+    const id = key.machine;
     const before = this.records.get(id);
     if (before) this.count(id, before, -1);
     this.records.delete(id);
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -2,7 +2,7 @@
 import { LEADER } from '../claims/decide.js';
 import { RELAY_FRESH_MS, RELAY_MS, VALUE_FILL } from '../constants.js';
 import type { Reservation, Move, Summary } from '../fleet/records.js';
-import type { Store, StoreEvent } from '../store/client.js';
+import type { Store } from '../store/client.js';
 import { claimKey, ordersKey, summaryKey } from '../store/keys.js';
 
 /**
@@ -36,18 +36,17 @@
 
   constructor(private readonly input: StoreRelayInput) {}
 
-  onEvent(event: StoreEvent): void {
-    if (event._tag !== 'put') return;
-    const { key, value } = event.item;
-    const slot = Number(key.slice(4));
-    const at = this.input.now();
-    if (key === summaryKey(slot)) this.heard.set(slot, { summary: value as Summary, at });
-    else if (key === ordersKey(slot)) {
-      const orders = value as Orders;
-      if (orders.leader !== this.input.leaderClaim()) return;
-      this.told.set(slot, { orders, at });
-      if (orders.moves.length > 0) this.input.give(slot, orders.moves);
-    }
+  /** The state service shows a relayed summary. */
+  onSummary(slot: number, value: unknown): void {
+    this.heard.set(slot, { summary: value as Summary, at: this.input.now() });
+  }
+
+  /** The state service shows relayed orders; those of a leader that was replaced count for nothing. */
+  onOrders(slot: number, value: unknown): void {
+    const orders = value as Orders;
+    if (orders.leader !== this.input.leaderClaim()) return;
+    this.told.set(slot, { orders, at: this.input.now() });
+    if (orders.moves.length > 0) this.input.give(slot, orders.moves);
   }
 
   /** What a share's holder last said this way, if that is recent and by this very claim. */
--- a/src/placement/share.ts
+++ b/src/placement/share.ts
@@ -1,12 +1,18 @@
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { TASK_COUNTS_MAX, PLACE_TICK_MS, STORE_RETRY_MS } from '../constants.js';
-import { readMachineRecord, type Reservation, type Move, type Summary } from '../fleet/records.js';
+import {
+  readMachineRecord,
+  type MachineRecord,
+  type Move,
+  type Reservation,
+  type Summary,
+} from '../fleet/records.js';
 import { readJobRecord } from '../jobs/codec.js';
-import type { Catalog, Demand, FinalRecord, JobSpec } from '../jobs/model.js';
+import type { Catalog, Demand, FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Item, Store } from '../store/client.js';
-import { jobKey, runsPrefix } from '../store/keys.js';
+import type { Store } from '../store/client.js';
+import { JOB_PREFIX, jobKey, MACHINE_PREFIX, machineOf, runsPrefix } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
 import type { DirectResult } from '../workers/worker-client.js';
 import type { Command, Report } from '../workers/model.js';
@@ -194,7 +200,8 @@
       movable: (machine) => this.lifecycle.movable(machine),
       changed: input.changed,
     });
-    for (const item of input.cache.under('w/m/')) this.onMachineRecord(item);
+    for (const { key, value, version } of input.cache.under(MACHINE_PREFIX))
+      this.onMachineRecord(machineOf(key), readMachineRecord(value), version);
   }
 
   /** What the leader should know; null: nothing is placed yet. */
@@ -204,9 +211,7 @@
 
   // ---- what the shared keys say -------------------------------------------------------------------------
 
-  onMachineRecord(item: Item): void {
-    const id = item.key.slice('w/m/'.length);
-    const record = readMachineRecord(item.value);
+  onMachineRecord(id: string, record: MachineRecord, version: number): void {
     const known = this.shareState.machines.get(id);
     if (record.share !== this.slot) {
       // Its former holder moves only free ones, so nothing of ours is on it.
@@ -214,15 +219,15 @@
       return;
     }
     if (known) {
-      if (known.version !== item.version) {
-        known.version = item.version;
+      if (known.version !== version) {
+        known.version = version;
         known.confirmedToken = 0;
       }
       known.releasing = record.releasing;
       return;
     }
     const total = this.input.catalog()?.get(record.type) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    const machine = this.shareState.addMachine(id, record, item.version, total);
+    const machine = this.shareState.addMachine(id, record, version, total);
     if (record.addr !== '' && this.input.entitled()) this.sessions.greet(machine, record.session);
     this.poke();
   }
@@ -233,10 +238,9 @@
     if (machine) this.shareState.dropMachine(machine, { _tag: 'released' });
   }
 
-  onJobRecord(item: Item): void {
-    const record = readJobRecord(item.value);
+  onJobRecord(record: JobRecord, version: number): void {
     if (this.input.shareOfTeam.get(record.spec.team) !== this.slot || this.stage === 'loading') return;
-    this.shareState.adoptJob(record, item.version);
+    this.shareState.adoptJob(record, version);
     this.onStanding(record.spec.id);
     this.poke();
   }
@@ -280,7 +284,7 @@
       }
       this.stage = 'rebuilding';
       this.liveness.loadedAt = this.input.now();
-      for (const item of this.input.cache.under('w/j/')) {
+      for (const item of this.input.cache.under(JOB_PREFIX)) {
         const record = readJobRecord(item.value);
         if (this.input.shareOfTeam.get(record.spec.team) === this.slot)
           this.shareState.adoptJob(record, item.version);
--- /dev/null
+++ b/src/store/change-feed.test.ts
@@ -0,0 +1,94 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { writeMachineRecord, type MachineRecord } from '../fleet/records.js';
+import { writeJobRecord } from '../jobs/codec.js';
+import type { JobRecord, JobSpec } from '../jobs/model.js';
+import { decodeChange, type Change } from './change-feed.js';
+import { claimKey, followsKey, jobKey, LEVEL_KEY, machineKey, ordersKey, summaryKey } from './keys.js';
+
+const VERSION = 7;
+const REMOVED_AT = 9;
+
+const spec: JobSpec = {
+  id: 'job-1',
+  klass: 'train',
+  team: 'red',
+  kind: 'array',
+  priority: 1,
+  tasks: 2,
+  cpus: 1,
+  gpus: 0,
+  memoryGb: 1,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
+  image: 'img',
+  imageGb: 1,
+  estimateS: 10,
+  checkpointS: 0,
+  saveS: 0,
+  deadlineS: null,
+};
+const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 1 };
+const machine: MachineRecord = {
+  share: 1,
+  type: 'g',
+  zone: 'x',
+  spot: false,
+  at: 5,
+  releasing: false,
+  addr: '',
+  session: 0,
+};
+const OTHER: Change = { _tag: 'other' };
+
+/** What a write and the end of each kind of key mean. */
+const rows: readonly { key: string; value: unknown; put: Change; removed: Change }[] = [
+  {
+    key: claimKey('2'),
+    value: { n: 'n0', i: '1' },
+    put: { _tag: 'claimChanged', slot: '2', revision: VERSION },
+    removed: { _tag: 'claimChanged', slot: '2', revision: null },
+  },
+  {
+    key: machineKey('i-1'),
+    value: writeMachineRecord(machine),
+    put: { _tag: 'machineChanged', machine: 'i-1', record: machine, version: VERSION },
+    removed: { _tag: 'machineRemoved', machine: 'i-1' },
+  },
+  {
+    key: jobKey('job-1'),
+    value: writeJobRecord(job),
+    put: { _tag: 'jobChanged', job: 'job-1', record: job, version: VERSION },
+    removed: { _tag: 'jobRemoved', job: 'job-1' },
+  },
+  {
+    key: followsKey('job-1', 3),
+    value: [],
+    put: { _tag: 'dependencyListChanged', job: 'job-1' },
+    removed: OTHER,
+  },
+  {
+    key: summaryKey(2),
+    value: { share: 2 },
+    put: { _tag: 'summaryRelayed', shard: 2, value: { share: 2 } },
+    removed: OTHER,
+  },
+  {
+    key: ordersKey(2),
+    value: { leader: 3 },
+    put: { _tag: 'ordersRelayed', shard: 2, value: { leader: 3 } },
+    removed: OTHER,
+  },
+  { key: LEVEL_KEY, value: { v: 1 }, put: OTHER, removed: OTHER },
+  { key: 'w/catalog/1', value: [], put: OTHER, removed: OTHER },
+  { key: 'w/s/02', value: {}, put: OTHER, removed: OTHER },
+];
+for (const { key, value, put, removed } of rows) {
+  test(`change feed: ${key}`, () => {
+    assert.deepEqual(decodeChange({ _tag: 'put', item: { key, value, version: VERSION } }), put);
+    assert.deepEqual(decodeChange({ _tag: 'delete', key, version: REMOVED_AT }), removed);
+  });
+}
--- /dev/null
+++ b/src/store/change-feed.ts
@@ -0,0 +1,78 @@
+/**
+ * Decodes the watch events of the shared keys into typed changes, each event once. No state; called by the
+ * controller's change dispatcher.
+ */
+import { readMachineRecord, type MachineRecord } from '../fleet/records.js';
+import { readJobRecord } from '../jobs/codec.js';
+import type { JobRecord } from '../jobs/model.js';
+import type { Item, StoreEvent } from './client.js';
+import { parseSharedKey } from './keys.js';
+
+/** A change of the shared keys. */
+export type Change =
+  /** `revision` is null when nobody holds the slot any more. */
+  | { readonly _tag: 'claimChanged'; readonly slot: string; readonly revision: number | null }
+  | {
+      readonly _tag: 'machineChanged';
+      readonly machine: string;
+      readonly record: MachineRecord;
+      readonly version: number;
+    }
+  | { readonly _tag: 'machineRemoved'; readonly machine: string }
+  | {
+      readonly _tag: 'jobChanged';
+      readonly job: string;
+      readonly record: JobRecord;
+      readonly version: number;
+    }
+  | { readonly _tag: 'jobRemoved'; readonly job: string }
+  /** A part of the list of jobs that this one depends on was written. */
+  | { readonly _tag: 'dependencyListChanged'; readonly job: string }
+  /** `value` is read by the relay, whose layout it has. */
+  | { readonly _tag: 'summaryRelayed'; readonly shard: number; readonly value: unknown }
+  | { readonly _tag: 'ordersRelayed'; readonly shard: number; readonly value: unknown }
+  /** A key that nobody follows, or the end of one that matters only while it exists. */
+  | { readonly _tag: 'other' };
+
+const OTHER_CHANGE: Change = { _tag: 'other' };
+
+const decodePut = ({ key, value, version }: Item): Change => {
+  const parsed = parseSharedKey(key);
+  switch (parsed._tag) {
+    case 'claim':
+      return { _tag: 'claimChanged', slot: parsed.slot, revision: version };
+    case 'machine':
+      return { _tag: 'machineChanged', machine: parsed.machine, record: readMachineRecord(value), version };
+    case 'job':
+      return { _tag: 'jobChanged', job: parsed.job, record: readJobRecord(value), version };
+    case 'dependencyList':
+      return { _tag: 'dependencyListChanged', job: parsed.job };
+    case 'summary':
+      return { _tag: 'summaryRelayed', shard: parsed.shard, value };
+    case 'orders':
+      return { _tag: 'ordersRelayed', shard: parsed.shard, value };
+    case 'other':
+      return OTHER_CHANGE;
+  }
+};
+
+const decodeDelete = (key: string): Change => {
+  const parsed = parseSharedKey(key);
+  switch (parsed._tag) {
+    case 'claim':
+      return { _tag: 'claimChanged', slot: parsed.slot, revision: null };
+    case 'machine':
+      return { _tag: 'machineRemoved', machine: parsed.machine };
+    case 'job':
+      return { _tag: 'jobRemoved', job: parsed.job };
+    case 'dependencyList':
+    case 'summary':
+    case 'orders':
+    case 'other':
+      return OTHER_CHANGE;
+  }
+};
+
+/** Decodes a watch event. */
+export const decodeChange = (event: StoreEvent): Change =>
+  event._tag === 'put' ? decodePut(event.item) : decodeDelete(event.key);
--- a/src/store/watch-cache.ts
+++ b/src/store/watch-cache.ts
@@ -2,9 +2,7 @@
 import { STORE_RETRY_MS } from '../constants.js';
 import { log } from '../log.js';
 import type { Item, Store, StoreEvent } from './client.js';
-import { SHARED } from './keys.js';
-
-const kindOf = (key: string): string => key.slice(0, key.indexOf('/', SHARED.length) + 1);
+import { kindOf, SHARED } from './keys.js';
 
 /**
  * This node's copy of the shared keys, in the order of their changes: what it shows was true at `revision`,
