--- /dev/null
+++ b/src/controller/api.ts
@@ -0,0 +1,98 @@
+/**
+ * What this controller answers on its two addresses: users, operators, workers and health checks on one,
+ * orders of other controllers on the other. Built by the composition root after all other subsystems.
+ */
+import { PROTOCOL_PIPELINES } from '../constants.js';
+import { DutiesApi } from '../duties/admin-api.js';
+import type { Call, Reply } from '../http.js';
+import { UsersApi } from '../jobs/api.js';
+import { PeerRequests } from '../peers/peer-requests.js';
+import type { AdminAccess } from '../settings/networks.js';
+import { ReportHandler } from '../workers/report-handler.js';
+import type { ControllerContext } from './context.js';
+import type { Coordination } from './coordination.js';
+import type { HeldShards } from './held-shards.js';
+import type { Leadership } from './leadership.js';
+import { isReady } from './readiness.js';
+import { createRouter } from './router.js';
+import type { Subsystems } from './subsystems.js';
+
+const createUsersApi = ({ context, coordination, sharding, cancellations }: Subsystems): UsersApi => {
+  const { settings, deployment, clocks, state } = context;
+  const { protocolVersion, peers } = coordination;
+  return new UsersApi({
+    store: state.store,
+    fresh: state.linearizableReads,
+    finals: state.finals,
+    pipelines: sharding.pipelines,
+    takesPipelines: () => protocolVersion.agreed >= PROTOCOL_PIPELINES,
+    valueBytes: deployment.valueBytes,
+    copyAgeMs: () => clocks.lease() - state.cache.freshAt,
+    assured: (job, team, version) =>
+      cancellations.acknowledgement.assured(deployment.shardOf(team), job, version),
+    cache: state.cache,
+    catalog: state.catalog,
+    zones: settings.facts.zones,
+    limits: deployment.limits,
+    counts: (job, team) => {
+      const shard = deployment.shardOf(team);
+      return sharding.shards.entitled(shard)?.counts(job) ?? peers.counts(shard, job);
+    },
+    wall: clocks.wall,
+  });
+};
+
+const createDutiesApi = (
+  { context, coordination, leadership }: Subsystems,
+  adminAccess: AdminAccess,
+): DutiesApi =>
+  new DutiesApi({
+    node: context.deployment.me.node,
+    registry: coordination.duties.registry,
+    access: adminAccess,
+    ready: () => context.state.cache.ready,
+    releaseIntents: () => leadership.leader.releaseIntents,
+    rentals: coordination.duties.readRentals,
+  });
+
+/** Creates the route of the API address. */
+export const createApi = (
+  subsystems: Subsystems,
+  adminAccess: AdminAccess,
+): ((call: Call) => Promise<Reply>) => {
+  const { state } = subsystems.context;
+  const { peers } = subsystems.coordination;
+  return createRouter({
+    ready: () => isReady({ state, peers }),
+    reports: subsystems.reportHandler,
+    users: createUsersApi(subsystems),
+    duties: createDutiesApi(subsystems, adminAccess),
+  });
+};
+
+/** Creates what answers the workers. */
+export const createReportHandler = (
+  { deployment, clocks, state }: ControllerContext,
+  shards: HeldShards,
+  leadership: Leadership,
+): ReportHandler =>
+  new ReportHandler({
+    me: deployment.me.node,
+    cache: state.cache,
+    now: clocks.steady,
+    share: (shard) => shards.entitled(shard),
+    adopt: leadership.adopt,
+  });
+
+/** Creates what answers the orders of other controllers. */
+export const createPeerRequests = (
+  { duties }: Coordination,
+  shards: HeldShards,
+  { leader, transfers }: Leadership,
+): PeerRequests =>
+  new PeerRequests({
+    gate: duties.gate,
+    move: (from, moves) => transfers.carryOut(from, moves),
+    returnNow: (machines) => leader.returnNow(machines),
+    acknowledge: (cancellation) => shards.acknowledge(cancellation),
+  });
--- /dev/null
+++ b/src/controller/cancellations.ts
@@ -0,0 +1,44 @@
+/**
+ * How this controller learns that a cancellation is acted on: by asking the holder of the job's shard, or
+ * from marks in the state service where controllers can't connect. Built by the composition root for the
+ * users' API.
+ */
+import { CancellationAcknowledgement } from '../cancellation/acknowledgement.js';
+import { DurableAcknowledgements } from '../cancellation/durable-acknowledgement.js';
+import { PROTOCOL_ACKNOWLEDGES_CANCELLATIONS } from '../constants.js';
+import type { ControllerContext } from './context.js';
+import type { Coordination } from './coordination.js';
+import type { HeldShards } from './held-shards.js';
+
+/** How this controller learns that a cancellation is acted on. */
+export interface Cancellations {
+  readonly acknowledgement: CancellationAcknowledgement;
+  readonly durableAcknowledgements: DurableAcknowledgements;
+}
+
+/** Creates the acknowledgement of cancellations of one controller. */
+export const createCancellations = (
+  { deployment, state }: ControllerContext,
+  { peers, protocolVersion }: Coordination,
+  shards: HeldShards,
+): Cancellations => ({
+  acknowledgement: new CancellationAcknowledgement({
+    me: deployment.me.node,
+    store: state.store,
+    fresh: state.linearizableReads,
+    cache: state.cache,
+    acknowledge: (cancellation) => shards.acknowledge(cancellation),
+    ask: (node, path, body) => peers.ask(node, path, body),
+    summaries: () => peers.summaries(),
+    understands: (node) =>
+      node === deployment.me.node ||
+      protocolVersion.agreed >= PROTOCOL_ACKNOWLEDGES_CANCELLATIONS ||
+      peers.understands(node, PROTOCOL_ACKNOWLEDGES_CANCELLATIONS),
+  }),
+  durableAcknowledgements: new DurableAcknowledgements({
+    store: state.store,
+    cache: state.cache,
+    held: () => shards.loaded(),
+    allHeard: () => peers.allHeard(),
+  }),
+});
--- /dev/null
+++ b/src/controller/context.ts
@@ -0,0 +1,33 @@
+/**
+ * What every subsystem of a controller builds on. Created once by the composition root; depends on no
+ * subsystem.
+ */
+import type { Features } from '../settings/features.js';
+import type { Settings } from '../settings/schema.js';
+import { createClocks, type Clocks } from './clocks.js';
+import { readDeployment, type Deployment } from './deployment.js';
+import type { Ports } from './ports.js';
+import { createStateAccess, type StateAccess } from './state-access.js';
+
+/** What every subsystem of a controller builds on. */
+export interface ControllerContext {
+  readonly settings: Settings;
+  readonly features: Features;
+  readonly ports: Ports;
+  readonly deployment: Deployment;
+  readonly clocks: Clocks;
+  readonly state: StateAccess;
+}
+
+/** Creates the context of one controller. */
+export const createContext = (settings: Settings, ports: Ports, features: Features): ControllerContext => {
+  const deployment = readDeployment(settings, ports.incarnation);
+  const clocks = createClocks(ports, features, settings.facts.clock_error_ms);
+  const state = createStateAccess({
+    address: settings.services.state,
+    deployment,
+    leaseClock: clocks.lease,
+    callers: ports.callers,
+  });
+  return { settings, features, ports, deployment, clocks, state };
+};
--- /dev/null
+++ b/src/controller/deployment.ts
@@ -0,0 +1,58 @@
+/**
+ * What the settings say of the deployment, in the form in which the subsystems need it. Worked out once, when
+ * the controller is composed; every node that has the same settings works out the same.
+ */
+import type { Claim } from '../claims/decide.js';
+import type { Limit, Usage } from '../placement/pack.js';
+import { readObjectives, type Objectives } from '../placement/urgency.js';
+import { lasting, type StateLimits } from '../settings/limits.js';
+import type { Settings } from '../settings/schema.js';
+import { divideTeams, nodeNames } from '../settings/teams.js';
+
+const BYTES_PER_KB = 1024;
+/** The shard of a team that the settings don't name. */
+const DEFAULT_SHARD = 0;
+
+/** What the settings say of the deployment. */
+export interface Deployment {
+  /** This process, as its claims name it. */
+  readonly me: Claim;
+  /** All controllers by name, in order. */
+  readonly nodes: readonly string[];
+  readonly shardCount: number;
+  /** The shard of each team of the settings. */
+  readonly shardByTeam: ReadonlyMap<string, number>;
+  /** The shard of any team. */
+  readonly shardOf: (team: string) => number;
+  /** What each team may use at most. */
+  readonly limits: ReadonlyMap<string, Limit>;
+  /** What each team is guaranteed. */
+  readonly guarantees: ReadonlyMap<string, Usage>;
+  /** Targets of each class of jobs. */
+  readonly objectives: ReadonlyMap<string, Objectives>;
+  /** The state service's limits, now and after the announced change. */
+  readonly stateLimits: StateLimits;
+  /** bytes: the largest value that the state service takes, now and later. */
+  readonly valueBytes: number;
+}
+
+/** Reads the deployment from the settings. */
+export const readDeployment = (settings: Settings, incarnation: string): Deployment => {
+  const { facts } = settings;
+  const shardByTeam = divideTeams(facts.teams, facts.count);
+  const stateLimits = lasting(facts.state);
+  return {
+    me: { node: settings.host_name, incarnation },
+    nodes: nodeNames(settings),
+    shardCount: facts.count,
+    shardByTeam,
+    shardOf: (team) => shardByTeam.get(team) ?? DEFAULT_SHARD,
+    limits: new Map(
+      facts.teams.map((team) => [team.name, { cpusMax: team.cpus_max, gpusMax: team.gpus_max }]),
+    ),
+    guarantees: new Map(facts.teams.map((team) => [team.name, { cpus: team.cpus, gpus: team.gpus }])),
+    objectives: readObjectives(facts.objectives),
+    stateLimits,
+    valueBytes: stateLimits.value_kb * BYTES_PER_KB,
+  };
+};
--- /dev/null
+++ b/src/controller/heartbeat.ts
@@ -0,0 +1,48 @@
+/**
+ * Builds this node's heartbeats from the state of the subsystems. No state of its own; the peer network calls
+ * it.
+ */
+import type { Claim } from '../claims/decide.js';
+import type { LeaseManager } from '../claims/lease-manager.js';
+import { HEARTBEAT_FRESH_MS, PROTOCOL_VERSION } from '../constants.js';
+import type { Reservation } from '../fleet/records.js';
+import type { Heartbeat } from '../peers/network.js';
+import { briefly } from '../placement/unmet-demand.js';
+import type { Store } from '../store/client.js';
+import type { ReportHandler } from '../workers/report-handler.js';
+import type { HeldShards } from './held-shards.js';
+
+/** ms: a misrouted heartbeat of a worker counts this long; spans several report intervals. */
+const MISROUTED_FRESH_MS = HEARTBEAT_FRESH_MS * 2;
+
+/** What a heartbeat is built from. */
+export interface HeartbeatInput {
+  readonly me: Claim;
+  readonly leases: Pick<LeaseManager, 'lease' | 'deaf'>;
+  readonly leaderNode: () => string | undefined;
+  /** ms since the state service last answered this node. */
+  readonly stateAgeMs: () => number;
+  readonly store: Pick<Store, 'requests' | 'changes'>;
+  readonly shards: Pick<HeldShards, 'taskCounts' | 'ownSummaries'>;
+  readonly reportHandler: Pick<ReportHandler, 'strayCounts'>;
+  /** The reservations that this node announces as the leader. */
+  readonly reservations: () => readonly Reservation[];
+}
+
+/** The heartbeat to a peer; the order of its fields is that of the wire. */
+export const createHeartbeat = (input: HeartbeatInput, to: string): Heartbeat => {
+  const { me, leases, shards, store } = input;
+  return {
+    from: me.node,
+    incarnation: me.incarnation,
+    level: PROTOCOL_VERSION,
+    lease: leases.lease,
+    stateAgeMs: input.stateAgeMs(),
+    counts: shards.taskCounts(),
+    summaries: to === input.leaderNode() ? shards.ownSummaries() : shards.ownSummaries().map(briefly),
+    deaf: leases.deaf,
+    strays: input.reportHandler.strayCounts(MISROUTED_FRESH_MS),
+    demand: { requests: store.requests.demand(), changes: store.changes.demand() },
+    holds: input.reservations(),
+  };
+};
--- /dev/null
+++ b/src/controller/leadership.ts
@@ -0,0 +1,98 @@
+/**
+ * What the leader does and how shards hear of it: the leader itself, the relay through the state service,
+ * transfers and reservations. Every controller has all of it; the leader acts only while this node leads.
+ */
+import { LEADER } from '../claims/decide.js';
+import { PROTOCOL_PIPELINES } from '../constants.js';
+import { Cloud } from '../fleet/cloud.js';
+import { Leader } from '../fleet/leader.js';
+import type { Summary } from '../fleet/records.js';
+import { parseTarget } from '../http.js';
+import { StoreRelay } from '../peers/store-relay.js';
+import type { Report } from '../workers/model.js';
+import type { ControllerContext } from './context.js';
+import type { Coordination } from './coordination.js';
+import type { HeldShards } from './held-shards.js';
+import { Reservations } from './reservations.js';
+import { collectSummaries } from './summaries.js';
+import { Transfers } from './transfers.js';
+
+/** What the leader does and how shards hear of it. */
+export interface Leadership {
+  readonly leader: Leader;
+  readonly relay: StoreRelay;
+  readonly transfers: Transfers;
+  readonly reservations: Reservations;
+  /** Has the leader adopt the unknown machine of a report; false: this node does not lead. */
+  readonly adopt: (report: Report) => boolean;
+}
+
+/** Our summaries while the leader is another node that can't be heard; else none. */
+const cutOffSummaries = (
+  { deployment }: ControllerContext,
+  { leaderNode, peers }: Coordination,
+  shards: HeldShards,
+): readonly Summary[] => {
+  const leader = leaderNode();
+  const relayed = leader !== undefined && leader !== deployment.me.node && peers.fresh(leader) === null;
+  return relayed ? shards.ownSummaries() : [];
+};
+
+const createCloud = ({ settings, ports, deployment, clocks }: ControllerContext): Cloud =>
+  new Cloud(
+    parseTarget(settings.services.cloud),
+    settings.facts.cloud.rps,
+    deployment.nodes.length,
+    clocks.steady,
+    ports.callers,
+  );
+
+/** Creates the leadership of one controller. */
+export const createLeadership = (
+  context: ControllerContext,
+  coordination: Coordination,
+  shards: HeldShards,
+): Leadership => {
+  const { settings, deployment, clocks, state } = context;
+  const { peers, leases, duties, protocolVersion, mayLead } = coordination;
+  const relay: StoreRelay = new StoreRelay({
+    store: state.store,
+    valueBytes: deployment.valueBytes,
+    now: clocks.steady,
+    leaderClaim: () => leases.claim(LEADER)?.version ?? null,
+    cutOff: () => cutOffSummaries(context, coordination, shards),
+    give: (shard, moves) => void transfers.carryOut(shard, moves),
+  });
+  const transfers = new Transfers({
+    node: deployment.me.node,
+    shards,
+    leases,
+    peers,
+    relay,
+    reservations: () => leader.holds,
+  });
+  const leader: Leader = new Leader({
+    store: state.store,
+    cache: state.cache,
+    cloud: createCloud(context),
+    duties: duties.registry,
+    journal: duties.journal,
+    shares: deployment.shardCount,
+    listLagS: settings.facts.cloud.list_lag_s,
+    valueBytes: deployment.valueBytes,
+    maySplit: () => protocolVersion.agreed >= PROTOCOL_PIPELINES,
+    catalog: state.catalog,
+    entitled: () => leases.entitled(LEADER),
+    summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
+    move: (from, moves, permit) => transfers.order(from, moves, permit),
+    now: clocks.steady,
+    wall: clocks.wall,
+  });
+  const reservations = new Reservations({ coordination, leader, peers, relay });
+  const adopt = ({ machine, type, zone, spot }: Report): boolean => {
+    if (!mayLead()) return false;
+    leader.adopt(machine, type, zone, spot);
+    return true;
+  };
+  return { leader, relay, transfers, reservations, adopt };
+};
--- /dev/null
+++ b/src/controller/ports.ts
@@ -0,0 +1,29 @@
+/** The controller's interface to its process: what it is given, and what it offers. No state. */
+import type * as Effect from 'effect/Effect';
+import type { Call, Callers, Reply } from '../http.js';
+import type { DirectCommands } from '../workers/worker-client.js';
+
+/** What a controller needs of the world outside; tests put stand-ins here. */
+export interface Ports {
+  /** ms, steady. */
+  readonly now: () => number;
+  /** ms since the epoch. */
+  readonly wall: () => number;
+  /** ms of processor time that this process has used. */
+  readonly processorMs: () => number;
+  /** Differs for every process that ever runs as this node. */
+  readonly incarnation: string;
+  readonly callers: Callers;
+  readonly workerClient: DirectCommands;
+}
+
+/** A composed controller. */
+export interface Controller {
+  /** Users, workers and health checks. */
+  readonly route: (call: Call) => Promise<Reply>;
+  /** The other controllers. */
+  readonly peerRoute: (call: Call) => Promise<Reply>;
+  readonly run: Effect.Effect<unknown>;
+  /** Ends what runs beside `run`. */
+  readonly stop: () => void;
+}
--- /dev/null
+++ b/src/controller/readiness.ts
@@ -0,0 +1,19 @@
+/**
+ * Whether this node is ready for users' requests. Pure decision; the router asks for it with each health
+ * check.
+ */
+import { HEARTBEAT_FRESH_MS } from '../constants.js';
+import type { PeerNetwork } from '../peers/network.js';
+import type { StateAccess } from './state-access.js';
+
+/** What readiness depends on. */
+export interface ReadinessInput {
+  readonly state: Pick<StateAccess, 'cache' | 'catalog' | 'ageMs'>;
+  readonly peers: Pick<PeerNetwork, 'stateReachability'>;
+}
+
+/** Ready means: takes users' requests at least as well as the other nodes. */
+export const isReady = ({ state, peers }: ReadinessInput): boolean => {
+  if (!state.cache.ready || state.catalog() === null) return false;
+  return state.ageMs() < HEARTBEAT_FRESH_MS || peers.stateReachability().up === 0;
+};
--- /dev/null
+++ b/src/controller/reservations.ts
@@ -0,0 +1,38 @@
+/**
+ * Looks up the leader's reservations. No state; heartbeats announce them, shards leave reserved machines
+ * alone.
+ */
+import type { Leader } from '../fleet/leader.js';
+import type { Reservation } from '../fleet/records.js';
+import type { PeerNetwork } from '../peers/network.js';
+import type { StoreRelay } from '../peers/store-relay.js';
+import type { Coordination } from './coordination.js';
+
+/** Where reservations come from. */
+export interface ReservationsInput {
+  readonly coordination: Pick<Coordination, 'leaderNode' | 'mayLead'>;
+  readonly leader: Pick<Leader, 'holds'>;
+  readonly peers: Pick<PeerNetwork, 'fresh'>;
+  readonly relay: Pick<StoreRelay, 'holds'>;
+}
+
+/** The reservations of whichever node leads. */
+export class Reservations {
+  constructor(private readonly input: ReservationsInput) {}
+
+  /** What this node announces; nothing unless it leads. */
+  announced(): readonly Reservation[] {
+    return this.input.coordination.mayLead() ? this.input.leader.holds : [];
+  }
+
+  /**
+   * What a shard of ours has to heed: from the leader's heartbeat, or relayed while the leader is not heard.
+   */
+  forShard(shard: number): readonly Reservation[] {
+    const { coordination, leader, peers, relay } = this.input;
+    if (coordination.mayLead()) return leader.holds;
+    const node = coordination.leaderNode();
+    const heartbeat = node === undefined ? null : peers.fresh(node);
+    return heartbeat ? heartbeat.holds : relay.holds(shard);
+  }
+}
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -1,4 +1,7 @@
-/** Routes requests on the API address to the subsystem that answers them. Holds no state; `start.ts` serves it. */
+/**
+ * Routes requests on the API address to the subsystem that answers them. Holds no state; `start.ts` serves
+ * it.
+ */
 import * as Effect from 'effect/Effect';
 import { RETRY_AFTER_S, USER_BUDGET_MS } from '../constants.js';
 import type { DutiesApi } from '../duties/admin-api.js';
@@ -18,7 +21,9 @@
   readonly duties: Pick<DutiesApi, 'handle'>;
 }
 
-/** Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers. */
+/**
+ * Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers.
+ */
 const withinBudget = (reply: Effect.Effect<Reply>): Promise<Reply> =>
   new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
@@ -33,7 +38,10 @@
       .finally(() => clearTimeout(timer));
   });
 
-/** Routes requests on the API address: health checks, workers' reports, users' calls, operators' reading calls. */
+/**
+ * Routes requests on the API address: health checks, workers' reports, users' calls, operators' reading
+ * calls.
+ */
 export const createRouter =
   ({ ready, reports, users, duties }: RouterInput): ((call: Call) => Promise<Reply>) =>
   (call) => {
--- /dev/null
+++ b/src/controller/shard-input.ts
@@ -0,0 +1,89 @@
+/** Builds what one shard needs of the rest of the controller. No state; called when a shard is taken. */
+import { PROTOCOL_PIPELINES } from '../constants.js';
+import { returnUrgently } from '../duties/urgent-return.js';
+import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
+import type { ScarceTypes } from '../fleet/scarce-types.js';
+import type { Pipelines } from '../pipelines/pipelines.js';
+import type { ShareInput } from '../placement/share.js';
+import type { ControllerContext } from './context.js';
+import type { Coordination } from './coordination.js';
+import type { Leadership } from './leadership.js';
+
+/** The subsystems that a shard works with. */
+export interface ShardDependencies {
+  readonly context: ControllerContext;
+  readonly coordination: Coordination;
+  readonly scarceTypes: ScarceTypes;
+  readonly bootBoundTypes: BootBoundTypes;
+  readonly pipelines: Pipelines;
+  readonly spareElsewhere: ShareInput['spareElsewhere'];
+  /** Built after the shards. */
+  readonly leadership: () => Leadership;
+}
+
+/** What depends on the shard and its claim; the rest is the same for all shards. */
+type ClaimInput = Pick<ShareInput, 'entitled' | 'holds' | 'direct' | 'returnNow' | 'cleanUp' | 'loaded'>;
+
+const createClaimInput = (dependencies: ShardDependencies, shard: number, claim: number): ClaimInput => {
+  const { context, coordination, leadership } = dependencies;
+  const { leases, duties, peers, leaderNode } = coordination;
+  const mayAct = (): boolean => leases.entitled(String(shard)) === claim;
+  return {
+    entitled: mayAct,
+    holds: () => leadership().reservations.forShard(shard),
+    // Asked for at the very moment of sending: this process may have stood still since the decision.
+    direct: (addr, token, session, commands) =>
+      mayAct()
+        ? context.ports.workerClient.send(addr, token, session, commands)
+        : Promise.resolve({ _tag: 'refused', report: null }),
+    returnNow: (machines) =>
+      returnUrgently(
+        {
+          share: shard,
+          duty: duties.registry.share(shard, 'reclaim'),
+          me: context.deployment.me.node,
+          leaderNode,
+          stateAge: context.state.ageMs,
+          returnHere: (own) => leadership().leader.returnNow(own),
+          ask: (node, path, body, timeoutMs) => peers.ask(node, path, body, timeoutMs),
+        },
+        machines,
+      ),
+    cleanUp: context.features.fencing ? duties.registry.share(shard, 'clean-up') : null,
+    loaded: () => duties.registry.shareLoaded(shard, claim),
+  };
+};
+
+/** Everything that the shard needs for as long as its claim has this revision. */
+export const createShardInput = (
+  dependencies: ShardDependencies,
+  shard: number,
+  claim: number,
+): ShareInput => {
+  const { context, coordination, scarceTypes, bootBoundTypes, pipelines } = dependencies;
+  const { settings, ports, deployment, clocks, state } = context;
+  return {
+    ...createClaimInput(dependencies, shard, claim),
+    store: state.store,
+    cache: state.cache,
+    catalog: state.catalog,
+    scarceDemand: (type) => scarceTypes.demand(type),
+    bootBound: (type) => bootBoundTypes.has(type),
+    shareOfTeam: deployment.shardByTeam,
+    limits: deployment.limits,
+    guarantees: deployment.guarantees,
+    objectives: deployment.objectives,
+    workers: settings.facts.workers,
+    valueBytes: deployment.valueBytes,
+    maySplit: () => coordination.protocolVersion.agreed >= PROTOCOL_PIPELINES,
+    coreShare: settings.facts.quota.core_share,
+    spareElsewhere: dependencies.spareElsewhere,
+    now: clocks.steady,
+    processorMs: ports.processorMs,
+    wall: clocks.wall,
+    settled: (job, final) => pipelines.settle(job, final),
+    readiness: (job) => pipelines.readiness(job),
+    standing: (job) => pipelines.standing(job),
+    changed: () => coordination.peers.notifyLeader(),
+  };
+};
--- /dev/null
+++ b/src/controller/sharding.ts
@@ -0,0 +1,64 @@
+/**
+ * The shards that this process holds and what all of them look at together: pipelines of jobs, and machine
+ * types that some work depends on. Built by the composition root.
+ */
+import { BootBoundTypes } from '../fleet/boot-bound-types.js';
+import { ScarceTypes } from '../fleet/scarce-types.js';
+import { Pipelines } from '../pipelines/pipelines.js';
+import { Share, type ShareInput } from '../placement/share.js';
+import type { ControllerContext } from './context.js';
+import type { Coordination } from './coordination.js';
+import { HeldShards } from './held-shards.js';
+import type { Leadership } from './leadership.js';
+import { createShardInput } from './shard-input.js';
+import { hasSpareElsewhere } from './spare-capacity.js';
+import { directSummaries } from './summaries.js';
+
+/** The shards held here and what they look at together. */
+export interface Sharding {
+  readonly shards: HeldShards;
+  readonly pipelines: Pipelines;
+  readonly scarceTypes: ScarceTypes;
+  readonly bootBoundTypes: BootBoundTypes;
+}
+
+/** Creates the sharding of one controller; `leadership` is first called once the controller runs. */
+export const createSharding = (
+  context: ControllerContext,
+  coordination: Coordination,
+  leadership: () => Leadership,
+): Sharding => {
+  const { deployment, state } = context;
+  const scarceTypes = new ScarceTypes(state.catalog);
+  const bootBoundTypes = new BootBoundTypes(state.catalog, deployment.objectives);
+  const pipelines: Pipelines = new Pipelines({
+    cache: state.cache,
+    finals: state.finals,
+    ours: (team) => shards.holds(deployment.shardOf(team)),
+    changed: (jobs) => {
+      for (const job of jobs) shards.forEach((share) => share.onStanding(job));
+    },
+  });
+  const spareElsewhere: ShareInput['spareElsewhere'] = (shard, spec) =>
+    hasSpareElsewhere(
+      { summaries: () => directSummaries({ shards, peers: coordination.peers }), catalog: state.catalog },
+      shard,
+      spec,
+    );
+  const dependencies = {
+    context,
+    coordination,
+    scarceTypes,
+    bootBoundTypes,
+    pipelines,
+    spareElsewhere,
+    leadership,
+  };
+  const shards: HeldShards = new HeldShards({
+    shardCount: deployment.shardCount,
+    leases: coordination.leases,
+    create: (shard, claim) => new Share(shard, claim, createShardInput(dependencies, shard, claim)),
+    onTaken: () => pipelines.lookAll(),
+  });
+  return { shards, pipelines, scarceTypes, bootBoundTypes };
+};
--- /dev/null
+++ b/src/controller/spare-capacity.ts
@@ -0,0 +1,25 @@
+/**
+ * Whether other shards have free machines for a job. No state; shards ask before they preempt for the job.
+ */
+import type { Summary } from '../fleet/records.js';
+import { fitsIn, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
+
+/** What the answer depends on. */
+export interface SpareCapacityInput {
+  readonly summaries: () => readonly Summary[];
+  readonly catalog: () => Catalog | null;
+}
+
+/** Has a shard other than this one a spare machine that one task of the job fits on? */
+export const hasSpareElsewhere = (input: SpareCapacityInput, shard: number, spec: JobSpec): boolean => {
+  const catalog = input.catalog();
+  return input
+    .summaries()
+    .filter((summary) => summary.share !== shard)
+    .some((summary) =>
+      summary.spares.some((spare) => {
+        const type = catalog?.get(spare.type);
+        return type !== undefined && placeAllowed(spec, spare) && fitsIn(spec, type);
+      }),
+    );
+};
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -13,7 +13,8 @@
 import type { AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
 import { WorkerClient } from '../workers/worker-client.js';
-import { compose, type Ports } from './compose.js';
+import { compose } from './compose.js';
+import type { Ports } from './ports.js';
 import { WORKER_PATH } from './router.js';
 
 const MICROSECONDS_PER_MS = 1_000;
--- /dev/null
+++ b/src/controller/state-access.ts
@@ -0,0 +1,52 @@
+/**
+ * This controller's access to the state service: its client, its copy of the shared keys, and what is read
+ * through them. Owns these objects; built once by the context and used by every subsystem.
+ */
+import { CatalogView } from '../fleet/catalog-view.js';
+import { parseTarget, type Callers } from '../http.js';
+import type { Catalog } from '../jobs/model.js';
+import { Finals } from '../pipelines/finals.js';
+import { Store } from '../store/client.js';
+import { LinearizableReads } from '../store/linearizable-reads.js';
+import { WatchCache } from '../store/watch-cache.js';
+import type { Deployment } from './deployment.js';
+
+/** This controller's access to the state service. */
+export interface StateAccess {
+  readonly store: Store;
+  readonly cache: WatchCache;
+  readonly linearizableReads: LinearizableReads;
+  readonly finals: Finals;
+  /** The catalog of machine types; null: not known yet. */
+  readonly catalog: () => Catalog | null;
+  /** ms since the state service last answered this node. */
+  readonly ageMs: () => number;
+}
+
+/** Where the state service is, and how it is reached. */
+export interface StateAccessInput {
+  readonly address: string;
+  readonly deployment: Deployment;
+  readonly leaseClock: () => number;
+  readonly callers: Callers;
+}
+
+/** Creates the client and the copy of the shared keys; the copy is filled once its `run` is started. */
+export const createStateAccess = (input: StateAccessInput): StateAccess => {
+  const { deployment, leaseClock } = input;
+  const store = new Store(
+    parseTarget(input.address),
+    { ...deployment.stateLimits, nodes: deployment.nodes.length },
+    leaseClock,
+    input.callers,
+  );
+  const cache = new WatchCache(store, leaseClock);
+  return {
+    store,
+    cache,
+    linearizableReads: new LinearizableReads(store),
+    finals: new Finals(store),
+    catalog: new CatalogView(cache).current,
+    ageMs: () => (store.okAt === 0 ? Number.MAX_SAFE_INTEGER : leaseClock() - store.okAt),
+  };
+};
--- /dev/null
+++ b/src/controller/subsystems.ts
@@ -0,0 +1,20 @@
+/**
+ * The subsystems of one controller, as the composition root hands them on once all are built. No state of its
+ * own.
+ */
+import type { ReportHandler } from '../workers/report-handler.js';
+import type { Cancellations } from './cancellations.js';
+import type { ControllerContext } from './context.js';
+import type { Coordination } from './coordination.js';
+import type { Leadership } from './leadership.js';
+import type { Sharding } from './sharding.js';
+
+/** The subsystems of one controller. */
+export interface Subsystems {
+  readonly context: ControllerContext;
+  readonly coordination: Coordination;
+  readonly sharding: Sharding;
+  readonly leadership: Leadership;
+  readonly cancellations: Cancellations;
+  readonly reportHandler: ReportHandler;
+}
--- /dev/null
+++ b/src/controller/summaries.ts
@@ -0,0 +1,40 @@
+/** What the leader knows of each shard. No state; the leader asks for it with each plan. */
+import type { LeaseManager } from '../claims/lease-manager.js';
+import type { Summary } from '../fleet/records.js';
+import type { PeerNetwork } from '../peers/network.js';
+import type { StoreRelay } from '../peers/store-relay.js';
+import type { HeldShards } from './held-shards.js';
+
+/** Matches the claim of no summary. */
+const NO_CLAIM = -1;
+
+/** Where summaries come from. */
+export interface SummarySources {
+  readonly shardCount: number;
+  readonly leases: Pick<LeaseManager, 'claim'>;
+  readonly shards: Pick<HeldShards, 'ownSummaries'>;
+  readonly peers: Pick<PeerNetwork, 'summaries'>;
+  readonly relay: Pick<StoreRelay, 'summary'>;
+}
+
+/** The summaries that come without a detour: those of our own shards, and of the peers that are heard. */
+export const directSummaries = ({
+  shards,
+  peers,
+}: Pick<SummarySources, 'shards' | 'peers'>): readonly Summary[] => [
+  ...shards.ownSummaries(),
+  ...peers.summaries(),
+];
+
+/** One summary a shard, as far as there is one: relayed where it does not come directly. */
+export const collectSummaries = (sources: SummarySources): readonly Summary[] => {
+  const { leases, relay } = sources;
+  const direct = directSummaries(sources);
+  const relayed = (shard: number): Summary | null =>
+    relay.summary(shard, leases.claim(String(shard))?.version ?? NO_CLAIM);
+  const summaryOf = (shard: number): Summary | null =>
+    direct.find((summary) => summary.share === shard) ?? relayed(shard);
+  return Array.from({ length: sources.shardCount }, (_, shard) => summaryOf(shard)).filter(
+    (summary) => summary !== null,
+  );
+};
--- a/src/controller/supervise.ts
+++ b/src/controller/supervise.ts
@@ -1,10 +1,12 @@
-/** Keeps the parts of a controller running. */
+/**
+ * Keeps the parts of a controller running. No state; the composition root and the shards' lifecycle use it.
+ */
 import * as Cause from 'effect/Cause';
 import * as Effect from 'effect/Effect';
 import { SUPERVISE_RESTART_MS } from '../constants.js';
 import { log } from '../log.js';
 
-/** A slice that fails by a defect is started again: one broken decision must not end the process. */
+/** A part that fails by a defect is started again: one broken decision must not end the process. */
 export const supervise = <A>(name: string, effect: Effect.Effect<A>): Effect.Effect<A> =>
   Effect.catchCause(effect, (cause) => {
     log.error({ event: 'slice.failed', name, cause: Cause.pretty(cause) });
@@ -13,3 +15,12 @@
       Effect.suspend(() => supervise(name, effect)),
     );
   });
+
+/** Runs all parts side by side, started in the order given, each supervised under its name. */
+export const superviseAll = (
+  parts: Readonly<Record<string, Effect.Effect<unknown>>>,
+): Effect.Effect<unknown> =>
+  Effect.all(
+    Object.entries(parts).map(([name, part]) => supervise(name, part)),
+    { concurrency: 'unbounded' },
+  );
--- /dev/null
+++ b/src/controller/transfers.ts
@@ -0,0 +1,50 @@
+/**
+ * Transfers of free machines between shards. The leader orders them, the present holder of a machine's shard
+ * carries them out, since only it can do so without a bind in between. No state.
+ */
+import type { Permit } from '@dalegate/fencing';
+import * as Effect from 'effect/Effect';
+import type { LeaseManager } from '../claims/lease-manager.js';
+import type { Move, Reservation } from '../fleet/records.js';
+import type { PeerNetwork } from '../peers/network.js';
+import type { MoveOrder } from '../peers/peer-requests.js';
+import type { StoreRelay } from '../peers/store-relay.js';
+import type { HeldShards } from './held-shards.js';
+
+/** What transfers need of the rest of the controller. */
+export interface TransfersInput {
+  /** This node's name. */
+  readonly node: string;
+  readonly shards: Pick<HeldShards, 'entitled'>;
+  readonly leases: Pick<LeaseManager, 'claim'>;
+  readonly peers: Pick<PeerNetwork, 'fresh' | 'ask'>;
+  readonly relay: Pick<StoreRelay, 'order'>;
+  /** The leader's reservations, which relayed orders carry too. */
+  readonly reservations: () => readonly Reservation[];
+}
+
+/** Orders and carries out transfers of machines. */
+export class Transfers {
+  constructor(private readonly input: TransfersInput) {}
+
+  /** Has the holder of a shard carry out the leader's transfers from it. */
+  order(from: number, moves: readonly Move[], permit: Permit): Effect.Effect<unknown> {
+    const { node, leases, peers, relay } = this.input;
+    const share = this.input.shards.entitled(from);
+    if (share) return Effect.promise(() => share.give(moves));
+    const holder = leases.claim(String(from))?.node;
+    if (holder === undefined || holder === node) return Effect.void;
+    if (peers.fresh(holder) === null) return relay.order(from, moves, this.input.reservations());
+    if (!permit.mayProceed()) return Effect.void;
+    const order: MoveOrder = { moves, from, token: permit.token };
+    return Effect.promise(() => peers.ask(holder, '/move', order));
+  }
+
+  /**
+   * Carries out transfers from a shard of ours; false: they were not, or this process may not act for the
+   * shard.
+   */
+  async carryOut(from: number, moves: readonly Move[]): Promise<boolean> {
+    return (await this.input.shards.entitled(from)?.give(moves)) ?? false;
+  }
+}
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -1,6 +1,6 @@
 /**
- * Key names in the state service, built and parsed. Everything that all nodes follow stands under one prefix: one
- * watch. No state.
+ * Key names in the state service, built and parsed. Everything that all nodes follow stands under one prefix:
+ * one watch. No state.
  */
 export const SHARED = 'w/';
 /** Prefix of the claims. */
@@ -43,7 +43,7 @@
 /** A part of a run whose record is too long for one value. */
 export const runPartKey = (share: number, job: string, chunk: number, part: number): string =>
   `${runKey(share, job, chunk)}+${part}`;
-/** Rental requests that were announced and are not over. Outside the shared keys: only the leader reads it. */
+/** Announced rental requests that are not over. Outside the shared keys: only the leader reads them. */
 export const RENTALS_KEY = 'i/rent';
 /** Keys of a share that are marked for removal. */
 export const removalsKey = (share: number): string => `x/${share}`;
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,7 +1,8 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import type { Answer, Call, Reply } from '../http.js';
-import { compose, type Controller, type Ports } from '../controller/compose.js';
+import { compose } from '../controller/compose.js';
+import type { Controller, Ports } from '../controller/ports.js';
 import { ALL_FEATURES } from '../settings/features.js';
 import type { Settings } from '../settings/schema.js';
 import { readReport } from '../workers/codec.js';
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -3,7 +3,8 @@
 import { join } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import { buildSync } from 'esbuild';
-import type { compose, Controller, Ports } from '../controller/compose.js';
+import type { compose } from '../controller/compose.js';
+import type { Controller, Ports } from '../controller/ports.js';
 
 /** What the tests use of the version that production runs. */
 export interface Production {
