--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { Batcher } from '../batch.js';
+import { Batcher } from '../concurrency/batcher.js';
 import {
   ACKNOWLEDGEMENT_BATCH_DELAY_MS,
   MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -14,8 +14,8 @@
 export const HEARTBEAT_FRESHNESS_MS = 2_500;
 /** Longest gap between two heartbeats of a peer that counts as steady. */
 export const MAX_STEADY_HEARTBEAT_GAP_MS = 2 * HEARTBEAT_FRESHNESS_MS;
-/** How long a report by a machine of another node's shard is counted in heartbeats. */
-export const STRAY_REPORT_FRESHNESS_MS = 2 * HEARTBEAT_FRESHNESS_MS;
+/** Age up to which a worker heartbeat that belongs to the shard of another controller is counted. */
+export const MISROUTED_HEARTBEAT_FRESHNESS_MS = 2 * HEARTBEAT_FRESHNESS_MS;
 /** Timeout of a request to a peer. */
 export const PEER_REQUEST_TIMEOUT_MS = 900;
 /** Sockets to one peer, for heartbeats, task counts and moves. */
--- /dev/null
+++ b/src/controller/compose.ts
@@ -0,0 +1,105 @@
+/** The composition root of a controller: builds the subsystems and connects them. Decides nothing itself. */
+import type * as Effect from 'effect/Effect';
+import { shareRates } from '../peers/rate-sharing.js';
+import { NO_FEATURES, type Features } from '../settings/features.js';
+import { ANYONE, type AdminAccess } from '../settings/networks.js';
+import type { Settings } from '../settings/schema.js';
+import { decodeChange } from '../store/change-feed.js';
+import { createApi, createPeerRequests, createReportHandler } from './api.js';
+import { createCancellations } from './cancellations.js';
+import { ChangeDispatcher } from './change-dispatcher.js';
+import { createContext } from './context.js';
+import { createCoordination, type Coordination } from './coordination.js';
+import { createHeartbeat } from './heartbeat.js';
+import { createLeadership, type Leadership } from './leadership.js';
+import { findUnreachableShards } from './misrouting.js';
+import type { Controller, Ports } from './ports.js';
+import { createSharding } from './sharding.js';
+import type { Subsystems } from './subsystems.js';
+import { superviseAll } from './supervise.js';
+
+/**
+ * Builds the subsystems. They need each other: each is given those built before it directly, and those built
+ * after it through functions, which are first called once all of them are there.
+ */
+const createSubsystems = (settings: Settings, ports: Ports, features: Features): Subsystems => {
+  const context = createContext(settings, ports, features);
+  const { deployment, state } = context;
+  const coordination: Coordination = createCoordination(context, {
+    heartbeat: (to) => createHeartbeat(heartbeatInput, to),
+    answer: (path, body) => peerRequests.answer(path, body),
+    unreachableShards: () => findUnreachableShards({ shards, peers: coordination.peers }),
+  });
+  const sharding = createSharding(context, coordination, () => leadership);
+  const { shards } = sharding;
+  const leadership: Leadership = createLeadership(context, coordination, shards);
+  const cancellations = createCancellations(context, coordination, shards);
+  const reportHandler = createReportHandler(context, shards, leadership);
+  const peerRequests = createPeerRequests(coordination, shards, leadership);
+  const heartbeatInput = {
+    me: deployment.me,
+    leases: coordination.leases,
+    leaderNode: coordination.leaderNode,
+    stateAgeMs: state.ageMs,
+    store: state.store,
+    shards,
+    reportHandler,
+    reservations: () => leadership.reservations.announced(),
+  };
+  return { context, coordination, sharding, leadership, cancellations, reportHandler };
+};
+
+/** Has the subsystems hear of each change of the shared keys. */
+const followChanges = (subsystems: Subsystems): void => {
+  const { context, coordination, sharding, leadership, cancellations } = subsystems;
+  const { cache } = context.state;
+  const dispatcher = new ChangeDispatcher({
+    cache,
+    relay: leadership.relay,
+    gate: coordination.duties.gate,
+    registry: coordination.duties.registry,
+    shards: sharding.shards,
+    scarceTypes: sharding.scarceTypes,
+    bootBoundTypes: sharding.bootBoundTypes,
+    pipelines: sharding.pipelines,
+    durableAcknowledgements: cancellations.durableAcknowledgements,
+    shardOf: context.deployment.shardOf,
+  });
+  cache.onEvent((event) => dispatcher.dispatch(decodeChange(event)));
+};
+
+/** Everything that runs for as long as the controller does; shards run beside it. */
+const createRun = (subsystems: Subsystems): Effect.Effect<unknown> => {
+  const { context, coordination, sharding, leadership, cancellations } = subsystems;
+  const { store, cache } = context.state;
+  const { leases, peers, protocolVersion } = coordination;
+  return superviseAll({
+    cache: cache.run,
+    leases: leases.run,
+    peers: peers.run,
+    leader: leadership.leader.run,
+    relay: leadership.relay.run,
+    rates: shareRates(store, () => peers.demands()),
+    protocolVersion: protocolVersion.run,
+    pipelines: sharding.pipelines.run,
+    acknowledgements: cancellations.durableAcknowledgements.run,
+  });
+};
+
+/** Composes one controller. It does nothing on its own before `run` is started. */
+export const compose = (
+  settings: Settings,
+  ports: Ports,
+  features: Features = NO_FEATURES,
+  adminAccess: AdminAccess = ANYONE,
+): Controller => {
+  const subsystems = createSubsystems(settings, ports, features);
+  const { coordination, sharding } = subsystems;
+  followChanges(subsystems);
+  return {
+    route: createApi(subsystems, adminAccess),
+    peerRoute: (call) => coordination.peers.handle(call),
+    run: createRun(subsystems),
+    stop: () => sharding.shards.stop(),
+  };
+};
--- a/src/router.ts
+++ b/src/controller/router.ts
@@ -1,9 +1,16 @@
+/**
+ * Routes requests on the API address to the subsystem that answers them. Holds no state; `start.ts` serves
+ * it.
+ */
 import * as Effect from 'effect/Effect';
-import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from './constants/users-api.js';
-import type { DutiesApi } from './duties/admin-api.js';
-import type { Call, Reply } from './http.js';
-import type { UsersApi } from './jobs/api.js';
-import type { ReportHandler } from './workers/report-handler.js';
+import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from '../constants/users-api.js';
+import type { DutiesApi } from '../duties/admin-api.js';
+import type { Call, Reply } from '../http.js';
+import type { UsersApi } from '../jobs/api.js';
+import type { ReportHandler } from '../workers/report-handler.js';
+
+/** Where workers send their heartbeats. */
+export const WORKER_PATH = '/hello';
 
 /** What requests on the API address are routed to. */
 export interface RouterInput {
@@ -14,7 +21,9 @@
   readonly duties: Pick<DutiesApi, 'handle'>;
 }
 
-/** Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers. */
+/**
+ * Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers.
+ */
 const withinBudget = (reply: Effect.Effect<Reply>): Promise<Reply> =>
   new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
@@ -29,12 +38,15 @@
       .finally(() => clearTimeout(timer));
   });
 
-/** Routes requests on the API address: health checks, workers' reports, users' calls, operators' reading calls. */
+/**
+ * Routes requests on the API address: health checks, workers' reports, users' calls, operators' reading
+ * calls.
+ */
 export const createRouter =
   ({ ready, reports, users, duties }: RouterInput): ((call: Call) => Promise<Reply>) =>
   (call) => {
     if (call.path === '/ready') return Promise.resolve({ status: ready() ? 200 : 503 });
-    if (call.path === '/hello') {
+    if (call.path === WORKER_PATH) {
       if (call.method !== 'POST') return Promise.resolve({ status: 405, headers: { allow: 'POST' } });
       return call.body._tag === 'value' ? reports.handle(call.body.value) : Promise.resolve({ status: 400 });
     }
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,9 +1,8 @@
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
 import type { StoreEvent } from '../store/client.js';
+import { parseSharedKey } from '../store/keys.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
-const RECORDS = 'w/m/';
-
 /** Names a type, zone and kind of machine. */
 export const kindKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
@@ -41,9 +40,9 @@
   readonly releasing = new Set<string>();
 
   onEvent(event: StoreEvent): void {
-    const key = event._tag === 'put' ? event.item.key : event.key;
-    if (!key.startsWith(RECORDS)) return;
-    const id = key.slice(RECORDS.length);
+    const key = parseSharedKey(event._tag === 'put' ? event.item.key : event.key);
+    if (key._tag !== 'machine') return;
+    const id = key.machine;
     const before = this.records.get(id);
     if (before) this.count(id, before, -1);
     this.records.delete(id);
--- a/src/store/linearizable-reads.ts
+++ b/src/store/linearizable-reads.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { Batcher } from '../batch.js';
+import { Batcher } from '../concurrency/batcher.js';
 import {
   LINEARIZABLE_READ_ATTEMPTS,
   LINEARIZABLE_READ_BATCH_DELAY_MS,
