--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,13 +1,14 @@
 import * as Effect from 'effect/Effect';
 import { Batcher } from '../batch.js';
 import { ACKNOWLEDGEMENT_BATCH_MS, ACKNOWLEDGEMENT_BATCH_MAX } from '../constants.js';
+import { readClaim } from '../claims/codec.js';
 import type { Summary } from '../fleet/records.js';
 import type { Store } from '../store/client.js';
 import type { LinearizableReads } from '../store/linearizable-reads.js';
 import { claimKey, markKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
+import { readAcknowledgement, readAcknowledgeReply, writeAcknowledgeRequest } from './codec.js';
 import { assessEvidence, type FreshClaim } from './evidence.js';
-import { readAcknowledgement } from './durable-acknowledgement.js';
 
 /** A durable cancellation, as it is put to the holder of the job's share. */
 export interface Cancellation {
@@ -32,26 +33,6 @@
   readonly understands: (node: string) => boolean;
 }
 
-/** The messages between nodes. */
-const writeAcknowledgeRequest = (list: readonly Cancellation[]): unknown =>
-  list.map(({ slot, claim, job, version }) => [slot, claim, job, version]);
-/** Reads a request to acknowledge cancellations; rows that are malformed are left out. */
-export const readAcknowledgeRequest = (body: unknown): readonly Cancellation[] =>
-  (Array.isArray(body) ? (body as unknown[]) : []).flatMap((row) => {
-    if (!Array.isArray(row)) return [];
-    const [slot, claim, job, version] = row as unknown[];
-    return typeof slot === 'number' &&
-      typeof claim === 'number' &&
-      typeof job === 'string' &&
-      typeof version === 'number'
-      ? [{ slot, claim, job, version }]
-      : [];
-  });
-const readAcknowledgeReply = (body: unknown, count: number): readonly boolean[] => {
-  const { heeded } = (body ?? {}) as { heeded?: unknown };
-  return Array.from({ length: count }, (_, index) => Array.isArray(heeded) && heeded[index] === true);
-};
-
 /** Finds out whether a cancellation may be told: reads the claim freshly and asks its holder. */
 export class CancellationAcknowledgement {
   private readonly askers = new Map<string, Batcher<Cancellation, boolean>>();
@@ -68,8 +49,6 @@
     return asker;
   }
 
-  private readonly nodeOf = (value: unknown): string => (value as { n: string }).n;
-
   private claim(slot: number): Effect.Effect<FreshClaim> {
     return Effect.gen({ self: this }, function* () {
       const key = claimKey(String(slot));
@@ -78,7 +57,7 @@
         const freshness = yield* this.input.fresh.confirm(key, copy.version);
         if (freshness === 'failed') return { _tag: 'unsure' } as const;
         if (freshness === 'same')
-          return { _tag: 'held', node: this.nodeOf(copy.value), version: copy.version } as const;
+          return { _tag: 'held', node: readClaim(copy.value).node, version: copy.version } as const;
       }
       const read = yield* this.input.store.get(key, 'user');
       switch (read._tag) {
@@ -87,12 +66,15 @@
         case 'absent':
           return { _tag: 'free' } as const;
         case 'found':
-          return { _tag: 'held', node: this.nodeOf(read.item.value), version: read.item.version } as const;
+          return { _tag: 'held', node: readClaim(read.item.value).node, version: read.item.version } as const;
       }
     });
   }
 
-  /** May users be told of the cancellation that is durable at this revision? Asked after that, so the claim is read later. */
+  /**
+   * May users be told of the cancellation that is durable at this revision? Asked after that, so the claim is
+   * read later.
+   */
   assured(slot: number, job: string, version: number): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const claim = yield* this.claim(slot);
--- /dev/null
+++ b/src/cancellation/codec.test.ts
@@ -0,0 +1,41 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import * as codec from './codec.js';
+
+/** Messages and stored values about cancellations with their exact texts. */
+const cancellations = [
+  { slot: 1, claim: 50, job: 'job-1', version: 100 },
+  { slot: 2, claim: 51, job: 'job-2', version: 101 },
+];
+const REQUEST = '[[1,50,"job-1",100],[2,51,"job-2",101]]';
+
+test('cancellation codec: a request', () => {
+  assert.equal(JSON.stringify(codec.writeAcknowledgeRequest(cancellations)), REQUEST);
+  assert.deepEqual(codec.readAcknowledgeRequest(JSON.parse(REQUEST)), cancellations);
+});
+
+test('cancellation codec: a durable acknowledgement', () => {
+  assert.equal(JSON.stringify(codec.writeAcknowledgement({ claim: 50, revision: 7 })), '{"c":50,"r":7}');
+  assert.deepEqual(codec.readAcknowledgement({ c: 50, r: 7, later: 1 }), { claim: 50, revision: 7 });
+});
+
+test('cancellation codec: an answer', () =>
+  assert.equal(JSON.stringify(codec.writeAcknowledgeReply([true, false])), '{"heeded":[true,false]}'));
+
+interface ReplyCase {
+  readonly name: string;
+  readonly body: unknown;
+  readonly means: readonly boolean[];
+}
+const replies: readonly ReplyCase[] = [
+  { name: 'both', body: { heeded: [true, true] }, means: [true, true] },
+  { name: 'one', body: { heeded: [false, true] }, means: [false, true] },
+  { name: 'fewer than were asked for', body: { heeded: [true] }, means: [true, false] },
+  { name: 'values that are no truth values', body: { heeded: [1, 'true'] }, means: [false, false] },
+  { name: 'no list', body: { heeded: true }, means: [false, false] },
+  { name: 'no answer', body: null, means: [false, false] },
+];
+for (const row of replies) {
+  test(`cancellation codec: an answer with ${row.name}`, () =>
+    assert.deepEqual(codec.readAcknowledgeReply(row.body, 2), row.means));
+}
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -3,22 +3,13 @@
 import type { Store } from '../store/client.js';
 import { claimKey, markKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
+import { writeAcknowledgement } from './codec.js';
 
 /** A holder's durable word: under this claim it has seen the shared keys up to this revision. */
 export interface DurableAcknowledgement {
   readonly claim: number;
   readonly revision: number;
 }
-/** Writes a durable acknowledgement as it is stored. */
-export const writeAcknowledgement = (mark: DurableAcknowledgement): unknown => ({
-  c: mark.claim,
-  r: mark.revision,
-});
-/** Reads a stored durable acknowledgement. */
-export const readAcknowledgement = (value: unknown): DurableAcknowledgement => {
-  const raw = value as { c: number; r: number };
-  return { claim: raw.c, revision: raw.r };
-};
 
 /** What durable acknowledgements need of the rest of the controller. */
 export interface DurableAcknowledgementsInput {
@@ -30,7 +21,10 @@
   readonly allHeard: () => boolean;
 }
 
-/** Where connections between nodes are refused, holders say through the state service that they have seen cancellations. */
+/**
+ * Where connections between nodes are refused, holders say through the state service that they have seen
+ * cancellations.
+ */
 export class DurableAcknowledgements {
   /** Revision of the last cancellation seen of each share, until it is marked. */
   private readonly wanted = new Map<number, number>();
--- a/src/cancellation/evidence.test.ts
+++ b/src/cancellation/evidence.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readAcknowledgeRequest } from './acknowledgement.js';
+import { readAcknowledgeRequest } from './codec.js';
 import { assessEvidence, outageGraceUntil, type FreshClaim, type Signs } from './evidence.js';
 
 /** When a cancellation that is durable at revision 100 may be told. */
--- /dev/null
+++ b/src/claims/codec.test.ts
@@ -0,0 +1,19 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { readClaim, writeClaim } from './codec.js';
+import type { Claim, Peer } from './decide.js';
+
+const claim: Claim = { node: 'n1', incarnation: 'n1.7' };
+const peer: Peer = { ...claim, lease: 5, steadyMs: 1, stateOk: true, deaf: false };
+
+const rows: readonly { readonly name: string; readonly claim: Claim }[] = [
+  { name: 'a claim', claim },
+  { name: 'a claim that is handed to a peer: nothing else of it is stored', claim: peer },
+];
+for (const row of rows) {
+  test(`claim codec: ${row.name}`, () =>
+    assert.equal(JSON.stringify(writeClaim(row.claim)), '{"n":"n1","i":"n1.7"}'));
+}
+
+test('claim codec: a stored claim is read, unknown fields are ignored', () =>
+  assert.deepEqual(readClaim({ n: 'n1', i: 'n1.7', later: 1 }), claim));
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -4,6 +4,7 @@
 import type { Store } from '../store/client.js';
 import { claimKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
+import { readClaim, writeClaim } from './codec.js';
 import { decideClaims, LEADER, type Claim, type SeenClaim, type Peer } from './decide.js';
 import { mayAct, nextLeaseState, type LeaseState, type LeaseEvent } from './lease-state.js';
 
@@ -42,8 +43,8 @@
   claim(slot: string): SeenClaim | undefined {
     const item = this.cache.get(claimKey(slot));
     if (!item) return undefined;
-    const raw = item.value as { n: string; i: string };
-    return { node: raw.n, incarnation: raw.i, version: item.version };
+    const { node, incarnation } = readClaim(item.value);
+    return { node, incarnation, version: item.version };
   }
 
   /** The revision of this process's claim on the slot, or null when the cache shows another or none. */
@@ -119,16 +120,14 @@
         now,
       });
       for (const action of actions) {
-        const to =
-          action._tag === 'take'
-            ? { value: { n: this.input.me.node, i: this.input.me.incarnation }, lease }
-            : { value: { n: action.to.node, i: action.to.incarnation }, lease: action.to.lease ?? lease };
+        const holder: Claim = action._tag === 'take' ? this.input.me : action.to;
+        const holderLease = action._tag === 'take' ? lease : (action.to.lease ?? lease);
         const result = yield* this.store.txn(
           [{ key: claimKey(action.slot), version: action.version }],
-          [{ _tag: 'put', key: claimKey(action.slot), value: to.value, lease: to.lease }],
+          [{ _tag: 'put', key: claimKey(action.slot), value: writeClaim(holder), lease: holderLease }],
           'vital',
         );
-        log.info({ event: `claim.${action._tag}`, slot: action.slot, to: to.value.n, result: result._tag });
+        log.info({ event: `claim.${action._tag}`, slot: action.slot, to: holder.node, result: result._tag });
         // The cache shows the claim in its place among all changes; acting earlier would skip some.
       }
     }
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -1,5 +1,5 @@
 import type { Cancellation } from '../cancellation/acknowledgement.js';
-import { readAcknowledgeRequest } from '../cancellation/acknowledgement.js';
+import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
 import { LEADER } from '../claims/decide.js';
 import type { OrderGate, OrderVerdict } from '../duties/order-gate.js';
 import type { Move } from '../fleet/records.js';
@@ -54,7 +54,9 @@
       case '/heed':
         return {
           status: 200,
-          body: { heeded: readAcknowledgeRequest(body).map((entry) => this.input.acknowledge(entry)) },
+          body: writeAcknowledgeReply(
+            readAcknowledgeRequest(body).map((entry) => this.input.acknowledge(entry)),
+          ),
         };
       default:
         return null;
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -6,10 +6,12 @@
 import type { Store } from '../store/client.js';
 import { LEVEL_KEY } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
+import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
 
 /**
- * What all nodes understand. During an upgrade nodes of two versions serve together, and one that dies before its turn
- * comes back old; once each has announced the new version there is no turn left, and that is recorded for good.
+ * What all nodes understand. During an upgrade nodes of two versions serve together, and one that dies before
+ * its turn comes back old; once each has announced the new version there is no turn left, and that is
+ * recorded for good.
  */
 export interface ProtocolVersionInput {
   readonly store: Store;
@@ -27,7 +29,7 @@
   /** Every node of the deployment understands at least this much, now and from now on. */
   get agreed(): number {
     const item = this.input.cache.get(LEVEL_KEY);
-    return item ? (item.value as { v: number }).v : 0;
+    return item ? readProtocolVersion(item.value) : 0;
   }
 
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
@@ -42,7 +44,7 @@
         this.input.store,
         permit,
         [{ key: LEVEL_KEY, version }],
-        [{ _tag: 'put', key: LEVEL_KEY, value: { v: PROTOCOL_VERSION } }],
+        [{ _tag: 'put', key: LEVEL_KEY, value: writeProtocolVersion(PROTOCOL_VERSION) }],
         'user',
       );
       permit.end();
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -12,9 +12,12 @@
 export const summaryKey = (slot: number): string => `w/s/${slot}`;
 /** The relayed orders for a share. */
 export const ordersKey = (slot: number): string => `w/o/${slot}`;
-/** A holder's durable word that it has seen the shared keys up to a revision (`cancellation/mark.ts`). */
+/**
+ * A holder's durable word that it has seen the shared keys up to a revision
+ * (`cancellation/durable-acknowledgement.ts`).
+ */
 export const markKey = (slot: string): string => `w/k/${slot}`;
-/** What every node of this deployment is known to understand (`mesh/level.ts`). */
+/** What every node of this deployment is known to understand (`peers/protocol-version.ts`). */
 export const LEVEL_KEY = 'w/level';
 /** The last known catalog. */
 export const CATALOG_KEY = 'w/catalog';
@@ -27,7 +30,9 @@
 /** A part of a run whose record is too long for one value. */
 export const runPartKey = (share: number, job: string, chunk: number, part: number): string =>
   `${runKey(share, job, chunk)}+${part}`;
-/** Rental requests that were announced and are not over. Outside the shared keys: only the leader reads it. */
+/**
+ * Rental requests that were announced and are not over. Outside the shared keys: only the leader reads it.
+ */
 export const RENTALS_KEY = 'i/rent';
 /** Keys of a share that are marked for removal. */
 export const removalsKey = (share: number): string => `x/${share}`;
--- a/src/workers/report-handler.ts
+++ b/src/workers/report-handler.ts
@@ -1,4 +1,5 @@
 import { ANSWER_WAIT_MS } from '../constants.js';
+import { readClaim } from '../claims/codec.js';
 import type { Reply } from '../http.js';
 import { claimKey, machineKey } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
@@ -41,7 +42,8 @@
   }
 
   private holder(slot: string): string | undefined {
-    return (this.input.cache.get(claimKey(slot))?.value as { n: string } | undefined)?.n;
+    const item = this.input.cache.get(claimKey(slot));
+    return item && readClaim(item.value).node;
   }
 
   async handle(value: unknown): Promise<Reply> {
