--- a/src/duties/urgent-return.ts
+++ b/src/duties/urgent-return.ts
@@ -1,6 +1,6 @@
 import type { Duty } from '@dalegate/fencing';
 import { CLOUD_TIMEOUT_MS, HEARTBEAT_FRESH_MS, RELEASE_MAX } from '../constants.js';
-import type { ReturnOrder } from '../peers/peer-requests.js';
+import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
 
 /** What an urgent return needs of its controller. */
 export interface UrgentReturnInput {
@@ -16,8 +16,9 @@
 }
 
 /**
- * Has machines returned to the cloud while the state service can't be written, so that no durable intent can come first. Where
- * it answers, the machine's record is the way: it tells a later leader too. True: they are gone.
+ * Has machines returned to the cloud while the state service can't be written, so that no durable intent can
+ * come first. Where it answers, the machine's record is the way: it tells a later leader too. True: they are
+ * gone.
  */
 export const returnUrgently = async (
   input: UrgentReturnInput,
@@ -29,9 +30,8 @@
   if (to === undefined || permit === null) return false;
   try {
     if (to === input.me) return await input.returnHere(machines);
-    const order: ReturnOrder = { machines, share: input.share, token: permit.token };
-    const answer = await input.ask(to, '/return', order, CLOUD_TIMEOUT_MS);
-    return (answer as { returned?: boolean } | null)?.returned === true;
+    const order = writeReturnOrder({ machines, share: input.share }, permit.token);
+    return readReturnAnswer(await input.ask(to, '/return', order, CLOUD_TIMEOUT_MS));
   } finally {
     permit.end();
   }
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -1,10 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Reservation, UnmetDemand, SpareMachine, Summary } from './fleet/records.js';
 import { readMachineRecord, writeMachineRecord, type MachineRecord } from './fleet/records.js';
 import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
 import type { JobRecord, JobSpec } from './jobs/model.js';
-import type { Heartbeat } from './peers/network.js';
+import type { WireHeartbeat } from './peers/heartbeat-codec.js';
+import type { WireReservation } from './peers/reservation-codec.js';
+import type { WireSpareMachine, WireSummary, WireUnmetDemand } from './peers/summary-codec.js';
 import { prepared, readRunRecord, storeRun, validating, type RunRecord } from './placement/records.js';
 import { compose } from './service.js';
 import * as keys from './store/keys.js';
@@ -256,9 +257,9 @@
   gangs: [{ job: 'job-1', tasks: 2, waitedMs: 5, patienceMs: 9 }],
   room: { x: 1 },
   waitedMs: 5,
-} satisfies UnmetDemand;
-const spare = { id: 'i-1', type: 'g', zone: 'x', spot: false, idleS: 3 } satisfies SpareMachine;
-const summary = { share: 1, claim: 7, revision: 9, needs: [need], spares: [spare] } satisfies Summary;
+} satisfies WireUnmetDemand;
+const spare = { id: 'i-1', type: 'g', zone: 'x', spot: false, idleS: 3 } satisfies WireSpareMachine;
+const summary = { share: 1, claim: 7, revision: 9, needs: [need], spares: [spare] } satisfies WireSummary;
 const hold = {
   share: 1,
   job: 'job-1',
@@ -271,7 +272,7 @@
   tasks: 2,
   priority: 1,
   ageMs: 4,
-} satisfies Reservation;
+} satisfies WireReservation;
 const earlierBeat = {
   from: 'n1',
   incarnation: 'n1.1',
@@ -283,7 +284,7 @@
   strays: { '0': 2 },
   demand: { requests: 1, changes: 2 },
   holds: [hold],
-} satisfies Heartbeat;
+} satisfies WireHeartbeat;
 
 const BEAT =
   '{"from":"n1","incarnation":"n1.1","lease":3,"stateAgeMs":20,"summaries":[{"share":1,"claim":7,"revision":9,' +
--- /dev/null
+++ b/src/peers/heartbeat-codec.ts
@@ -0,0 +1,103 @@
+import type { Demand, PeerHeartbeat, ShareCounts, TaskCounts } from './heartbeat.js';
+import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
+import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
+import { isMap, readEntries } from './wire-values.js';
+
+/**
+ * The heartbeat as it travels between controllers. Two versions serve side by side during an upgrade, so the
+ * names of the fields and their order are fixed. Task counts pass by reference: there are thousands, and they
+ * look the same on both sides.
+ */
+
+/** The demand on the state service, on the wire. */
+export interface WireDemand {
+  readonly requests: number;
+  readonly changes: number;
+}
+
+/** Task counts of a share on the wire. */
+export interface WireShareCounts {
+  readonly slot: number;
+  readonly jobs: readonly TaskCounts[];
+}
+
+/** A heartbeat on the wire. */
+export interface WireHeartbeat {
+  readonly from: string;
+  readonly incarnation: string;
+  /** Earlier versions don't send it. */
+  readonly level?: number;
+  readonly lease: number | null;
+  readonly stateAgeMs: number;
+  readonly counts: readonly WireShareCounts[];
+  readonly summaries: readonly WireSummary[];
+  readonly deaf: boolean;
+  /** Machines by share. */
+  readonly strays: Readonly<Record<string, number>>;
+  readonly demand: WireDemand;
+  readonly holds: readonly WireReservation[];
+}
+
+const writeDemand = (demand: Demand): WireDemand => ({
+  requests: demand.requests,
+  changes: demand.changes,
+});
+
+const readDemand = (wire: WireDemand): Demand => ({
+  requests: wire.requests,
+  changes: wire.changes,
+});
+
+const writeShareCounts = (counts: ShareCounts): WireShareCounts => ({
+  slot: counts.slot,
+  jobs: counts.jobs,
+});
+
+const readShareCounts = (wire: WireShareCounts): ShareCounts => ({
+  slot: wire.slot,
+  jobs: wire.jobs,
+});
+
+/** Writes a heartbeat as it travels. */
+export const writeHeartbeat = (heartbeat: PeerHeartbeat): WireHeartbeat => ({
+  from: heartbeat.from,
+  incarnation: heartbeat.incarnation,
+  ...(heartbeat.level === undefined ? {} : { level: heartbeat.level }),
+  lease: heartbeat.lease,
+  stateAgeMs: heartbeat.stateAgeMs,
+  counts: heartbeat.counts.map(writeShareCounts),
+  summaries: heartbeat.summaries.map(writeSummary),
+  deaf: heartbeat.deaf,
+  strays: heartbeat.strays,
+  demand: writeDemand(heartbeat.demand),
+  holds: heartbeat.holds.map(writeReservation),
+});
+
+/** The node that sent a heartbeat; null: it does not say, so this is none. */
+export const readSender = (value: unknown): string | null => {
+  const from = (value as Partial<WireHeartbeat> | null | undefined)?.from;
+  return typeof from === 'string' ? from : null;
+};
+
+/**
+ * Reads a heartbeat; null: it names no sender. Fields that are missing read as empty where that has a
+ * meaning.
+ */
+export const readHeartbeat = (value: unknown): PeerHeartbeat | null => {
+  const from = readSender(value);
+  if (from === null) return null;
+  const wire = value as WireHeartbeat;
+  return {
+    from,
+    incarnation: wire.incarnation,
+    ...(wire.level === undefined ? {} : { level: wire.level }),
+    lease: wire.lease,
+    stateAgeMs: wire.stateAgeMs,
+    counts: readEntries(wire.counts, readShareCounts),
+    summaries: readEntries(wire.summaries, readSummary),
+    deaf: wire.deaf,
+    strays: isMap(wire.strays) ? wire.strays : {},
+    demand: isMap(wire.demand) ? readDemand(wire.demand) : { requests: 0, changes: 0 },
+    holds: readEntries(wire.holds, readReservation),
+  };
+};
--- a/src/peers/network.test.ts
+++ b/src/peers/network.test.ts
@@ -3,10 +3,11 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import type { Answer, Reply } from '../http.js';
-import { PeerNetwork, type Heartbeat } from './network.js';
+import type { PeerHeartbeat } from './heartbeat.js';
+import { PeerNetwork } from './network.js';
 
 /** Heartbeats between two nodes on a virtual clock: how many exchanges, and how fresh each stays. */
-const beatOf = (from: string): Heartbeat => ({
+const beatOf = (from: string): PeerHeartbeat => ({
   from,
   incarnation: '1',
   lease: 1,
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -10,42 +10,15 @@
   PEER_SOCKETS,
 } from '../constants.js';
 import type { Peer } from '../claims/decide.js';
-import type { Reservation, Summary } from '../fleet/records.js';
+import type { Summary } from '../fleet/records.js';
 import { parseTarget, type Call, type Caller, type Callers, type Reply } from '../http.js';
+import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
+import type { Demand, PeerHeartbeat } from './heartbeat.js';
 
-/** What the service's own processes say to each other: MessagePack over HTTP, on the peer address. */
-export interface Heartbeat {
-  readonly from: string;
-  readonly incarnation: string;
-  /** What this node understands (`level.ts`); versions before that don't say. */
-  readonly level?: number;
-  readonly lease: number | null;
-  /** ms since the state service last answered this node. */
-  readonly stateAgeMs: number;
-  /** In full for the leader; for the others without needs, and with a few spares of each kind. */
-  readonly summaries: readonly Summary[];
-  /** Task counts of jobs that run, for display at other nodes. */
-  readonly counts: readonly {
-    readonly slot: number;
-    readonly jobs: readonly (readonly [id: string, done: number, running: number])[];
-  }[];
-  readonly deaf: boolean;
-  /** Machines that lately reported here although another node holds their share: by share. */
-  readonly strays: Readonly<Record<string, number>>;
-  /** What this node asks of the state service, a second. */
-  readonly demand: Demand;
-  /** The leader's: machines that are being gathered for a large gang. */
-  readonly holds: readonly Reservation[];
-}
-
-/** Requests and changes a second that a node asks of the state service. */
-export interface Demand {
-  readonly requests: number;
-  readonly changes: number;
-}
+/** Heartbeats and requests between controllers: MessagePack over HTTP, on the peer address. */
 
 interface Known {
-  heartbeat: Heartbeat;
+  heartbeat: PeerHeartbeat;
   at: number;
   steadySince: number;
   /** By share and job, made when first asked for. */
@@ -56,7 +29,7 @@
 export interface PeerNetworkInput {
   readonly me: string;
   readonly peers: readonly { readonly host_name: string; readonly endpoint: string }[];
-  readonly heartbeat: (to: string) => Heartbeat;
+  readonly heartbeat: (to: string) => PeerHeartbeat;
   /** The node that leads, as far as this node knows; its heartbeats are hurried. */
   readonly leader: () => string | undefined;
   readonly now: () => number;
@@ -66,8 +39,8 @@
 }
 
 /**
- * This node's part of a rate that all nodes share: half is divided evenly, half by what each asks for. A node that
- * is not heard keeps its even part and what it last asked for.
+ * This node's part of a rate that all nodes share: half is divided evenly, half by what each asks for. A node
+ * that is not heard keeps its even part and what it last asked for.
  */
 export const rateFor = (total: number, own: number, others: readonly number[]): number => {
   const nodes = others.length + 1;
@@ -91,8 +64,8 @@
   }
 
   private note(value: unknown): void {
-    const beat = value as Heartbeat;
-    if (typeof beat?.from !== 'string' || !this.clients.has(beat.from)) return;
+    const beat = readHeartbeat(value);
+    if (beat === null || !this.clients.has(beat.from)) return;
     const now = this.input.now();
     const before = this.known.get(beat.from);
     const steady =
@@ -107,7 +80,7 @@
     });
   }
 
-  fresh(node: string): Heartbeat | null {
+  fresh(node: string): PeerHeartbeat | null {
     const known = this.known.get(node);
     return known && this.input.now() - known.at < HEARTBEAT_FRESH_MS ? known.heartbeat : null;
   }
@@ -205,8 +178,7 @@
     const body = call.body._tag === 'value' ? call.body.value : null;
     if (call.path === '/beat') {
       this.note(body);
-      const from = (body as Partial<Heartbeat> | null)?.from;
-      return { status: 200, body: this.input.heartbeat(typeof from === 'string' ? from : '') };
+      return { status: 200, body: writeHeartbeat(this.input.heartbeat(readSender(body) ?? '')) };
     }
     const result = await this.input.answer(call.path, body);
     return result ?? { status: 404 };
@@ -244,7 +216,10 @@
     });
   }
 
-  /** Each answers a heartbeat with its own, so of two nodes one need begin: the other does when it was not heard in time. */
+  /**
+   * Each answers a heartbeat with its own, so of two nodes one need begin: the other does when it was not
+   * heard in time.
+   */
   private due(node: string): boolean {
     const known = this.known.get(node);
     if (known === undefined || this.notified.delete(node)) return true;
@@ -253,7 +228,10 @@
 
   private exchangeWith(node: string): Effect.Effect<never> {
     return Effect.promise(async () => {
-      if (this.due(node)) this.note(await this.ask(node, '/beat', this.input.heartbeat(node)));
+      if (this.due(node)) {
+        const heartbeat = writeHeartbeat(this.input.heartbeat(node));
+        this.note(await this.ask(node, '/beat', heartbeat));
+      }
     }).pipe(Effect.andThen(Effect.promise(() => this.pause(node))), Effect.forever);
   }
 
--- /dev/null
+++ b/src/peers/order-codec.test.ts
@@ -0,0 +1,95 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import * as codec from './order-codec.js';
+import type { MoveOrder, ReturnOrder } from './orders.js';
+
+/** Orders and their answers with their exact texts, which must not change with names in the code. */
+const move: MoveOrder = {
+  from: 2,
+  moves: [
+    { machine: 'i-1', to: 0 },
+    { machine: 'i-2', to: 1 },
+  ],
+};
+const giveBack: ReturnOrder = { machines: ['i-1', 'i-2'], share: 2 };
+
+const written: readonly { readonly name: string; readonly value: unknown; readonly text: string }[] = [
+  {
+    name: 'an order to move machines',
+    value: codec.writeMoveOrder(move, 40),
+    text: '{"moves":[{"machine":"i-1","to":0},{"machine":"i-2","to":1}],"from":2,"token":40}',
+  },
+  {
+    name: 'an order to return machines',
+    value: codec.writeReturnOrder(giveBack, 41),
+    text: '{"machines":["i-1","i-2"],"share":2,"token":41}',
+  },
+  { name: 'the answer to a move', value: codec.writeMoveAnswer(true), text: '{"moved":true}' },
+  { name: 'the answer to a return', value: codec.writeReturnAnswer(false), text: '{"returned":false}' },
+  {
+    name: 'the answer to a malformed token',
+    value: codec.writeMalformedOrder('token', 'token must be an integer'),
+    text: '{"error":"token must be an integer","field":"token"}',
+  },
+  {
+    name: 'the answer to a replaced holder',
+    value: codec.writeStaleOrder(40),
+    text: '{"error":"a later holder is known","token":40}',
+  },
+];
+for (const row of written) {
+  test(`order codec: ${row.name}`, () => assert.equal(JSON.stringify(row.value), row.text));
+}
+
+const read: readonly {
+  readonly name: string;
+  readonly text: string;
+  readonly read: (body: unknown) => unknown;
+  readonly means: unknown;
+}[] = [
+  {
+    name: 'an order to move machines',
+    text: '{"moves":[{"machine":"i-1","to":0},{"machine":"i-2","to":1}],"from":2,"token":40}',
+    read: codec.readMoveOrder,
+    means: move,
+  },
+  {
+    name: 'an order to move machines with fields of a later version',
+    text: '{"moves":[{"machine":"i-1","to":0,"later":1},{"machine":"i-2","to":1}],"from":2,"later":1}',
+    read: codec.readMoveOrder,
+    means: move,
+  },
+  {
+    name: 'an order to return machines',
+    text: '{"machines":["i-1","i-2"],"share":2,"token":41,"later":1}',
+    read: codec.readReturnOrder,
+    means: giveBack,
+  },
+  {
+    name: 'an order to return machines of an earlier version',
+    text: '{"machines":["i-1"]}',
+    read: codec.readReturnOrder,
+    means: { machines: ['i-1'] },
+  },
+  { name: 'a token', text: '{"token":40}', read: codec.readOrderToken, means: 40 },
+  { name: 'a malformed token, unchecked', text: '{"token":"40"}', read: codec.readOrderToken, means: '40' },
+  {
+    name: 'no token, of an earlier version',
+    text: '{"from":1}',
+    read: codec.readOrderToken,
+    means: undefined,
+  },
+  { name: 'that machines are gone', text: '{"returned":true}', read: codec.readReturnAnswer, means: true },
+  { name: 'that they are not', text: '{"returned":false}', read: codec.readReturnAnswer, means: false },
+  {
+    name: 'an answer that is no truth value',
+    text: '{"returned":1}',
+    read: codec.readReturnAnswer,
+    means: false,
+  },
+  { name: 'an answer without the field', text: '{}', read: codec.readReturnAnswer, means: false },
+  { name: 'no answer', text: 'null', read: codec.readReturnAnswer, means: false },
+];
+for (const row of read) {
+  test(`order codec: reads ${row.name}`, () => assert.deepEqual(row.read(JSON.parse(row.text)), row.means));
+}
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -4,22 +4,15 @@
 import type { OrderGate, OrderVerdict } from '../duties/order-gate.js';
 import type { Move } from '../fleet/records.js';
 import type { Reply } from '../http.js';
-
-/** The leader's order to the holder of a share: machines that are to go to other shares. */
-export interface MoveOrder {
-  readonly from: number;
-  readonly moves: readonly Move[];
-  /** The leader's fencing token; earlier versions don't send it. */
-  readonly token?: number;
-}
-
-/** A holder's order to the leader: machines that are to go back to the cloud at once. */
-export interface ReturnOrder {
-  readonly machines: readonly string[];
-  /** The share whose holder asks, and its fencing token; earlier versions don't send them. */
-  readonly share?: number;
-  readonly token?: number;
-}
+import {
+  readMoveOrder,
+  readOrderToken,
+  readReturnOrder,
+  writeMalformedOrder,
+  writeMoveAnswer,
+  writeReturnAnswer,
+  writeStaleOrder,
+} from './order-codec.js';
 
 /** What is asked of this controller by others. */
 export interface PeerRequestsInput {
@@ -34,9 +27,9 @@
     case 'accepted':
       return null;
     case 'malformed':
-      return { status: 400, body: { error: verdict.reason, field: verdict.field } };
+      return { status: 400, body: writeMalformedOrder(verdict.field, verdict.reason) };
     case 'stale':
-      return { status: 409, body: { error: 'a later holder is known', token: verdict.current } };
+      return { status: 409, body: writeStaleOrder(verdict.current) };
   }
 };
 
@@ -48,31 +41,38 @@
   async answer(path: string, body: unknown): Promise<Reply | null> {
     switch (path) {
       case '/move':
-        return this.move(body as MoveOrder);
+        return this.move(body);
       case '/return':
-        return this.returnNow(body as ReturnOrder);
+        return this.returnNow(body);
       case '/heed':
-        return {
-          status: 200,
-          body: writeAcknowledgeReply(
-            readAcknowledgeRequest(body).map((entry) => this.input.acknowledge(entry)),
-          ),
-        };
+        return { status: 200, body: writeAcknowledgeReply(this.acknowledge(body)) };
       default:
         return null;
     }
   }
 
-  private async move({ from, moves, token }: MoveOrder): Promise<Reply> {
+  private acknowledge(body: unknown): readonly boolean[] {
+    return readAcknowledgeRequest(body).map((cancellation) => this.input.acknowledge(cancellation));
+  }
+
+  /**
+   * The token is checked before the rest is read: a replaced leader hears that it is one, whatever it sent.
+   */
+  private async move(body: unknown): Promise<Reply> {
+    const token = readOrderToken(body);
     const refused = refusal(this.input.gate.check('move', LEADER, 'order to the holder of a share', token));
-    return refused ?? { status: 200, body: { moved: await this.input.move(from, moves) } };
+    if (refused) return refused;
+    const { from, moves } = readMoveOrder(body);
+    return { status: 200, body: writeMoveAnswer(await this.input.move(from, moves)) };
   }
 
-  private async returnNow({ machines, share, token }: ReturnOrder): Promise<Reply> {
+  private async returnNow(body: unknown): Promise<Reply> {
+    const token = readOrderToken(body);
+    const { machines, share } = readReturnOrder(body);
     const claim = share === undefined ? '' : String(share);
     const refused = refusal(
       this.input.gate.check('reclaim', claim, 'order to return machines at once', token),
     );
-    return refused ?? { status: 200, body: { returned: await this.input.returnNow(machines) } };
+    return refused ?? { status: 200, body: writeReturnAnswer(await this.input.returnNow(machines)) };
   }
 }
--- a/src/peers/rate-sharing.ts
+++ b/src/peers/rate-sharing.ts
@@ -1,7 +1,8 @@
 import * as Effect from 'effect/Effect';
 import { HEARTBEAT_MS } from '../constants.js';
 import type { Store } from '../store/client.js';
-import { rateFor, type Demand } from './network.js';
+import type { Demand } from './heartbeat.js';
+import { rateFor } from './network.js';
 
 /** Each node's part of the state service's rates follows what the nodes ask for. */
 export const shareRates = (store: Store, demands: () => readonly Demand[]): Effect.Effect<never> => {
--- /dev/null
+++ b/src/peers/reservation-codec.ts
@@ -0,0 +1,48 @@
+import type { Reservation } from '../fleet/records.js';
+
+/** Reservations as they travel in heartbeats and in relayed orders; the names of the fields are fixed. */
+
+/** A reservation on the wire. */
+export interface WireReservation {
+  readonly share: number;
+  readonly job: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly types: readonly string[] | null;
+  readonly cpus: number;
+  readonly gpus: number;
+  readonly memoryGb: number;
+  readonly tasks: number;
+  readonly priority: number;
+  readonly ageMs: number;
+}
+
+/** Writes a reservation as it travels. */
+export const writeReservation = (reservation: Reservation): WireReservation => ({
+  share: reservation.share,
+  job: reservation.job,
+  zone: reservation.zone,
+  spot: reservation.spot,
+  types: reservation.types,
+  cpus: reservation.cpus,
+  gpus: reservation.gpus,
+  memoryGb: reservation.memoryGb,
+  tasks: reservation.tasks,
+  priority: reservation.priority,
+  ageMs: reservation.ageMs,
+});
+
+/** Reads a reservation. */
+export const readReservation = (wire: WireReservation): Reservation => ({
+  share: wire.share,
+  job: wire.job,
+  zone: wire.zone,
+  spot: wire.spot,
+  types: wire.types,
+  cpus: wire.cpus,
+  gpus: wire.gpus,
+  memoryGb: wire.memoryGb,
+  tasks: wire.tasks,
+  priority: wire.priority,
+  ageMs: wire.ageMs,
+});
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -4,10 +4,14 @@
 import type { Reservation, Move, Summary } from '../fleet/records.js';
 import type { Store, StoreEvent } from '../store/client.js';
 import { claimKey, ordersKey, summaryKey } from '../store/keys.js';
+import type { RelayedOrders } from './orders.js';
+import { readRelayedOrders, readRelayedSummary, writeRelayedOrders } from './relay-codec.js';
+import { writeSummary } from './summary-codec.js';
 
 /**
- * The slow way between a share's holder and the leader when their connections are refused: summaries and orders
- * through the state service, few and small. Nothing here gives any right; what is done is conditional as always.
+ * The slow way between a share's holder and the leader when their connections are refused: summaries and
+ * orders through the state service, few and small. Nothing here gives any right; what is done is conditional
+ * as always.
  */
 export interface StoreRelayInput {
   readonly store: Store;
@@ -21,16 +25,10 @@
   readonly give: (slot: number, moves: readonly Move[]) => void;
 }
 
-interface Orders {
-  readonly leader: number;
-  readonly moves: readonly Move[];
-  readonly holds: readonly Reservation[];
-}
-
 /** Passes summaries and orders through the state service where connections are refused. */
 export class StoreRelay {
   private readonly heard = new Map<number, { summary: Summary; at: number }>();
-  private readonly told = new Map<number, { orders: Orders; at: number }>();
+  private readonly told = new Map<number, { orders: RelayedOrders; at: number }>();
   private readonly wroteAt = new Map<string, number>();
   private readonly lastSaid = new Map<number, string>();
 
@@ -40,14 +38,20 @@
     if (event._tag !== 'put') return;
     const { key, value } = event.item;
     const slot = Number(key.slice(4));
-    const at = this.input.now();
-    if (key === summaryKey(slot)) this.heard.set(slot, { summary: value as Summary, at });
-    else if (key === ordersKey(slot)) {
-      const orders = value as Orders;
-      if (orders.leader !== this.input.leaderClaim()) return;
-      this.told.set(slot, { orders, at });
-      if (orders.moves.length > 0) this.input.give(slot, orders.moves);
-    }
+    if (key === summaryKey(slot)) this.onSummary(slot, value);
+    else if (key === ordersKey(slot)) this.onOrders(slot, value);
+  }
+
+  private onSummary(slot: number, value: unknown): void {
+    const summary = readRelayedSummary(value);
+    if (summary !== null) this.heard.set(slot, { summary, at: this.input.now() });
+  }
+
+  private onOrders(slot: number, value: unknown): void {
+    const orders = readRelayedOrders(value);
+    if (orders === null || orders.leader !== this.input.leaderClaim()) return;
+    this.told.set(slot, { orders, at: this.input.now() });
+    if (orders.moves.length > 0) this.input.give(slot, orders.moves);
   }
 
   /** What a share's holder last said this way, if that is recent and by this very claim. */
@@ -67,7 +71,9 @@
     return this.input.now() - (this.wroteAt.get(key) ?? Number.NEGATIVE_INFINITY) >= RELAY_MS;
   }
 
-  /** Conditional on the claim of whoever writes: a late copy of a replaced one must not hide what is newer. */
+  /**
+   * Conditional on the claim of whoever writes: a late copy of a replaced one must not hide what is newer.
+   */
   private write(key: string, value: unknown, slot: string, claim: number): Effect.Effect<unknown> {
     this.wroteAt.set(key, this.input.now());
     const when = [{ key: claimKey(slot), version: claim }];
@@ -79,23 +85,26 @@
     const leader = this.input.leaderClaim();
     const key = ordersKey(slot);
     if (leader === null || !this.due(key)) return Effect.void;
-    return this.write(key, this.fittingOrders({ leader, moves, holds }), LEADER, leader);
+    const stored = writeRelayedOrders(this.fittingOrders({ leader, moves, holds }));
+    return this.write(key, stored, LEADER, leader);
   }
 
+  /** Measures the value as it is stored. */
   private tooLong(value: unknown): boolean {
     return Buffer.byteLength(JSON.stringify(value)) > this.input.valueBytes * VALUE_FILL;
   }
 
   /** What doesn't fit comes with the next orders. */
-  private fittingOrders(orders: Orders): Orders {
+  private fittingOrders(orders: RelayedOrders): RelayedOrders {
     let fit = orders;
-    while (this.tooLong(fit) && fit.moves.length + fit.holds.length > 0) {
+    while (this.tooLong(writeRelayedOrders(fit)) && fit.moves.length + fit.holds.length > 0) {
       fit = {
         ...fit,
         moves: fit.moves.slice(0, Math.floor(fit.moves.length / 2)),
         holds: fit.holds.length > 4 ? fit.holds.slice(0, Math.floor(fit.holds.length / 2)) : fit.holds,
       };
-      if (fit.moves.length === 0 && this.tooLong(fit)) fit = { ...fit, holds: fit.holds.slice(0, -1) };
+      if (fit.moves.length === 0 && this.tooLong(writeRelayedOrders(fit)))
+        fit = { ...fit, holds: fit.holds.slice(0, -1) };
     }
     return fit;
   }
@@ -103,7 +112,7 @@
   /** Halved until it fits: what comes first matters most. */
   private fitting(summary: Summary): Summary {
     let fit = summary;
-    while (this.tooLong(fit) && fit.needs.length + fit.spares.length > 0) {
+    while (this.tooLong(writeSummary(fit)) && fit.needs.length + fit.spares.length > 0) {
       fit = {
         ...fit,
         needs: fit.needs
@@ -126,7 +135,7 @@
         const said = `${summary.claim}|${fit.needs.length}|${fit.spares.length}`;
         if (fit.needs.length + fit.spares.length === 0 && this.lastSaid.get(summary.share) === said) continue;
         this.lastSaid.set(summary.share, said);
-        yield* this.write(key, fit, String(summary.share), summary.claim);
+        yield* this.write(key, writeSummary(fit), String(summary.share), summary.claim);
       }
     }
   });
--- a/src/service.ts
+++ b/src/service.ts
@@ -32,7 +32,8 @@
 import { StoreRelay } from './peers/store-relay.js';
 import { ProtocolVersion } from './peers/protocol-version.js';
 import { PeerNetwork } from './peers/network.js';
-import { PeerRequests, type MoveOrder } from './peers/peer-requests.js';
+import { writeMoveOrder } from './peers/order-codec.js';
+import { PeerRequests } from './peers/peer-requests.js';
 import { shareRates } from './peers/rate-sharing.js';
 import { unpackIds } from './pipelines/codec.js';
 import { Finals } from './pipelines/finals.js';
@@ -263,7 +264,7 @@
       if (holder === undefined || holder === me.node) return Effect.void;
       if (peerNetwork.fresh(holder) === null) return relay.order(from, moves, leader.holds);
       if (!permit.mayProceed()) return Effect.void;
-      const order: MoveOrder = { moves, from, token: permit.token };
+      const order = writeMoveOrder({ from, moves }, permit.token);
       return Effect.promise(() => peerNetwork.ask(holder, '/move', order));
     },
     now,
