--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -7,7 +7,7 @@
 import type { Store, Write } from '../store/client.js';
 import { CATALOG_KEY } from '../store/keys.js';
 import type { WatchCache } from '../store/watch-cache.js';
-import { readStored, storeCatalog } from './catalog.js';
+import { isStored, storeCatalog } from './catalog.js';
 import type { Cloud } from './cloud.js';
 
 /** What the keeper needs of the leader. */
@@ -24,7 +24,10 @@
   readonly now: () => number;
 }
 
-/** Keeps the durable copy of the cloud's catalog: the leader refreshes it, anyone makes it while there is none. */
+/**
+ * Keeps the durable copy of the cloud's catalog: the leader refreshes it, anyone makes it while there is
+ * none.
+ */
 export class CatalogKeeper {
   private readAt = 0;
 
@@ -45,8 +48,7 @@
       return;
     }
     const known = this.input.cache.get(CATALOG_KEY);
-    const before = known ? readStored(known, (key) => this.input.cache.get(key)) : null;
-    if (before && JSON.stringify(before) === JSON.stringify(result.types)) return;
+    if (known && isStored(result.types, known, (key) => this.input.cache.get(key))) return;
     const writes = storeCatalog(
       result.types,
       this.input.valueBytes * VALUE_FILL,
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,21 +1,33 @@
 import type { Catalog, MachineType } from '../jobs/model.js';
 import type { Item, Write } from '../store/client.js';
 import { CATALOG_KEY, catalogPartKey } from '../store/keys.js';
+import {
+  readMachineType,
+  writeMachineType,
+  type StoredMachineType,
+  type StoredPartCount,
+} from './catalog-codec.js';
 
-/** The last known catalog as it is kept: one value, or, where one can't hold it, several of the same revision. */
+/**
+ * The last known catalog as it is kept: one value, or, where one can't hold it, several of the same revision.
+ */
 const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** null: it doesn't fit in one transaction. As one value where nodes of an earlier version may have to read it. */
+/**
+ * null: it doesn't fit in one transaction. As one value where nodes of an earlier version may have to read
+ * it.
+ */
 export const storeCatalog = (
   types: readonly MachineType[],
   bytes: number,
   txnOps: number,
   maySplit: boolean,
 ): readonly Write[] | null => {
-  if (!maySplit || bytesOf(types) <= bytes) return [{ _tag: 'put', key: CATALOG_KEY, value: types }];
-  const parts: MachineType[][] = [[]];
+  const stored = types.map(writeMachineType);
+  if (!maySplit || bytesOf(stored) <= bytes) return [{ _tag: 'put', key: CATALOG_KEY, value: stored }];
+  const parts: StoredMachineType[][] = [[]];
   let size = 2;
-  for (const type of types) {
+  for (const type of stored) {
     const more = bytesOf(type) + 1;
     if (size + more > bytes) {
       parts.push([]);
@@ -25,27 +37,44 @@
     size += more;
   }
   if (parts.length + 1 > txnOps) return null;
+  const count: StoredPartCount = { p: parts.length };
   return [
     ...parts.map((value, part): Write => ({ _tag: 'put', key: catalogPartKey(part), value })),
-    { _tag: 'put', key: CATALOG_KEY, value: { p: parts.length } },
+    { _tag: 'put', key: CATALOG_KEY, value: count },
   ];
 };
 
-/** The types as stored, or null while a part is not there yet. */
-export const readStored = (
+/** The stored types as they are, or null while a part is not there yet. */
+const storedTypes = (
   item: Item,
   get: (key: string) => Item | undefined,
-): readonly MachineType[] | null => {
-  if (Array.isArray(item.value)) return item.value as MachineType[];
-  const types: MachineType[] = [];
-  for (let part = 0; part < (item.value as { p: number }).p; part += 1) {
+): readonly StoredMachineType[] | null => {
+  if (Array.isArray(item.value)) return item.value as StoredMachineType[];
+  const types: StoredMachineType[] = [];
+  for (let part = 0; part < (item.value as StoredPartCount).p; part += 1) {
     const found = get(catalogPartKey(part));
     if (found?.version !== item.version) return null;
-    types.push(...(found.value as MachineType[]));
+    types.push(...(found.value as StoredMachineType[]));
   }
   return types;
 };
 
+/** The stored types, or null while a part is not there yet. */
+export const readStored = (
+  item: Item,
+  get: (key: string) => Item | undefined,
+): readonly MachineType[] | null => storedTypes(item, get)?.map(readMachineType) ?? null;
+
+/** Does the state service hold exactly these types? What another version stored with other fields differs. */
+export const isStored = (
+  types: readonly MachineType[],
+  item: Item,
+  get: (key: string) => Item | undefined,
+): boolean => {
+  const stored = storedTypes(item, get);
+  return stored !== null && JSON.stringify(stored) === JSON.stringify(types.map(writeMachineType));
+};
+
 /** The machine types by name. */
 export const toCatalog = (types: readonly MachineType[]): Catalog =>
   new Map(types.map((type) => [type.name, type]));
