--- a/src/cli/cli.test.ts
+++ b/src/cli/cli.test.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, before, test } from 'node:test';
-import type { DutiesView } from '../duties/admin-api.js';
+import type { WireDutiesOverview } from '../duties/admin-codec.js';
 
 interface Outcome {
   readonly code: number | null;
@@ -23,7 +23,7 @@
     child.on('exit', (code) => resolve({ code, out, err }));
   });
 
-const view: DutiesView = {
+const view: WireDutiesOverview = {
   node: 'n0',
   duties: [
     {
@@ -31,10 +31,8 @@
       claim: 'L',
       state: 'held',
       open: 1,
-      holder: { claim: 'L', token: 40 as never, node: 'n0', process: 'p', from: 0, to: null, ended: null },
-      history: [
-        { claim: 'L', token: 7 as never, node: 'n2', process: 'p', from: 0, to: 9, ended: 'lease ended' },
-      ],
+      holder: { claim: 'L', token: 40, node: 'n0', process: 'p', from: 0, to: null, ended: null },
+      history: [{ claim: 'L', token: 7, node: 'n2', process: 'p', from: 0, to: 9, ended: 'lease ended' }],
       effects: [],
       refused: [],
     },
--- a/src/cli/duties.ts
+++ b/src/cli/duties.ts
@@ -1,5 +1,5 @@
 import * as http from 'node:http';
-import type { DutiesView, DutyView } from '../duties/admin-api.js';
+import { readDuties, type WireDutiesOverview, type WireDuty } from '../duties/admin-codec.js';
 import { parseTarget } from '../http.js';
 
 /** ms: wait for a controller's answer; it reads one value of the state service for it. */
@@ -49,7 +49,7 @@
 
 const time = (ms: number | null): string => (ms === null ? '' : new Date(ms).toISOString());
 
-const dutyRows = (duties: readonly DutyView[]): readonly (readonly string[])[] => [
+const dutyRows = (duties: readonly WireDuty[]): readonly (readonly string[])[] => [
   ['DUTY', 'CLAIM', 'HOLDER', 'TOKEN', 'SINCE', 'HERE', 'OPEN', 'REFUSED'],
   ...duties.map((duty) => [
     duty.duty,
@@ -63,7 +63,7 @@
   ]),
 ];
 
-const historyRows = (duties: readonly DutyView[]): readonly (readonly string[])[] => {
+const historyRows = (duties: readonly WireDuty[]): readonly (readonly string[])[] => {
   const byToken = new Map(
     duties.flatMap(({ history }) => history).map((period) => [`${period.claim}/${period.token}`, period]),
   );
@@ -82,7 +82,7 @@
   ];
 };
 
-const refusalRows = (duties: readonly DutyView[]): readonly (readonly string[])[] => [
+const refusalRows = (duties: readonly WireDuty[]): readonly (readonly string[])[] => [
   ['REFUSED EFFECT', 'DUTY', 'CLAIM', 'TOKEN', 'AT', 'WHY'],
   ...duties
     .flatMap(({ refused }) => refused)
@@ -97,7 +97,7 @@
     ]),
 ];
 
-const intentLines = (view: Partial<DutiesView>): readonly string[] => {
+const intentLines = (view: Partial<WireDutiesOverview>): readonly string[] => {
   if (view.releaseIntents === undefined) return [];
   const rentals =
     view.openRentals == null
@@ -138,7 +138,7 @@
     process.stdout.write(answer.text);
     return EXIT_OK;
   }
-  const view = JSON.parse(answer.text) as Partial<DutiesView> & Pick<DutiesView, 'duties'>;
+  const view = readDuties(answer.text);
   const parts = [
     table(dutyRows(view.duties)),
     tableOr(historyRows(view.duties), 'no earlier holders seen'),
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -4,12 +4,15 @@
   DUTY_NAMES,
   type Duty,
   type DutyName,
+  type DutyState,
+  type EffectDefinition,
   type HoldingPeriod,
   type Refusal,
   type RentalBook,
 } from '@dalegate/fencing';
 import type { Call, Reply } from '../http.js';
 import type { AdminAccess } from '../settings/networks.js';
+import { writeDuties, writeDutiesOverview } from './admin-codec.js';
 import type { DutyRegistry } from './registry.js';
 
 /** What the endpoint needs of its controller. */
@@ -28,12 +31,12 @@
 export interface DutyView {
   readonly duty: DutyName;
   readonly claim: string;
-  readonly state: string;
+  readonly state: DutyState['_tag'];
   /** Effects of this process that are under way. */
   readonly open: number;
   readonly holder: HoldingPeriod | null;
   readonly history: readonly HoldingPeriod[];
-  readonly effects: readonly { readonly name: string; readonly fence: string; readonly late: string }[];
+  readonly effects: readonly EffectDefinition[];
   readonly refused: readonly Refusal[];
 }
 
@@ -46,7 +49,7 @@
   readonly token: number | null;
 }
 
-/** The answer to `GET /admin/v1/duties`. */
+/** All duties of one controller with its open intents, as an operator reads them. */
 export interface DutiesView {
   readonly node: string;
   readonly duties: readonly DutyView[];
@@ -73,12 +76,13 @@
     if (call.method !== 'GET') return { ...json(405, { error: 'read only' }), headers: { allow: 'GET' } };
     if (!this.input.ready()) return json(503, { error: 'this controller has not read the claims yet' });
     const [name, ...rest] = path;
-    if (name === undefined) return json(200, await this.overview());
+    if (name === undefined) return json(200, writeDutiesOverview(await this.overview()));
     const duty = rest.length === 0 ? parseDutyName(name) : null;
     if (duty === null)
       return json(404, { error: `no duty is called "${path.join('/')}"`, duties: DUTY_NAMES });
-    const views = this.input.registry.all().filter((entry) => entry.name === duty);
-    return json(200, { node: this.input.node, duties: views.map((entry) => this.view(entry)) });
+    const named = this.input.registry.all().filter((entry) => entry.name === duty);
+    const views = named.map((entry) => this.view(entry));
+    return json(200, writeDuties(this.input.node, views));
   }
 
   private async overview(): Promise<DutiesView> {
--- /dev/null
+++ b/src/duties/admin-codec.ts
@@ -0,0 +1,191 @@
+import type {
+  DutyState,
+  EffectDefinition,
+  HoldingPeriod,
+  Refusal,
+  RentalIntent,
+  SettledRental,
+} from '@dalegate/fencing';
+import type { DutiesView, DutyView, ReleaseIntentView } from './admin-api.js';
+
+/**
+ * The answers of the administration API, which the command line reads and operators' programs too: the names
+ * of the fields and their order are fixed.
+ */
+
+/** For how long somebody held a claim. */
+export interface WireHoldingPeriod {
+  readonly claim: string;
+  readonly token: number;
+  readonly node: string;
+  readonly process: string;
+  /** ms since the epoch. */
+  readonly from: number;
+  /** ms since the epoch; null: it holds the claim still. */
+  readonly to: number | null;
+  readonly ended: string | null;
+}
+
+/** An effect of a duty, and how a late one is kept from doing harm. */
+export interface WireEffect {
+  readonly name: string;
+  readonly fence: string;
+  readonly late: string;
+}
+
+/** An effect that was not carried out. */
+export interface WireRefusal {
+  readonly duty: string;
+  readonly claim: string;
+  readonly effect: string;
+  readonly token: number;
+  readonly reason: string;
+  /** ms since the epoch. */
+  readonly at: number;
+}
+
+/** One duty on one claim. */
+export interface WireDuty {
+  readonly duty: string;
+  readonly claim: string;
+  readonly state: string;
+  /** Effects of the answering process that are under way. */
+  readonly open: number;
+  readonly holder: WireHoldingPeriod | null;
+  readonly history: readonly WireHoldingPeriod[];
+  readonly effects: readonly WireEffect[];
+  readonly refused: readonly WireRefusal[];
+}
+
+/** A rental request that was announced and has no outcome yet. */
+export interface WireRentalIntent {
+  readonly name: string;
+  readonly machineType: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly shares: readonly number[];
+  /** ms since the epoch. */
+  readonly at: number;
+}
+
+/** A rental request that is over. */
+export interface WireSettledRental {
+  readonly name: string;
+  readonly outcome: string;
+  readonly machines: number;
+  /** ms since the epoch. */
+  readonly at: number;
+}
+
+/** A machine that is to be released. */
+export interface WireReleaseIntent {
+  readonly machine: string;
+  readonly share: number;
+  readonly reason: string | null;
+  readonly token: number | null;
+}
+
+/** The answer to `GET /admin/v1/duties/NAME`. */
+export interface WireDuties {
+  readonly node: string;
+  readonly duties: readonly WireDuty[];
+}
+
+/** The answer to `GET /admin/v1/duties`. */
+export interface WireDutiesOverview extends WireDuties {
+  /** Null, as the two that follow: the state service does not answer. */
+  readonly openRentals: readonly WireRentalIntent[] | null;
+  readonly settledRentals: readonly WireSettledRental[] | null;
+  /** As they are stored. */
+  readonly malformedIntents: readonly unknown[] | null;
+  readonly releaseIntents: readonly WireReleaseIntent[];
+  readonly refusedSinceStart: number;
+}
+
+const STATES: Readonly<Record<DutyState['_tag'], string>> = {
+  idle: 'idle',
+  acquiring: 'acquiring',
+  held: 'held',
+  draining: 'draining',
+  lost: 'lost',
+};
+
+const writeHoldingPeriod = (period: HoldingPeriod): WireHoldingPeriod => ({
+  claim: period.claim,
+  token: period.token,
+  node: period.node,
+  process: period.process,
+  from: period.from,
+  to: period.to,
+  ended: period.ended,
+});
+
+const writeEffect = (effect: EffectDefinition): WireEffect => ({
+  name: effect.name,
+  fence: effect.fence,
+  late: effect.late,
+});
+
+const writeRefusal = (refusal: Refusal): WireRefusal => ({
+  duty: refusal.duty,
+  claim: refusal.claim,
+  effect: refusal.effect,
+  token: refusal.token,
+  reason: refusal.reason,
+  at: refusal.at,
+});
+
+const writeRentalIntent = (intent: RentalIntent): WireRentalIntent => ({
+  name: intent.name,
+  machineType: intent.machineType,
+  zone: intent.zone,
+  spot: intent.spot,
+  shares: intent.shares,
+  at: intent.at,
+});
+
+const writeSettledRental = (rental: SettledRental): WireSettledRental => ({
+  name: rental.name,
+  outcome: rental.outcome,
+  machines: rental.machines,
+  at: rental.at,
+});
+
+const writeReleaseIntent = (intent: ReleaseIntentView): WireReleaseIntent => ({
+  machine: intent.machine,
+  share: intent.share,
+  reason: intent.reason,
+  token: intent.token,
+});
+
+const writeDuty = (view: DutyView): WireDuty => ({
+  duty: view.duty,
+  claim: view.claim,
+  state: STATES[view.state],
+  open: view.open,
+  holder: view.holder === null ? null : writeHoldingPeriod(view.holder),
+  history: view.history.map(writeHoldingPeriod),
+  effects: view.effects.map(writeEffect),
+  refused: view.refused.map(writeRefusal),
+});
+
+/** Writes the answer about one duty. */
+export const writeDuties = (node: string, duties: readonly DutyView[]): WireDuties => ({
+  node,
+  duties: duties.map(writeDuty),
+});
+
+/** Writes the answer about all duties. */
+export const writeDutiesOverview = (view: DutiesView): WireDutiesOverview => ({
+  node: view.node,
+  duties: view.duties.map(writeDuty),
+  openRentals: view.openRentals?.map(writeRentalIntent) ?? null,
+  settledRentals: view.settledRentals?.map(writeSettledRental) ?? null,
+  malformedIntents: view.malformedIntents,
+  releaseIntents: view.releaseIntents.map(writeReleaseIntent),
+  refusedSinceStart: view.refusedSinceStart,
+});
+
+/** Reads either answer: that about one duty lacks the rest. Throws if the text is not JSON. */
+export const readDuties = (text: string): WireDuties & Partial<WireDutiesOverview> =>
+  JSON.parse(text) as WireDuties & Partial<WireDutiesOverview>;
--- a/src/duties/duties.test.ts
+++ b/src/duties/duties.test.ts
@@ -5,7 +5,8 @@
 import { PeerRequests } from '../peers/peer-requests.js';
 import { leaderDuties } from '../testing/duties.js';
 import { returnUrgently } from './urgent-return.js';
-import { DutiesApi, type DutiesView } from './admin-api.js';
+import { DutiesApi } from './admin-api.js';
+import type { WireDutiesOverview } from './admin-codec.js';
 import { OrderGate } from './order-gate.js';
 
 const HELD_UNDER = 40;
@@ -47,7 +48,7 @@
     path: [],
     status: 200,
     says: (body) => {
-      const view = body as DutiesView;
+      const view = body as WireDutiesOverview;
       const rent = view.duties.find(({ duty }) => duty === 'rent');
       assert.equal(rent?.holder?.node, 'n0');
       assert.equal(rent?.holder?.token, HELD_UNDER);
@@ -62,14 +63,14 @@
     path: [],
     rentals: null,
     status: 200,
-    says: (body) => assert.equal((body as DutiesView).openRentals, null),
+    says: (body) => assert.equal((body as WireDutiesOverview).openRentals, null),
   },
   {
     name: 'a malformed stored intent is shown',
     path: [],
     rentals: readBook({ t: 1, o: [{ n: 5 }] }),
     status: 200,
-    says: (body) => assert.deepEqual((body as DutiesView).malformedIntents, [{ n: 5 }]),
+    says: (body) => assert.deepEqual((body as WireDutiesOverview).malformedIntents, [{ n: 5 }]),
   },
   {
     name: 'one duty',
@@ -77,7 +78,7 @@
     status: 200,
     says: (body) =>
       assert.deepEqual(
-        (body as DutiesView).duties.map(({ duty }) => duty),
+        (body as WireDutiesOverview).duties.map(({ duty }) => duty),
         ['move'],
       ),
   },
--- a/src/testing/leader-scenario.ts
+++ b/src/testing/leader-scenario.ts
@@ -1,4 +1,4 @@
-import type { DutyView } from '../duties/admin-api.js';
+import type { WireDuty } from '../duties/admin-codec.js';
 import { RENTALS_KEY } from '../store/keys.js';
 import { submission } from './bodies.js';
 import { findLateActions, type LateAction, type Tenure } from './late-actions.js';
@@ -69,9 +69,9 @@
   }
 
   /** The state of renting, as a controller tells it, and how many requests are under way there. */
-  private async renting(node: string): Promise<DutyView | null> {
+  private async renting(node: string): Promise<WireDuty | null> {
     const answer = await fetch(`http://${this.deployment.address(node)}/admin/v1/duties/rent`);
-    const view = (await answer.json()) as { duties?: DutyView[] };
+    const view = (await answer.json()) as { duties?: WireDuty[] };
     return view.duties?.[0] ?? null;
   }
 
