--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -9,14 +9,15 @@
 import { FENCED_ORDERS_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { composeDuties, type Duties } from '../duties/compose.js';
 import type { Reply } from '../http.js';
-import { PeerNetwork, type Heartbeat } from '../peers/network.js';
+import type { PeerHeartbeat } from '../peers/heartbeat.js';
+import { PeerNetwork } from '../peers/network.js';
 import { ProtocolVersion } from '../peers/protocol-version.js';
 import type { ControllerContext } from './context.js';
 
 /** What coordination needs of subsystems that are built after it; called only once the controller runs. */
 export interface CoordinationInput {
   /** What this node tells a peer. */
-  readonly heartbeat: (to: string) => Heartbeat;
+  readonly heartbeat: (to: string) => PeerHeartbeat;
   /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
   readonly answer: (path: string, body: unknown) => Promise<Reply | null>;
   /** Shards of ours whose workers reach only another node: by slot, that node. */
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -7,7 +7,7 @@
 import { MISROUTED_HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { PROTOCOL_VERSION } from '../constants/protocol.js';
 import type { Reservation } from '../fleet/records.js';
-import type { Heartbeat } from '../peers/network.js';
+import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { briefly } from '../placement/unmet-demand.js';
 import type { Store } from '../store/client.js';
 import type { ReportHandler } from '../workers/report-handler.js';
@@ -28,7 +28,7 @@
 }
 
 /** The heartbeat to a peer; the order of its fields is that of the wire. */
-export const createHeartbeat = (input: HeartbeatInput, to: string): Heartbeat => {
+export const createHeartbeat = (input: HeartbeatInput, to: string): PeerHeartbeat => {
   const { me, leases, shards, store } = input;
   return {
     from: me.node,
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -9,7 +9,7 @@
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { Summary } from '../fleet/records.js';
 import { log } from '../log.js';
-import type { Heartbeat } from '../peers/network.js';
+import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import type { Share } from '../placement/share.js';
 import { parseShard } from '../store/keys.js';
 import { supervise } from './supervise.js';
@@ -94,7 +94,7 @@
   }
 
   /** Task counts of the jobs of the shards held, as heartbeats carry them. */
-  taskCounts(): Heartbeat['counts'] {
+  taskCounts(): PeerHeartbeat['counts'] {
     return [...this.running].map(([slot, { share }]) => ({ slot, jobs: share.allCounts() }));
   }
 
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -7,7 +7,7 @@
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { Move, Reservation } from '../fleet/records.js';
 import type { PeerNetwork } from '../peers/network.js';
-import type { MoveOrder } from '../peers/peer-requests.js';
+import { writeMoveOrder } from '../peers/order-codec.js';
 import type { StoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
@@ -36,7 +36,7 @@
     if (holder === undefined || holder === node) return Effect.void;
     if (peers.fresh(holder) === null) return relay.order(from, moves, this.input.reservations());
     if (!permit.mayProceed()) return Effect.void;
-    const order: MoveOrder = { moves, from, token: permit.token };
+    const order = writeMoveOrder({ from, moves }, permit.token);
     return Effect.promise(() => peers.ask(holder, '/move', order));
   }
 
--- a/src/duties/urgent-return.ts
+++ b/src/duties/urgent-return.ts
@@ -1,7 +1,7 @@
 import type { Duty } from '@dalegate/fencing';
 import { CLOUD_REQUEST_TIMEOUT_MS, MAX_MACHINES_PER_RELEASE_REQUEST } from '../constants/fleet.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
-import type { ReturnOrder } from '../peers/peer-requests.js';
+import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
 
 /** What an urgent return needs of its controller. */
 export interface UrgentReturnInput {
@@ -17,8 +17,9 @@
 }
 
 /**
- * Has machines returned to the cloud while the state service can't be written, so that no durable intent can come first. Where
- * it answers, the machine's record is the way: it tells a later leader too. True: they are gone.
+ * Has machines returned to the cloud while the state service can't be written, so that no durable intent can
+ * come first. Where it answers, the machine's record is the way: it tells a later leader too. True: they are
+ * gone.
  */
 export const returnUrgently = async (
   input: UrgentReturnInput,
@@ -31,9 +32,8 @@
   if (to === undefined || permit === null) return false;
   try {
     if (to === input.me) return await input.returnHere(machines);
-    const order: ReturnOrder = { machines, share: input.share, token: permit.token };
-    const answer = await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS);
-    return (answer as { returned?: boolean } | null)?.returned === true;
+    const order = writeReturnOrder({ machines, share: input.share }, permit.token);
+    return readReturnAnswer(await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS));
   } finally {
     permit.end();
   }
--- a/src/workers/report-handler.ts
+++ b/src/workers/report-handler.ts
@@ -1,3 +1,4 @@
+import { readClaim } from '../claims/codec.js';
 import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
 import type { Reply } from '../http.js';
 import { claimKey, machineKey } from '../store/keys.js';
@@ -41,7 +42,8 @@
   }
 
   private holder(slot: string): string | undefined {
-    return (this.input.cache.get(claimKey(slot))?.value as { n: string } | undefined)?.n;
+    const item = this.input.cache.get(claimKey(slot));
+    return item && readClaim(item.value).node;
   }
 
   async handle(value: unknown): Promise<Reply> {
