--- /dev/null
+++ b/src/recorded-formats/catalog.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordCatalog } from './catalog.js';
+
+compareWithFixture('catalog', () => recordCatalog());
--- /dev/null
+++ b/src/recorded-formats/command-line.ts
@@ -0,0 +1,72 @@
+/** The command line: what `dalegate duties` prints of recorded answers, its errors and its exit codes. */
+import { spawn } from 'node:child_process';
+import { createServer } from 'node:http';
+import type { AddressInfo } from 'node:net';
+import { recordedJson } from './deployment.js';
+import type { Recording } from './fixtures.js';
+
+const HOST = '127.0.0.1';
+/** The bundle, as an installation runs it; tests run in the root of the repository. */
+const PROGRAM = 'target/app/main.js';
+/** A port at which nobody listens. */
+const CLOSED_PORT = 9;
+/** The recorded answers, by path. */
+const ANSWERS: Readonly<Record<string, string>> = {
+  '/admin/v1/duties': 'GET /admin/v1/duties from 10.1.2.3: answer',
+  '/admin/v1/duties/move': 'GET /admin/v1/duties/move from 10.1.2.3: answer',
+  '/admin/v1/duties/lease-out': 'GET /admin/v1/duties/lease-out from 10.1.2.3: answer',
+  '/admin/v1/duties/rent%2Fx': 'GET /admin/v1/duties/rent/x from 10.1.2.3: answer',
+};
+
+const run = (args: readonly string[], port: number): Promise<object> =>
+  new Promise((resolve) => {
+    const child = spawn(process.execPath, [PROGRAM, ...args], { stdio: 'pipe' });
+    let out = '';
+    let err = '';
+    child.stdout.on('data', (part: Buffer) => (out += part.toString()));
+    child.stderr.on('data', (part: Buffer) => (err += part.toString()));
+    const lines = (text: string): readonly string[] => text.replaceAll(`:${port}`, ':PORT').split('\n');
+    child.on('close', (code) => resolve({ code, out: lines(out), err: lines(err) }));
+  });
+
+/** Records the command line against a server that gives the recorded answers. */
+export const recordCommandLine = async (): Promise<Recording> => {
+  const server = createServer((request, response) => {
+    const entry = ANSWERS[request.url ?? ''];
+    const { status, text } = (entry === undefined ? {} : recordedJson('leader', entry)) as {
+      status?: number;
+      text?: string;
+    };
+    response.writeHead(status ?? 500, { 'content-type': 'application/json' });
+    response.end(text ?? '');
+  });
+  await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
+  const { port } = server.address() as AddressInfo;
+  const node = `${HOST}:${port}`;
+  const rows: readonly (readonly string[])[] = [
+    ['duties', '--node', node],
+    ['duties', '--node', node, '--json'],
+    ['duties', 'move', '--node', node],
+    ['duties', 'move', '--node', node, '--json'],
+    ['duties', 'lease-out', '--node', node],
+    ['duties', 'rent/x', '--node', node],
+    ['duties', 'unexpected', '--node', node],
+    ['duties', '--node', `${HOST}:${CLOSED_PORT}`],
+    ['duties'],
+    ['duties', '--nodes', node],
+    ['dutys'],
+    [],
+    ['--help'],
+    ['--config', 'no-such-settings.json'],
+  ];
+  const recording: Record<string, unknown> = {};
+  try {
+    for (const args of rows) {
+      const shown = ['dalegate', ...args].join(' ').replace(`:${port}`, ':PORT');
+      recording[shown] = await run(args, port);
+    }
+  } finally {
+    server.close();
+  }
+  return recording;
+};
--- /dev/null
+++ b/src/recorded-formats/first-beats.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordFirstBeats } from './deployment.js';
+
+compareWithFixture('first-beats', recordFirstBeats);
--- /dev/null
+++ b/src/recorded-formats/holder.ts
@@ -0,0 +1,242 @@
+/** The holder of share 1: its workers, its users, what it stores and what it says to the others. */
+import { peersOf, prepared, recordWith, SETTLED_MS } from './deployment.js';
+import { messageOf, recordedValue, type Recording } from './fixtures.js';
+import {
+  machineNames,
+  masked,
+  recordRequest,
+  ReportingWorker,
+  submissionOf,
+  valueOf,
+  type HarnessedController,
+} from './harness.js';
+
+/** ms until what was submitted or reported is placed, and shows in the heartbeats. */
+const PLACED_MS = 1_500;
+/** ms of the time of day that the jobs wait. */
+const WAITED_MS = 3_000;
+/** ms in which exits and finished jobs are written. */
+const WRITTEN_MS = 4_000;
+/** ms between reports of all machines, and how often until the idle ones are returned. */
+const REPORT_MS = 3_000;
+const REPORTS_UNTIL_IDLE = 9;
+/** ms after which peers that say nothing are no longer heard, and a relayed summary is written. */
+const UNHEARD_MS = 6_000;
+/** ms without any report after which a share is handed over. */
+const DEAF_MS = 13_000;
+/** Revisions move with each relayed summary. */
+const RELAYED = { idleS: 3.25, waitedMs: 3_000, revision: 60 };
+const MARKED = { r: 60 };
+
+const ARRAY = {
+  shape: 'sweep',
+  urgency: 'standard',
+  together: false,
+  accelerators: 0,
+  vcpus: 2,
+  memoryGb: 1,
+};
+const ARRAY_TASKS = 14;
+
+const headOf = (job: string, index: number, state: object): object => ({
+  head: `${job}/${index}`,
+  try: 1,
+  ...state,
+});
+
+/** The worker on which the first task of a job was placed. */
+const workerOf = (controller: HarnessedController, workers: readonly ReportingWorker[], job: string) => {
+  const { b: rows } = controller.stored(`r/1/${job}/0`) as { b: [number, string, number][] };
+  const found = workers.find((worker) => worker.id === rows[0]?.[1]);
+  if (!found) throw new Error(`${job} is on no machine`);
+  return found;
+};
+
+/** Records the holder of share 1. */
+export const recordHolder = async (): Promise<Recording> => {
+  const controller = await prepared('n1');
+  return recordWith(controller, async (recording) => {
+    const workers = machineNames(1, 27).map((id) => new ReportingWorker(controller, id));
+    const reportAll = async (): Promise<void> => {
+      for (const worker of workers) await worker.report();
+    };
+    for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
+    const stray = new ReportingWorker(controller, 'i-000900');
+    await controller.seed('w/m/i-000900', stray.recordJson(2));
+    controller.respond = peersOf('n1');
+    controller.start();
+    await controller.advance(SETTLED_MS);
+    recording['claim w/c/1'] = controller.stored('w/c/1');
+    recording['first report: answer'] = await workers[0]?.report();
+    await reportAll();
+    await reportAll();
+    recording['report of a machine of another share: answer'] = await stray.report();
+    recording['report of an unknown machine: answer'] = await new ReportingWorker(
+      controller,
+      'i-000901',
+    ).report();
+    await controller.advance(PLACED_MS);
+
+    await recordSubmissions(controller, recording);
+    await controller.advance(WAITED_MS, true);
+    await recordTasks(controller, workers, recording);
+    await reportAll();
+    await controller.advance(PLACED_MS);
+    recording['beat to the leader'] = controller.lastBeat('n0');
+    recording['beat to a peer'] = controller.lastBeat('n2');
+    await recordExits(controller, workers, recording);
+
+    const claim = controller.state.version('w/c/1');
+    recording['question for cancellations: answer'] = await controller.askPeer('/heed', [
+      [1, claim, 'job-000998', 900],
+      [1, claim + 1, 'job-000999', 901],
+    ]);
+    for (let round = 0; round < REPORTS_UNTIL_IDLE; round += 1) {
+      await reportAll();
+      await controller.advance(REPORT_MS);
+    }
+    const released = workers.find(({ id }) => (controller.stored(`w/m/${id}`) as { r: boolean }).r);
+    if (!released) throw new Error('no machine is returned');
+    recording['machine record with a release intent'] = controller.stored(`w/m/${released.id}`);
+    await recordUnheard(controller, recording);
+    await recordDeaf(controller, recording);
+  });
+};
+
+const recordSubmissions = async (
+  controller: HarnessedController,
+  recording: Record<string, unknown>,
+): Promise<void> => {
+  const submissions: readonly object[] = [
+    submissionOf({}),
+    submissionOf({ ...ARRAY, uid: 'job-000413', heads: ARRAY_TASKS }),
+    submissionOf({
+      ...ARRAY,
+      uid: 'job-000414',
+      shape: 'service',
+      heads: 2,
+      vcpus: 12.5,
+      breeds: ['c16'],
+      paddock: 'y',
+      agistment: false,
+      dueS: null,
+    }),
+    submissionOf({ ...ARRAY, uid: 'job-000415', heads: 1, follows: ['job-000413'] }),
+    submissionOf({ ...ARRAY, uid: 'job-000416', heads: 1, vcpus: 1 }),
+  ];
+  for (const submission of submissions) {
+    const { uid } = submission as { uid: string };
+    recording[`submission of ${uid}: answer`] = await controller.ask('POST', '/v2/runs', submission);
+    recording[`record w/j/${uid}`] = controller.stored(`w/j/${uid}`);
+  }
+};
+
+const recordTasks = async (
+  controller: HarnessedController,
+  workers: readonly ReportingWorker[],
+  recording: Record<string, unknown>,
+): Promise<void> => {
+  recording['run record r/1/job-000413/0'] = controller.stored('r/1/job-000413/0');
+  recording['direct commands'] = controller.commands.find(
+    ({ body }) => (body.json as { calls: unknown[] }).calls.length > 0,
+  );
+  const worker = workerOf(controller, workers, 'job-000413');
+  recording['report of an idle machine: answer with tasks to run'] = await worker.report();
+  const tasks = Array.from({ length: ARRAY_TASKS }, (_, index) =>
+    headOf('job-000413', index, { status: index % 2 === 0 ? 'running' : 'pulling' }),
+  );
+  const other = workerOf(controller, workers, 'job-000416');
+  if (other === worker) worker.heads = [...tasks, headOf('job-000416', 0, { status: 'running' })];
+  else {
+    worker.heads = tasks;
+    other.heads = [headOf('job-000416', 0, { status: 'running' })];
+    await other.report();
+  }
+  recording['report of tasks: answer'] = await worker.report();
+  recording['question for a running job: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
+  recording['question for a waiting job: answer'] = await controller.ask('GET', '/v2/runs/job-000415');
+};
+
+const recordExits = async (
+  controller: HarnessedController,
+  workers: readonly ReportingWorker[],
+  recording: Record<string, unknown>,
+): Promise<void> => {
+  const worker = workerOf(controller, workers, 'job-000413');
+  const other = workerOf(controller, workers, 'job-000416');
+  const done = { status: 'exited', cause: 'done' };
+  const exits = Array.from({ length: ARRAY_TASKS }, (_, index) =>
+    headOf('job-000413', index, index + 1 < ARRAY_TASKS ? done : { status: 'saving' }),
+  );
+  const single = headOf('job-000416', 0, done);
+  worker.heads = other === worker ? [...exits, single] : exits;
+  if (other !== worker) {
+    other.heads = [single];
+    await other.report();
+  }
+  await worker.report();
+  await controller.advance(WRITTEN_MS);
+  recording['run record with finished tasks'] = controller.stored('r/1/job-000413/0');
+  recording['report of exits: answer that forgets them'] = await worker.report();
+  recording['final record f/job-000416'] = controller.stored('f/job-000416');
+  recording['question for a finished job: answer'] = await controller.ask('GET', '/v2/runs/job-000416');
+  const last = headOf('job-000413', ARRAY_TASKS - 1, { status: 'running' });
+  worker.heads = [last];
+  other.heads = other === worker ? [last] : [];
+  await worker.report();
+
+  recording['cancellation: answer'] = await controller.ask('POST', '/v2/runs/job-000413/abort');
+  recording['record of a cancelled job'] = controller.stored('w/j/job-000413');
+  recording['report of a cancelled task: answer'] = await worker.report();
+  recording['cancellation of a finished job: answer'] = await controller.ask(
+    'POST',
+    '/v2/runs/job-000416/abort',
+  );
+  worker.heads = [headOf('job-000413', ARRAY_TASKS - 1, { status: 'exited', cause: 'halted', saved: true })];
+  await worker.report({ warningS: 30.5 });
+  await controller.advance(WRITTEN_MS);
+  worker.heads = [];
+  await worker.report();
+  recording['final record f/job-000413'] = controller.stored('f/job-000413');
+  recording['question for a cancelled job: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
+  recording['question for a job that followed it: answer'] = await controller.ask(
+    'GET',
+    '/v2/runs/job-000415',
+  );
+};
+
+/** Connections between controllers are refused. */
+const recordUnheard = async (
+  controller: HarnessedController,
+  recording: Record<string, unknown>,
+): Promise<void> => {
+  controller.respond = () => null;
+  await controller.advance(UNHEARD_MS);
+  recording['cancellation while no peer is heard: answer'] = await controller.ask(
+    'POST',
+    '/v2/runs/job-000414/abort',
+  );
+  await controller.advance(UNHEARD_MS);
+  recording['relayed summary w/s/1'] = masked(controller.stored('w/s/1'), RELAYED);
+  recording['mark w/k/1'] = masked(controller.stored('w/k/1'), MARKED);
+};
+
+/** No worker is heard here any more, while another controller hears them. */
+const recordDeaf = async (
+  controller: HarnessedController,
+  recording: Record<string, unknown>,
+): Promise<void> => {
+  const others = peersOf('n1');
+  const hearing = recordedValue('other-holder', 'beat to a peer, with strays');
+  controller.respond = (request) =>
+    request.to === 'n2' && request.path === '/beat' ? { status: 200, body: hearing } : others(request);
+  await controller.advance(DEAF_MS);
+  const handed = controller.firstSent('claim handed over', (request) => {
+    if (request.path !== '/txn') return false;
+    const { writes } = valueOf(request) as { writes: { write?: string; data?: { n?: string } }[] };
+    return writes.some(({ write, data }) => write === 'w/c/1' && data?.n === 'n2');
+  });
+  recording['claim handed over: changes'] = messageOf((valueOf(handed) as { writes: unknown }).writes);
+  recording['beat of a node that workers do not reach'] = controller.lastBeat('n0');
+  recording['claim taken'] = recordRequest(controller.firstTransaction('w/c/1'));
+};
--- /dev/null
+++ b/src/recorded-formats/http-bytes.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordHttpBytes } from './http-bytes.js';
+
+compareWithFixture('http-bytes', recordHttpBytes);
--- /dev/null
+++ b/src/recorded-formats/leader.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordLeader } from './leader.js';
+
+compareWithFixture('leader', recordLeader);
--- /dev/null
+++ b/src/recorded-formats/receivers.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordReceivers } from './receivers.js';
+
+compareWithFixture('receivers', recordReceivers);
--- /dev/null
+++ b/src/recorded-formats/takeover.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordTakeover } from './takeover.js';
+
+compareWithFixture('takeover', recordTakeover);
--- /dev/null
+++ b/src/recorded-formats/users.test.ts
@@ -0,0 +1,4 @@
+import { compareWithFixture } from './fixtures.js';
+import { recordUsers } from './users.js';
+
+compareWithFixture('users', recordUsers);
