--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -1,6 +1,6 @@
 /** Stored values as the codecs write them, and as they are written again after they were read. */
 import { readBook, readRemovals, writeBook, writeRemovals } from '@dalegate/fencing';
-import { readAcknowledgement, writeAcknowledgement } from '../cancellation/durable-acknowledgement.js';
+import { readAcknowledgement, writeAcknowledgement } from '../cancellation/codec.js';
 import { returnUrgently } from '../duties/urgent-return.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/records.js';
