--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -10,7 +10,7 @@
   readonly revision: number;
 }
 /** Writes a durable acknowledgement as it is stored. */
-export const writeAcknowledgement = (mark: DurableAcknowledgement): unknown => ({
+const writeAcknowledgement = (mark: DurableAcknowledgement): unknown => ({
   c: mark.claim,
   r: mark.revision,
 });
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -4,10 +4,8 @@
 import { ANYONE, checkNetworks, type AdminAccess } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
 
-/** Exit codes: 1, the service could not be asked or answered with an error; 2, a bad argument or file. */
-export const EXIT_FAILED = 1;
-/** See {@link EXIT_FAILED}. */
-export const EXIT_USAGE = 2;
+/** Exit code: a bad argument or file. */
+const EXIT_USAGE = 2;
 
 const USAGE = `usage: dalegate --config FILE [--features FILE] [--networks FILE]
        dalegate duties [NAME] --node HOST:PORT [--json]
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -55,7 +55,7 @@
 }
 
 /** Reads the machine types of a catalog answer; null: malformed. */
-export const readTypes = (raw: readonly RawType[]): readonly MachineType[] =>
+const readTypes = (raw: readonly RawType[]): readonly MachineType[] =>
   raw.map((type) => ({
     name: type.sku,
     cpus: type.vcpus,
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -69,10 +69,7 @@
 const demand = (need: Demand): Demand => ({ cpus: need.cpus, gpus: need.gpus, memoryGb: need.memoryGb });
 
 /** The machines that could serve a need, cheapest for each task first. */
-export const offers = (
-  need: UnmetDemand,
-  input: Pick<PlanInput, 'catalog' | 'refused'>,
-): readonly Offer[] => {
+const offers = (need: UnmetDemand, input: Pick<PlanInput, 'catalog' | 'refused'>): readonly Offer[] => {
   const list: Offer[] = [];
   for (const type of input.catalog.values()) {
     if (need.types !== null && !need.types.includes(type.name)) continue;
--- a/src/placement/pack.ts
+++ b/src/placement/pack.ts
@@ -62,10 +62,6 @@
   readonly machine: string;
 }
 
-/** Jobs alike in all that placement looks at are one class: decided as one. */
-export const classOf = (spec: JobSpec): string =>
-  [kindOf(spec), spec.kind === 'gang' ? spec.tasks : 0, spec.cpus, spec.gpus, spec.memoryGb].join('|');
-
 /** What of a class is not an amount. */
 const kindOf = (spec: JobSpec): string =>
   [
@@ -147,7 +143,7 @@
   limitedToBeside(ask, room, reach) ? room.beside : room.free;
 
 /** MostAllocated: the mean share in use over CPUs, memory and GPUs (where there are any). */
-export const fullness = (rooms: readonly AvailableCapacity[]): number => {
+const fullness = (rooms: readonly AvailableCapacity[]): number => {
   let sum = 0;
   let parts = 0;
   for (const field of ['cpus', 'memoryGb', 'gpus'] as const) {
@@ -289,7 +285,7 @@
 };
 
 /** Places one request: the whole gang or nothing, of other jobs as many tasks as fit. */
-export const packOne = (
+const packOne = (
   ask: PlacementRequest,
   rooms: readonly AvailableCapacity[],
   mostTasks: number,
--- a/src/placement/records.ts
+++ b/src/placement/records.ts
@@ -138,6 +138,3 @@
 /** The bindings that a stored run record holds. */
 export const durableKeys = (job: string, record: RunRecord): ReadonlySet<string> =>
   new Set(record.bindings.map((binding) => bindingKey(job, binding.index, binding.attempt)));
-
-/** Are two run records alike? */
-export const sameRecord = (a: RunRecord, b: RunRecord): boolean => JSON.stringify(a) === JSON.stringify(b);
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -35,7 +35,7 @@
 }
 
 /** Guess of a run record's size on the wire: a binding is an index, a machine's name and an attempt. */
-export const sizeOf = (record: RunRecord): number => 120 + record.bindings.length * 40;
+const sizeOf = (record: RunRecord): number => 120 + record.bindings.length * 40;
 
 /** bytes on the wire, as the protocol measures them, of a run with its parts, its keys and its condition. */
 const storedBytes = (stored: StoredRun): number =>
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -104,7 +104,7 @@
 };
 
 /** One command as the worker expects it. */
-export const writeCommand = (command: Command): unknown => {
+const writeCommand = (command: Command): unknown => {
   const head = taskName(command.job, command.index);
   switch (command._tag) {
     case 'run':
