--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -12,9 +12,9 @@
 export const summaryKey = (slot: number): string => `w/s/${slot}`;
 /** The relayed orders for a share. */
 export const ordersKey = (slot: number): string => `w/o/${slot}`;
-/** A holder's durable word that it has seen the shared keys up to a revision (`cancellation/mark.ts`). */
+/** A holder's durable word that it has seen the shared keys up to a revision (`cancellation/durable-acknowledgement.ts`). */
 export const markKey = (slot: string): string => `w/k/${slot}`;
-/** What every node of this deployment is known to understand (`mesh/level.ts`). */
+/** What every node of this deployment is known to understand (`peers/protocol-version.ts`). */
 export const LEVEL_KEY = 'w/level';
 /** The last known catalog. */
 export const CATALOG_KEY = 'w/catalog';
