--- /dev/null
+++ b/src/repository-checks/wire-words.ts
@@ -0,0 +1,71 @@
+/** Finds words of the wire in TypeScript sources, however a name is written. */
+import ts from 'typescript';
+import { lineOf, nodesBelow, parseModule } from './syntax.js';
+
+/** A word of the wire and where it stands. */
+export interface WireWord {
+  readonly word: string;
+  readonly line: number;
+}
+
+/**
+ * Which words are looked for, each in lower case with blanks between its parts: `brandMark` is `brand mark`.
+ */
+export interface WireVocabulary {
+  /** Words that have no other meaning in this project: found in any name and any literal. */
+  readonly distinct: readonly string[];
+  /** Words of ordinary English too: found as the name of a property, or as a whole literal. */
+  readonly ordinary: readonly string[];
+  /** Paths of requests, found at the beginning of a literal. */
+  readonly paths: readonly string[];
+}
+
+const BETWEEN_PARTS = /[^A-Za-z0-9]+|(?<=[a-z0-9])(?=[A-Z])/;
+
+const partsOf = (name: string): string =>
+  name
+    .split(BETWEEN_PARTS)
+    .filter((part) => part !== '')
+    .join(' ')
+    .toLowerCase();
+
+const contains = (name: string, word: string): boolean => ` ${partsOf(name)} `.includes(` ${word} `);
+
+const isPropertyName = (node: ts.Identifier): boolean =>
+  (ts.isObjectLiteralElement(node.parent) || ts.isTypeElement(node.parent)) && node.parent.name === node;
+
+const isLiteral = (node: ts.Node): node is ts.LiteralLikeNode =>
+  ts.isStringLiteral(node) || ts.isNoSubstitutionTemplateLiteral(node) || ts.isTemplateLiteralToken(node);
+
+const isModuleName = (node: ts.Node): boolean =>
+  ts.isImportDeclaration(node.parent) || ts.isExportDeclaration(node.parent);
+
+const wordsIn = (node: ts.Node, { distinct, ordinary, paths }: WireVocabulary): readonly string[] => {
+  if (ts.isIdentifier(node) || ts.isPrivateIdentifier(node)) {
+    const whole = ts.isIdentifier(node) && isPropertyName(node) ? ordinary : [];
+    return [
+      ...distinct.filter((word) => contains(node.text, word)),
+      ...whole.filter((word) => partsOf(node.text) === word),
+    ];
+  }
+  if (!isLiteral(node) || isModuleName(node)) return [];
+  return [
+    ...distinct.filter((word) => contains(node.text, word)),
+    ...ordinary.filter((word) => node.text === word),
+    ...paths.filter(
+      (path) => node.text === path || node.text.startsWith(`${path}/`) || node.text.startsWith(`${path}?`),
+    ),
+  ];
+};
+
+/** The words of the wire in a module, once for each place. */
+export const findWireWords = (
+  path: string,
+  text: string,
+  vocabulary: WireVocabulary,
+): readonly WireWord[] => {
+  const module = parseModule(path, text);
+  return [...nodesBelow(module)].flatMap((node) =>
+    wordsIn(node, vocabulary).map((word) => ({ word, line: lineOf(module, node.getStart(module)) })),
+  );
+};
