--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -128,7 +128,12 @@
           [{ _tag: 'put', key: claimKey(action.slot), value: to.value, lease: to.lease }],
           'vital',
         );
-        log.info({ event: `claim.${action._tag}`, slot: action.slot, to: to.value.n, result: result._tag });
+        log.info({
+          event: action._tag === 'take' ? 'claim.take' : 'claim.hand',
+          slot: action.slot,
+          to: to.value.n,
+          result: result._tag,
+        });
         // The cache shows the claim in its place among all changes; acting earlier would skip some.
       }
     }
