--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -132,7 +132,12 @@
           [{ _tag: 'put', key: claimKey(action.slot), value: writeClaim(holder), lease: holderLease }],
           'vital',
         );
-        log.info({ event: `claim.${action._tag}`, slot: action.slot, to: holder.node, result: result._tag });
+        log.info({
+          event: action._tag === 'take' ? 'claim.take' : 'claim.hand',
+          slot: action.slot,
+          to: holder.node,
+          result: result._tag,
+        });
         // The cache shows the claim in its place among all changes; acting earlier would skip some.
       }
     }
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -42,7 +42,7 @@
 }
 
 /** Guess of a run record's size on the wire: a binding is an index, a machine's name and an attempt. */
-export const sizeOf = (record: RunRecord): number =>
+const sizeOf = (record: RunRecord): number =>
   ESTIMATED_RUN_RECORD_BYTES + record.bindings.length * ESTIMATED_BINDING_BYTES;
 
 /** bytes on the wire, as the protocol measures them, of a run with its parts, its keys and its condition. */
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -91,8 +91,9 @@
 
 /** Who may use the administration API. */
 const ADMIN_NETWORKS = 'admin = ["10.0.0.0/8"]\n';
-/** An address from which it may be used, and one from which it may not. */
+/** An address from which it may be used. */
 export const ADMIN_ADDRESS = '10.1.2.3';
+/** An address from which it may not be used. */
 export const FOREIGN_ADDRESS = '192.0.2.7';
 
 const turns = async (): Promise<void> => {
