--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -80,7 +80,7 @@
       const claim = yield* this.claim(slot);
       const signs = { acknowledged: null, summary: null, mark: null, understands: false };
       if (claim._tag !== 'held') return assessEvidence(version, claim, signs)._tag === 'assured';
-      const cancellation = { slot, claim: claim.version, job, version };
+      const cancellation: Cancellation = { slot, claim: claim.version, job, version };
       const mark = this.input.cache.get(markKey(String(slot)));
       const known = {
         acknowledged: null,
--- a/src/cancellation/codec.test.ts
+++ b/src/cancellation/codec.test.ts
@@ -1,9 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import type { Cancellation } from './acknowledgement.js';
 import * as codec from './codec.js';
 
 /** Messages and stored values about cancellations with their exact texts. */
-const cancellations = [
+const cancellations: readonly Cancellation[] = [
   { slot: 1, claim: 50, job: 'job-1', version: 100 },
   { slot: 2, claim: 51, job: 'job-2', version: 101 },
 ];
--- a/src/cancellation/codec.ts
+++ b/src/cancellation/codec.ts
@@ -24,7 +24,7 @@
 
 /** Reads a request to acknowledge cancellations; rows that are malformed are left out. */
 export const readAcknowledgeRequest = (body: unknown): readonly Cancellation[] =>
-  (Array.isArray(body) ? (body as unknown[]) : []).flatMap((row) => {
+  (Array.isArray(body) ? (body as unknown[]) : []).flatMap((row): readonly Cancellation[] => {
     if (!Array.isArray(row)) return [];
     const [slot, claim, job, version] = row as unknown[];
     return typeof slot === 'number' &&
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -56,7 +56,7 @@
 
 /** Reads the machine types of a catalog answer; null: malformed. */
 export const readTypes = (raw: readonly RawType[]): readonly MachineType[] =>
-  raw.map((type) => ({
+  raw.map((type): MachineType => ({
     name: type.sku,
     cpus: type.vcpus,
     gpus: type.accelerators,
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -110,7 +110,7 @@
 
   /** Machines whose records ask for their release. */
   get releaseIntents(): readonly ReleaseIntentView[] {
-    return [...this.machines.releasing].map((machine) => {
+    return [...this.machines.releasing].map((machine): ReleaseIntentView => {
       const record = this.machines.get(machine);
       return {
         machine,
--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -157,7 +157,6 @@
   });
 }
 
-const emptied = { counts: [], summaries: [], holds: [], strays: {}, demand: { requests: 0, changes: 0 } };
 const tolerated: readonly { readonly name: string; readonly value: object }[] = [
   { name: 'only a sender', value: { from: 'n1' } },
   {
@@ -170,7 +169,7 @@
   test(`heartbeat codec: ${row.name} still counts as a heartbeat`, () => {
     const read = readHeartbeat(row.value);
     assert.equal(read?.from, 'n1');
-    const { counts, summaries, holds, strays, demand } = read;
-    assert.deepEqual({ counts, summaries, holds, strays, demand }, emptied);
+    assert.deepEqual([read.counts, read.summaries, read.holds, read.strays], [[], [], [], {}]);
+    assert.deepEqual([read.demand.requests, read.demand.changes], [0, 0]);
   });
 }
--- a/src/peers/order-codec.test.ts
+++ b/src/peers/order-codec.test.ts
@@ -69,7 +69,7 @@
     name: 'an order to return machines of an earlier version',
     text: '{"machines":["i-1"]}',
     read: codec.readReturnOrder,
-    means: { machines: ['i-1'] },
+    means: { machines: ['i-1'] } satisfies ReturnOrder,
   },
   { name: 'a token', text: '{"token":40}', read: codec.readOrderToken, means: 40 },
   { name: 'a malformed token, unchecked', text: '{"token":"40"}', read: codec.readOrderToken, means: '40' },
