--- a/src/recorded-formats/fixtures.ts
+++ b/src/recorded-formats/fixtures.ts
@@ -11,7 +11,7 @@
 import { decode, encode } from '../http.js';
 
 /** The version whose output is recorded. */
-export const RECORDED_VERSION = 'ba59fc1';
+const RECORDED_VERSION = 'ba59fc1';
 
 /** What one recording yields: entries by name. */
 export type Recording = Readonly<Record<string, unknown>>;
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -12,7 +12,7 @@
 const AT = 1_700_000_000_000;
 
 /** A job with a different value in every field. */
-export const JOB_SPEC: JobSpec = {
+const JOB_SPEC: JobSpec = {
   id: 'job-000412',
   klass: 'train',
   team: 'blue',
