--- a/eslint.config.js
+++ b/eslint.config.js
@@ -18,7 +18,7 @@
   ...TEST_FILES,
   '**/*codec.ts',
   'src/settings/schema.ts',
-  'src/store/client.ts',
+  'src/kv-store/client.ts',
   'src/fleet/cloud.ts',
   'src/testing/**/*.ts',
 ];
--- a/packages/fencing/src/remover.test.ts
+++ b/packages/fencing/src/garbage-collector.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Permit } from './duty.js';
-import { readRemovals, REMOVAL_DELAY_MS } from './removal.js';
-import { Remover, type LeftOver } from './remover.js';
+import { readRemovals, REMOVAL_DELAY_MS } from './tombstones.js';
+import { Remover, type LeftOver } from './garbage-collector.js';
 import { storedBytes } from './stored-size.js';
 import { MemoryValue } from './testing/memory-value.js';
 import { tokenOf, type FencingToken } from './token.js';
--- a/packages/fencing/src/remover.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -12,7 +12,7 @@
   type MarkedKey,
   type RemovalBook,
   type RemovalReason,
-} from './removal.js';
+} from './tombstones.js';
 import type { Permit } from './duty.js';
 import type { FencingToken } from './token.js';
 
--- a/packages/fencing/src/rental-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -7,8 +7,8 @@
   writeBook,
   EMPTY_BOOK,
   type RentalIntent,
-} from './rental-intent.js';
-import { RentalJournal } from './rental-journal.js';
+} from './provisioning-intent.js';
+import { RentalJournal } from './provisioning-journal.js';
 import type { WriteOutcome } from './fenced-value.js';
 import { storedBytes } from './stored-size.js';
 import { MemoryValue, type NextWrite } from './testing/memory-value.js';
--- a/packages/fencing/src/rental-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -9,7 +9,7 @@
   type RentalIntent,
   type RentalOutcome,
   type SettledRental,
-} from './rental-intent.js';
+} from './provisioning-intent.js';
 import type { FencingToken } from './token.js';
 
 /** ms: outcomes wait this long for a write that is made anyway; until then a successor repeats the request in vain. */
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -7,8 +7,8 @@
 import { SuspensionAwareClock } from '../clock.js';
 import { Duty, type Permit } from '../duty.js';
 import type { FencedValue } from '../fenced-value.js';
-import { settlementsFor, type RentalIntent } from '../rental-intent.js';
-import { RentalJournal } from '../rental-journal.js';
+import { settlementsFor, type RentalIntent } from '../provisioning-intent.js';
+import { RentalJournal } from '../provisioning-journal.js';
 import { tokenOf, type FencingToken } from '../token.js';
 import { MemoryValue, type NextWrite } from './memory-value.js';
 
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -6,10 +6,10 @@
   MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
 } from '../constants/cancellation.js';
 import type { Summary } from '../fleet/records.js';
-import type { Store } from '../store/client.js';
-import type { LinearizableReads } from '../store/linearizable-reads.js';
-import { claimKey, markKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store } from '../kv-store/client.js';
+import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
+import { claimKey, markKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readAcknowledgement, readAcknowledgeReply, writeAcknowledgeRequest } from './codec.js';
 import { assessEvidence, type FreshClaim } from './evidence.js';
 
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,8 +1,8 @@
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
-import type { Store } from '../store/client.js';
-import { claimKey, markKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store } from '../kv-store/client.js';
+import { claimKey, markKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { writeAcknowledgement } from './codec.js';
 
 /** A holder's durable word: under this claim it has seen the shared keys up to this revision. */
--- a/src/claims/codec.test.ts
+++ b/src/claims/codec.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readClaim, writeClaim } from './codec.js';
-import type { Claim, Peer } from './decide.js';
+import type { Claim, Peer } from './claim-decisions.js';
 
 const claim: Claim = { node: 'n1', incarnation: 'n1.7' };
 const peer: Peer = { ...claim, lease: 5, steadyMs: 1, stateOk: true, deaf: false };
--- a/src/claims/codec.ts
+++ b/src/claims/codec.ts
@@ -1,4 +1,4 @@
-import type { Claim } from './decide.js';
+import type { Claim } from './claim-decisions.js';
 
 /** Claims as they are stored in the state service. */
 
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -6,11 +6,11 @@
   UNREACHABLE_HANDBACK_PAUSE_MS,
 } from '../constants/leases.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
-import { claimKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store } from '../kv-store/client.js';
+import { claimKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readClaim, writeClaim } from './codec.js';
-import { decideClaims, LEADER, type Claim, type SeenClaim, type Peer } from './decide.js';
+import { decideClaims, LEADER, type Claim, type SeenClaim, type Peer } from './claim-decisions.js';
 import { mayAct, nextLeaseState, type LeaseState, type LeaseEvent } from './lease-state.js';
 
 /** What the lease manager needs of the rest of the controller. */
--- a/src/claims/lease-state.test.ts
+++ b/src/claims/lease-state.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decideClaims, type ClaimsView, type SeenClaim } from './decide.js';
+import { decideClaims, type ClaimsView, type SeenClaim } from './claim-decisions.js';
 import { deadline, mayAct, nextLeaseState, type LeaseState, type LeaseEvent } from './lease-state.js';
 
 const TTL = 5_000;
--- a/src/claims/outage.ts
+++ b/src/claims/outage-grace.ts
@@ -5,7 +5,7 @@
 import { ACKNOWLEDGEMENT_PROTOCOL_VERSION } from '../constants/protocol.js';
 import type { PeerNetwork } from '../peers/network.js';
 import type { ProtocolVersion } from '../peers/protocol-version.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 
 /** What this node knows about an outage of the state service. */
 export interface OutageInput {
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -8,7 +8,7 @@
 import { UsersApi } from '../jobs/api.js';
 import { PeerRequests } from '../peers/peer-requests.js';
 import type { AdminAccess } from '../settings/networks.js';
-import { ReportHandler } from '../workers/report-handler.js';
+import { ReportHandler } from '../workers/heartbeat-handler.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import type { HeldShards } from './held-shards.js';
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -4,9 +4,9 @@
 import { writeJobRecord } from '../jobs/codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { packIds } from '../pipelines/codec.js';
-import type { Change } from '../store/change-feed.js';
-import type { Item } from '../store/client.js';
-import { followsKey, jobKey } from '../store/keys.js';
+import type { Change } from '../kv-store/change-feed.js';
+import type { Item } from '../kv-store/client.js';
+import { followsKey, jobKey } from '../kv-store/keys.js';
 import { ChangeDispatcher, type ShardListener } from './change-dispatcher.js';
 
 const VERSION = 7;
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -10,10 +10,10 @@
 import { readJobRecord } from '../jobs/codec.js';
 import type { StoreRelay } from '../peers/store-relay.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { Share } from '../placement/share.js';
-import type { Change } from '../store/change-feed.js';
-import { jobKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Share } from '../placement/shard.js';
+import type { Change } from '../kv-store/change-feed.js';
+import { jobKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readDependencyList } from './dependency-list.js';
 
 /** What a shard hears of changes. */
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -4,7 +4,7 @@
 import { NO_FEATURES, type Features } from '../settings/features.js';
 import { ANYONE, type AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
-import { decodeChange } from '../store/change-feed.js';
+import { decodeChange } from '../kv-store/change-feed.js';
 import { createApi, createPeerRequests, createReportHandler } from './api.js';
 import { createCancellations } from './cancellations.js';
 import { ChangeDispatcher } from './change-dispatcher.js';
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -3,9 +3,9 @@
  * and claims, and the duties that go with them. Built by the composition root; every later subsystem asks it
  * who holds what.
  */
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
-import { outageGrace } from '../claims/outage.js';
+import { outageGrace } from '../claims/outage-grace.js';
 import { FENCED_ORDERS_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { composeDuties, type Duties } from '../duties/compose.js';
 import type { Reply } from '../http.js';
--- a/src/controller/dependency-list.ts
+++ b/src/controller/dependency-list.ts
@@ -4,8 +4,8 @@
  */
 import type { JobRecord } from '../jobs/model.js';
 import { unpackIds } from '../pipelines/codec.js';
-import { followsKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import { followsKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 
 /**
  * The jobs that must be done before this one; null: the copy of the shared keys does not show all parts yet.
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -2,8 +2,8 @@
  * What the settings say of the deployment, in the form in which the subsystems need it. Worked out once, when
  * the controller is composed; every node that has the same settings works out the same.
  */
-import type { Claim } from '../claims/decide.js';
-import type { Limit, Usage } from '../placement/pack.js';
+import type { Claim } from '../claims/claim-decisions.js';
+import type { Limit, Usage } from '../placement/bin-packing.js';
 import { readObjectives, type Objectives } from '../placement/urgency.js';
 import { lasting, type StateLimits } from '../settings/limits.js';
 import type { Settings } from '../settings/schema.js';
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -2,15 +2,15 @@
  * Builds this node's heartbeats from the state of the subsystems. No state of its own; the peer network calls
  * it.
  */
-import type { Claim } from '../claims/decide.js';
+import type { Claim } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
 import { MISROUTED_HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { PROTOCOL_VERSION } from '../constants/protocol.js';
 import type { Reservation } from '../fleet/records.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { briefly } from '../placement/unmet-demand.js';
-import type { Store } from '../store/client.js';
-import type { ReportHandler } from '../workers/report-handler.js';
+import type { Store } from '../kv-store/client.js';
+import type { ReportHandler } from '../workers/heartbeat-handler.js';
 import type { HeldShards } from './held-shards.js';
 
 /** What a heartbeat is built from. */
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -10,8 +10,8 @@
 import type { Summary } from '../fleet/records.js';
 import { log } from '../log.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
-import type { Share } from '../placement/share.js';
-import { parseShard } from '../store/keys.js';
+import type { Share } from '../placement/shard.js';
+import { parseShard } from '../kv-store/keys.js';
 import { supervise } from './supervise.js';
 
 /** What the lifecycle of shards needs of the rest of the controller. */
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -2,7 +2,7 @@
  * What the leader does and how shards hear of it: the leader itself, the relay through the state service,
  * transfers and reservations. Every controller has all of it; the leader acts only while this node leads.
  */
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { Cloud } from '../fleet/cloud.js';
 import { Leader } from '../fleet/leader.js';
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -3,7 +3,7 @@
  * asks for it with each look at the claims, and hands such shards over.
  */
 import type { PeerNetwork } from '../peers/network.js';
-import type { Share } from '../placement/share.js';
+import type { Share } from '../placement/shard.js';
 import type { HeldShards } from './held-shards.js';
 
 /** Fraction of a shard's machines that another node must hear before the shard is handed to it. */
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -7,7 +7,7 @@
 import type { DutiesApi } from '../duties/admin-api.js';
 import type { Call, Reply } from '../http.js';
 import type { UsersApi } from '../jobs/api.js';
-import type { ReportHandler } from '../workers/report-handler.js';
+import type { ReportHandler } from '../workers/heartbeat-handler.js';
 
 /** Where workers send their heartbeats. */
 export const WORKER_PATH = '/hello';
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -1,10 +1,10 @@
 /** Builds what one shard needs of the rest of the controller. No state; called when a shard is taken. */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
-import { returnUrgently } from '../duties/urgent-return.js';
+import { returnUrgently } from '../duties/urgent-release.js';
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { ShareInput } from '../placement/share.js';
+import type { ShareInput } from '../placement/shard.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import type { Leadership } from './leadership.js';
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -5,7 +5,7 @@
 import { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import { ScarceTypes } from '../fleet/scarce-types.js';
 import { Pipelines } from '../pipelines/pipelines.js';
-import { Share, type ShareInput } from '../placement/share.js';
+import { Share, type ShareInput } from '../placement/shard.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import { HeldShards } from './held-shards.js';
--- a/src/controller/state-access.ts
+++ b/src/controller/state-access.ts
@@ -5,10 +5,10 @@
 import { CatalogView } from '../fleet/catalog-view.js';
 import { parseTarget, type Callers } from '../http.js';
 import type { Catalog } from '../jobs/model.js';
-import { Finals } from '../pipelines/finals.js';
-import { Store } from '../store/client.js';
-import { LinearizableReads } from '../store/linearizable-reads.js';
-import { WatchCache } from '../store/watch-cache.js';
+import { Finals } from '../pipelines/final-record-cache.js';
+import { Store } from '../kv-store/client.js';
+import { LinearizableReads } from '../kv-store/linearizable-reads.js';
+import { WatchCache } from '../kv-store/watch-cache.js';
 import type { Deployment } from './deployment.js';
 
 /** This controller's access to the state service. */
--- a/src/duties/compose.ts
+++ b/src/duties/compose.ts
@@ -1,8 +1,8 @@
 import { EMPTY_BOOK, readBook, RentalJournal, type RentalBook } from '@dalegate/fencing';
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
-import type { Store } from '../store/client.js';
-import { RENTALS_KEY } from '../store/keys.js';
+import type { Store } from '../kv-store/client.js';
+import { RENTALS_KEY } from '../kv-store/keys.js';
 import { fencedValue } from './fenced-store.js';
 import { OrderGate } from './order-gate.js';
 import { DutyRegistry, type DutyRegistryInput } from './registry.js';
--- a/src/duties/duties.test.ts
+++ b/src/duties/duties.test.ts
@@ -4,7 +4,7 @@
 import type { Call, Reply } from '../http.js';
 import { PeerRequests } from '../peers/peer-requests.js';
 import { leaderDuties } from '../testing/duties.js';
-import { returnUrgently } from './urgent-return.js';
+import { returnUrgently } from './urgent-release.js';
 import { DutiesApi } from './admin-api.js';
 import type { WireDutiesOverview } from './admin-codec.js';
 import { OrderGate } from './order-gate.js';
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -1,8 +1,8 @@
 import type { FencedValue, FencingToken, Permit, ReadOutcome, WriteOutcome } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import type { Condition, Store, TxnResult, Write } from '../store/client.js';
-import { claimKey } from '../store/keys.js';
-import type { Rank } from '../store/rate-limiter.js';
+import type { Condition, Store, TxnResult, Write } from '../kv-store/client.js';
+import { claimKey } from '../kv-store/keys.js';
+import type { Rank } from '../kv-store/rate-limiter.js';
 
 /** A transaction of a duty: the claim that the permit stands for is always among its conditions. */
 export const fencedTransaction = (
--- a/src/duties/registry.ts
+++ b/src/duties/registry.ts
@@ -10,7 +10,7 @@
   type LeaderDutyName,
   type ShareDutyName,
 } from '@dalegate/fencing';
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
 import { log } from '../log.js';
 
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -7,15 +7,15 @@
   UNKNOWN_MACHINE_SLACK_S,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
-import { machineKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store } from '../kv-store/client.js';
+import { machineKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { AdoptionQueue } from './adoption-queue.js';
 import type { Cloud, ListedMachine, MachinesResult } from './cloud.js';
 import type { MachineIndex } from './machine-index.js';
 import type { MachineRecorder } from './machine-recorder.js';
 import { newMachineRecord } from './records.js';
-import type { Returner } from './returner.js';
+import type { Returner } from './scale-in.js';
 
 /** What the adopter needs of the leader. */
 export interface AdopterInput {
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -5,9 +5,9 @@
 import { fencedTransaction } from '../duties/fenced-store.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store, Write } from '../store/client.js';
-import { CATALOG_KEY } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store, Write } from '../kv-store/client.js';
+import { CATALOG_KEY } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { isStored, storeCatalog } from './catalog.js';
 import type { Cloud } from './cloud.js';
 
--- a/src/fleet/catalog-view.ts
+++ b/src/fleet/catalog-view.ts
@@ -1,6 +1,6 @@
 import type { Catalog } from '../jobs/model.js';
-import { CATALOG_KEY } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import { CATALOG_KEY } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readStored, toCatalog } from './catalog.js';
 
 /** The catalog as this node's copy of the shared keys shows it. */
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,7 +1,7 @@
 import { JSON_BRACKETS_BYTES, JSON_COMMA_BYTES } from '../constants/key-value-store.js';
 import type { Catalog, MachineType } from '../jobs/model.js';
-import type { Item, Write } from '../store/client.js';
-import { CATALOG_KEY, catalogPartKey } from '../store/keys.js';
+import type { Item, Write } from '../kv-store/client.js';
+import { CATALOG_KEY, catalogPartKey } from '../kv-store/keys.js';
 import {
   readMachineType,
   writeMachineType,
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -8,7 +8,7 @@
 } from '../constants/fleet.js';
 import type { Answer, Caller, Callers, Target } from '../http.js';
 import type { MachineType } from '../jobs/model.js';
-import { RateLimiter } from '../store/rate-limiter.js';
+import { RateLimiter } from '../kv-store/rate-limiter.js';
 
 /** The cloud's API; its wire words stay here. */
 export interface ListedMachine {
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -10,9 +10,9 @@
 import type { DutyRegistry } from '../duties/registry.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
-import { machineKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store } from '../kv-store/client.js';
+import { machineKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { Adopter } from './adopter.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { CapacityRefusals } from './capacity-refusals.js';
@@ -20,10 +20,10 @@
 import type { Cloud } from './cloud.js';
 import { kindKey, MachineIndex } from './machine-index.js';
 import { MachineRecorder } from './machine-recorder.js';
-import { planSteps, type Moving, type Step } from './plan.js';
+import { planSteps, type Moving, type Step } from './scaling-plan.js';
 import type { Move, Reservation, Summary } from './records.js';
-import { Renter } from './renter.js';
-import { Returner } from './returner.js';
+import { Renter } from './scale-out.js';
+import { Returner } from './scale-in.js';
 
 /** What the leader needs of the rest of the controller. */
 export interface LeaderInput {
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { StoreEvent } from '../store/client.js';
+import type { StoreEvent } from '../kv-store/client.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { MachineIndex } from './machine-index.js';
 import { machineRecord } from '../testing/bodies.js';
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,6 +1,6 @@
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
-import type { StoreEvent } from '../store/client.js';
-import { parseSharedKey } from '../store/keys.js';
+import type { StoreEvent } from '../kv-store/client.js';
+import { parseSharedKey } from '../kv-store/keys.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
 /** Names a type, zone and kind of machine. */
--- a/src/fleet/machine-recorder.ts
+++ b/src/fleet/machine-recorder.ts
@@ -1,8 +1,8 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { fencedTransaction } from '../duties/fenced-store.js';
-import type { Store, TxnResult } from '../store/client.js';
-import { machineKey } from '../store/keys.js';
+import type { Store, TxnResult } from '../kv-store/client.js';
+import { machineKey } from '../kv-store/keys.js';
 import { writeMachineRecord, type MachineRecord } from './records.js';
 
 /** A machine with the record that it is to have. */
--- a/src/fleet/returner.ts
+++ b/src/fleet/scale-in.ts
@@ -8,9 +8,9 @@
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { Item, Store } from '../store/client.js';
-import { machineKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Item, Store } from '../kv-store/client.js';
+import { machineKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
 import type { Cloud } from './cloud.js';
 import { kindKey, type MachineIndex } from './machine-index.js';
--- a/src/fleet/renter.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -4,7 +4,7 @@
 import * as Effect from 'effect/Effect';
 import { fencedValue } from '../duties/fenced-store.js';
 import type { Answer } from '../http.js';
-import { Store } from '../store/client.js';
+import { Store } from '../kv-store/client.js';
 import { leaderDuties } from '../testing/duties.js';
 import { CloudStandIn } from '../testing/cloud-stand-in.js';
 import { reply, StateStandIn } from '../testing/state-stand-in.js';
@@ -12,7 +12,7 @@
 import { CapacityRefusals } from './capacity-refusals.js';
 import { Cloud } from './cloud.js';
 import { MachineRecorder } from './machine-recorder.js';
-import { Renter, type RentStep } from './renter.js';
+import { Renter, type RentStep } from './scale-out.js';
 
 const SILENCE: Answer = { _tag: 'silence', why: 'timeout' };
 const step: RentStep = { _tag: 'rent', type: 'g', zone: 'x', spot: false, count: 2, shares: [0, 1] };
--- a/src/fleet/renter.ts
+++ b/src/fleet/scale-out.ts
@@ -14,13 +14,13 @@
   PROVISIONING_RETRIES,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
+import type { Store } from '../kv-store/client.js';
 import type { AdoptionQueue } from './adoption-queue.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
 import type { Cloud, RentRequest, RentResult } from './cloud.js';
 import { kindKey } from './machine-index.js';
 import type { MachineRecorder, NewMachine } from './machine-recorder.js';
-import type { Step } from './plan.js';
+import type { Step } from './scaling-plan.js';
 import { newMachineRecord, type MachineRecord } from './records.js';
 
 /** A step of the leader's plan that rents machines. */
--- a/src/fleet/fleet.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog } from '../jobs/model.js';
-import { RateLimiter } from '../store/rate-limiter.js';
-import { planSteps, type Moving } from './plan.js';
+import { RateLimiter } from '../kv-store/rate-limiter.js';
+import { planSteps, type Moving } from './scaling-plan.js';
 import type { Reservation, UnmetDemand, SpareMachine, Summary, WaitingGang } from './records.js';
 
 const catalog: Catalog = new Map([
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -7,14 +7,14 @@
 import { MAX_CONCURRENT_FINAL_RECORD_READS } from '../constants/pipelines.js';
 import { CANCELLATION_ATTEMPTS, MAX_ECHOED_ID_CHARS, RETRY_AFTER_S } from '../constants/users-api.js';
 import type { Call, Reply } from '../http.js';
-import { quotaRoom, type Limit } from '../placement/pack.js';
+import { quotaRoom, type Limit } from '../placement/bin-packing.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
-import type { Finals } from '../pipelines/finals.js';
+import type { Finals } from '../pipelines/final-record-cache.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { Store, Write } from '../store/client.js';
-import type { LinearizableReads } from '../store/linearizable-reads.js';
-import { finalKey, followsKey, jobKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store, Write } from '../kv-store/client.js';
+import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
+import { finalKey, followsKey, jobKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import {
   isJobId,
   jsonBytes,
--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Limit } from '../placement/pack.js';
+import type { Limit } from '../placement/bin-packing.js';
 import { urgency, tier } from '../placement/urgency.js';
-import { readRunRecord, writeRunRecord } from '../placement/records.js';
+import { readRunRecord, writeRunRecord } from '../placement/run-records.js';
 import { checkSettings } from '../settings/schema.js';
 import { divideTeams } from '../settings/teams.js';
 import { hopeless, knownTypes } from './api.js';
--- a/src/store/limits.test.ts
+++ b/src/kv-store/limits.test.ts
@@ -9,8 +9,8 @@
 import type { JobRecord, JobSpec, MachineType } from '../jobs/model.js';
 import { StoreRelay } from '../peers/store-relay.js';
 import { unpackIds } from '../pipelines/codec.js';
-import { Finals } from '../pipelines/finals.js';
-import { partsOf, readRunRecord, storeRun, type RunRecord } from '../placement/records.js';
+import { Finals } from '../pipelines/final-record-cache.js';
+import { partsOf, readRunRecord, storeRun, type RunRecord } from '../placement/run-records.js';
 import { lasting } from '../settings/limits.js';
 import { submission } from '../testing/bodies.js';
 import { Store, type Item } from './client.js';
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -6,9 +6,9 @@
 import type { WireHeartbeat } from './peers/heartbeat-codec.js';
 import type { WireReservation } from './peers/reservation-codec.js';
 import type { WireSpareMachine, WireSummary, WireUnmetDemand } from './peers/summary-codec.js';
-import { prepared, readRunRecord, storeRun, validating, type RunRecord } from './placement/records.js';
+import { prepared, readRunRecord, storeRun, validating, type RunRecord } from './placement/run-records.js';
 import { compose } from './controller/compose.js';
-import * as keys from './store/keys.js';
+import * as keys from './kv-store/keys.js';
 import { settingsOf } from './testing/cluster.js';
 
 /**
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -11,7 +11,7 @@
   MIN_HEARTBEAT_PAUSE_MS,
   PEER_REQUEST_TIMEOUT_MS,
 } from '../constants/peers.js';
-import type { Peer } from '../claims/decide.js';
+import type { Peer } from '../claims/claim-decisions.js';
 import type { Summary } from '../fleet/records.js';
 import { parseTarget, type Call, type Caller, type Callers, type Reply } from '../http.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -1,6 +1,6 @@
 import type { Cancellation } from '../cancellation/acknowledgement.js';
 import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import type { OrderGate, OrderVerdict } from '../duties/order-gate.js';
 import type { Move } from '../fleet/records.js';
 import type { Reply } from '../http.js';
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -3,9 +3,9 @@
 import { PROTOCOL_VERSION, PROTOCOL_VERSION_CHECK_INTERVAL_MS } from '../constants/protocol.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
-import { LEVEL_KEY } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import type { Store } from '../kv-store/client.js';
+import { LEVEL_KEY } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
 
 /**
--- a/src/peers/rate-sharing.ts
+++ b/src/peers/rate-sharing.ts
@@ -1,6 +1,6 @@
 import * as Effect from 'effect/Effect';
 import { HEARTBEAT_INTERVAL_MS } from '../constants/peers.js';
-import type { Store } from '../store/client.js';
+import type { Store } from '../kv-store/client.js';
 import type { Demand } from './heartbeat.js';
 import { rateFor } from './network.js';
 
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import {
   MAX_RELAYED_GANGS_PER_DEMAND,
@@ -9,8 +9,8 @@
   RELAY_INTERVAL_MS,
 } from '../constants/peers.js';
 import type { Reservation, Move, Summary } from '../fleet/records.js';
-import type { Store } from '../store/client.js';
-import { claimKey, ordersKey, summaryKey } from '../store/keys.js';
+import type { Store } from '../kv-store/client.js';
+import { claimKey, ordersKey, summaryKey } from '../kv-store/keys.js';
 import type { RelayedOrders } from './orders.js';
 import { readRelayedOrders, readRelayedSummary, writeRelayedOrders } from './relay-codec.js';
 import { writeSummary } from './summary-codec.js';
--- a/src/pipelines/finals.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -2,8 +2,8 @@
 import { MAX_CACHED_FINAL_RECORDS } from '../constants/pipelines.js';
 import { readFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord } from '../jobs/model.js';
-import type { Store } from '../store/client.js';
-import { finalKey } from '../store/keys.js';
+import type { Store } from '../kv-store/client.js';
+import { finalKey } from '../kv-store/keys.js';
 
 /** The outcome of reading a final record. */
 export type FinalRead =
--- a/src/pipelines/pipelines.ts
+++ b/src/pipelines/pipelines.ts
@@ -6,9 +6,9 @@
 } from '../constants/pipelines.js';
 import type { FinalRecord, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
-import { jobKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
-import type { Finals } from './finals.js';
+import { jobKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
+import type { Finals } from './final-record-cache.js';
 import { PipelineIndex, type Outcome, type Readiness, type Standing } from './graph.js';
 
 /** What the view of the pipelines needs of the rest of the controller. */
--- a/src/placement/pack.test.ts
+++ b/src/placement/bin-packing.test.ts
@@ -8,7 +8,7 @@
   type PlacementRequest,
   type Limit,
   type AvailableCapacity,
-} from './pack.js';
+} from './bin-packing.js';
 import { jobSpec } from '../testing/bodies.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec =>
--- a/src/placement/binder.ts
+++ b/src/placement/binder.ts
@@ -1,7 +1,7 @@
-import type { Assignment } from './pack.js';
-import { chunkOf } from './records.js';
-import type { ShareState } from './share-state.js';
-import type { Binding, ShareJob } from './state.js';
+import type { Assignment } from './bin-packing.js';
+import { chunkOf } from './run-records.js';
+import type { ShareState } from './shard-state.js';
+import type { Binding, ShareJob } from './shard-model.js';
 import type { WorkerSessions } from './worker-sessions.js';
 import type { RunWrite, RunWriter } from './run-writer.js';
 
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,9 +1,9 @@
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_TRANSACTIONS } from '../constants/placement.js';
-import type { Condition, Store, TxnResult, Write } from '../store/client.js';
-import { claimKey } from '../store/keys.js';
-import type { Rank } from '../store/rate-limiter.js';
+import type { Condition, Store, TxnResult, Write } from '../kv-store/client.js';
+import { claimKey } from '../kv-store/keys.js';
+import type { Rank } from '../kv-store/rate-limiter.js';
 
 /** What the transactions need of their share. */
 export interface ClaimTransactionsInput {
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -2,10 +2,10 @@
 import { writeFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store, Write } from '../store/client.js';
-import { finalKey, followsKey, jobKey, runKey, runPartKey } from '../store/keys.js';
+import type { Store, Write } from '../kv-store/client.js';
+import { finalKey, followsKey, jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
-import type { ShareJob } from './state.js';
+import type { ShareJob } from './shard-model.js';
 
 /** Jobs whose final records are durable, and runs that are left to clear away. */
 export interface Finished {
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Answer } from '../http.js';
-import { Store } from '../store/client.js';
-import { parseRunKey, runKey, runPartKey } from '../store/keys.js';
+import { Store } from '../kv-store/client.js';
+import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
-import { ShareState } from './share-state.js';
-import { chunkOf, counts, partsOf, readRunRecord, validAttempt } from './records.js';
+import { ShareState } from './shard-state.js';
+import { chunkOf, counts, partsOf, readRunRecord, validAttempt } from './run-records.js';
 import { ClaimTransactions } from './claim-transactions.js';
 import { RunWriter } from './run-writer.js';
 
--- a/src/placement/beside.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -4,7 +4,7 @@
 import { jobSpec } from '../testing/bodies.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { availableCapacity } from './placement-view.js';
-import { ShareState } from './share-state.js';
+import { ShareState } from './shard-state.js';
 
 const NOW = 1_000_000;
 const common = { cacheGb: 10, price: 4, spotPrice: 1, bootS: 30, zones: ['x'] };
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -2,10 +2,10 @@
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
 import type { Move } from '../fleet/records.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
+import type { Store } from '../kv-store/client.js';
 import type { MachineLiveness } from './machine-liveness.js';
-import type { ShareState } from './share-state.js';
-import { bindingKey, type ShareMachine } from './state.js';
+import type { ShareState } from './shard-state.js';
+import { bindingKey, type ShareMachine } from './shard-model.js';
 import type { WorkerSessions } from './worker-sessions.js';
 import type { MachineAssignment, MachineRecordWriter } from './machine-record-writer.js';
 
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
 import { MachineLiveness } from './machine-liveness.js';
-import { ShareState } from './share-state.js';
+import { ShareState } from './shard-state.js';
 
 const NOW = 10_000_000;
 const BOOT_S = 30;
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -20,7 +20,7 @@
 } from '../constants/machines.js';
 import { TAKEOVER_WAIT_REPORT_INTERVALS } from '../constants/placement.js';
 import type { Catalog } from '../jobs/model.js';
-import type { ShareJob, ShareMachine } from './state.js';
+import type { ShareJob, ShareMachine } from './shard-model.js';
 
 /** What may be said of a share's machines from when they reported. Pure but for the clocks handed in, which walks over all
  *  machines read once. */
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -4,10 +4,10 @@
   MAX_RECORD_BATCH_BYTES,
 } from '../constants/key-value-store.js';
 import { writeMachineRecord } from '../fleet/records.js';
-import { machineKey } from '../store/keys.js';
-import type { Rank } from '../store/rate-limiter.js';
+import { machineKey } from '../kv-store/keys.js';
+import type { Rank } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
-import type { ShareMachine } from './state.js';
+import type { ShareMachine } from './shard-model.js';
 
 /** What a machine's record is to say. */
 export interface MachineAssignment {
--- a/src/placement/left-over-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -3,8 +3,8 @@
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { fencedValue } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { Store } from '../store/client.js';
-import { parseRunKey, removalsKey } from '../store/keys.js';
+import type { Store } from '../kv-store/client.js';
+import { parseRunKey, removalsKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 
 /** Keys of a share that belong to nothing any more. */
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -4,7 +4,7 @@
 import { PipelineIndex } from '../pipelines/graph.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { placementRequests, teamUsage } from './placement-view.js';
-import { ShareState } from './share-state.js';
+import { ShareState } from './shard-state.js';
 
 /** What jobs that follow others take of their team before they are ready, and from when their times count. */
 const STAGE_MS = 1_000;
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -6,7 +6,7 @@
   RESERVED_IDLE_MACHINES,
 } from '../constants/placement.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { heldBy } from '../fleet/plan.js';
+import { heldBy } from '../fleet/scaling-plan.js';
 import type { Reservation } from '../fleet/records.js';
 import {
   fitsIn,
@@ -17,10 +17,10 @@
   type Demand,
   type JobSpec,
 } from '../jobs/model.js';
-import type { ShareState } from './share-state.js';
+import type { ShareState } from './shard-state.js';
 import type { MachineLiveness } from './machine-liveness.js';
-import { order, type PlacementRequest, type AvailableCapacity, type Usage } from './pack.js';
-import { bindingKey, isFinished, type Free, type ShareJob, type ShareMachine } from './state.js';
+import { order, type PlacementRequest, type AvailableCapacity, type Usage } from './bin-packing.js';
+import { bindingKey, isFinished, type Free, type ShareJob, type ShareMachine } from './shard-model.js';
 import { tier, urgency, type Objectives } from './urgency.js';
 
 /** What waits and where there is room, read from the shareState for one round. Changes nothing but the cached room. */
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -5,10 +5,10 @@
 } from '../constants/preemption.js';
 import type { JobSpec } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { AvailableCapacity } from './pack.js';
+import type { AvailableCapacity } from './bin-packing.js';
 import { preempt, type Eviction, type OccupiedMachine } from './preemption.js';
-import type { ShareState } from './share-state.js';
-import type { Binding, ShareJob } from './state.js';
+import type { ShareState } from './shard-state.js';
+import type { Binding, ShareJob } from './shard-model.js';
 import type { UnplacedRequest } from './unmet-demand.js';
 
 /** What the preemptor needs of its share. */
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -1,9 +1,9 @@
 import { FLUSH_DELAY_MS, FLUSH_INTERVAL_MS, IMMEDIATE_FLUSH_RATE_FRACTION } from '../constants/placement.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
-import type { LeftOverKeys } from './left-over-keys.js';
-import type { Store } from '../store/client.js';
-import type { ShareState } from './share-state.js';
-import { isFinished, type ShareJob } from './state.js';
+import type { LeftOverKeys } from './orphaned-keys.js';
+import type { Store } from '../kv-store/client.js';
+import type { ShareState } from './shard-state.js';
+import { isFinished, type ShareJob } from './shard-model.js';
 import type { FinalRecordWriter } from './final-record-writer.js';
 import type { RunWrite, RunWriter } from './run-writer.js';
 
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,8 +1,8 @@
 import type { LeftOver } from '@dalegate/fencing';
-import type { Item } from '../store/client.js';
-import { parseRunKey, runKey, runPartKey } from '../store/keys.js';
-import { counts, durableKeys, partsOf, readRunRecord, validAttempt } from './records.js';
-import type { ShareState } from './share-state.js';
+import type { Item } from '../kv-store/client.js';
+import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
+import { counts, durableKeys, partsOf, readRunRecord, validAttempt } from './run-records.js';
+import type { ShareState } from './shard-state.js';
 
 /** What the run loader needs of its share. */
 export interface RunLoaderInput {
--- a/src/placement/records.ts
+++ b/src/placement/run-records.ts
@@ -3,7 +3,7 @@
   RUN_RECORD_OVERHEAD_BYTES,
   TASKS_PER_RUN_RECORD,
 } from '../constants/key-value-store.js';
-import { bindingKey, type ShareJob } from './state.js';
+import { bindingKey, type ShareJob } from './shard-model.js';
 
 /** The durable record of a run of tasks: which are done, which are bound where, the highest attempt used. */
 export interface RunRecord {
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -7,9 +7,9 @@
   VALUE_FILL_FRACTION,
 } from '../constants/key-value-store.js';
 import { log } from '../log.js';
-import type { Store, Write } from '../store/client.js';
-import { jobKey, runKey, runPartKey } from '../store/keys.js';
-import type { Rank } from '../store/rate-limiter.js';
+import type { Store, Write } from '../kv-store/client.js';
+import { jobKey, runKey, runPartKey } from '../kv-store/keys.js';
+import type { Rank } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import {
   durableKeys,
@@ -19,8 +19,8 @@
   validating,
   type RunRecord,
   type StoredRun,
-} from './records.js';
-import type { Chunk, ShareJob } from './state.js';
+} from './run-records.js';
+import type { Chunk, ShareJob } from './shard-model.js';
 
 /** What the writer of runs needs of its share. */
 export interface RunWriterInput {
--- a/src/placement/state.ts
+++ b/src/placement/shard-model.ts
@@ -1,7 +1,7 @@
 import type { Demand, JobSpec } from '../jobs/model.js';
 import type { ReportedTask } from '../workers/model.js';
 import type { Readiness } from '../pipelines/graph.js';
-import type { Phase } from './task.js';
+import type { Phase } from './attempt-phase.js';
 
 /** Why tasks are being stopped; decides the grace and what happens to the job afterwards. */
 export type StopReason = 'cancelled' | 'broken' | 'evicted' | 'draining' | 'finished';
--- a/src/placement/share-state.ts
+++ b/src/placement/shard-state.ts
@@ -11,7 +11,7 @@
 import type { Demand, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { Readiness, Standing } from '../pipelines/graph.js';
-import { chunkOf } from './records.js';
+import { chunkOf } from './run-records.js';
 import {
   bindingKey,
   isFinished,
@@ -19,8 +19,8 @@
   type ShareJob,
   type ShareMachine,
   type Stop,
-} from './state.js';
-import { nextPhase, onMachine, type Gone, type Phase, type PhaseEvent } from './task.js';
+} from './shard-model.js';
+import { nextPhase, onMachine, type Gone, type Phase, type PhaseEvent } from './attempt-phase.js';
 
 /** What the state of a share needs of the rest of the controller. */
 export interface ShareStateInput {
--- a/src/placement/share-summary.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -1,10 +1,10 @@
 import { SHARD_SUMMARY_INTERVAL_MS } from '../constants/peers.js';
 import type { Summary } from '../fleet/records.js';
 import type { Catalog } from '../jobs/model.js';
-import type { WatchCache } from '../store/watch-cache.js';
-import type { AvailableCapacity, Limit, Usage } from './pack.js';
-import type { ShareState } from './share-state.js';
-import type { ShareMachine } from './state.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
+import type { AvailableCapacity, Limit, Usage } from './bin-packing.js';
+import type { ShareState } from './shard-state.js';
+import type { ShareMachine } from './shard-model.js';
 import { spareMachines, unmetDemand, type UnplacedRequest } from './unmet-demand.js';
 import type { Objectives } from './urgency.js';
 
--- a/src/placement/share.test.ts
+++ b/src/placement/shard.test.ts
@@ -5,7 +5,7 @@
   PLACEMENT_ROUND_CORE_FRACTION,
   ROUND_AVERAGE_WEIGHT,
 } from '../constants/placement.js';
-import { ShareState } from './share-state.js';
+import { ShareState } from './shard-state.js';
 import { restMs, RoundPacer } from './round-pacer.js';
 
 /** What rounds may cost, and what is not sent twice. */
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -9,8 +9,14 @@
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import type { UnlistedSpares, UnmetDemand, SpareMachine, Summary, WaitingGang } from '../fleet/records.js';
 import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
-import { packAll, type PlacementRequest, type Limit, type AvailableCapacity, type Usage } from './pack.js';
-import type { ShareMachine } from './state.js';
+import {
+  packAll,
+  type PlacementRequest,
+  type Limit,
+  type AvailableCapacity,
+  type Usage,
+} from './bin-packing.js';
+import type { ShareMachine } from './shard-model.js';
 import type { Objectives } from './urgency.js';
 
 /** A request with the number of its tasks that found no room. */
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -3,10 +3,10 @@
 import type { MachineType } from '../jobs/model.js';
 import type { JobSpec } from '../jobs/model.js';
 import type { Command, Report, ReportedTask } from '../workers/model.js';
-import { ShareState } from './share-state.js';
+import { ShareState } from './shard-state.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { WorkerSessions } from './worker-sessions.js';
-import type { ShareMachine } from './state.js';
+import type { ShareMachine } from './shard-model.js';
 
 /** What reports are taken for, in which order, and what is concluded from silence: a table of short stories. */
 const LEASE_S = 20;
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -3,10 +3,10 @@
 import type { Command, Report } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
 import { answer, readChanges } from '../workers/reconcile.js';
-import type { ShareState } from './share-state.js';
-import { chunkOf } from './records.js';
-import { bindingKey, type Binding, type ShareMachine } from './state.js';
-import { onMachine } from './task.js';
+import type { ShareState } from './shard-state.js';
+import { chunkOf } from './run-records.js';
+import { bindingKey, type Binding, type ShareMachine } from './shard-model.js';
+import { onMachine } from './attempt-phase.js';
 
 /** What the sessions with workers need of their share. */
 export interface WorkerSessionsInput {
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -6,7 +6,7 @@
 import { tokenOf, type RemovalBook, type RentalBook } from '@dalegate/fencing';
 import type { MachineRecord } from '../fleet/records.js';
 import type { FinalRecord, JobRecord, JobSpec, MachineType } from '../jobs/model.js';
-import type { RunRecord } from '../placement/records.js';
+import type { RunRecord } from '../placement/run-records.js';
 import type { Command } from '../workers/model.js';
 
 const AT = 1_700_000_000_000;
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -1,7 +1,7 @@
 /** Stored values as the codecs write them, and as they are written again after they were read. */
 import { readBook, readRemovals, writeBook, writeRemovals } from '@dalegate/fencing';
 import { readAcknowledgement, writeAcknowledgement } from '../cancellation/codec.js';
-import { returnUrgently } from '../duties/urgent-return.js';
+import { returnUrgently } from '../duties/urgent-release.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/records.js';
 import {
@@ -19,8 +19,8 @@
   storeRun,
   validating,
   type StoredRun,
-} from '../placement/records.js';
-import * as keys from '../store/keys.js';
+} from '../placement/run-records.js';
+import * as keys from '../kv-store/keys.js';
 import { leaderDuties } from '../testing/duties.js';
 import { messageOf, type Recording } from './fixtures.js';
 import {
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -61,7 +61,7 @@
 /** Where the words of the wire belong. */
 const isWireModule = (path: string): boolean =>
   path.endsWith('codec.ts') ||
-  ['src/settings/schema.ts', 'src/store/client.ts', 'src/fleet/cloud.ts'].includes(path);
+  ['src/settings/schema.ts', 'src/kv-store/client.ts', 'src/fleet/cloud.ts'].includes(path);
 
 /**
  * Modules that are yet to be cleaned, with the words that they still use. The list only shrinks: a word that
@@ -74,10 +74,10 @@
   'src/controller/start.ts': ['mesh', 'siblings'],
   'src/peers/network.ts': ['beat', 'sibling'],
   'src/peers/peer-requests.ts': ['heed'],
-  'src/placement/pack.ts': ['gathering'],
+  'src/placement/bin-packing.ts': ['gathering'],
   'src/placement/placement-view.ts': ['gathering'],
   'src/settings/teams.ts': ['sibling', 'siblings'],
-  'src/workers/report-handler.ts': ['boss'],
+  'src/workers/heartbeat-handler.ts': ['boss'],
   'src/workers/worker-client.ts': ['stint'],
 };
 
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -1,5 +1,5 @@
 import { tokenOf, type Permit } from '@dalegate/fencing';
-import { LEADER } from '../claims/decide.js';
+import { LEADER } from '../claims/claim-decisions.js';
 import { DutyRegistry } from '../duties/registry.js';
 
 /** The duties of a leader that never loses its claim, held under this revision; its lease may be in doubt for a while. */
--- a/src/testing/leader-scenario.ts
+++ b/src/testing/leader-scenario.ts
@@ -1,5 +1,5 @@
 import type { WireDuty } from '../duties/admin-codec.js';
-import { RENTALS_KEY } from '../store/keys.js';
+import { RENTALS_KEY } from '../kv-store/keys.js';
 import { submission } from './bodies.js';
 import { findLateActions, type LateAction, type Tenure } from './late-actions.js';
 import { Loopback, type LoopbackOptions } from './loopback.js';
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -10,9 +10,9 @@
 export interface Production {
   readonly compose: typeof compose;
   readonly codec: typeof import('../jobs/codec.js');
-  readonly records: typeof import('../placement/records.js');
+  readonly records: typeof import('../placement/run-records.js');
   readonly machines: typeof import('../fleet/records.js');
-  readonly keys: typeof import('../store/keys.js');
+  readonly keys: typeof import('../kv-store/keys.js');
 }
 
 /** The composition root of that version, whose ports and routes have other names. */
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -2,7 +2,7 @@
  * What decisions cost as machines and jobs grow, on the machine that runs this: `node target/testing/scale.js`.
  * Prints milliseconds of one placement round, one summary for the leader, one plan of the leader's and one takeover.
  */
-import { planSteps } from '../fleet/plan.js';
+import { planSteps } from '../fleet/scaling-plan.js';
 import type { Summary } from '../fleet/records.js';
 import type { Catalog, JobSpec } from '../jobs/model.js';
 import {
@@ -11,11 +11,11 @@
   teamUsage,
   type ViewInput,
 } from '../placement/placement-view.js';
-import { ShareState } from '../placement/share-state.js';
+import { ShareState } from '../placement/shard-state.js';
 import { MachineLiveness } from '../placement/machine-liveness.js';
 import { unmetDemand, spareMachines } from '../placement/unmet-demand.js';
-import { packAll } from '../placement/pack.js';
-import { readRunRecord, runRecord, writeRunRecord } from '../placement/records.js';
+import { packAll } from '../placement/bin-packing.js';
+import { readRunRecord, runRecord, writeRunRecord } from '../placement/run-records.js';
 
 const SHARES = 5;
 const ZONES = ['x', 'y', 'z'];
--- a/src/upgrade.test.ts
+++ b/src/upgrade.test.ts
@@ -3,7 +3,7 @@
 import { readMachineRecord, writeMachineRecord, type MachineRecord } from './fleet/records.js';
 import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
 import type { JobRecord, JobSpec } from './jobs/model.js';
-import { readRunRecord, storeRun, type RunRecord } from './placement/records.js';
+import { readRunRecord, storeRun, type RunRecord } from './placement/run-records.js';
 import { playDay, type Day, type Play } from './testing/day.js';
 import { buildProduction, type Production } from './testing/production.js';
 
--- a/src/workers/report-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,8 +1,8 @@
 import { readClaim } from '../claims/codec.js';
 import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
 import type { Reply } from '../http.js';
-import { claimKey, machineKey } from '../store/keys.js';
-import type { WatchCache } from '../store/watch-cache.js';
+import { claimKey, machineKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readMachineRecord } from '../fleet/records.js';
 import { readReport, writeOrders } from './codec.js';
 import type { Command, Report } from './model.js';
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
-import type { Binding, ShareMachine } from '../placement/state.js';
-import { bindingKey } from '../placement/state.js';
-import { nextPhase, type Phase } from '../placement/task.js';
+import type { Binding, ShareMachine } from '../placement/shard-model.js';
+import { bindingKey } from '../placement/shard-model.js';
+import { nextPhase, type Phase } from '../placement/attempt-phase.js';
 import type { Report, ReportedTask, TaskState } from './model.js';
 import { answer, readChanges } from './reconcile.js';
 import { readReport } from './codec.js';
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,6 +1,6 @@
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
-import { bindingKey, type Binding, type ShareMachine } from '../placement/state.js';
-import { nextPhase, type Gone } from '../placement/task.js';
+import { bindingKey, type Binding, type ShareMachine } from '../placement/shard-model.js';
+import { nextPhase, type Gone } from '../placement/attempt-phase.js';
 import type { Command, Report } from './model.js';
 
 /** What one report means for the tasks bound to its machine. Pure: the caller applies the changes. */
