--- a/packages/fencing/src/duties.ts
+++ b/packages/fencing/src/duties.ts
@@ -44,12 +44,12 @@
 export type LeaderDutyName = (typeof LEADER_DUTIES)[number];
 
 /** Duties that hang on the claim of each share. */
-export const SHARE_DUTIES = ['reclaim', 'clean-up', 'preempt'] as const;
+export const SHARD_DUTIES = ['reclaim', 'clean-up', 'preempt'] as const;
 /** The name of a duty of the holder of a share. */
-export type ShareDutyName = (typeof SHARE_DUTIES)[number];
+export type ShardDutyName = (typeof SHARD_DUTIES)[number];
 
 /** Names of all duties. */
-export const DUTY_NAMES = [...LEADER_DUTIES, ...SHARE_DUTIES] as const;
+export const DUTY_NAMES = [...LEADER_DUTIES, ...SHARD_DUTIES] as const;
 /** The name of a duty. */
 export type DutyName = (typeof DUTY_NAMES)[number];
 
--- a/packages/fencing/src/provisioning-intent.ts
+++ b/packages/fencing/src/provisioning-intent.ts
@@ -19,7 +19,7 @@
   readonly zone: string;
   readonly spot: boolean;
   /** The share that each machine is meant for. */
-  readonly shares: readonly number[];
+  readonly shardIds: readonly number[];
   /** ms since the epoch. */
   readonly at: number;
 }
@@ -103,7 +103,7 @@
   if (!isText(n) || !isText(b) || !isText(z) || typeof p !== 'boolean') return null;
   if (!Array.isArray(s) || s.length === 0 || !s.every(isCount)) return null;
   if (typeof a !== 'number' || !Number.isFinite(a)) return null;
-  return { name: n, machineType: b, zone: z, spot: p, shares: s, at: a };
+  return { name: n, machineType: b, zone: z, spot: p, shardIds: s, at: a };
 };
 
 const readSettled = (raw: unknown): SettledRental[] => {
@@ -142,12 +142,12 @@
   token: FencingToken,
 ): unknown => ({
   t: token,
-  o: open.map(({ name, machineType, zone, spot, shares, at }): StoredIntent => ({
+  o: open.map(({ name, machineType, zone, spot, shardIds, at }): StoredIntent => ({
     n: name,
     b: machineType,
     z: zone,
     p: spot,
-    s: [...shares],
+    s: [...shardIds],
     a: at,
   })),
   d: settled.map(({ name, outcome, machines, at }): StoredSettled => ({
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -271,7 +271,7 @@
       this.execute(intent.name);
       this.settledBySuccessor.add(intent.name);
       await process.awake();
-      process.journal.close(intent.name, 'repeated by successor', intent.shares.length);
+      process.journal.close(intent.name, 'repeated by successor', intent.shardIds.length);
     }
     return true;
   }
@@ -289,7 +289,7 @@
       machineType: 'g',
       zone: 'a',
       spot: false,
-      shares: [0],
+      shardIds: [0],
       at: process.timeOfDayMs,
     };
     const outcome = await process.journal.open(intent);
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -5,7 +5,7 @@
   ACKNOWLEDGEMENT_BATCH_DELAY_MS,
   MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
 } from '../constants/cancellation.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import type { Store } from '../kv-store/client.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { claimKey, markKey } from '../kv-store/keys.js';
@@ -15,7 +15,7 @@
 
 /** A durable cancellation, as it is put to the holder of the job's share. */
 export interface Cancellation {
-  readonly slot: number;
+  readonly shardId: number;
   /** The claim under which it is put. */
   readonly claim: number;
   readonly job: string;
@@ -32,7 +32,7 @@
   /** Puts cancellations to the share held by this process under that claim; false: it does not hold it. */
   readonly acknowledge: (cancellation: Cancellation) => boolean;
   readonly ask: (node: string, path: string, body: unknown) => Promise<unknown>;
-  readonly summaries: () => readonly Summary[];
+  readonly summaries: () => readonly ShardSummary[];
   readonly understands: (node: string) => boolean;
 }
 
@@ -58,9 +58,9 @@
     return asker;
   }
 
-  private claim(slot: number): Effect.Effect<FreshClaim> {
+  private claim(shardId: number): Effect.Effect<FreshClaim> {
     return Effect.gen({ self: this }, function* () {
-      const key = claimKey(String(slot));
+      const key = claimKey(String(shardId));
       const copy = this.input.cache.get(key);
       if (copy) {
         const freshness = yield* this.input.fresh.confirm(key, copy.version);
@@ -84,16 +84,16 @@
    * May users be told of the cancellation that is durable at this revision? Asked after that, so the claim is
    * read later.
    */
-  assured(slot: number, job: string, version: number): Effect.Effect<boolean> {
+  assured(shardId: number, job: string, version: number): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
-      const claim = yield* this.claim(slot);
+      const claim = yield* this.claim(shardId);
       const signs = { acknowledged: null, summary: null, mark: null, understands: false };
       if (claim._tag !== 'held') return assessEvidence(version, claim, signs)._tag === 'assured';
-      const cancellation: Cancellation = { slot, claim: claim.version, job, version };
-      const mark = this.input.cache.get(markKey(String(slot)));
+      const cancellation: Cancellation = { shardId, claim: claim.version, job, version };
+      const mark = this.input.cache.get(markKey(String(shardId)));
       const known = {
         acknowledged: null,
-        summary: this.input.summaries().find((summary) => summary.share === slot) ?? null,
+        summary: this.input.summaries().find((summary) => summary.shardId === shardId) ?? null,
         mark: mark ? readAcknowledgement(mark.value) : null,
         understands: this.input.understands(claim.node),
       };
--- a/src/cancellation/codec.ts
+++ b/src/cancellation/codec.ts
@@ -20,7 +20,7 @@
 
 /** Writes a request to acknowledge cancellations. */
 export const writeAcknowledgeRequest = (list: readonly Cancellation[]): readonly WireCancellation[] =>
-  list.map(({ slot, claim, job, version }) => [slot, claim, job, version]);
+  list.map(({ shardId, claim, job, version }) => [shardId, claim, job, version]);
 
 /** Reads a request to acknowledge cancellations; rows that are malformed are left out. */
 export const readAcknowledgeRequest = (body: unknown): readonly Cancellation[] =>
@@ -31,7 +31,7 @@
       typeof claim === 'number' &&
       typeof job === 'string' &&
       typeof version === 'number'
-      ? [{ slot, claim, job, version }]
+      ? [{ shardId: slot, claim, job, version }]
       : [];
   });
 
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -16,7 +16,7 @@
   readonly store: Store;
   readonly cache: Pick<WatchCache, 'get' | 'revision'>;
   /** Shares held here whose book is loaded, with their claims. */
-  readonly held: () => readonly { readonly slot: number; readonly claim: number }[];
+  readonly held: () => readonly { readonly shardId: number; readonly claim: number }[];
   /** Every other node is heard, so each can ask. */
   readonly allHeard: () => boolean;
 }
@@ -31,25 +31,26 @@
   constructor(private readonly input: DurableAcknowledgementsInput) {}
 
   /** The shared keys show that a job of the share is cancelled. */
-  saw(slot: number, version: number): void {
-    this.wanted.set(slot, Math.max(version, this.wanted.get(slot) ?? 0));
+  saw(shardId: number, version: number): void {
+    this.wanted.set(shardId, Math.max(version, this.wanted.get(shardId) ?? 0));
   }
 
-  private mark(slot: number, claim: number): Effect.Effect<void> {
+  private mark(shardId: number, claim: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const key = markKey(String(slot));
+      const key = markKey(String(shardId));
       const before = this.input.cache.get(key);
       const { revision } = this.input.cache;
       const result = yield* this.input.store.txn(
         // Conditional on itself too: a late copy must not take back what a newer one says.
         [
-          { key: claimKey(String(slot)), version: claim },
+          { key: claimKey(String(shardId)), version: claim },
           { key, version: before?.version ?? 0 },
         ],
         [{ _tag: 'put', key, value: writeAcknowledgement({ claim, revision }) }],
         'user',
       );
-      if (result._tag === 'committed' && (this.wanted.get(slot) ?? 0) <= revision) this.wanted.delete(slot);
+      if (result._tag === 'committed' && (this.wanted.get(shardId) ?? 0) <= revision)
+        this.wanted.delete(shardId);
     });
   }
 
@@ -57,11 +58,11 @@
     for (;;) {
       yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
       const held = this.input.held();
-      for (const slot of this.wanted.keys())
-        if (!held.some((share) => share.slot === slot)) this.wanted.delete(slot);
+      for (const shardId of this.wanted.keys())
+        if (!held.some((shard) => shard.shardId === shardId)) this.wanted.delete(shardId);
       // Asked directly, a holder answers sooner and for nothing.
       if (this.input.allHeard()) continue;
-      for (const { slot, claim } of held) if (this.wanted.has(slot)) yield* this.mark(slot, claim);
+      for (const { shardId, claim } of held) if (this.wanted.has(shardId)) yield* this.mark(shardId, claim);
     }
   });
 }
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -34,7 +34,7 @@
 export interface ClaimsView {
   readonly me: Claim;
   readonly nodes: readonly string[];
-  readonly slots: readonly string[];
+  readonly claimNames: readonly string[];
   readonly claims: ReadonlyMap<string, SeenClaim>;
   /** When each slot without a claim was first seen without (ms). */
   readonly freeSince: ReadonlyMap<string, number>;
@@ -47,24 +47,24 @@
 }
 /** A claim to take, or to hand to another controller. */
 export type ClaimAction =
-  | { readonly _tag: 'take'; readonly slot: string; readonly version: number }
-  | { readonly _tag: 'hand'; readonly slot: string; readonly version: number; readonly to: Peer };
+  | { readonly _tag: 'take'; readonly claimName: string; readonly version: number }
+  | { readonly _tag: 'hand'; readonly claimName: string; readonly version: number; readonly to: Peer };
 
-const preferred = (view: ClaimsView, slot: string): string | undefined =>
-  slot === LEADER ? undefined : view.nodes[Number(slot) % view.nodes.length];
+const preferred = (view: ClaimsView, claimName: string): string | undefined =>
+  claimName === LEADER ? undefined : view.nodes[Number(claimName) % view.nodes.length];
 
 /** How many shares the node holds, the leadership aside. */
 const heldBy = (view: ClaimsView, node: string): number =>
-  [...view.claims].filter(([slot, claim]) => slot !== LEADER && claim.node === node).length;
+  [...view.claims].filter(([claimName, claim]) => claimName !== LEADER && claim.node === node).length;
 
 const isMine = (view: ClaimsView, claim: SeenClaim): boolean =>
   claim.node === view.me.node && claim.incarnation === view.me.incarnation;
 
 /** ms that this node leaves a free claim to others. */
-const patienceMs = (view: ClaimsView, slot: string): number => {
+const patienceMs = (view: ClaimsView, claimName: string): number => {
   const rank = Math.max(0, view.nodes.indexOf(view.me.node));
-  if (slot === LEADER) return rank * LEADER_RANK_DELAY_MS;
-  const owner = preferred(view, slot);
+  if (claimName === LEADER) return rank * LEADER_RANK_DELAY_MS;
+  const owner = preferred(view, claimName);
   if (owner === view.me.node) return 0;
   const pause = heldBy(view, view.me.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
   // One that fell silent is not waited for: the leases of its workers run out meanwhile.
@@ -74,36 +74,38 @@
 
 /** Free claims, and those of an earlier process of this node: a node runs one process, so that one is dead. */
 const claimsToTake = (view: ClaimsView): readonly ClaimAction[] =>
-  view.slots.flatMap((slot): readonly ClaimAction[] => {
-    const claim = view.claims.get(slot);
+  view.claimNames.flatMap((claimName): readonly ClaimAction[] => {
+    const claim = view.claims.get(claimName);
     if (claim) {
       const predecessor = claim.node === view.me.node && !isMine(view, claim);
-      return predecessor ? [{ _tag: 'take', slot, version: claim.version }] : [];
+      return predecessor ? [{ _tag: 'take', claimName, version: claim.version }] : [];
     }
-    const waited = view.now - (view.freeSince.get(slot) ?? view.now);
-    return waited >= patienceMs(view, slot) ? [{ _tag: 'take', slot, version: 0 }] : [];
+    const waited = view.now - (view.freeSince.get(claimName) ?? view.now);
+    return waited >= patienceMs(view, claimName) ? [{ _tag: 'take', claimName, version: 0 }] : [];
   });
 
 /** Shares of ours whose workers reach only another node go there. */
 const claimsUnheard = (view: ClaimsView): readonly ClaimAction[] =>
-  [...view.unheard].flatMap(([slot, node]): readonly ClaimAction[] => {
-    const claim = view.claims.get(slot);
+  [...view.unheard].flatMap(([claimName, node]): readonly ClaimAction[] => {
+    const claim = view.claims.get(claimName);
     const to = view.peers.find((peer) => peer.node === node);
     const able = to?.stateOk && to.lease !== null && to.steadyMs >= 0;
-    return claim && isMine(view, claim) && able ? [{ _tag: 'hand', slot, version: claim.version, to }] : [];
+    return claim && isMine(view, claim) && able
+      ? [{ _tag: 'hand', claimName, version: claim.version, to }]
+      : [];
   });
 
 /** Teams stay divided among controllers: a node with several shares hands one to its steady, empty preferred node. */
 const claimToHandBack = (view: ClaimsView): readonly ClaimAction[] => {
   if (heldBy(view, view.me.node) <= 1) return [];
-  for (const slot of view.slots) {
-    const claim = view.claims.get(slot);
-    const owner = preferred(view, slot);
+  for (const claimName of view.claimNames) {
+    const claim = view.claims.get(claimName);
+    const owner = preferred(view, claimName);
     if (!claim || !isMine(view, claim) || owner === undefined || owner === view.me.node) continue;
     if (heldBy(view, owner) > 0) continue;
     const to = view.peers.find((peer) => peer.node === owner);
     if (to && !to.deaf && to.stateOk && to.lease !== null && to.steadyMs >= HANDBACK_STABILITY_MS)
-      return [{ _tag: 'hand', slot, version: claim.version, to }];
+      return [{ _tag: 'hand', claimName, version: claim.version, to }];
   }
   return [];
 };
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -17,7 +17,7 @@
 export interface LeaseManagerInput {
   readonly me: Claim;
   readonly nodes: readonly string[];
-  readonly slotCount: number;
+  readonly shardCount: number;
   readonly peers: () => readonly Peer[];
   /** Until when workers may be answered without renewals (ms, steady); null: there is no outage. */
   readonly outageGraceUntil: () => number | null;
@@ -28,7 +28,7 @@
 /** Keeps this node's lease and claims, and knows who holds what. */
 export class LeaseManager {
   leaseState: LeaseState = { _tag: 'detached' };
-  readonly slots: readonly string[];
+  readonly claimNames: readonly string[];
   private readonly freeSince = new Map<string, number>();
 
   private deafUntil = 0;
@@ -42,27 +42,27 @@
     private readonly cache: WatchCache,
     private readonly input: LeaseManagerInput,
   ) {
-    this.slots = [...Array.from({ length: input.slotCount }, (_, slot) => String(slot)), LEADER];
+    this.claimNames = [...Array.from({ length: input.shardCount }, (_, shardId) => String(shardId)), LEADER];
   }
 
-  claim(slot: string): SeenClaim | undefined {
-    const item = this.cache.get(claimKey(slot));
+  claim(claimName: string): SeenClaim | undefined {
+    const item = this.cache.get(claimKey(claimName));
     if (!item) return undefined;
     const { node, incarnation } = readClaim(item.value);
     return { node, incarnation, version: item.version };
   }
 
   /** The revision of this process's claim on the slot, or null when the cache shows another or none. */
-  mine(slot: string): number | null {
-    const claim = this.claim(slot);
+  mine(claimName: string): number | null {
+    const claim = this.claim(claimName);
     if (!claim || claim.node !== this.input.me.node || claim.incarnation !== this.input.me.incarnation)
       return null;
     return claim.version;
   }
 
   /** May this node answer workers and decide for the slot right now? */
-  entitled(slot: string): number | null {
-    return mayAct(this.leaseState, this.input.now()) ? this.mine(slot) : null;
+  entitled(claimName: string): number | null {
+    return mayAct(this.leaseState, this.input.now()) ? this.mine(claimName) : null;
   }
 
   get lease(): number | null {
@@ -104,19 +104,19 @@
       const lease = this.lease;
       if (!this.cache.ready || lease === null || !mayAct(this.leaseState, now)) continue;
       const claims = new Map<string, SeenClaim>();
-      for (const slot of this.slots) {
-        const claim = this.claim(slot);
+      for (const claimName of this.claimNames) {
+        const claim = this.claim(claimName);
         if (claim) {
-          claims.set(slot, claim);
-          this.freeSince.delete(slot);
-        } else if (!this.freeSince.has(slot)) this.freeSince.set(slot, now);
+          claims.set(claimName, claim);
+          this.freeSince.delete(claimName);
+        } else if (!this.freeSince.has(claimName)) this.freeSince.set(claimName, now);
       }
       const unheard = this.input.unheard();
       if (unheard.size > 0) this.deafUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
       const actions = decideClaims({
         me: this.input.me,
         nodes: this.input.nodes,
-        slots: this.slots,
+        claimNames: this.claimNames,
         claims,
         freeSince: this.freeSince,
         peers: this.input.peers(),
@@ -128,13 +128,13 @@
         const holder: Claim = action._tag === 'take' ? this.input.me : action.to;
         const holderLease = action._tag === 'take' ? lease : (action.to.lease ?? lease);
         const result = yield* this.store.txn(
-          [{ key: claimKey(action.slot), version: action.version }],
-          [{ _tag: 'put', key: claimKey(action.slot), value: writeClaim(holder), lease: holderLease }],
+          [{ key: claimKey(action.claimName), version: action.version }],
+          [{ _tag: 'put', key: claimKey(action.claimName), value: writeClaim(holder), lease: holderLease }],
           'vital',
         );
         log.info({
           event: action._tag === 'take' ? 'claim.take' : 'claim.hand',
-          slot: action.slot,
+          claimName: action.claimName,
           to: holder.node,
           result: result._tag,
         });
--- a/src/cli/duties.ts
+++ b/src/cli/duties.ts
@@ -104,8 +104,8 @@
       ? ['open rental requests: not known, the state service does not answer this controller']
       : [`open rental requests: ${view.openRentals.length}`].concat(
           view.openRentals.map(
-            ({ name, machineType, zone, shares, at }) =>
-              `  ${name}: ${shares.length} ${machineType} in ${zone}, announced ${time(at)}`,
+            ({ name, machineType, zone, shares: shardIds, at }) =>
+              `  ${name}: ${shardIds.length} ${machineType} in ${zone}, announced ${time(at)}`,
           ),
         );
   const malformed = view.malformedIntents?.length ?? 0;
@@ -114,8 +114,8 @@
     ...(malformed > 0 ? [`malformed intents, kept aside and not acted on: ${malformed}`] : []),
     `machines to be released: ${view.releaseIntents.length}`,
     ...view.releaseIntents.map(
-      ({ machine, share, reason, token }) =>
-        `  ${machine} of share ${share}: ${reason ?? 'no reason given'}${token === null ? '' : `, under token ${token}`}`,
+      ({ machine, share: shardId, reason, token }) =>
+        `  ${machine} of share ${shardId}: ${reason ?? 'no reason given'}${token === null ? '' : `, under token ${token}`}`,
     ),
   ];
 };
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -35,8 +35,8 @@
     zones: settings.facts.zones,
     limits: deployment.limits,
     counts: (job, team) => {
-      const shard = deployment.shardOf(team);
-      return sharding.shards.entitled(shard)?.counts(job) ?? peers.counts(shard, job);
+      const shardId = deployment.shardOf(team);
+      return sharding.shards.entitled(shardId)?.counts(job) ?? peers.counts(shardId, job);
     },
     wall: clocks.wall,
   });
@@ -80,7 +80,7 @@
     me: deployment.me.node,
     cache: state.cache,
     now: clocks.steady,
-    share: (shard) => shards.entitled(shard),
+    shard: (shardId) => shards.entitled(shardId),
     adopt: leadership.adopt,
   });
 
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -10,14 +10,14 @@
 import { readJobRecord } from '../jobs/codec.js';
 import type { StoreRelay } from '../peers/store-relay.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { Share } from '../placement/shard.js';
+import type { Shard } from '../placement/shard.js';
 import type { Change } from '../kv-store/change-feed.js';
 import { jobKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readDependencyList } from './dependency-list.js';
 
 /** What a shard hears of changes. */
-export type ShardListener = Pick<Share, 'onMachineRecord' | 'onMachineGone' | 'onJobRecord' | 'onJobGone'>;
+export type ShardListener = Pick<Shard, 'onMachineRecord' | 'onMachineGone' | 'onJobRecord' | 'onJobGone'>;
 
 /** Who follows changes of the shared keys. */
 export interface ChangeSubscribers {
@@ -26,7 +26,7 @@
   readonly gate: Pick<OrderGate, 'seen'>;
   readonly registry: Pick<DutyRegistry, 'onClaim'>;
   readonly shards: {
-    followClaim(slot: string): void;
+    followClaim(claimName: string): void;
     forEach(action: (shard: ShardListener) => void): void;
   };
   readonly scarceTypes: Pick<ScarceTypes, 'note'>;
@@ -61,20 +61,20 @@
       case 'dependencyListChanged':
         return this.onDependencyList(change);
       case 'summaryRelayed':
-        return relay.onSummary(change.shard, change.value);
+        return relay.onSummary(change.shardId, change.value);
       case 'ordersRelayed':
-        return relay.onOrders(change.shard, change.value);
+        return relay.onOrders(change.shardId, change.value);
       case 'other':
         return;
     }
   }
 
   /** The duties come first: a shard that is taken begins with them. */
-  private onClaim({ slot, revision }: ChangeOf<'claimChanged'>): void {
+  private onClaim({ claimName, revision }: ChangeOf<'claimChanged'>): void {
     const { gate, registry, shards } = this.subscribers;
-    if (revision !== null) gate.seen(slot, revision);
-    registry.onClaim(slot);
-    shards.followClaim(slot);
+    if (revision !== null) gate.seen(claimName, revision);
+    registry.onClaim(claimName);
+    shards.followClaim(claimName);
   }
 
   /** The shards come last: what they decide about the job depends on what the others know of it. */
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -1,6 +1,6 @@
 /** The composition root of a controller: builds the subsystems and connects them. Decides nothing itself. */
 import type * as Effect from 'effect/Effect';
-import { shareRates } from '../peers/rate-sharing.js';
+import { distributeRates } from '../peers/rate-sharing.js';
 import { NO_FEATURES, type Features } from '../settings/features.js';
 import { ANYONE, type AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
@@ -79,7 +79,7 @@
     peers: peers.run,
     leader: leadership.leader.run,
     relay: leadership.relay.run,
-    rates: shareRates(store, () => peers.demands()),
+    rates: distributeRates(store, () => peers.demands()),
     protocolVersion: protocolVersion.run,
     pipelines: sharding.pipelines.run,
     acknowledgements: cancellations.durableAcknowledgements.run,
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -58,7 +58,7 @@
   const leases: LeaseManager = new LeaseManager(state.store, state.cache, {
     me: deployment.me,
     nodes: deployment.nodes,
-    slotCount: deployment.shardCount,
+    shardCount: deployment.shardCount,
     peers: () => peers.peers(),
     outageGraceUntil: () =>
       outageGrace({
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -7,10 +7,10 @@
 import * as Fiber from 'effect/Fiber';
 import type { Cancellation } from '../cancellation/acknowledgement.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import { log } from '../log.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
-import type { Share } from '../placement/shard.js';
+import type { Shard } from '../placement/shard.js';
 import { parseShard } from '../kv-store/keys.js';
 import { supervise } from './supervise.js';
 
@@ -19,19 +19,19 @@
   readonly shardCount: number;
   readonly leases: Pick<LeaseManager, 'mine' | 'entitled'>;
   /** Creates the shard for the claim with this revision. */
-  readonly create: (shard: number, claim: number) => Share;
+  readonly create: (shardId: number, claim: number) => Shard;
   /** A shard was taken: what its jobs wait for is to be looked up. */
   readonly onTaken: () => void;
 }
 
 /** A shard whose runs are read, with the revision of its claim. */
 export interface LoadedShard {
-  readonly slot: number;
+  readonly shardId: number;
   readonly claim: number;
 }
 
 interface RunningShard {
-  readonly share: Share;
+  readonly shard: Shard;
   readonly fiber: Fiber.Fiber<unknown>;
 }
 
@@ -42,74 +42,74 @@
   constructor(private readonly input: HeldShardsInput) {}
 
   /** The claim on a slot changed; a `Share` lives as long as this process's claim with that very revision. */
-  followClaim(slot: string): void {
-    const shard = parseShard(slot);
-    if (shard === null || shard >= this.input.shardCount) return;
-    const claim = this.input.leases.mine(slot);
-    const held = this.running.get(shard);
-    if (held && held.share.claim === claim) return;
-    if (held) this.drop(shard, held);
-    if (claim !== null) this.take(shard, claim);
+  followClaim(claimName: string): void {
+    const shardId = parseShard(claimName);
+    if (shardId === null || shardId >= this.input.shardCount) return;
+    const claim = this.input.leases.mine(claimName);
+    const held = this.running.get(shardId);
+    if (held && held.shard.claim === claim) return;
+    if (held) this.drop(shardId, held);
+    if (claim !== null) this.take(shardId, claim);
   }
 
-  private drop(shard: number, held: RunningShard): void {
-    held.share.lose();
-    this.running.delete(shard);
+  private drop(shardId: number, held: RunningShard): void {
+    held.shard.lose();
+    this.running.delete(shardId);
   }
 
-  private take(shard: number, claim: number): void {
-    const share = this.input.create(shard, claim);
-    const fiber = Effect.runFork(supervise(`share.${shard}`, share.run));
-    this.running.set(shard, { share, fiber });
+  private take(shardId: number, claim: number): void {
+    const shard = this.input.create(shardId, claim);
+    const fiber = Effect.runFork(supervise(`share.${shardId}`, shard.run));
+    this.running.set(shardId, { shard, fiber });
     this.input.onTaken();
-    log.info({ event: 'share.taken', share: shard, claim });
+    log.info({ event: 'share.taken', shardId: shardId, claim });
   }
 
   /** Does this process hold the shard, as far as the shared keys show? */
-  holds(shard: number): boolean {
-    return this.running.has(shard);
+  holds(shardId: number): boolean {
+    return this.running.has(shardId);
   }
 
   /** The shard, if this process may act for it now. */
-  entitled(shard: number): Share | null {
-    const claim = this.input.leases.entitled(String(shard));
-    const share = this.running.get(shard)?.share;
-    return claim !== null && share && share.claim === claim && share.stage !== 'lost' ? share : null;
+  entitled(shardId: number): Shard | null {
+    const claim = this.input.leases.entitled(String(shardId));
+    const shard = this.running.get(shardId)?.shard;
+    return claim !== null && shard && shard.claim === claim && shard.stage !== 'lost' ? shard : null;
   }
 
   /** Applies an action to each shard held, in the order in which they were taken. */
-  forEach(action: (share: Share) => void): void {
-    for (const { share } of this.running.values()) action(share);
+  forEach(action: (shard: Shard) => void): void {
+    for (const { shard } of this.running.values()) action(shard);
   }
 
   /** Puts a cancellation to a shard of ours; false: this process does not hold it under that very claim. */
-  acknowledge({ slot, claim, job, version }: Cancellation): boolean {
-    const share = this.running.get(slot)?.share;
-    return share?.claim === claim && share.acknowledge(job, version);
+  acknowledge({ shardId, claim, job, version }: Cancellation): boolean {
+    const shard = this.running.get(shardId)?.shard;
+    return shard?.claim === claim && shard.acknowledge(job, version);
   }
 
   /** The summaries of the shards that this process may act for. */
-  ownSummaries(): readonly Summary[] {
-    return [...this.running.keys()].flatMap((shard) => this.entitled(shard)?.summary ?? []);
+  ownSummaries(): readonly ShardSummary[] {
+    return [...this.running.keys()].flatMap((shardId) => this.entitled(shardId)?.summary ?? []);
   }
 
   /** Task counts of the jobs of the shards held, as heartbeats carry them. */
   taskCounts(): PeerHeartbeat['counts'] {
-    return [...this.running].map(([slot, { share }]) => ({ slot, jobs: share.allCounts() }));
+    return [...this.running].map(([shardId, { shard }]) => ({ shardId, jobs: shard.allCounts() }));
   }
 
   /** The shards that this process may act for and whose runs are read. */
   loaded(): readonly LoadedShard[] {
-    return [...this.running.keys()].flatMap((slot) => {
-      const share = this.entitled(slot);
-      return share && share.stage !== 'loading' ? [{ slot, claim: share.claim }] : [];
+    return [...this.running.keys()].flatMap((shardId) => {
+      const shard = this.entitled(shardId);
+      return shard && shard.stage !== 'loading' ? [{ shardId, claim: shard.claim }] : [];
     });
   }
 
   /** Ends all shards. */
   stop(): void {
-    for (const { share, fiber } of this.running.values()) {
-      share.lose();
+    for (const { shard, fiber } of this.running.values()) {
+      shard.lose();
       Effect.runFork(Fiber.interrupt(fiber));
     }
   }
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -6,7 +6,7 @@
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { Cloud } from '../fleet/cloud.js';
 import { Leader } from '../fleet/leader.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import { parseTarget } from '../http.js';
 import { StoreRelay } from '../peers/store-relay.js';
 import type { Report } from '../workers/model.js';
@@ -32,7 +32,7 @@
   { deployment }: ControllerContext,
   { leaderNode, peers }: Coordination,
   shards: HeldShards,
-): readonly Summary[] => {
+): readonly ShardSummary[] => {
   const leader = leaderNode();
   const relayed = leader !== undefined && leader !== deployment.me.node && peers.fresh(leader) === null;
   return relayed ? shards.ownSummaries() : [];
@@ -61,7 +61,7 @@
     now: clocks.steady,
     leaderClaim: () => leases.claim(LEADER)?.version ?? null,
     cutOff: () => cutOffSummaries(context, coordination, shards),
-    give: (shard, moves) => void transfers.carryOut(shard, moves),
+    give: (shardId, moves) => void transfers.carryOut(shardId, moves),
   });
   const transfers = new Transfers({
     node: deployment.me.node,
@@ -77,7 +77,7 @@
     cloud: createCloud(context),
     duties: duties.registry,
     journal: duties.journal,
-    shares: deployment.shardCount,
+    shardCount: deployment.shardCount,
     listLagS: settings.facts.cloud.list_lag_s,
     valueBytes: deployment.valueBytes,
     maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -28,11 +28,11 @@
   /**
    * What a shard of ours has to heed: from the leader's heartbeat, or relayed while the leader is not heard.
    */
-  forShard(shard: number): readonly Reservation[] {
+  forShard(shardId: number): readonly Reservation[] {
     const { coordination, leader, peers, relay } = this.input;
     if (coordination.mayLead()) return leader.holds;
     const node = coordination.leaderNode();
     const heartbeat = node === undefined ? null : peers.fresh(node);
-    return heartbeat ? heartbeat.holds : relay.holds(shard);
+    return heartbeat ? heartbeat.holds : relay.holds(shardId);
   }
 }
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -4,7 +4,7 @@
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { ShareInput } from '../placement/shard.js';
+import type { ShardContext } from '../placement/shard.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import type { Leadership } from './leadership.js';
@@ -16,21 +16,21 @@
   readonly scarceTypes: ScarceTypes;
   readonly bootBoundTypes: BootBoundTypes;
   readonly pipelines: Pipelines;
-  readonly spareElsewhere: ShareInput['spareElsewhere'];
+  readonly spareElsewhere: ShardContext['spareElsewhere'];
   /** Built after the shards. */
   readonly leadership: () => Leadership;
 }
 
 /** What depends on the shard and its claim; the rest is the same for all shards. */
-type ClaimInput = Pick<ShareInput, 'entitled' | 'holds' | 'direct' | 'returnNow' | 'cleanUp' | 'loaded'>;
+type ClaimInput = Pick<ShardContext, 'entitled' | 'holds' | 'direct' | 'returnNow' | 'cleanUp' | 'loaded'>;
 
-const createClaimInput = (dependencies: ShardDependencies, shard: number, claim: number): ClaimInput => {
+const createClaimInput = (dependencies: ShardDependencies, shardId: number, claim: number): ClaimInput => {
   const { context, coordination, leadership } = dependencies;
   const { leases, duties, peers, leaderNode } = coordination;
-  const mayAct = (): boolean => leases.entitled(String(shard)) === claim;
+  const mayAct = (): boolean => leases.entitled(String(shardId)) === claim;
   return {
     entitled: mayAct,
-    holds: () => leadership().reservations.forShard(shard),
+    holds: () => leadership().reservations.forShard(shardId),
     // Asked for at the very moment of sending: this process may have stood still since the decision.
     direct: (addr, token, session, commands) =>
       mayAct()
@@ -39,8 +39,8 @@
     returnNow: (machines) =>
       returnUrgently(
         {
-          share: shard,
-          duty: duties.registry.share(shard, 'reclaim'),
+          shardId: shardId,
+          duty: duties.registry.shard(shardId, 'reclaim'),
           me: context.deployment.me.node,
           leaderNode,
           stateAge: context.state.ageMs,
@@ -49,27 +49,27 @@
         },
         machines,
       ),
-    cleanUp: context.features.fencing ? duties.registry.share(shard, 'clean-up') : null,
-    loaded: () => duties.registry.shareLoaded(shard, claim),
+    cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    loaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
 
 /** Everything that the shard needs for as long as its claim has this revision. */
 export const createShardInput = (
   dependencies: ShardDependencies,
-  shard: number,
+  shardId: number,
   claim: number,
-): ShareInput => {
+): ShardContext => {
   const { context, coordination, scarceTypes, bootBoundTypes, pipelines } = dependencies;
   const { settings, ports, deployment, clocks, state } = context;
   return {
-    ...createClaimInput(dependencies, shard, claim),
+    ...createClaimInput(dependencies, shardId, claim),
     store: state.store,
     cache: state.cache,
     catalog: state.catalog,
     scarceDemand: (type) => scarceTypes.demand(type),
     bootBound: (type) => bootBoundTypes.has(type),
-    shareOfTeam: deployment.shardByTeam,
+    shardOfTeam: deployment.shardByTeam,
     limits: deployment.limits,
     guarantees: deployment.guarantees,
     objectives: deployment.objectives,
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -5,7 +5,7 @@
 import { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import { ScarceTypes } from '../fleet/scarce-types.js';
 import { Pipelines } from '../pipelines/pipelines.js';
-import { Share, type ShareInput } from '../placement/shard.js';
+import { Shard, type ShardContext } from '../placement/shard.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import { HeldShards } from './held-shards.js';
@@ -36,13 +36,13 @@
     finals: state.finals,
     ours: (team) => shards.holds(deployment.shardOf(team)),
     changed: (jobs) => {
-      for (const job of jobs) shards.forEach((share) => share.onStanding(job));
+      for (const job of jobs) shards.forEach((shard) => shard.onStanding(job));
     },
   });
-  const spareElsewhere: ShareInput['spareElsewhere'] = (shard, spec) =>
+  const spareElsewhere: ShardContext['spareElsewhere'] = (shardId, spec) =>
     hasSpareElsewhere(
       { summaries: () => directSummaries({ shards, peers: coordination.peers }), catalog: state.catalog },
-      shard,
+      shardId,
       spec,
     );
   const dependencies = {
@@ -57,7 +57,7 @@
   const shards: HeldShards = new HeldShards({
     shardCount: deployment.shardCount,
     leases: coordination.leases,
-    create: (shard, claim) => new Share(shard, claim, createShardInput(dependencies, shard, claim)),
+    create: (shardId, claim) => new Shard(shardId, claim, createShardInput(dependencies, shardId, claim)),
     onTaken: () => pipelines.lookAll(),
   });
   return { shards, pipelines, scarceTypes, bootBoundTypes };
--- a/src/controller/spare-capacity.ts
+++ b/src/controller/spare-capacity.ts
@@ -1,21 +1,21 @@
 /**
  * Whether other shards have free machines for a job. No state; shards ask before they preempt for the job.
  */
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import { fitsIn, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 
 /** What the answer depends on. */
 export interface SpareCapacityInput {
-  readonly summaries: () => readonly Summary[];
+  readonly summaries: () => readonly ShardSummary[];
   readonly catalog: () => Catalog | null;
 }
 
 /** Has a shard other than this one a spare machine that one task of the job fits on? */
-export const hasSpareElsewhere = (input: SpareCapacityInput, shard: number, spec: JobSpec): boolean => {
+export const hasSpareElsewhere = (input: SpareCapacityInput, shardId: number, spec: JobSpec): boolean => {
   const catalog = input.catalog();
   return input
     .summaries()
-    .filter((summary) => summary.share !== shard)
+    .filter((summary) => summary.shardId !== shardId)
     .some((summary) =>
       summary.spares.some((spare) => {
         const type = catalog?.get(spare.type);
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -73,7 +73,7 @@
     event: 'service.started',
     node: settings.host_name,
     zone: settings.area,
-    slots: settings.facts.count,
+    shardCount: settings.facts.count,
     features,
   });
   await Effect.runPromise(controller.run);
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -1,6 +1,6 @@
 /** What the leader knows of each shard. No state; the leader asks for it with each plan. */
 import type { LeaseManager } from '../claims/lease-manager.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import type { PeerNetwork } from '../peers/network.js';
 import type { StoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
@@ -21,20 +21,20 @@
 export const directSummaries = ({
   shards,
   peers,
-}: Pick<SummarySources, 'shards' | 'peers'>): readonly Summary[] => [
+}: Pick<SummarySources, 'shards' | 'peers'>): readonly ShardSummary[] => [
   ...shards.ownSummaries(),
   ...peers.summaries(),
 ];
 
 /** One summary a shard, as far as there is one: relayed where it does not come directly. */
-export const collectSummaries = (sources: SummarySources): readonly Summary[] => {
+export const collectSummaries = (sources: SummarySources): readonly ShardSummary[] => {
   const { leases, relay } = sources;
   const direct = directSummaries(sources);
-  const relayed = (shard: number): Summary | null =>
-    relay.summary(shard, leases.claim(String(shard))?.version ?? NO_CLAIM);
-  const summaryOf = (shard: number): Summary | null =>
-    direct.find((summary) => summary.share === shard) ?? relayed(shard);
-  return Array.from({ length: sources.shardCount }, (_, shard) => summaryOf(shard)).filter(
+  const relayed = (shardId: number): ShardSummary | null =>
+    relay.summary(shardId, leases.claim(String(shardId))?.version ?? NO_CLAIM);
+  const summaryOf = (shardId: number): ShardSummary | null =>
+    direct.find((summary) => summary.shardId === shardId) ?? relayed(shardId);
+  return Array.from({ length: sources.shardCount }, (_, shardId) => summaryOf(shardId)).filter(
     (summary) => summary !== null,
   );
 };
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -30,8 +30,8 @@
   /** Has the holder of a shard carry out the leader's transfers from it. */
   order(from: number, moves: readonly Move[], permit: Permit): Effect.Effect<unknown> {
     const { node, leases, peers, relay } = this.input;
-    const share = this.input.shards.entitled(from);
-    if (share) return Effect.promise(() => share.give(moves));
+    const shard = this.input.shards.entitled(from);
+    if (shard) return Effect.promise(() => shard.give(moves));
     const holder = leases.claim(String(from))?.node;
     if (holder === undefined || holder === node) return Effect.void;
     if (peers.fresh(holder) === null) return relay.order(from, moves, this.input.reservations());
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -43,7 +43,7 @@
 /** A machine that the holder of its share wants released, which is a durable intent. */
 export interface ReleaseIntentView {
   readonly machine: string;
-  readonly share: number;
+  readonly shardId: number;
   /** Null: written by a version that gives no reasons. */
   readonly reason: string | null;
   readonly token: number | null;
--- a/src/duties/admin-codec.ts
+++ b/src/duties/admin-codec.ts
@@ -140,7 +140,7 @@
   machineType: intent.machineType,
   zone: intent.zone,
   spot: intent.spot,
-  shares: intent.shares,
+  shares: intent.shardIds,
   at: intent.at,
 });
 
@@ -153,7 +153,7 @@
 
 const writeReleaseIntent = (intent: ReleaseIntentView): WireReleaseIntent => ({
   machine: intent.machine,
-  share: intent.share,
+  share: intent.shardId,
   reason: intent.reason,
   token: intent.token,
 });
--- a/src/duties/registry.ts
+++ b/src/duties/registry.ts
@@ -2,13 +2,13 @@
   Duty,
   DutyAudit,
   LEADER_DUTIES,
-  SHARE_DUTIES,
+  SHARD_DUTIES,
   tokenOf,
   type AuditEvent,
   type DutyName,
   type FencingToken,
   type LeaderDutyName,
-  type ShareDutyName,
+  type ShardDutyName,
 } from '@dalegate/fencing';
 import { LEADER } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
@@ -19,7 +19,7 @@
 
 /** What the registry needs of its controller. */
 export interface DutyRegistryInput {
-  readonly leases: Pick<LeaseManager, 'slots' | 'claim' | 'mine' | 'entitled'>;
+  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'mine' | 'entitled'>;
   /** ms since the epoch. */
   readonly wall: () => number;
   /** Refuses effects that lost their right; else they are only counted. */
@@ -46,30 +46,30 @@
 
   constructor(private readonly input: DutyRegistryInput) {
     this.audit = new DutyAudit(input.wall, logAudit);
-    for (const slot of input.leases.slots) {
-      for (const name of slot === LEADER ? LEADER_DUTIES : SHARE_DUTIES) this.add(slot, name);
+    for (const claimName of input.leases.claimNames) {
+      for (const name of claimName === LEADER ? LEADER_DUTIES : SHARD_DUTIES) this.add(claimName, name);
     }
   }
 
-  private add(slot: string, name: DutyName): void {
+  private add(claimName: string, name: DutyName): void {
     const duty = new Duty({
       name,
-      claim: slot,
-      right: () => this.right(slot),
+      claim: claimName,
+      right: () => this.right(claimName),
       audit: this.audit,
       enforce: this.input.enforce,
     });
-    this.duties.set(`${slot}/${name}`, duty);
+    this.duties.set(`${claimName}/${name}`, duty);
   }
 
-  private right(slot: string): FencingToken | null {
-    const revision = this.input.leases.entitled(slot);
+  private right(claimName: string): FencingToken | null {
+    const revision = this.input.leases.entitled(claimName);
     return revision === null ? null : tokenOf(revision);
   }
 
-  private duty(slot: string, name: DutyName): Duty {
-    const found = this.duties.get(`${slot}/${name}`);
-    if (!found) throw new Error(`no duty ${name} on claim ${slot}`);
+  private duty(claimName: string, name: DutyName): Duty {
+    const found = this.duties.get(`${claimName}/${name}`);
+    if (!found) throw new Error(`no duty ${name} on claim ${claimName}`);
     return found;
   }
 
@@ -79,8 +79,8 @@
   }
 
   /** A duty of the holder of a share. */
-  share(slot: number, name: ShareDutyName): Duty {
-    return this.duty(String(slot), name);
+  shard(shardId: number, name: ShardDutyName): Duty {
+    return this.duty(String(shardId), name);
   }
 
   /** All duties, for an operator. */
@@ -89,26 +89,26 @@
   }
 
   /** The claim on a slot changed in this node's copy of the shared keys. */
-  onClaim(slot: string): void {
-    const claim = this.input.leases.claim(slot);
-    if (claim) this.audit.holder(slot, tokenOf(claim.version), claim.node, claim.incarnation);
-    else this.audit.end(slot, 'lease ended');
-    const mine = this.input.leases.mine(slot);
+  onClaim(claimName: string): void {
+    const claim = this.input.leases.claim(claimName);
+    if (claim) this.audit.holder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
+    else this.audit.end(claimName, 'lease ended');
+    const mine = this.input.leases.mine(claimName);
     for (const duty of this.duties.values()) {
-      if (duty.claim !== slot) continue;
+      if (duty.claim !== claimName) continue;
       if (mine === null) {
         duty.apply({ _tag: 'released' });
         continue;
       }
       const token = tokenOf(mine);
       duty.apply({ _tag: 'claimed', token });
-      if (slot === LEADER && !SETTLED_BY_LEADER.has(duty.name)) duty.apply({ _tag: 'settled', token });
+      if (claimName === LEADER && !SETTLED_BY_LEADER.has(duty.name)) duty.apply({ _tag: 'settled', token });
     }
   }
 
   /** The share's state is rebuilt: its duties begin. */
-  shareLoaded(slot: number, claim: number): void {
+  shardLoaded(shardId: number, claim: number): void {
     const token = tokenOf(claim);
-    for (const name of SHARE_DUTIES) this.share(slot, name).apply({ _tag: 'settled', token });
+    for (const name of SHARD_DUTIES) this.shard(shardId, name).apply({ _tag: 'settled', token });
   }
 }
--- a/src/duties/urgent-release.ts
+++ b/src/duties/urgent-release.ts
@@ -5,7 +5,7 @@
 
 /** What an urgent return needs of its controller. */
 export interface UrgentReturnInput {
-  readonly share: number;
+  readonly shardId: number;
   readonly duty: Duty;
   readonly me: string;
   readonly leaderNode: () => string | undefined;
@@ -32,7 +32,7 @@
   if (to === undefined || permit === null) return false;
   try {
     if (to === input.me) return await input.returnHere(machines);
-    const order = writeReturnOrder({ machines, share: input.share }, permit.token);
+    const order = writeReturnOrder({ machines, shardId: input.shardId }, permit.token);
     return readReturnAnswer(await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS));
   } finally {
     permit.end();
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -27,7 +27,7 @@
   readonly machines: MachineIndex;
   readonly recorder: MachineRecorder;
   readonly returner: Returner;
-  readonly shares: number;
+  readonly shardCount: number;
   readonly listLagS: number;
   readonly now: () => number;
   /** ms since the epoch. */
@@ -46,19 +46,19 @@
     if (cache.get(machineKey(id)) !== undefined || queue.has(id) || returner.returned(id)) return;
     // By a report its age is not known, and a late copy may speak of a machine long gone: it is not taken for
     // one that boots, and goes back if it is not heard from within a lease.
-    queue.add(id, newMachineRecord(this.smallestShare(type, zone, spot), { type, zone, spot }, at));
+    queue.add(id, newMachineRecord(this.smallestShard(type, zone, spot), { type, zone, spot }, at));
   }
 
-  private smallestShare(type: string, zone: string, spot: boolean): number {
+  private smallestShard(type: string, zone: string, spot: boolean): number {
     let best = 0;
     let least = Number.POSITIVE_INFINITY;
-    for (let share = 0; share < this.input.shares; share += 1) {
+    for (let shardId = 0; shardId < this.input.shardCount; shardId += 1) {
       const weight =
-        this.input.machines.shares.weight(share, type, zone, spot) +
-        this.input.queue.counts.weight(share, type, zone, spot);
+        this.input.machines.shards.weight(shardId, type, zone, spot) +
+        this.input.queue.counts.weight(shardId, type, zone, spot);
       if (weight >= least) continue;
       least = weight;
-      best = share;
+      best = shardId;
     }
     return best;
   }
--- a/src/fleet/adoption-queue.ts
+++ b/src/fleet/adoption-queue.ts
@@ -1,11 +1,11 @@
 import type { MachineRecord } from './records.js';
-import { ShareCounts } from './machine-index.js';
+import { ShardMachineCounts } from './machine-index.js';
 
 /** Machines that reported, or were listed, without a record: each waits here until its record is written. */
 export class AdoptionQueue {
   private readonly waiting = new Map<string, MachineRecord>();
   /** What the shares will have once all that wait are recorded. */
-  readonly counts = new ShareCounts();
+  readonly counts = new ShardMachineCounts();
 
   has(id: string): boolean {
     return this.waiting.has(id);
@@ -29,8 +29,8 @@
   }
 
   /** Shares that machines in the queue are meant for. */
-  shares(): ReadonlySet<number> {
-    return new Set([...this.waiting.values()].map((record) => record.share));
+  shardIds(): ReadonlySet<number> {
+    return new Set([...this.waiting.values()].map((record) => record.shardId));
   }
 
   clear(): void {
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -21,7 +21,7 @@
 import { kindKey, MachineIndex } from './machine-index.js';
 import { MachineRecorder } from './machine-recorder.js';
 import { planSteps, type Moving, type Step } from './scaling-plan.js';
-import type { Move, Reservation, Summary } from './records.js';
+import type { Move, Reservation, ShardSummary } from './records.js';
 import { Renter } from './scale-out.js';
 import { Returner } from './scale-in.js';
 
@@ -33,7 +33,7 @@
   readonly duties: Pick<DutyRegistry, 'leader'>;
   /** Announces rental requests durably before they are sent; null: they are sent at once. */
   readonly journal: RentalJournal | null;
-  readonly shares: number;
+  readonly shardCount: number;
   readonly listLagS: number;
   /** bytes: the largest value that the state service takes, now and later. */
   readonly valueBytes: number;
@@ -42,7 +42,7 @@
   readonly catalog: () => Catalog | null;
   /** The revision of our claim to lead, if we may act on it now. */
   readonly entitled: () => number | null;
-  readonly summaries: () => readonly Summary[];
+  readonly summaries: () => readonly ShardSummary[];
   readonly move: (from: number, moves: readonly Move[], permit: Permit) => Effect.Effect<unknown>;
   readonly now: () => number;
   /** ms since the epoch. */
@@ -85,7 +85,7 @@
       machines,
       recorder,
       returner: this.returner,
-      shares: input.shares,
+      shardCount: input.shardCount,
       listLagS: input.listLagS,
       now,
       wall,
@@ -119,7 +119,7 @@
       const record = this.machines.get(machine);
       return {
         machine,
-        share: record?.share ?? 0,
+        shardId: record?.shardId ?? 0,
         reason: record?.release?.reason ?? null,
         token: record?.release?.token ?? null,
       };
@@ -178,23 +178,25 @@
   });
 
   /** Shares whose summaries don't show yet what was rented or found for them. */
-  private sharesBehind(summaries: readonly Summary[]): ReadonlySet<number> {
-    const behind = new Set(this.adopting.shares());
-    for (const { share, revision } of summaries) if (!this.recorder.knows(share, revision)) behind.add(share);
+  private shardsBehind(summaries: readonly ShardSummary[]): ReadonlySet<number> {
+    const behind = new Set(this.adopting.shardIds());
+    for (const { shardId, revision } of summaries)
+      if (!this.recorder.knows(shardId, revision)) behind.add(shardId);
     return behind;
   }
 
-  private forgetArrived(summaries: readonly Summary[]): void {
+  private forgetArrived(summaries: readonly ShardSummary[]): void {
     const now = this.input.now();
     for (const [id, { move, at }] of this.moving) {
       const item = this.input.cache.get(machineKey(id));
-      const shown = summaries.find((summary) => summary.share === move.to)?.revision ?? 0;
-      const arrived = item !== undefined && this.machines.get(id)?.share === move.to && shown >= item.version;
+      const shown = summaries.find((summary) => summary.shardId === move.to)?.revision ?? 0;
+      const arrived =
+        item !== undefined && this.machines.get(id)?.shardId === move.to && shown >= item.version;
       if (arrived || now - at > MOVE_CONFIRMATION_TIMEOUT_MS) this.moving.delete(id);
     }
   }
 
-  private plan(catalog: Catalog, summaries: readonly Summary[]): readonly Step[] {
+  private plan(catalog: Catalog, summaries: readonly ShardSummary[]): readonly Step[] {
     const now = this.input.now();
     const before = this.holds.map((hold) => ({ ...hold, ageMs: hold.ageMs + now - this.plannedAt }));
     const { steps, holds: planned } = planSteps({
@@ -203,14 +205,14 @@
       refused: (type, zone, spot) => this.refusals.holds(kindKey(type, zone, spot)),
       machines: (type, zone, spot) => this.machines.ofKind(type, zone, spot),
       holds: before,
-      behind: this.sharesBehind(summaries),
+      behind: this.shardsBehind(summaries),
       moving: [...this.moving.values()].map(({ move }) => move),
     });
     // A share that is not to be heard for a moment does not lose what was gathered for it.
     const unheard = before.filter(
       (hold) =>
         hold.ageMs < MAX_RESERVATION_AGE_MS &&
-        !summaries.some((summary) => summary.share === hold.share) &&
+        !summaries.some((summary) => summary.shardId === hold.shardId) &&
         !planned.some((other) => other.zone === hold.zone),
     );
     this.reserve([...planned, ...unheard]);
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -7,19 +7,19 @@
 export const kindKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
 /** Machines of each share by type, zone and kind. */
-export class ShareCounts {
+export class ShardMachineCounts {
   private readonly counts = new Map<string, number>();
 
   add(record: MachineRecord, change: 1 | -1): void {
-    const { share, type, zone, spot } = record;
-    for (const key of [`${share}|${type}|${spot}`, `${share}|${kindKey(type, zone, spot)}`])
+    const { shardId, type, zone, spot } = record;
+    for (const key of [`${shardId}|${type}|${spot}`, `${shardId}|${kindKey(type, zone, spot)}`])
       this.counts.set(key, (this.counts.get(key) ?? 0) + change);
   }
 
   /** How many machines of this type and kind the share has; those of the zone count a little more. */
-  weight(share: number, type: string, zone: string, spot: boolean): number {
-    const all = this.counts.get(`${share}|${type}|${spot}`) ?? 0;
-    const inZone = this.counts.get(`${share}|${kindKey(type, zone, spot)}`) ?? 0;
+  weight(shardId: number, type: string, zone: string, spot: boolean): number {
+    const all = this.counts.get(`${shardId}|${type}|${spot}`) ?? 0;
+    const inZone = this.counts.get(`${shardId}|${kindKey(type, zone, spot)}`) ?? 0;
     return all + inZone * SAME_ZONE_WEIGHT;
   }
 
@@ -35,7 +35,7 @@
 export class MachineIndex {
   private readonly records = new Map<string, MachineRecord>();
   private readonly byKind = new Map<string, number>();
-  readonly shares = new ShareCounts();
+  readonly shards = new ShardMachineCounts();
   /** Machines that their holders want released. */
   readonly releasing = new Set<string>();
 
@@ -54,7 +54,7 @@
 
   private count(id: string, record: MachineRecord, change: 1 | -1): void {
     const { type, zone, spot, releasing } = record;
-    this.shares.add(record, change);
+    this.shards.add(record, change);
     if (releasing && change === 1) this.releasing.add(id);
     else this.releasing.delete(id);
     if (releasing) return;
--- a/src/fleet/machine-recorder.ts
+++ b/src/fleet/machine-recorder.ts
@@ -30,13 +30,13 @@
         'bind',
       );
       if (result._tag === 'committed')
-        for (const [, record] of machines) this.recordedAt.set(record.share, result.revision);
+        for (const [, record] of machines) this.recordedAt.set(record.shardId, result.revision);
       return result._tag;
     });
   }
 
   /** Does a summary of this revision know of all machines that were recorded for the share? */
-  knows(share: number, revision: number): boolean {
-    return revision >= (this.recordedAt.get(share) ?? 0);
+  knows(shardId: number, revision: number): boolean {
+    return revision >= (this.recordedAt.get(shardId) ?? 0);
   }
 }
--- a/src/fleet/records.ts
+++ b/src/fleet/records.ts
@@ -6,7 +6,7 @@
 
 /** The durable record of a machine: which share it belongs to. Its revision takes part in the worker's token. */
 export interface MachineRecord {
-  readonly share: number;
+  readonly shardId: number;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -25,14 +25,14 @@
 
 /** The record of a machine that nobody has heard of yet. */
 export const newMachineRecord = (
-  share: number,
+  shardId: number,
   kind: Pick<MachineRecord, 'type' | 'zone' | 'spot'>,
   at: number,
-): MachineRecord => ({ share, ...kind, at, releasing: false, addr: '', session: 0 });
+): MachineRecord => ({ shardId, ...kind, at, releasing: false, addr: '', session: 0 });
 
 /** Writes a machine record as it is stored. */
 export const writeMachineRecord = (record: MachineRecord): unknown => ({
-  s: record.share,
+  s: record.shardId,
   b: record.type,
   z: record.zone,
   p: record.spot,
@@ -59,7 +59,7 @@
     k?: number;
   };
   return {
-    share: raw.s,
+    shardId: raw.s,
     type: raw.b,
     zone: raw.z,
     spot: raw.p,
@@ -86,7 +86,7 @@
  * whichever share, goes to the gang's share and is left alone by work of its priority and below.
  */
 export interface Reservation {
-  readonly share: number;
+  readonly shardId: number;
   readonly job: string;
   readonly zone: string;
   readonly spot: boolean;
@@ -146,8 +146,8 @@
 }
 
 /** What the holder of a share tells the leader. */
-export interface Summary {
-  readonly share: number;
+export interface ShardSummary {
+  readonly shardId: number;
   readonly claim: number;
   /** Revision of the shared keys that this summary reflects. */
   readonly revision: number;
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -63,7 +63,7 @@
   type: intent.machineType,
   zone: intent.zone,
   spot: intent.spot,
-  count: intent.shares.length,
+  count: intent.shardIds.length,
 });
 
 /** Rents machines: one request a kind at a time, each under a name that is never used for another. */
@@ -97,7 +97,7 @@
       machineType: step.type,
       zone: step.zone,
       spot: step.spot,
-      shares: Array.from({ length: step.count }, (_, index) => step.shares[index] ?? 0),
+      shardIds: Array.from({ length: step.count }, (_, index) => step.shardIds[index] ?? 0),
       at: this.input.wall(),
     };
   }
@@ -133,8 +133,8 @@
           type: intent.machineType,
           zone: intent.zone,
           spot: intent.spot,
-          count: intent.shares.length,
-          shares: intent.shares.join(),
+          count: intent.shardIds.length,
+          shards: intent.shardIds.join(),
           result: result._tag,
           got: result._tag === 'rented' ? machines : undefined,
         });
@@ -147,7 +147,7 @@
     const { refusals } = this.input;
     switch (result._tag) {
       case 'rented':
-        if (result.machines.length < intent.shares.length) refusals.refused(kind);
+        if (result.machines.length < intent.shardIds.length) refusals.refused(kind);
         else refusals.lift(kind);
         return;
       case 'noCapacity':
@@ -167,7 +167,7 @@
       const at = this.input.wall();
       const made = machines.map((id, index): NewMachine => [
         id,
-        newMachineRecord(intent.shares[index] ?? 0, kindOf(intent), at),
+        newMachineRecord(intent.shardIds[index] ?? 0, kindOf(intent), at),
       ]);
       while (made.length > 0) {
         const batch = made.splice(0, this.input.store.batchOps);
@@ -214,8 +214,8 @@
       if (result._tag !== 'rented') return 'abandoned';
       // Some may have been recorded by the earlier leader: the queue leaves out those that are known.
       result.machines.forEach((id, index) => {
-        const share = intent.shares[index] ?? 0;
-        this.input.adopting.add(id, newMachineRecord(share, kindOf(intent), intent.at));
+        const shardId = intent.shardIds[index] ?? 0;
+        this.input.adopting.add(id, newMachineRecord(shardId, kindOf(intent), intent.at));
       });
       return 'repeated by successor';
     });
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -2,7 +2,7 @@
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import { howMany, typeAllowed, type Catalog, type Demand, type MachineType } from '../jobs/model.js';
-import type { Reservation, UnmetDemand, Summary, WaitingGang } from './records.js';
+import type { Reservation, UnmetDemand, ShardSummary, WaitingGang } from './records.js';
 
 /** What the leader does about the shares' needs: first free machines of other shares, then new ones. */
 export type Step =
@@ -10,7 +10,7 @@
   | {
       readonly _tag: 'rent';
       /** The share that each machine is for. */
-      readonly shares: readonly number[];
+      readonly shardIds: readonly number[];
       readonly type: string;
       readonly zone: string;
       readonly spot: boolean;
@@ -19,7 +19,7 @@
 
 /** Everything that the plan of a round looks at. */
 export interface PlanInput {
-  readonly summaries: readonly Summary[];
+  readonly summaries: readonly ShardSummary[];
   readonly catalog: Catalog;
   /** No capacity was found there lately. */
   readonly refused: (type: string, zone: string, spot: boolean) => boolean;
@@ -62,7 +62,7 @@
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  readonly free: { id: string; share: number }[];
+  readonly free: { id: string; shardId: number }[];
   /** Free machines beyond those that each share names. */
   readonly unlisted: Map<number, number>;
 }
@@ -115,8 +115,8 @@
   };
   for (const summary of input.summaries) {
     for (const spare of summary.spares)
-      if (!moving.has(spare.id)) poolOf(spare)?.free.push({ id: spare.id, share: summary.share });
-    for (const kind of summary.unlisted ?? []) poolOf(kind)?.unlisted.set(summary.share, kind.count);
+      if (!moving.has(spare.id)) poolOf(spare)?.free.push({ id: spare.id, shardId: summary.shardId });
+    for (const kind of summary.unlisted ?? []) poolOf(kind)?.unlisted.set(summary.shardId, kind.count);
   }
   const list = [...pools].sort(([a], [b]) => (a < b ? -1 : 1)).map(([, pool]) => pool);
   for (const pool of list) pool.free.sort((a, b) => (a.id < b.id ? -1 : 1));
@@ -132,12 +132,12 @@
 
 const holdOf = (
   need: UnmetDemand,
-  share: number,
+  shardId: number,
   gang: WaitingGang,
   zone: string,
   before: Reservation | undefined,
 ): Reservation => ({
-  share,
+  shardId,
   job: gang.job,
   zone,
   spot: need.spot,
@@ -168,32 +168,32 @@
   }
 
   /** Tasks of the need on free machines of other shares in the zone. A need belongs to one share. */
-  private reach(need: UnmetDemand, share: number, zone: string): number {
+  private reach(need: UnmetDemand, shardId: number, zone: string): number {
     let zones = this.reached.get(need);
     if (!zones) this.reached.set(need, (zones = new Map<string, number>()));
     let room = zones.get(zone);
-    if (room === undefined) zones.set(zone, (room = this.countReach(need, share, zone)));
+    if (room === undefined) zones.set(zone, (room = this.countReach(need, shardId, zone)));
     return room;
   }
 
-  private countReach(need: UnmetDemand, share: number, zone: string): number {
+  private countReach(need: UnmetDemand, shardId: number, zone: string): number {
     let room = 0;
     for (const pool of this.pools) {
       if (pool.zone !== zone) continue;
       const fits = fitsPool(need, need.tasks, pool);
       if (fits === 0) continue;
-      room += fits * pool.free.filter((machine) => machine.share !== share).length;
-      for (const [holder, count] of pool.unlisted) if (holder !== share) room += fits * count;
+      room += fits * pool.free.filter((machine) => machine.shardId !== shardId).length;
+      for (const [holder, count] of pool.unlisted) if (holder !== shardId) room += fits * count;
     }
     return room;
   }
 
   /** Counts on free machines that other shares have without naming them: they are named, and move, in the next rounds. */
-  private countUnlisted(pool: Pool, fits: number, share: number, missing: number): number {
+  private countUnlisted(pool: Pool, fits: number, shardId: number, missing: number): number {
     let left = missing;
     for (const [holder, count] of pool.unlisted) {
       if (left <= 0) break;
-      if (holder === share || count === 0) continue;
+      if (holder === shardId || count === 0) continue;
       const used = Math.min(count, Math.ceil(left / fits));
       pool.unlisted.set(holder, count - used);
       this.reached.clear();
@@ -203,26 +203,26 @@
   }
 
   /** Moves free machines of other shares until nothing is missing or none is left; what is missing then. */
-  private gather(need: UnmetDemand, share: number, zone: string | null, missing: number): number {
+  private gather(need: UnmetDemand, shardId: number, zone: string | null, missing: number): number {
     let left = missing;
     for (const pool of this.pools) {
       if (left <= 0) break;
       if (zone !== null && pool.zone !== zone) continue;
       const fits = fitsPool(need, need.tasks, pool);
       if (fits === 0) continue;
-      for (const machine of pool.free.filter((candidate) => candidate.share !== share)) {
+      for (const machine of pool.free.filter((candidate) => candidate.shardId !== shardId)) {
         if (left <= 0) break;
         pool.free.splice(pool.free.indexOf(machine), 1);
         this.reached.clear();
-        this.steps.push({ _tag: 'move', machine: machine.id, from: machine.share, to: share });
+        this.steps.push({ _tag: 'move', machine: machine.id, from: machine.shardId, to: shardId });
         left -= fits;
       }
-      left = this.countUnlisted(pool, fits, share, left);
+      left = this.countUnlisted(pool, fits, shardId, left);
     }
     return left;
   }
 
-  private rent(need: UnmetDemand, share: number, zone: string | null, missing: number): void {
+  private rent(need: UnmetDemand, shardId: number, zone: string | null, missing: number): void {
     for (const offer of this.offersOf(need)) {
       if (zone !== null && offer.zone !== zone) continue;
       // An ordinary machine for work that could use spot is worth its price only when filled.
@@ -234,7 +234,7 @@
       if (count === 0) continue;
       this.steps.push({
         _tag: 'rent',
-        shares: Array.from({ length: count }, () => share),
+        shardIds: Array.from({ length: count }, () => shardId),
         type: offer.type.name,
         zone: offer.zone,
         spot: offer.spot,
@@ -259,51 +259,51 @@
   /** A one-zone gang needs its machines in one zone: complete the zone that lacks least, or begin a hold. */
   private oneZoneGang(
     need: UnmetDemand,
-    share: number,
+    shardId: number,
     gang: WaitingGang,
     room: Record<string, number>,
   ): void {
-    const held = this.input.holds.find((hold) => hold.share === share && hold.job === gang.job);
+    const held = this.input.holds.find((hold) => hold.shardId === shardId && hold.job === gang.job);
     const rentable = new Set(this.offersOf(need).map((offer) => offer.zone));
     const zones = new Set([...rentable, ...Object.keys(room), ...this.pools.map((pool) => pool.zone)]);
     let best: { zone: string; lack: number } | null = null;
     for (const zone of [...zones].sort()) {
       if (need.zone !== null && need.zone !== zone) continue;
       if (this.holds.some((hold) => hold.zone === zone && hold.job !== gang.job)) continue;
-      const lack = gang.tasks - (room[zone] ?? 0) - this.reach(need, share, zone);
+      const lack = gang.tasks - (room[zone] ?? 0) - this.reach(need, shardId, zone);
       if (lack > 0 && !rentable.has(zone)) continue;
       if (!best || lack < best.lack) best = { zone, lack };
     }
-    if (held && this.input.behind.has(share)) {
-      this.hold(need, share, gang, room, zones, held);
+    if (held && this.input.behind.has(shardId)) {
+      this.hold(need, shardId, gang, room, zones, held);
       return;
     }
-    if (this.input.behind.has(share)) return;
+    if (this.input.behind.has(shardId)) return;
     if (!best) {
-      this.hold(need, share, gang, room, zones, held);
+      this.hold(need, shardId, gang, room, zones, held);
       return;
     }
     const have = Math.min(gang.tasks, Math.max(0, room[best.zone] ?? 0));
     room[best.zone] = (room[best.zone] ?? 0) - have;
     const before = gang.tasks - have;
-    const missing = this.gather(need, share, best.zone, before);
-    if (missing > 0) this.rent(need, share, best.zone, missing);
+    const missing = this.gather(need, shardId, best.zone, before);
+    if (missing > 0) this.rent(need, shardId, best.zone, missing);
     // What is on its way to the gang's share must not be taken there by others before the last one arrives.
     else if (gang.tasks > 1 && (before > 0 || held))
-      this.holds.push(holdOf(need, share, gang, best.zone, held));
+      this.holds.push(holdOf(need, shardId, gang, best.zone, held));
   }
 
   /** Work that needs no one zone, and yet has not begun since gangs are gathered for all the time. */
-  private starving(need: UnmetDemand, share: number, gang: WaitingGang): void {
+  private starving(need: UnmetDemand, shardId: number, gang: WaitingGang): void {
     if (gang.waitedMs < gang.patienceMs || need.gang) return;
-    const held = this.input.holds.find((hold) => hold.share === share && hold.job === gang.job);
-    this.hold(need, share, gang, {}, new Set(), held);
+    const held = this.input.holds.find((hold) => hold.shardId === shardId && hold.job === gang.job);
+    this.hold(need, shardId, gang, {}, new Set(), held);
   }
 
   /** One a zone, so that two never block each other; bounded in time. */
   private hold(
     need: UnmetDemand,
-    share: number,
+    shardId: number,
     gang: WaitingGang,
     room: Record<string, number>,
     zones: ReadonlySet<string>,
@@ -321,7 +321,7 @@
       const everywhere = [...new Set([...zones, ...known])].sort();
       for (const name of everywhere) {
         if (!open(name)) continue;
-        const lack = gang.tasks - (room[name] ?? 0) - this.reach(need, share, name);
+        const lack = gang.tasks - (room[name] ?? 0) - this.reach(need, shardId, name);
         if (lack < least) {
           least = lack;
           zone = name;
@@ -329,33 +329,33 @@
       }
     }
     if (zone === null) return;
-    this.holds.push(holdOf(need, share, gang, zone, held));
+    this.holds.push(holdOf(need, shardId, gang, zone, held));
     const have = Math.min(gang.tasks, Math.max(0, room[zone] ?? 0));
     room[zone] = (room[zone] ?? 0) - have;
-    this.gather(need, share, zone, gang.tasks - have);
+    this.gather(need, shardId, zone, gang.tasks - have);
   }
 
   run(): Plan {
-    const wanted: { share: number; need: UnmetDemand; gang: WaitingGang | null; waitedMs: number }[] = [];
+    const wanted: { shardId: number; need: UnmetDemand; gang: WaitingGang | null; waitedMs: number }[] = [];
     const rooms = new Map<UnmetDemand, Record<string, number>>();
     for (const summary of this.input.summaries) {
       for (const need of summary.needs) {
         const room = { ...need.room };
         for (const machine of this.input.moving) {
           const type = this.input.catalog.get(machine.type);
-          if (machine.to === summary.share && type)
+          if (machine.to === summary.shardId && type)
             room[machine.zone] = (room[machine.zone] ?? 0) + fitsPool(need, need.tasks, { ...machine, type });
         }
         rooms.set(need, room);
         if (need.gang && need.oneZone)
           for (const gang of need.gangs)
-            wanted.push({ share: summary.share, need, gang, waitedMs: gang.waitedMs });
+            wanted.push({ shardId: summary.shardId, need, gang, waitedMs: gang.waitedMs });
         else {
-          wanted.push({ share: summary.share, need, gang: null, waitedMs: need.waitedMs });
+          wanted.push({ shardId: summary.shardId, need, gang: null, waitedMs: need.waitedMs });
           // Of these one machine will do for a start.
           for (const job of need.gangs)
             wanted.push({
-              share: summary.share,
+              shardId: summary.shardId,
               need,
               gang: need.gang ? job : { ...job, tasks: 1 },
               waitedMs: job.waitedMs,
@@ -370,12 +370,12 @@
       (a, b) =>
         b.need.priority - a.need.priority || holding(b.gang) - holding(a.gang) || b.waitedMs - a.waitedMs,
     );
-    for (const { share, need, gang } of wanted) {
-      if (gang && need.oneZone && need.gang) this.oneZoneGang(need, share, gang, rooms.get(need) ?? {});
-      else if (gang) this.starving(need, share, gang);
-      else if (!this.input.behind.has(share)) {
-        const missing = this.gather(need, share, null, need.tasks);
-        if (missing > 0) this.rent(need, share, null, missing);
+    for (const { shardId, need, gang } of wanted) {
+      if (gang && need.oneZone && need.gang) this.oneZoneGang(need, shardId, gang, rooms.get(need) ?? {});
+      else if (gang) this.starving(need, shardId, gang);
+      else if (!this.input.behind.has(shardId)) {
+        const missing = this.gather(need, shardId, null, need.tasks);
+        if (missing > 0) this.rent(need, shardId, null, missing);
       }
     }
     return { steps: merge(this.steps), holds: this.holds };
@@ -409,8 +409,11 @@
     }
     const key = `${step.type}|${step.zone}|${step.spot}`;
     const known = rents.get(key);
-    const shares = [...(known?.shares ?? []), ...step.shares].slice(0, MAX_MACHINES_PER_PROVISIONING_REQUEST);
-    rents.set(key, { ...step, shares, count: shares.length });
+    const shardIds = [...(known?.shardIds ?? []), ...step.shardIds].slice(
+      0,
+      MAX_MACHINES_PER_PROVISIONING_REQUEST,
+    );
+    rents.set(key, { ...step, shardIds, count: shardIds.length });
   }
   return [...out, ...rents.values()];
 };
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -11,7 +11,7 @@
 /** A change of the shared keys. */
 export type Change =
   /** `revision` is null when nobody holds the slot any more. */
-  | { readonly _tag: 'claimChanged'; readonly slot: string; readonly revision: number | null }
+  | { readonly _tag: 'claimChanged'; readonly claimName: string; readonly revision: number | null }
   | {
       readonly _tag: 'machineChanged';
       readonly machine: string;
@@ -29,8 +29,8 @@
   /** A part of the list of jobs that this one depends on was written. */
   | { readonly _tag: 'dependencyListChanged'; readonly job: string }
   /** `value` is read by the relay, whose layout it has. */
-  | { readonly _tag: 'summaryRelayed'; readonly shard: number; readonly value: unknown }
-  | { readonly _tag: 'ordersRelayed'; readonly shard: number; readonly value: unknown }
+  | { readonly _tag: 'summaryRelayed'; readonly shardId: number; readonly value: unknown }
+  | { readonly _tag: 'ordersRelayed'; readonly shardId: number; readonly value: unknown }
   /** A key that nobody follows, or the end of one that matters only while it exists. */
   | { readonly _tag: 'other' };
 
@@ -40,7 +40,7 @@
   const parsed = parseSharedKey(key);
   switch (parsed._tag) {
     case 'claim':
-      return { _tag: 'claimChanged', slot: parsed.slot, revision: version };
+      return { _tag: 'claimChanged', claimName: parsed.claimName, revision: version };
     case 'machine':
       return { _tag: 'machineChanged', machine: parsed.machine, record: readMachineRecord(value), version };
     case 'job':
@@ -48,9 +48,9 @@
     case 'dependencyList':
       return { _tag: 'dependencyListChanged', job: parsed.job };
     case 'summary':
-      return { _tag: 'summaryRelayed', shard: parsed.shard, value };
+      return { _tag: 'summaryRelayed', shardId: parsed.shardId, value };
     case 'orders':
-      return { _tag: 'ordersRelayed', shard: parsed.shard, value };
+      return { _tag: 'ordersRelayed', shardId: parsed.shardId, value };
     case 'other':
       return OTHER_CHANGE;
   }
@@ -60,7 +60,7 @@
   const parsed = parseSharedKey(key);
   switch (parsed._tag) {
     case 'claim':
-      return { _tag: 'claimChanged', slot: parsed.slot, revision: null };
+      return { _tag: 'claimChanged', claimName: parsed.claimName, revision: null };
     case 'machine':
       return { _tag: 'machineRemoved', machine: parsed.machine };
     case 'job':
--- a/src/kv-store/keys.ts
+++ b/src/kv-store/keys.ts
@@ -17,7 +17,7 @@
 const ORDERS_PREFIX = 'w/o/';
 
 /** The claim on a slot. */
-export const claimKey = (slot: string): string => `${CLAIM_PREFIX}${slot}`;
+export const claimKey = (claimName: string): string => `${CLAIM_PREFIX}${claimName}`;
 /** A machine's record. */
 export const machineKey = (id: string): string => `${MACHINE_PREFIX}${id}`;
 /** A job's record. */
@@ -25,11 +25,11 @@
 /** A part of the list of jobs that a job follows, where the list is too long for its record. */
 export const followsKey = (id: string, part: number): string => `${DEPENDENCIES_PREFIX}${id}/${part}`;
 /** The relayed summary of a share. */
-export const summaryKey = (slot: number): string => `${SUMMARY_PREFIX}${slot}`;
+export const summaryKey = (shardId: number): string => `${SUMMARY_PREFIX}${shardId}`;
 /** The relayed orders for a share. */
-export const ordersKey = (slot: number): string => `${ORDERS_PREFIX}${slot}`;
+export const ordersKey = (shardId: number): string => `${ORDERS_PREFIX}${shardId}`;
 /** A holder's durable word that it has seen the shared keys up to a revision. */
-export const markKey = (slot: string): string => `w/k/${slot}`;
+export const markKey = (claimName: string): string => `w/k/${claimName}`;
 /** The protocol version that every node of this deployment is known to understand. */
 export const LEVEL_KEY = 'w/level';
 /** The last known catalog. */
@@ -37,16 +37,16 @@
 /** A part of a catalog that one value cannot hold. */
 export const catalogPartKey = (part: number): string => `w/catalog/${part}`;
 /** All run records of a share. */
-export const runsPrefix = (share: number): string => `r/${share}/`;
+export const runsPrefix = (shardId: number): string => `r/${shardId}/`;
 /** A run record of a job's tasks. */
-export const runKey = (share: number, job: string, chunk: number): string => `r/${share}/${job}/${chunk}`;
+export const runKey = (shardId: number, job: string, chunk: number): string => `r/${shardId}/${job}/${chunk}`;
 /** A part of a run whose record is too long for one value. */
-export const runPartKey = (share: number, job: string, chunk: number, part: number): string =>
-  `${runKey(share, job, chunk)}+${part}`;
+export const runPartKey = (shardId: number, job: string, chunk: number, part: number): string =>
+  `${runKey(shardId, job, chunk)}+${part}`;
 /** Announced rental requests that are not over. Outside the shared keys: only the leader reads them. */
 export const RENTALS_KEY = 'i/rent';
 /** Keys of a share that are marked for removal. */
-export const removalsKey = (share: number): string => `x/${share}`;
+export const removalsKey = (shardId: number): string => `x/${shardId}`;
 /** A job's final record. */
 export const finalKey = (id: string): string => `f/${id}`;
 
@@ -58,25 +58,25 @@
 
 /** A shared key whose changes some subsystem follows. */
 export type SharedKey =
-  | { readonly _tag: 'claim'; readonly slot: string }
+  | { readonly _tag: 'claim'; readonly claimName: string }
   | { readonly _tag: 'machine'; readonly machine: string }
   | { readonly _tag: 'job'; readonly job: string }
   | { readonly _tag: 'dependencyList'; readonly job: string }
-  | { readonly _tag: 'summary'; readonly shard: number }
-  | { readonly _tag: 'orders'; readonly shard: number }
+  | { readonly _tag: 'summary'; readonly shardId: number }
+  | { readonly _tag: 'orders'; readonly shardId: number }
   | { readonly _tag: 'other' };
 
 const OTHER_KEY: SharedKey = { _tag: 'other' };
 
 /** A shard's number as keys and claims write it; null: the text is none. */
 export const parseShard = (text: string): number | null => {
-  const shard = Number(text);
-  return Number.isInteger(shard) && shard >= 0 && String(shard) === text ? shard : null;
+  const shardId = Number(text);
+  return Number.isInteger(shardId) && shardId >= 0 && String(shardId) === text ? shardId : null;
 };
 
 const parseShardKey = (tag: 'summary' | 'orders', text: string): SharedKey => {
-  const shard = parseShard(text);
-  return shard === null ? OTHER_KEY : { _tag: tag, shard };
+  const shardId = parseShard(text);
+  return shardId === null ? OTHER_KEY : { _tag: tag, shardId };
 };
 
 const parseDependenciesKey = (text: string): SharedKey => {
@@ -90,7 +90,7 @@
   const name = key.slice(kind.length);
   switch (kind) {
     case CLAIM_PREFIX:
-      return { _tag: 'claim', slot: name };
+      return { _tag: 'claim', claimName: name };
     case MACHINE_PREFIX:
       return { _tag: 'machine', machine: name };
     case JOB_PREFIX:
--- a/src/peers/heartbeat-codec.ts
+++ b/src/peers/heartbeat-codec.ts
@@ -1,4 +1,4 @@
-import type { Demand, PeerHeartbeat, ShareCounts, TaskCounts } from './heartbeat.js';
+import type { Demand, PeerHeartbeat, ShardMachineCounts, TaskCounts } from './heartbeat.js';
 import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
 import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
 import { isMap, readEntries } from './wire-values.js';
@@ -48,13 +48,13 @@
   changes: wire.changes,
 });
 
-const writeShareCounts = (counts: ShareCounts): WireShareCounts => ({
-  slot: counts.slot,
+const writeShareCounts = (counts: ShardMachineCounts): WireShareCounts => ({
+  slot: counts.shardId,
   jobs: counts.jobs,
 });
 
-const readShareCounts = (wire: WireShareCounts): ShareCounts => ({
-  slot: wire.slot,
+const readShareCounts = (wire: WireShareCounts): ShardMachineCounts => ({
+  shardId: wire.slot,
   jobs: wire.jobs,
 });
 
--- a/src/peers/heartbeat.ts
+++ b/src/peers/heartbeat.ts
@@ -1,4 +1,4 @@
-import type { Reservation, Summary } from '../fleet/records.js';
+import type { Reservation, ShardSummary } from '../fleet/records.js';
 
 /**
  * What controllers tell each other about once a second; `heartbeat-codec.ts` has the form in which it
@@ -15,8 +15,8 @@
 export type TaskCounts = readonly [job: string, done: number, running: number];
 
 /** Task counts of jobs that run in one share, for display at other nodes. */
-export interface ShareCounts {
-  readonly slot: number;
+export interface ShardMachineCounts {
+  readonly shardId: number;
   readonly jobs: readonly TaskCounts[];
 }
 
@@ -29,9 +29,9 @@
   readonly lease: number | null;
   /** ms since the state service last answered this node. */
   readonly stateAgeMs: number;
-  readonly counts: readonly ShareCounts[];
+  readonly counts: readonly ShardMachineCounts[];
   /** In full for the leader; for the others without needs, and with a few spares of each kind. */
-  readonly summaries: readonly Summary[];
+  readonly summaries: readonly ShardSummary[];
   readonly deaf: boolean;
   /** Machines that lately reported here although another node holds their share: by share. */
   readonly strays: Readonly<Record<string, number>>;
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -12,7 +12,7 @@
   PEER_REQUEST_TIMEOUT_MS,
 } from '../constants/peers.js';
 import type { Peer } from '../claims/claim-decisions.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import { parseTarget, type Call, type Caller, type Callers, type Reply } from '../http.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
 import type { Demand, PeerHeartbeat } from './heartbeat.js';
@@ -134,7 +134,7 @@
     return (this.fresh(node)?.level ?? 0) >= level;
   }
 
-  summaries(): readonly Summary[] {
+  summaries(): readonly ShardSummary[] {
     return [...this.clients.keys()].flatMap((node) => this.fresh(node)?.summaries ?? []);
   }
 
@@ -146,26 +146,26 @@
   }
 
   /** What a job's holder said of its tasks with its last heartbeat; null: nothing, or not lately. */
-  counts(slot: number, id: string): { done: number; running: number } | null {
+  counts(shardId: number, id: string): { done: number; running: number } | null {
     const now = this.input.now();
     for (const known of this.known.values()) {
       if (now - known.at > HEARTBEAT_FRESHNESS_MS) continue;
       known.counts ??= new Map(
-        known.heartbeat.counts.map((share) => [
-          share.slot,
-          new Map(share.jobs.map(([job, done, running]) => [job, { done, running }])),
+        known.heartbeat.counts.map((shard) => [
+          shard.shardId,
+          new Map(shard.jobs.map(([job, done, running]) => [job, { done, running }])),
         ]),
       );
-      const found = known.counts.get(slot)?.get(id);
+      const found = known.counts.get(shardId)?.get(id);
       if (found) return found;
     }
     return null;
   }
 
-  strays(share: string): { readonly node: string; readonly count: number } | null {
+  strays(shard: string): { readonly node: string; readonly count: number } | null {
     let best: { node: string; count: number } | null = null;
     for (const node of this.clients.keys()) {
-      const count = this.fresh(node)?.strays[share] ?? 0;
+      const count = this.fresh(node)?.strays[shard] ?? 0;
       if (count > (best?.count ?? 0)) best = { node, count };
     }
     return best;
--- a/src/peers/order-codec.ts
+++ b/src/peers/order-codec.ts
@@ -73,7 +73,7 @@
 /** Writes an order to return machines, under the fencing token of the holder that asks. */
 export const writeReturnOrder = (order: ReturnOrder, token: number): WireReturnOrder => ({
   machines: order.machines,
-  ...(order.share === undefined ? {} : { share: order.share }),
+  ...(order.shardId === undefined ? {} : { share: order.shardId }),
   token,
 });
 
@@ -82,7 +82,7 @@
   const wire = body as WireReturnOrder;
   return {
     machines: wire.machines,
-    ...(wire.share === undefined ? {} : { share: wire.share }),
+    ...(wire.share === undefined ? {} : { shardId: wire.share }),
   };
 };
 
--- a/src/peers/orders.ts
+++ b/src/peers/orders.ts
@@ -14,7 +14,7 @@
 export interface ReturnOrder {
   readonly machines: readonly string[];
   /** The share whose holder asks; earlier versions don't say. */
-  readonly share?: number;
+  readonly shardId?: number;
 }
 
 /** The leader's orders through the state service, to a holder that it can't reach. */
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -68,8 +68,8 @@
 
   private async returnNow(body: unknown): Promise<Reply> {
     const token = readOrderToken(body);
-    const { machines, share } = readReturnOrder(body);
-    const claim = share === undefined ? '' : String(share);
+    const { machines, shardId } = readReturnOrder(body);
+    const claim = shardId === undefined ? '' : String(shardId);
     const refused = refusal(
       this.input.gate.check('reclaim', claim, 'order to return machines at once', token),
     );
--- a/src/peers/relay-codec.ts
+++ b/src/peers/relay-codec.ts
@@ -1,4 +1,4 @@
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import { readMove, writeMove, type WireMove } from './order-codec.js';
 import type { RelayedOrders } from './orders.js';
 import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
@@ -33,5 +33,5 @@
 };
 
 /** Reads a stored summary; null: malformed. */
-export const readRelayedSummary = (value: unknown): Summary | null =>
+export const readRelayedSummary = (value: unknown): ShardSummary | null =>
   isMap(value) ? readSummary(value as WireSummary) : null;
--- a/src/peers/reservation-codec.ts
+++ b/src/peers/reservation-codec.ts
@@ -19,7 +19,7 @@
 
 /** Writes a reservation as it travels. */
 export const writeReservation = (reservation: Reservation): WireReservation => ({
-  share: reservation.share,
+  share: reservation.shardId,
   job: reservation.job,
   zone: reservation.zone,
   spot: reservation.spot,
@@ -34,7 +34,7 @@
 
 /** Reads a reservation. */
 export const readReservation = (wire: WireReservation): Reservation => ({
-  share: wire.share,
+  shardId: wire.share,
   job: wire.job,
   zone: wire.zone,
   spot: wire.spot,
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -8,7 +8,7 @@
   RELAY_FRESHNESS_MS,
   RELAY_INTERVAL_MS,
 } from '../constants/peers.js';
-import type { Reservation, Move, Summary } from '../fleet/records.js';
+import type { Reservation, Move, ShardSummary } from '../fleet/records.js';
 import type { Store } from '../kv-store/client.js';
 import { claimKey, ordersKey, summaryKey } from '../kv-store/keys.js';
 import type { RelayedOrders } from './orders.js';
@@ -28,13 +28,13 @@
   /** The revision of the leader's claim. */
   readonly leaderClaim: () => number | null;
   /** Shares held here whose leader is another node that can't be heard. */
-  readonly cutOff: () => readonly Summary[];
-  readonly give: (slot: number, moves: readonly Move[]) => void;
+  readonly cutOff: () => readonly ShardSummary[];
+  readonly give: (shardId: number, moves: readonly Move[]) => void;
 }
 
 /** Passes summaries and orders through the state service where connections are refused. */
 export class StoreRelay {
-  private readonly heard = new Map<number, { summary: Summary; at: number }>();
+  private readonly heard = new Map<number, { summary: ShardSummary; at: number }>();
   private readonly told = new Map<number, { orders: RelayedOrders; at: number }>();
   private readonly wroteAt = new Map<string, number>();
   private readonly lastSaid = new Map<number, string>();
@@ -42,29 +42,29 @@
   constructor(private readonly input: StoreRelayInput) {}
 
   /** The state service shows a relayed summary. */
-  onSummary(slot: number, value: unknown): void {
+  onSummary(shardId: number, value: unknown): void {
     const summary = readRelayedSummary(value);
-    if (summary !== null) this.heard.set(slot, { summary, at: this.input.now() });
+    if (summary !== null) this.heard.set(shardId, { summary, at: this.input.now() });
   }
 
   /** The state service shows relayed orders; those of a leader that was replaced count for nothing. */
-  onOrders(slot: number, value: unknown): void {
+  onOrders(shardId: number, value: unknown): void {
     const orders = readRelayedOrders(value);
     if (orders === null || orders.leader !== this.input.leaderClaim()) return;
-    this.told.set(slot, { orders, at: this.input.now() });
-    if (orders.moves.length > 0) this.input.give(slot, orders.moves);
+    this.told.set(shardId, { orders, at: this.input.now() });
+    if (orders.moves.length > 0) this.input.give(shardId, orders.moves);
   }
 
   /** What a share's holder last said this way, if that is recent and by this very claim. */
-  summary(slot: number, claim: number): Summary | null {
-    const heard = this.heard.get(slot);
+  summary(shardId: number, claim: number): ShardSummary | null {
+    const heard = this.heard.get(shardId);
     return heard && heard.summary.claim === claim && this.input.now() - heard.at < RELAY_FRESHNESS_MS
       ? heard.summary
       : null;
   }
 
-  holds(slot: number): readonly Reservation[] {
-    const told = this.told.get(slot);
+  holds(shardId: number): readonly Reservation[] {
+    const told = this.told.get(shardId);
     return told && this.input.now() - told.at < RELAY_FRESHNESS_MS ? told.orders.holds : [];
   }
 
@@ -75,16 +75,16 @@
   /**
    * Conditional on the claim of whoever writes: a late copy of a replaced one must not hide what is newer.
    */
-  private write(key: string, value: unknown, slot: string, claim: number): Effect.Effect<unknown> {
+  private write(key: string, value: unknown, claimName: string, claim: number): Effect.Effect<unknown> {
     this.wroteAt.set(key, this.input.now());
-    const when = [{ key: claimKey(slot), version: claim }];
+    const when = [{ key: claimKey(claimName), version: claim }];
     return this.input.store.txn(when, [{ _tag: 'put', key, value }], 'work');
   }
 
   /** The leader's orders for a share whose holder it can't reach. */
-  order(slot: number, moves: readonly Move[], holds: readonly Reservation[]): Effect.Effect<unknown> {
+  order(shardId: number, moves: readonly Move[], holds: readonly Reservation[]): Effect.Effect<unknown> {
     const leader = this.input.leaderClaim();
-    const key = ordersKey(slot);
+    const key = ordersKey(shardId);
     if (leader === null || !this.due(key)) return Effect.void;
     const stored = writeRelayedOrders(this.fittingOrders({ leader, moves, holds }));
     return this.write(key, stored, LEADER, leader);
@@ -114,7 +114,7 @@
   }
 
   /** Halved until it fits: what comes first matters most. */
-  private fitting(summary: Summary): Summary {
+  private fitting(summary: ShardSummary): ShardSummary {
     let fit = summary;
     while (this.tooLong(writeSummary(fit)) && fit.needs.length + fit.spares.length > 0) {
       fit = {
@@ -132,14 +132,15 @@
     for (;;) {
       yield* Effect.sleep(RELAY_CHECK_INTERVAL_MS);
       for (const summary of this.input.cutOff()) {
-        const key = summaryKey(summary.share);
+        const key = summaryKey(summary.shardId);
         if (!this.due(key)) continue;
         const fit = this.fitting(summary);
         // Nothing needed and nothing to spare is said once.
         const said = `${summary.claim}|${fit.needs.length}|${fit.spares.length}`;
-        if (fit.needs.length + fit.spares.length === 0 && this.lastSaid.get(summary.share) === said) continue;
-        this.lastSaid.set(summary.share, said);
-        yield* this.write(key, writeSummary(fit), String(summary.share), summary.claim);
+        if (fit.needs.length + fit.spares.length === 0 && this.lastSaid.get(summary.shardId) === said)
+          continue;
+        this.lastSaid.set(summary.shardId, said);
+        yield* this.write(key, writeSummary(fit), String(summary.shardId), summary.claim);
       }
     }
   });
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -1,4 +1,10 @@
-import type { SpareMachine, Summary, UnlistedSpares, UnmetDemand, WaitingGang } from '../fleet/records.js';
+import type {
+  SpareMachine,
+  ShardSummary,
+  UnlistedSpares,
+  UnmetDemand,
+  WaitingGang,
+} from '../fleet/records.js';
 import { readEntries } from './wire-values.js';
 
 /**
@@ -141,8 +147,8 @@
 });
 
 /** Writes a summary as it travels and is stored. */
-export const writeSummary = (summary: Summary): WireSummary => ({
-  share: summary.share,
+export const writeSummary = (summary: ShardSummary): WireSummary => ({
+  share: summary.shardId,
   claim: summary.claim,
   revision: summary.revision,
   needs: summary.needs.map(writeUnmetDemand),
@@ -151,8 +157,8 @@
 });
 
 /** Reads a summary. */
-export const readSummary = (wire: WireSummary): Summary => ({
-  share: wire.share,
+export const readSummary = (wire: WireSummary): ShardSummary => ({
+  shardId: wire.share,
   claim: wire.claim,
   revision: wire.revision,
   needs: readEntries(wire.needs, readUnmetDemand),
--- a/src/placement/binder.ts
+++ b/src/placement/binder.ts
@@ -1,13 +1,13 @@
 import type { Assignment } from './bin-packing.js';
 import { chunkOf } from './run-records.js';
-import type { ShareState } from './shard-state.js';
-import type { Binding, ShareJob } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+import type { Binding, ShardJob } from './shard-model.js';
 import type { WorkerSessions } from './worker-sessions.js';
 import type { RunWrite, RunWriter } from './run-writer.js';
 
 /** What the binder needs of its share. */
 export interface BinderInput {
-  readonly shareState: ShareState;
+  readonly shardState: ShardState;
   readonly runs: RunWriter;
   readonly sessions: WorkerSessions;
   /** The share's claim is no longer held by this process. */
@@ -21,17 +21,17 @@
   constructor(private readonly input: BinderInput) {}
 
   bindAll(puts: readonly Assignment[]): Promise<unknown> {
-    const byJob = new Map<ShareJob, Binding[]>();
+    const byJob = new Map<ShardJob, Binding[]>();
     for (const put of puts) {
-      const job = this.input.shareState.jobs.get(put.job);
-      const machine = this.input.shareState.machines.get(put.machine);
+      const job = this.input.shardState.jobs.get(put.job);
+      const machine = this.input.shardState.machines.get(put.machine);
       if (!job || !machine) continue;
       let list = byJob.get(job);
       if (!list) {
         job.attempt += 1;
         byJob.set(job, (list = []));
       }
-      list.push(this.input.shareState.bind(job, put.index, job.attempt, machine, { _tag: 'binding' }));
+      list.push(this.input.shardState.bind(job, put.index, job.attempt, machine, { _tag: 'binding' }));
     }
     const commits: Promise<void>[] = [];
     const arrays: { write: RunWrite; bindings: readonly Binding[] }[] = [];
@@ -51,7 +51,7 @@
 
   private async commitBinds(
     entries: readonly { write: RunWrite; bindings: readonly Binding[] }[],
-    gang: ShareJob | null = null,
+    gang: ShardJob | null = null,
   ): Promise<void> {
     const writes = entries.map((entry) => entry.write);
     const committed = gang
@@ -59,8 +59,8 @@
       : await this.input.runs.commitRuns(writes, 'bind');
     const bindings = entries.flatMap((entry) => entry.bindings);
     for (const binding of bindings) {
-      if (committed) this.input.shareState.apply(binding, { _tag: 'durable' });
-      else this.input.shareState.unbind(binding);
+      if (committed) this.input.shardState.apply(binding, { _tag: 'durable' });
+      else this.input.shardState.unbind(binding);
     }
     if (committed && !this.input.lost()) this.input.sessions.sendRuns(bindings);
     this.input.poke();
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -8,7 +8,7 @@
 /** What the transactions need of their share. */
 export interface ClaimTransactionsInput {
   readonly store: Store;
-  readonly slot: number;
+  readonly shardId: number;
   readonly claim: number;
   /** Another holder's claim showed up in a condition. */
   readonly lost: () => void;
@@ -23,7 +23,7 @@
   constructor(private readonly input: ClaimTransactionsInput) {}
 
   private guard(): Condition {
-    return { key: claimKey(String(this.input.slot)), version: this.input.claim };
+    return { key: claimKey(String(this.input.shardId)), version: this.input.claim };
   }
 
   /** Transactions under way are few: each has its time limit, which waiting for a socket would use up. */
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -5,11 +5,11 @@
 import type { Store, Write } from '../kv-store/client.js';
 import { finalKey, followsKey, jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
-import type { ShareJob } from './shard-model.js';
+import type { ShardJob } from './shard-model.js';
 
 /** Jobs whose final records are durable, and runs that are left to clear away. */
 export interface Finished {
-  readonly done: readonly { readonly job: ShareJob; readonly final: FinalRecord }[];
+  readonly done: readonly { readonly job: ShardJob; readonly final: FinalRecord }[];
   readonly leftOver: readonly LeftOver[];
 }
 
@@ -17,7 +17,7 @@
 export interface FinalRecordWriterInput {
   readonly transactions: ClaimTransactions;
   readonly store: Store;
-  readonly slot: number;
+  readonly shardId: number;
   /** ms since the epoch. */
   readonly wall: () => number;
 }
@@ -27,14 +27,14 @@
   constructor(private readonly input: FinalRecordWriterInput) {}
 
   /** How many changes the final record of a job takes, with all its runs. */
-  finalSize(job: ShareJob): number {
+  finalSize(job: ShardJob): number {
     let parts = job.parts;
     for (const chunk of job.chunks.values()) parts += 1 + chunk.parts;
     return 2 + parts;
   }
 
   /** Final records of jobs in one transaction. Returns those that are durable, with runs left to clear away. */
-  async finish(jobs: readonly { readonly job: ShareJob; readonly state: FinalState }[]): Promise<Finished> {
+  async finish(jobs: readonly { readonly job: ShardJob; readonly state: FinalState }[]): Promise<Finished> {
     const first = jobs[0];
     if (!first) return { done: [], leftOver: [] };
     const leftOver: LeftOver[] = [];
@@ -82,14 +82,14 @@
   }
 
   /** Everything that is stored of a job beside its record. */
-  private keysOf(job: ShareJob): readonly LeftOver[] {
+  private keysOf(job: ShardJob): readonly LeftOver[] {
     const runs = [...job.chunks].flatMap(([number, chunk]): readonly LeftOver[] => {
       // The parts of a run are written together with its record. One that was never written has no revision yet.
       const revision = chunk.version === 0 ? null : chunk.version;
       const parts = Array.from({ length: chunk.parts }, (_, part) =>
-        runPartKey(this.input.slot, job.spec.id, number, part),
+        runPartKey(this.input.shardId, job.spec.id, number, part),
       );
-      return [runKey(this.input.slot, job.spec.id, number), ...parts].map((key) => ({
+      return [runKey(this.input.shardId, job.spec.id, number), ...parts].map((key) => ({
         key,
         revision,
         reason: 'job over',
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -4,16 +4,16 @@
 import { log } from '../log.js';
 import type { Store } from '../kv-store/client.js';
 import type { MachineLiveness } from './machine-liveness.js';
-import type { ShareState } from './shard-state.js';
-import { bindingKey, type ShareMachine } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+import { bindingKey, type ShardMachine } from './shard-model.js';
 import type { WorkerSessions } from './worker-sessions.js';
 import type { MachineAssignment, MachineRecordWriter } from './machine-record-writer.js';
 
 /** What the machine lifecycle needs of its share. */
 export interface MachineLifecycleInput {
-  readonly slot: number;
+  readonly shardId: number;
   readonly store: Store;
-  readonly shareState: ShareState;
+  readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
   readonly sessions: WorkerSessions;
   readonly records: MachineRecordWriter;
@@ -40,9 +40,9 @@
     for (const machine of this.input.liveness.watch()) {
       log.info({ event: 'machine.lease_over', machine: machine.id, tasks: machine.bound.size });
       for (const binding of [...machine.bound.values()])
-        this.input.shareState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
+        this.input.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
     }
-    const overdue = this.input.liveness.overdue(this.input.shareState.jobs.values());
+    const overdue = this.input.liveness.overdue(this.input.shardState.jobs.values());
     this.returnNow(overdue.map((machine) => machine.id));
     const release = [
       ...overdue
@@ -52,17 +52,17 @@
         .toRelease(this.input.placing())
         .filter(({ machine }) => !overdue.includes(machine)),
     ];
-    const raise = [...this.input.shareState.machines.values()].filter(
+    const raise = [...this.input.shardState.machines.values()].filter(
       (machine) => machine.raiseToken && !machine.releasing,
     );
     for (const machine of raise) machine.raiseToken = false;
     const records = [
-      ...raise.map((machine): MachineAssignment => ({ machine, share: this.input.slot })),
+      ...raise.map((machine): MachineAssignment => ({ machine, shardId: this.input.shardId })),
       ...release
         .filter(({ machine }) => !raise.includes(machine))
         .map(({ machine, why }): MachineAssignment => {
           log.info({ event: 'machine.release_wanted', machine: machine.id, why });
-          return { machine, share: this.input.slot, release: why };
+          return { machine, shardId: this.input.shardId, release: why };
         }),
     ];
     while (records.length > 0)
@@ -79,21 +79,21 @@
     this.returnAskedAt = now;
     // The request may be carried out late, whatever its answer: nothing new goes there from now on.
     for (const id of machines) {
-      const machine = this.input.shareState.machines.get(id);
+      const machine = this.input.shardState.machines.get(id);
       if (machine) machine.cordoned = true;
     }
     void this.input.returnNow(machines).then((returned) => {
       if (this.input.lost() || !returned) return;
       for (const id of machines) {
-        const machine = this.input.shareState.machines.get(id);
+        const machine = this.input.shardState.machines.get(id);
         for (const binding of [...(machine?.bound.values() ?? [])])
-          this.input.shareState.apply(binding, { _tag: 'lost', how: { _tag: 'released' } });
+          this.input.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'released' } });
       }
     });
   }
 
   /** Free for another share: nothing on it but exits that are settled, which any holder may have forgotten. */
-  movable(machine: ShareMachine): boolean {
+  movable(machine: ShardMachine): boolean {
     return (
       !machine.releasing &&
       !machine.cordoned &&
@@ -112,14 +112,14 @@
   async give(moves: readonly Move[]): Promise<boolean> {
     if (!this.input.placing()) return false;
     const records = moves.flatMap(({ machine: id, to }) => {
-      const machine = this.input.shareState.machines.get(id);
-      return machine && this.movable(machine) ? [{ machine, share: to }] : [];
+      const machine = this.input.shardState.machines.get(id);
+      return machine && this.movable(machine) ? [{ machine, shardId: to }] : [];
     });
     if (records.length === 0) return false;
     log.info({
       event: 'machine.move',
-      from: this.input.slot,
-      moves: records.map(({ machine, share }) => `${machine.id}>${share}`),
+      from: this.input.shardId,
+      moves: records.map(({ machine, shardId }) => `${machine.id}>${shardId}`),
     });
     const batches: Promise<boolean>[] = [];
     while (records.length > 0)
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -20,12 +20,12 @@
 } from '../constants/machines.js';
 import { TAKEOVER_WAIT_REPORT_INTERVALS } from '../constants/placement.js';
 import type { Catalog } from '../jobs/model.js';
-import type { ShareJob, ShareMachine } from './shard-model.js';
+import type { ShardJob, ShardMachine } from './shard-model.js';
 
 /** What may be said of a share's machines from when they reported. Pure but for the clocks handed in, which walks over all
  *  machines read once. */
 export interface MachineLivenessInput {
-  readonly machines: ReadonlyMap<string, ShareMachine>;
+  readonly machines: ReadonlyMap<string, ShardMachine>;
   readonly catalog: () => Catalog | null;
   readonly workers: { readonly lease_s: number; readonly report_s: number; readonly cancel_s: number };
   /** Some class misses every start target if a machine of this type has to be booted for it. */
@@ -36,7 +36,7 @@
 
 /** A machine that is to go back to the cloud. */
 export interface MachineToRelease {
-  readonly machine: ShareMachine;
+  readonly machine: ShardMachine;
   readonly why: string;
 }
 
@@ -70,12 +70,12 @@
     this.leaseMs = input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
-  private bootS(machine: ShareMachine, unknown: number): number {
+  private bootS(machine: ShardMachine, unknown: number): number {
     return this.input.catalog()?.get(machine.type)?.bootS ?? unknown;
   }
 
   /** Never heard, and young enough that it may still come up. */
-  booting(machine: ShareMachine, wall = this.input.wall()): boolean {
+  booting(machine: ShardMachine, wall = this.input.wall()): boolean {
     return (
       machine.answeredAt === null &&
       machine.bound.size === 0 &&
@@ -85,7 +85,7 @@
   }
 
   /** Still within the time in which a machine usually comes up: its room counts as coming. */
-  expected(machine: ShareMachine, now: number, wall: number): boolean {
+  expected(machine: ShardMachine, now: number, wall: number): boolean {
     // It came from another share, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
       return now - machine.takenAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
@@ -95,18 +95,18 @@
     );
   }
 
-  silent(machine: ShareMachine, now: number): boolean {
+  silent(machine: ShardMachine, now: number): boolean {
     const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.takenAt);
     return now - from > this.leaseMs;
   }
 
-  live(machine: ShareMachine, now: number): boolean {
+  live(machine: ShardMachine, now: number): boolean {
     return (
       machine.confirmedToken !== 0 && now - (machine.answeredAt ?? 0) < this.leaseMs * LIVE_LEASE_FRACTION
     );
   }
 
-  idle(machine: ShareMachine): boolean {
+  idle(machine: ShardMachine): boolean {
     return (
       machine.confirmedToken !== 0 &&
       machine.bound.size === 0 &&
@@ -140,9 +140,9 @@
    * Machines on which a task of a cancelled job is still not proven gone, late enough that only the cloud can end it in
    * time: one that hangs may come back within its lease, and each new holder would wait for that lease anew.
    */
-  overdue(jobs: Iterable<ShareJob>): readonly ShareMachine[] {
+  overdue(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
     const wall = this.input.wall();
-    const late = new Set<ShareMachine>();
+    const late = new Set<ShardMachine>();
     for (const job of jobs) {
       if (job.cancelledAt === null || wall - job.cancelledAt < this.returnMs) continue;
       for (const binding of job.bindings.values()) {
@@ -154,7 +154,7 @@
   }
 
   /** ms: how long an idle machine is kept; `rank` counts the machines of its kind that have been idle for longer. */
-  private idleHoldMs(machine: ShareMachine, rank: number): number {
+  private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
       !machine.spot && this.input.bootBound(machine.type)
         ? BOOT_BOUND_IDLE_HOLD_BOOT_TIMES
@@ -168,7 +168,7 @@
   toRelease(placing: boolean): readonly MachineToRelease[] {
     const now = this.input.now();
     const list: MachineToRelease[] = [];
-    const idle = new Map<string, ShareMachine[]>();
+    const idle = new Map<string, ShardMachine[]>();
     const hearing = this.judgeHearing(now);
     for (const machine of this.input.machines.values()) {
       if (machine.releasing) continue;
@@ -203,7 +203,7 @@
   }
 
   /** Why a machine is to be released whatever else there is to do; null: it is not. */
-  private releaseReason(machine: ShareMachine, now: number, hearing: Hearing): string | null {
+  private releaseReason(machine: ShardMachine, now: number, hearing: Hearing): string | null {
     // Its return was asked for while nothing could be written: the request may still be carried out.
     if (machine.cordoned) return 'return was asked for';
     if (machine.answeredAt === null)
@@ -230,7 +230,7 @@
    * Holding an idle machine for about what a new one costs to bring up bounds the regret either way. That is
    * for the next gang or two; of many idle machines, those that have been so longest go sooner.
    */
-  private idleTooLong(group: readonly ShareMachine[], now: number): readonly MachineToRelease[] {
+  private idleTooLong(group: readonly ShardMachine[], now: number): readonly MachineToRelease[] {
     return [...group]
       .sort((a, b) => (b.idleSince ?? 0) - (a.idleSince ?? 0))
       .filter((machine, rank) => now - (machine.idleSince ?? now) > this.idleHoldMs(machine, rank))
@@ -238,9 +238,9 @@
   }
 
   /** Bookkeeping of what only time changes; returns the machines whose lease is over with tasks bound. */
-  watch(): readonly ShareMachine[] {
+  watch(): readonly ShardMachine[] {
     const now = this.input.now();
-    const over: ShareMachine[] = [];
+    const over: ShardMachine[] = [];
     const catalog = this.input.catalog();
     for (const machine of this.input.machines.values()) {
       const type = catalog?.get(machine.type);
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -7,12 +7,12 @@
 import { machineKey } from '../kv-store/keys.js';
 import type { Rank } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
-import type { ShareMachine } from './shard-model.js';
+import type { ShardMachine } from './shard-model.js';
 
 /** What a machine's record is to say. */
 export interface MachineAssignment {
-  readonly machine: ShareMachine;
-  readonly share: number;
+  readonly machine: ShardMachine;
+  readonly shardId: number;
   /** Why it is to be released; none: it stays in use. */
   readonly release?: string;
 }
@@ -58,11 +58,11 @@
     );
     const result = await this.input.transactions.commit(
       sent.map(({ machine, version }) => ({ key: machineKey(machine.id), version })),
-      sent.map(({ machine, share, release }) => ({
+      sent.map(({ machine, shardId, release }) => ({
         _tag: 'put',
         key: machineKey(machine.id),
         value: writeMachineRecord({
-          share,
+          shardId,
           type: machine.type,
           zone: machine.zone,
           spot: machine.spot,
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -43,7 +43,7 @@
 /** What the removal in two steps needs of its share. */
 export interface MarkedRemovalInput {
   readonly store: Store;
-  readonly slot: number;
+  readonly shardId: number;
   readonly claim: number;
   readonly duty: Duty;
   /** bytes: the largest value that the state service takes, now and later. */
@@ -59,9 +59,9 @@
   private readonly remover: Remover;
 
   constructor(private readonly input: MarkedRemovalInput) {
-    const { store, slot, duty } = input;
+    const { store, shardId, duty } = input;
     this.remover = new Remover({
-      value: fencedValue(store, removalsKey(slot), String(slot), 'work'),
+      value: fencedValue(store, removalsKey(shardId), String(shardId), 'work'),
       begin: () => duty.begin('removal of left-over state'),
       inUse: (key) => this.inUse(key),
       // The book of removals is one more change.
@@ -93,7 +93,7 @@
     if (keys.length === 0) return;
     log.info({
       event: 'state.removed',
-      share: this.input.slot,
+      shardId: this.input.shardId,
       claim: this.input.claim,
       keys: keys.map(({ key, reason, token }) => ({ key, reason, markedUnder: token })),
     });
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -17,15 +17,15 @@
   type Demand,
   type JobSpec,
 } from '../jobs/model.js';
-import type { ShareState } from './shard-state.js';
+import type { ShardState } from './shard-state.js';
 import type { MachineLiveness } from './machine-liveness.js';
 import { order, type PlacementRequest, type AvailableCapacity, type Usage } from './bin-packing.js';
-import { bindingKey, isFinished, type Free, type ShareJob, type ShareMachine } from './shard-model.js';
+import { bindingKey, isFinished, type Free, type ShardJob, type ShardMachine } from './shard-model.js';
 import { tier, urgency, type Objectives } from './urgency.js';
 
 /** What waits and where there is room, read from the shareState for one round. Changes nothing but the cached room. */
 export interface ViewInput {
-  readonly shareState: ShareState;
+  readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
   readonly catalog: Catalog;
   /** The most that one task takes of work that can't do without ordinary machines of this type; null: there is none. */
@@ -40,9 +40,9 @@
 const NOTHING: Demand = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** What each team has on machines: everything bound, which includes whatever is not proven gone. */
-export const teamUsage = (shareState: ShareState): Map<string, Usage> => {
+export const teamUsage = (shardState: ShardState): Map<string, Usage> => {
   const uses = new Map<string, Usage>();
-  for (const job of shareState.jobs.values()) {
+  for (const job of shardState.jobs.values()) {
     const tasks = job.bindings.size;
     if (tasks === 0) continue;
     const use = uses.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
@@ -53,12 +53,12 @@
   return uses;
 };
 
-const freeOf = (shareState: ShareState, machine: ShareMachine, catalog: Catalog): Free => {
+const freeOf = (shardState: ShardState, machine: ShardMachine, catalog: Catalog): Free => {
   let { cpus, gpus, memoryGb } = machine.total;
   const others = { cpus: 0, gpus: 0, memoryGb: 0 };
   let dependent = false;
   const subtract = (jobId: string): boolean => {
-    const spec = shareState.jobs.get(jobId)?.spec;
+    const spec = shardState.jobs.get(jobId)?.spec;
     if (!spec) return false;
     cpus -= spec.cpus;
     gpus -= spec.gpus;
@@ -85,7 +85,7 @@
  * Room beside the work that can't do without this type: what is over once as many of its largest tasks as the machine
  * holds have their room. Only where such work runs already: an empty machine stays free to move to another share.
  */
-const besideOf = (machine: ShareMachine, free: Free, scarce: Demand | null): Demand => {
+const besideOf = (machine: ShardMachine, free: Free, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.dependent) return NOTHING;
   const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
   const over = (field: keyof Demand): number =>
@@ -97,7 +97,7 @@
  * Ordinary machines that some job can't do without are held back from work that can use spot: where that
  * work has other types to go to, always; where it has none, as long as it would take one of the last idle.
  */
-const keptForOthers = (machine: ShareMachine, idle: number, input: ViewInput): AvailableCapacity['kept'] => {
+const keptForOthers = (machine: ShardMachine, idle: number, input: ViewInput): AvailableCapacity['kept'] => {
   if (machine.spot || input.scarceDemand(machine.type) === null) return 'no';
   if (input.catalog.size > 1) return 'always';
   return machine.bound.size === 0 && idle <= RESERVED_IDLE_MACHINES ? 'reserve' : 'no';
@@ -105,12 +105,12 @@
 
 /** Room on each machine that may take tasks, now or once it is up. */
 export const availableCapacity = (input: ViewInput): AvailableCapacity[] => {
-  const { shareState, liveness } = input;
+  const { shardState, liveness } = input;
   const rooms: AvailableCapacity[] = [];
   let idle = 0;
-  for (const machine of shareState.machines.values())
+  for (const machine of shardState.machines.values())
     if (!machine.spot && !machine.releasing && liveness.idle(machine)) idle += 1;
-  for (const machine of shareState.machines.values()) {
+  for (const machine of shardState.machines.values()) {
     if (
       machine.releasing ||
       machine.cordoned ||
@@ -121,7 +121,7 @@
       continue;
     const live = liveness.live(machine, input.now);
     if (!live && !liveness.expected(machine, input.now, input.wall)) continue;
-    machine.free ??= freeOf(shareState, machine, input.catalog);
+    machine.free ??= freeOf(shardState, machine, input.catalog);
     const { free } = machine;
     if (free._tag === 'unclear') continue;
     const held = heldBy(input.holds, machine);
@@ -152,7 +152,7 @@
   return Number.isFinite(least) ? least : 0;
 };
 
-const waitingTasks = (job: ShareJob): readonly number[] => {
+const waitingTasks = (job: ShardJob): readonly number[] => {
   const waiting: number[] = [];
   // A job of 100,000 tasks need not be walked whole each round, but a gang is placed whole.
   const most = job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PER_PLACEMENT_REQUEST;
@@ -163,12 +163,12 @@
   return waiting;
 };
 
-const inZones = (job: ShareJob, shareState: ShareState): ReadonlyMap<string, number> => {
+const inZones = (job: ShardJob, shardState: ShardState): ReadonlyMap<string, number> => {
   const zones = new Map<string, number>();
   // Only these two look at where the other tasks are.
   if (!job.spec.oneZone && !job.spec.spread) return zones;
   for (const binding of job.bindings.values()) {
-    const zone = shareState.machines.get(binding.machine)?.zone;
+    const zone = shardState.machines.get(binding.machine)?.zone;
     if (zone !== undefined) zones.set(zone, (zones.get(zone) ?? 0) + 1);
   }
   return zones;
@@ -176,10 +176,10 @@
 
 /** Jobs with tasks that wait for room, in the order in which they are to be placed. */
 export const placementRequests = (input: ViewInput): readonly PlacementRequest[] => {
-  const { shareState, now, wall } = input;
+  const { shardState, now, wall } = input;
   const asks: PlacementRequest[] = [];
   const ahead = new Map<string, Usage>();
-  for (const job of [...shareState.jobs.values()].sort((a, b) => a.at - b.at)) {
+  for (const job of [...shardState.jobs.values()].sort((a, b) => a.at - b.at)) {
     const { spec } = job;
     // What waits for others holds no part of its team's limit or guarantee.
     if (job.readiness._tag !== 'ready') continue;
@@ -205,7 +205,7 @@
       job: spec.id,
       spec,
       waiting,
-      inZones: inZones(job, shareState),
+      inZones: inZones(job, shardState),
       failedOn: job.failedOn,
       at: job.at,
       tier: tier(objectives, waitedS),
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -7,19 +7,19 @@
 import { log } from '../log.js';
 import type { AvailableCapacity } from './bin-packing.js';
 import { preempt, type Eviction, type OccupiedMachine } from './preemption.js';
-import type { ShareState } from './shard-state.js';
-import type { Binding, ShareJob } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+import type { Binding, ShardJob } from './shard-model.js';
 import type { UnplacedRequest } from './unmet-demand.js';
 
 /** What the preemptor needs of its share. */
 export interface PreemptorInput {
-  readonly slot: number;
-  readonly shareState: ShareState;
+  readonly shardId: number;
+  readonly shardState: ShardState;
   readonly now: () => number;
   /** ms since the epoch. */
   readonly wall: () => number;
   /** Has another share a free machine that would do for this job? */
-  readonly spareElsewhere: (slot: number, spec: JobSpec) => boolean;
+  readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
 }
 
 /** Stops groups of lower priority for jobs that find no room, at a bounded pace. */
@@ -43,7 +43,7 @@
     this.lastSearchAt = now;
     let machines = this.occupied(rooms);
     for (const { ask, count } of candidates) {
-      if (this.input.spareElsewhere(this.input.slot, ask.spec)) continue;
+      if (this.input.spareElsewhere(this.input.shardId, ask.spec)) continue;
       const { spec, inZones, failedOn } = ask;
       const preemption = preempt({ spec, count, inZones, failedOn }, machines);
       for (const eviction of preemption.evictions) this.evict(eviction, ask.job);
@@ -52,19 +52,19 @@
   }
 
   private evictionsUnderWay(): boolean {
-    for (const machine of this.input.shareState.machines.values())
+    for (const machine of this.input.shardState.machines.values())
       for (const binding of machine.bound.values()) if (binding.stop?.reason === 'evicted') return true;
     return false;
   }
 
   private evict(victim: Eviction, beneficiary: string): void {
-    const { shareState } = this.input;
-    const job = shareState.jobs.get(victim.job);
+    const { shardState } = this.input;
+    const job = shardState.jobs.get(victim.job);
     if (!job) return;
     log.info({ event: 'group.evicted', job: victim.job, machine: victim.machine, for: beneficiary });
     for (const binding of job.bindings.values()) {
       if (job.spec.kind === 'gang' || binding.machine === victim.machine)
-        shareState.stop(binding, 'evicted', shareState.graceOf(job));
+        shardState.stop(binding, 'evicted', shardState.graceOf(job));
     }
   }
 
@@ -72,11 +72,11 @@
     const now = this.input.now();
     const occupied: OccupiedMachine[] = [];
     for (const room of rooms) {
-      const machine = this.input.shareState.machines.get(room.id);
+      const machine = this.input.shardState.machines.get(room.id);
       if (!machine || !room.live) continue;
-      const groups = new Map<string, { binding: Binding; job: ShareJob; tasks: number }>();
+      const groups = new Map<string, { binding: Binding; job: ShardJob; tasks: number }>();
       for (const binding of machine.bound.values()) {
-        const job = this.input.shareState.jobs.get(binding.job);
+        const job = this.input.shardState.jobs.get(binding.job);
         if (!job || binding.stop) continue;
         const known = groups.get(binding.job);
         groups.set(binding.job, { binding, job, tasks: (known?.tasks ?? 0) + 1 });
@@ -91,7 +91,7 @@
           // What ends before it could be stopped is not worth stopping.
           .filter(({ binding, job }) => {
             const leftS = job.spec.estimateS - (now - (binding.runningAt ?? now)) / 1000;
-            return leftS > this.input.shareState.graceOf(job) || leftS < -job.spec.estimateS;
+            return leftS > this.input.shardState.graceOf(job) || leftS < -job.spec.estimateS;
           })
           .map(({ job, tasks }) => ({
             job: job.spec.id,
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -2,15 +2,15 @@
 import type { FinalRecord, FinalState } from '../jobs/model.js';
 import type { LeftOverKeys } from './orphaned-keys.js';
 import type { Store } from '../kv-store/client.js';
-import type { ShareState } from './shard-state.js';
-import { isFinished, type ShareJob } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+import { isFinished, type ShardJob } from './shard-model.js';
 import type { FinalRecordWriter } from './final-record-writer.js';
 import type { RunWrite, RunWriter } from './run-writer.js';
 
 /** What the record flusher needs of its share. */
 export interface RecordFlusherInput {
   readonly store: Store;
-  readonly shareState: ShareState;
+  readonly shardState: ShardState;
   readonly runs: RunWriter;
   readonly finals: FinalRecordWriter;
   readonly leftOver: LeftOverKeys;
@@ -37,7 +37,7 @@
     const { changes } = this.input.store;
     const ageMs = changes.demand() < changes.perSecond * IMMEDIATE_FLUSH_RATE_FRACTION ? 0 : FLUSH_DELAY_MS;
     const entries: { write: RunWrite }[] = [];
-    for (const job of this.input.shareState.jobs.values()) {
+    for (const job of this.input.shardState.jobs.values()) {
       if (job.finishing || job.writing > 0) continue;
       if (job.bindings.size === 0 && (job.cancelled || isFinished(job))) continue;
       for (const [number, chunk] of job.chunks) {
@@ -66,7 +66,7 @@
 
   /** Writes the final records of jobs that are over and have no task left. */
   finishJobs(): void {
-    let batch: { job: ShareJob; state: FinalState }[] = [];
+    let batch: { job: ShardJob; state: FinalState }[] = [];
     let size = 0;
     const send = (): void => {
       const sent = batch;
@@ -75,15 +75,15 @@
       if (sent.length === 0) return;
       void this.input.finals.finish(sent).then(({ done, leftOver }) => {
         for (const { job, final } of done) {
-          this.input.shareState.jobs.delete(job.spec.id);
+          this.input.shardState.jobs.delete(job.spec.id);
           this.input.settled(job.spec.id, final);
         }
-        for (const { job } of sent) this.input.shareState.dropIfOver(job);
+        for (const { job } of sent) this.input.shardState.dropIfOver(job);
         this.input.leftOver.discard(leftOver);
         this.input.poke();
       });
     };
-    for (const job of this.input.shareState.jobs.values()) {
+    for (const job of this.input.shardState.jobs.values()) {
       if (job.finishing || job.writing > 0 || job.bindings.size > 0) continue;
       if (!job.cancelled && !isFinished(job)) continue;
       const more = this.input.finals.finalSize(job);
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -2,12 +2,12 @@
 import type { Item } from '../kv-store/client.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { counts, durableKeys, partsOf, readRunRecord, validAttempt } from './run-records.js';
-import type { ShareState } from './shard-state.js';
+import type { ShardState } from './shard-state.js';
 
 /** What the run loader needs of its share. */
 export interface RunLoaderInput {
-  readonly slot: number;
-  readonly shareState: ShareState;
+  readonly shardId: number;
+  readonly shardState: ShardState;
 }
 
 /** Rebuilds a share's bindings from the run records that the state service holds, at a takeover. */
@@ -26,14 +26,14 @@
 
   private load(item: Item, items: ReadonlyMap<string, Item>): void {
     const name = parseRunKey(item.key);
-    const job = name ? this.input.shareState.jobs.get(name.job) : undefined;
+    const job = name ? this.input.shardState.jobs.get(name.job) : undefined;
     if (!name || !job) {
       this.leftOver.push({ key: item.key, revision: item.version, reason: 'belongs to no job' });
       return;
     }
     // Parts are read with the record that they belong to; one that it doesn't name is left over.
     if (name.part !== null) {
-      const whole = items.get(runKey(this.input.slot, name.job, name.chunk));
+      const whole = items.get(runKey(this.input.shardId, name.job, name.chunk));
       if (!whole || name.part >= partsOf(whole.value))
         this.leftOver.push({ key: item.key, revision: item.version, reason: 'part not named' });
       return;
@@ -41,12 +41,12 @@
     const count = partsOf(item.value);
     const parts = Array.from(
       { length: count },
-      (_, part) => items.get(runPartKey(this.input.slot, name.job, name.chunk, part))?.value ?? { b: [] },
+      (_, part) => items.get(runPartKey(this.input.shardId, name.job, name.chunk, part))?.value ?? { b: [] },
     );
     const record = readRunRecord(item.value, name.chunk, parts);
     job.attempt = Math.max(job.attempt, record.attempt);
     for (const index of record.done) job.done.add(index);
-    const first = items.get(runKey(this.input.slot, name.job, 0))?.value;
+    const first = items.get(runKey(this.input.shardId, name.job, 0))?.value;
     if (name.chunk === 0) job.validAttempt = validAttempt(first);
     // Prepared for a bind that never was: it counts for nothing, and is cleared.
     const valid = counts(item.value, first);
@@ -59,16 +59,16 @@
     job.chunks.set(name.chunk, chunk);
     if (!valid) chunk.dirtyFrom = 0;
     for (const bound of valid ? record.bindings : []) {
-      const machine = this.input.shareState.machines.get(bound.machine);
+      const machine = this.input.shardState.machines.get(bound.machine);
       // No record of the machine: it was released, and that was answered 200.
       if (!machine) {
         chunk.dirtyFrom = 0;
         continue;
       }
-      const binding = this.input.shareState.bind(job, bound.index, bound.attempt, machine, { _tag: 'bound' });
-      if (job.cancelled) this.input.shareState.stop(binding, 'cancelled', 0);
+      const binding = this.input.shardState.bind(job, bound.index, bound.attempt, machine, { _tag: 'bound' });
+      if (job.cancelled) this.input.shardState.stop(binding, 'cancelled', 0);
     }
     if (job.spec.kind === 'gang' && job.bindings.size > 0 && job.bindings.size < job.spec.tasks)
-      this.input.shareState.breakGang(job);
+      this.input.shardState.breakGang(job);
   }
 }
--- a/src/placement/run-records.ts
+++ b/src/placement/run-records.ts
@@ -3,7 +3,7 @@
   RUN_RECORD_OVERHEAD_BYTES,
   TASKS_PER_RUN_RECORD,
 } from '../constants/key-value-store.js';
-import { bindingKey, type ShareJob } from './shard-model.js';
+import { bindingKey, type ShardJob } from './shard-model.js';
 
 /** The durable record of a run of tasks: which are done, which are bound where, the highest attempt used. */
 export interface RunRecord {
@@ -21,7 +21,7 @@
 export const chunkOf = (index: number): number => Math.floor(index / TASKS_PER_RUN_RECORD);
 
 /** The run record of a job as it should be stored now. */
-export const runRecord = (job: ShareJob, chunk: number): RunRecord => {
+export const runRecord = (job: ShardJob, chunk: number): RunRecord => {
   const first = firstOf(chunk);
   const done: number[] = [];
   const bindings: { index: number; machine: string; attempt: number }[] = [];
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -20,13 +20,13 @@
   type RunRecord,
   type StoredRun,
 } from './run-records.js';
-import type { Chunk, ShareJob } from './shard-model.js';
+import type { Chunk, ShardJob } from './shard-model.js';
 
 /** What the writer of runs needs of its share. */
 export interface RunWriterInput {
   readonly transactions: ClaimTransactions;
   readonly store: Store;
-  readonly slot: number;
+  readonly shardId: number;
   /** bytes: the largest value that the state service takes, now and later. */
   readonly valueBytes: number;
   /** Every node reads runs that are parted. */
@@ -35,7 +35,7 @@
 
 /** One run of a job's tasks, as it is to be written now. */
 export interface RunWrite {
-  readonly job: ShareJob;
+  readonly job: ShardJob;
   readonly chunk: number;
   readonly record: RunRecord;
   readonly stored: StoredRun;
@@ -56,7 +56,7 @@
 export class RunWriter {
   constructor(private readonly input: RunWriterInput) {}
 
-  runWrite(job: ShareJob, chunk: number): RunWrite {
+  runWrite(job: ShardJob, chunk: number): RunWrite {
     const record = runRecord(job, chunk);
     const bytes = this.input.valueBytes * VALUE_FILL_FRACTION;
     const stored = storeRun(record, chunk, bytes, this.input.maySplit());
@@ -98,7 +98,7 @@
   async commitRuns(writes: readonly RunWrite[], rank: Rank): Promise<boolean> {
     const first = writes[0];
     if (!first) return true;
-    const key = (write: RunWrite): string => runKey(this.input.slot, write.job.spec.id, write.chunk);
+    const key = (write: RunWrite): string => runKey(this.input.shardId, write.job.spec.id, write.chunk);
     const jobs = new Set(writes.map((write) => write.job));
     const chunks = writes.map((write): Chunk => {
       const known = write.job.chunks.get(write.chunk);
@@ -146,7 +146,7 @@
   }
 
   /** Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was prepared. */
-  async commitGang(job: ShareJob, writes: readonly RunWrite[], rank: Rank): Promise<boolean> {
+  async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: Rank): Promise<boolean> {
     const [first, ...others] = writes;
     if (!first || first.chunk !== 0 || this.fitOneTransaction(writes)) return this.commitRuns(writes, rank);
     // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the upgrade.
@@ -177,7 +177,7 @@
   }
 
   /** What was prepared and is not valid is written over. */
-  private unprepared(job: ShareJob): false {
+  private unprepared(job: ShardJob): false {
     for (const chunk of job.chunks.values()) chunk.dirtyFrom ??= 0;
     return false;
   }
@@ -186,9 +186,9 @@
    *  revision guards them. */
   private changes(write: RunWrite, before: number): readonly Write[] {
     const { job, chunk, stored } = write;
-    const partKey = (part: number): string => runPartKey(this.input.slot, job.spec.id, chunk, part);
+    const partKey = (part: number): string => runPartKey(this.input.shardId, job.spec.id, chunk, part);
     return [
-      { _tag: 'put', key: runKey(this.input.slot, job.spec.id, chunk), value: stored.record },
+      { _tag: 'put', key: runKey(this.input.shardId, job.spec.id, chunk), value: stored.record },
       ...stored.parts.map((value, part): Write => ({ _tag: 'put', key: partKey(part), value })),
       ...Array.from({ length: Math.max(0, before - stored.parts.length) }, (_, k): Write => ({
         _tag: 'delete',
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -42,7 +42,7 @@
 }
 
 /** A job of the share, with its tasks. */
-export interface ShareJob {
+export interface ShardJob {
   /** As placement is to treat it: with the priority and the deadline that it has for the jobs that need it. */
   spec: JobSpec;
   /** As its user submitted it. */
@@ -89,7 +89,7 @@
   | { readonly _tag: 'sick' };
 
 /** A machine of the share, with what its worker last said. */
-export interface ShareMachine {
+export interface ShardMachine {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
@@ -158,5 +158,5 @@
   `${job}/${index}#${attempt}`;
 
 /** Are all tasks of the job done? */
-export const isFinished = (job: ShareJob): boolean =>
+export const isFinished = (job: ShardJob): boolean =>
   job.spec.kind !== 'service' && job.done.size >= job.spec.tasks;
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -16,14 +16,14 @@
   bindingKey,
   isFinished,
   type Binding,
-  type ShareJob,
-  type ShareMachine,
+  type ShardJob,
+  type ShardMachine,
   type Stop,
 } from './shard-model.js';
 import { nextPhase, onMachine, type Gone, type Phase, type PhaseEvent } from './attempt-phase.js';
 
 /** What the state of a share needs of the rest of the controller. */
-export interface ShareStateInput {
+export interface ShardStateDependencies {
   readonly now: () => number;
   /** ms since the epoch. */
   readonly wall: () => number;
@@ -32,18 +32,18 @@
 }
 
 /** Jobs, machines and bindings of one share, and the one place where a binding changes its state. */
-export class ShareState {
-  readonly jobs = new Map<string, ShareJob>();
-  readonly machines = new Map<string, ShareMachine>();
+export class ShardState {
+  readonly jobs = new Map<string, ShardJob>();
+  readonly machines = new Map<string, ShardMachine>();
   /** Bindings whose stop is to go out directly. */
   readonly stops = new Set<Binding>();
   /** Cancellations heard of before their jobs, by the revision at which they became durable. */
   readonly acknowledged = new Map<string, number>();
 
-  constructor(private readonly input: ShareStateInput) {}
+  constructor(private readonly input: ShardStateDependencies) {}
 
-  addMachine(id: string, record: MachineRecord, version: number, total: Demand): ShareMachine {
-    const machine: ShareMachine = {
+  addMachine(id: string, record: MachineRecord, version: number, total: Demand): ShardMachine {
+    const machine: ShardMachine = {
       id,
       type: record.type,
       zone: record.zone,
@@ -78,13 +78,13 @@
     return machine;
   }
 
-  dropMachine(machine: ShareMachine, how: Gone): void {
+  dropMachine(machine: ShardMachine, how: Gone): void {
     for (const binding of [...machine.bound.values()]) this.apply(binding, { _tag: 'lost', how });
     this.machines.delete(machine.id);
     this.input.poke();
   }
 
-  adoptJob(record: JobRecord, version: number): ShareJob {
+  adoptJob(record: JobRecord, version: number): ShardJob {
     let job = this.jobs.get(record.spec.id);
     if (!job) {
       job = {
@@ -151,12 +151,12 @@
    * watch shows the cancelled record; that older event then brings the job back, and its final record could never be
    * written again.
    */
-  dropIfOver(job: ShareJob): void {
+  dropIfOver(job: ShardJob): void {
     if (!job.recordGone || job.finishing || job.bindings.size > 0) return;
     if (this.jobs.get(job.spec.id) === job) this.jobs.delete(job.spec.id);
   }
 
-  private cancel(job: ShareJob, at: number | null): void {
+  private cancel(job: ShardJob, at: number | null): void {
     job.cancelledAt ??= at ?? this.input.wall();
     if (job.cancelled) return;
     job.cancelled = true;
@@ -190,7 +190,7 @@
     this.cancel(job, null);
   }
 
-  bind(job: ShareJob, index: number, attempt: number, machine: ShareMachine, phase: Phase): Binding {
+  bind(job: ShardJob, index: number, attempt: number, machine: ShardMachine, phase: Phase): Binding {
     const binding: Binding = {
       job: job.spec.id,
       index,
@@ -228,17 +228,17 @@
     this.input.poke();
   }
 
-  graceOf(job: ShareJob): number {
+  graceOf(job: ShardJob): number {
     return job.spec.checkpointS > 0 ? job.spec.saveS + STOP_GRACE_EXTRA_S : 0;
   }
 
   /** A gang that lost a member is stopped whole and waits again, free to go anywhere. */
-  breakGang(job: ShareJob): void {
+  breakGang(job: ShardJob): void {
     for (const binding of job.bindings.values()) this.stop(binding, 'broken', 0);
   }
 
   /** Work that can be saved leaves a machine that is about to go; the rest may still finish in time. */
-  drain(machine: ShareMachine): void {
+  drain(machine: ShardMachine): void {
     for (const binding of machine.bound.values()) {
       const job = this.jobs.get(binding.job);
       if (!job || binding.stop || this.graceOf(job) === 0) continue;
@@ -276,7 +276,7 @@
     images?.add(image);
   }
 
-  private onGone(binding: Binding, how: Gone, job: ShareJob | undefined): void {
+  private onGone(binding: Binding, how: Gone, job: ShardJob | undefined): void {
     const machine = this.machines.get(binding.machine);
     if (machine) {
       machine.bound.delete(bindingKey(binding.job, binding.index, binding.attempt));
@@ -304,7 +304,7 @@
   }
 
   /** A failure counts against the machine until the same job fails elsewhere too, and then against the job. */
-  private onError(binding: Binding, job: ShareJob, machine: ShareMachine | undefined): void {
+  private onError(binding: Binding, job: ShardJob, machine: ShardMachine | undefined): void {
     const now = this.input.now();
     job.errors += 1;
     job.failedOn.add(binding.machine);
--- a/src/placement/shard-summary-builder.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -1,18 +1,18 @@
 import { SHARD_SUMMARY_INTERVAL_MS } from '../constants/peers.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import type { Catalog } from '../jobs/model.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { AvailableCapacity, Limit, Usage } from './bin-packing.js';
-import type { ShareState } from './shard-state.js';
-import type { ShareMachine } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+import type { ShardMachine } from './shard-model.js';
 import { spareMachines, unmetDemand, type UnplacedRequest } from './unmet-demand.js';
 import type { Objectives } from './urgency.js';
 
 /** What the summary of a share needs of it. */
-export interface ShareSummaryInput {
-  readonly slot: number;
+export interface ShardSummaryBuilderDependencies {
+  readonly shardId: number;
   readonly claim: number;
-  readonly shareState: ShareState;
+  readonly shardState: ShardState;
   readonly cache: Pick<WatchCache, 'revision'>;
   readonly limits: ReadonlyMap<string, Limit>;
   readonly objectives: ReadonlyMap<string, Objectives>;
@@ -20,18 +20,18 @@
   /** ms since the epoch. */
   readonly wall: () => number;
   /** Is the machine free to go to another share? */
-  readonly movable: (machine: ShareMachine) => boolean;
+  readonly movable: (machine: ShardMachine) => boolean;
   /** Something changed that the leader waits for. */
   readonly changed: () => void;
 }
 
 /** What the leader is told of a share: its unmet demand and its spare machines. */
-export class ShareSummary {
-  latest: Summary | null = null;
+export class ShardSummaryBuilder {
+  latest: ShardSummary | null = null;
   private plannedAt = 0;
   private lastSaid = '';
 
-  constructor(private readonly input: ShareSummaryInput) {}
+  constructor(private readonly input: ShardSummaryBuilderDependencies) {}
 
   /** What the leader should know. */
   update(
@@ -52,12 +52,12 @@
       this.input.objectives,
       this.input.wall(),
     );
-    const free = [...this.input.shareState.machines.values()].filter(
+    const free = [...this.input.shardState.machines.values()].filter(
       (machine) => machine.bound.size === 0 && this.input.movable(machine),
     );
     const spares = spareMachines(free, now);
     this.latest = {
-      share: this.input.slot,
+      shardId: this.input.shardId,
       claim: this.input.claim,
       revision: this.input.cache.revision,
       needs,
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -8,7 +8,7 @@
   type MachineRecord,
   type Move,
   type Reservation,
-  type Summary,
+  type ShardSummary,
 } from '../fleet/records.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { Catalog, Demand, FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
@@ -30,8 +30,8 @@
 import { RecordFlusher } from './record-flusher.js';
 import { RoundPacer } from './round-pacer.js';
 import { RunLoader } from './run-loader.js';
-import { ShareSummary } from './shard-summary-builder.js';
-import { ShareState } from './shard-state.js';
+import { ShardSummaryBuilder } from './shard-summary-builder.js';
+import { ShardState } from './shard-state.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { WorkerSessions } from './worker-sessions.js';
 import { packAll, type Limit, type Usage } from './bin-packing.js';
@@ -41,7 +41,7 @@
 import { RunWriter } from './run-writer.js';
 
 /** What a share needs of the rest of the controller. */
-export interface ShareInput {
+export interface ShardContext {
   readonly store: Store;
   readonly cache: WatchCache;
   readonly catalog: () => Catalog | null;
@@ -49,7 +49,7 @@
   readonly scarceDemand: (type: string) => Demand | null;
   /** Some class misses every start target if a machine of this type has to be booted for it. */
   readonly bootBound: (type: string) => boolean;
-  readonly shareOfTeam: ReadonlyMap<string, number>;
+  readonly shardOfTeam: ReadonlyMap<string, number>;
   readonly limits: ReadonlyMap<string, Limit>;
   readonly guarantees: ReadonlyMap<string, Usage>;
   readonly objectives: ReadonlyMap<string, Objectives>;
@@ -63,7 +63,7 @@
   /** May this node act for the share now, under this very claim? */
   readonly entitled: () => boolean;
   /** Has another share a free machine that would do for this job? */
-  readonly spareElsewhere: (slot: number, spec: JobSpec) => boolean;
+  readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
   /** What the leader gathers machines for. */
   readonly holds: () => readonly Reservation[];
   readonly now: () => number;
@@ -95,9 +95,9 @@
 type Stage = 'loading' | 'rebuilding' | 'placing' | 'lost';
 
 /** One share of teams and machines, for as long as this process holds its claim. */
-export class Share {
+export class Shard {
   stage: Stage = 'loading';
-  private readonly shareState: ShareState;
+  private readonly shardState: ShardState;
   private readonly liveness: MachineLiveness;
   private readonly sessions: WorkerSessions;
   private readonly lifecycle: MachineLifecycle;
@@ -105,22 +105,22 @@
   private readonly flusher: RecordFlusher;
   private readonly binder: Binder;
   private readonly preemptor: Preemptor;
-  private readonly summaryBuilder: ShareSummary;
+  private readonly summaryBuilder: ShardSummaryBuilder;
   private wake: (() => void) | null = null;
   private poked = false;
   private restUntil = 0;
   private readonly pacer: RoundPacer;
 
   constructor(
-    readonly slot: number,
+    readonly shardId: number,
     readonly claim: number,
-    private readonly input: ShareInput,
+    private readonly input: ShardContext,
   ) {
     const poke = (): void => this.poke();
     this.pacer = new RoundPacer(input.coreShare);
-    this.shareState = new ShareState({ now: input.now, wall: input.wall, poke });
+    this.shardState = new ShardState({ now: input.now, wall: input.wall, poke });
     this.liveness = new MachineLiveness({
-      machines: this.shareState.machines,
+      machines: this.shardState.machines,
       catalog: input.catalog,
       workers: input.workers,
       bootBound: input.bootBound,
@@ -128,7 +128,7 @@
       wall: input.wall,
     });
     this.sessions = new WorkerSessions({
-      shareState: this.shareState,
+      shardState: this.shardState,
       claim,
       now: input.now,
       leaseMs: this.liveness.leaseMs,
@@ -141,21 +141,21 @@
     });
     const transactions = new ClaimTransactions({
       store: input.store,
-      slot,
+      shardId,
       claim,
       lost: () => this.lose(),
       isLost: () => this.stage === 'lost',
     });
     const { store, valueBytes, maySplit, now, wall } = input;
-    const { shareState, liveness, sessions } = this;
-    const runs = new RunWriter({ transactions, store, slot, valueBytes, maySplit });
-    const finals = new FinalRecordWriter({ transactions, store, slot, wall });
+    const { shardState, liveness, sessions } = this;
+    const runs = new RunWriter({ transactions, store, shardId, valueBytes, maySplit });
+    const finals = new FinalRecordWriter({ transactions, store, shardId, wall });
     const records = new MachineRecordWriter({ transactions, claim, valueBytes });
     const lost = (): boolean => this.stage === 'lost';
     this.lifecycle = new MachineLifecycle({
-      slot,
+      shardId,
       store,
-      shareState,
+      shardState,
       liveness,
       sessions,
       records,
@@ -170,16 +170,16 @@
         ? new UnmarkedRemoval(store, transactions)
         : new MarkedRemoval({
             store,
-            slot,
+            shardId,
             claim,
             duty: cleanUp,
             valueBytes,
-            jobKnown: (job) => shareState.jobs.has(job) || input.cache.get(jobKey(job)) !== undefined,
+            jobKnown: (job) => shardState.jobs.has(job) || input.cache.get(jobKey(job)) !== undefined,
             wall,
           });
     this.flusher = new RecordFlusher({
       store,
-      shareState,
+      shardState,
       runs,
       finals,
       leftOver: this.leftOver,
@@ -188,12 +188,12 @@
       poke,
       settled: input.settled,
     });
-    this.binder = new Binder({ shareState, runs, sessions, lost, poke });
-    this.preemptor = new Preemptor({ slot, shareState, now, wall, spareElsewhere: input.spareElsewhere });
-    this.summaryBuilder = new ShareSummary({
-      slot,
+    this.binder = new Binder({ shardState, runs, sessions, lost, poke });
+    this.preemptor = new Preemptor({ shardId, shardState, now, wall, spareElsewhere: input.spareElsewhere });
+    this.summaryBuilder = new ShardSummaryBuilder({
+      shardId,
       claim,
-      shareState,
+      shardState,
       cache: input.cache,
       limits: input.limits,
       objectives: input.objectives,
@@ -207,17 +207,17 @@
   }
 
   /** What the leader should know; null: nothing is placed yet. */
-  get summary(): Summary | null {
+  get summary(): ShardSummary | null {
     return this.summaryBuilder.latest;
   }
 
   // ---- what the shared keys say -------------------------------------------------------------------------
 
   onMachineRecord(id: string, record: MachineRecord, version: number): void {
-    const known = this.shareState.machines.get(id);
-    if (record.share !== this.slot) {
+    const known = this.shardState.machines.get(id);
+    if (record.shardId !== this.shardId) {
       // Its former holder moves only free ones, so nothing of ours is on it.
-      if (known) this.shareState.dropMachine(known, { _tag: 'released' });
+      if (known) this.shardState.dropMachine(known, { _tag: 'released' });
       return;
     }
     if (known) {
@@ -229,35 +229,35 @@
       return;
     }
     const total = this.input.catalog()?.get(record.type) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    const machine = this.shareState.addMachine(id, record, version, total);
+    const machine = this.shardState.addMachine(id, record, version, total);
     if (record.addr !== '' && this.input.entitled()) this.sessions.greet(machine, record.session);
     this.poke();
   }
 
   onMachineGone(id: string): void {
-    const machine = this.shareState.machines.get(id);
+    const machine = this.shardState.machines.get(id);
     // The record goes only after the cloud answered 200 to the machine's release.
-    if (machine) this.shareState.dropMachine(machine, { _tag: 'released' });
+    if (machine) this.shardState.dropMachine(machine, { _tag: 'released' });
   }
 
   onJobRecord(record: JobRecord, version: number): void {
-    if (this.input.shareOfTeam.get(record.spec.team) !== this.slot || this.stage === 'loading') return;
-    this.shareState.adoptJob(record, version);
+    if (this.input.shardOfTeam.get(record.spec.team) !== this.shardId || this.stage === 'loading') return;
+    this.shardState.adoptJob(record, version);
     this.onStanding(record.spec.id);
     this.poke();
   }
 
   /** The readiness or standing of a job may have changed. */
   onStanding(id: string): void {
-    const job = this.shareState.jobs.get(id);
+    const job = this.shardState.jobs.get(id);
     const standing = this.input.standing(id);
-    if (job && standing) this.shareState.stand(id, this.input.readiness(id), standing);
+    if (job && standing) this.shardState.stand(id, this.input.readiness(id), standing);
   }
 
   /** Another node is about to tell a user of this cancellation. True: from now on every answer to a worker says so. */
   acknowledge(id: string, version: number): boolean {
     if (this.stage === 'lost') return false;
-    this.shareState.acknowledge(id, version);
+    this.shardState.acknowledge(id, version);
     this.poke();
     return true;
   }
@@ -266,12 +266,12 @@
   private isCancelled(id: string): boolean {
     const item = this.input.cache.get(jobKey(id));
     return (
-      this.shareState.acknowledged.has(id) || (item !== undefined && readJobRecord(item.value).cancelled)
+      this.shardState.acknowledged.has(id) || (item !== undefined && readJobRecord(item.value).cancelled)
     );
   }
 
   onJobGone(id: string): void {
-    this.shareState.onRecordGone(id);
+    this.shardState.onRecordGone(id);
   }
 
   // ---- takeover ------------------------------------------------------------------------------------------
@@ -279,7 +279,7 @@
   /** Reads the share's runs. The cache already shows every change before the claim's own revision. */
   private readonly load: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      const all = yield* this.input.store.list(runsPrefix(this.slot), 'user');
+      const all = yield* this.input.store.list(runsPrefix(this.shardId), 'user');
       if (all._tag === 'failed') {
         yield* Effect.sleep(STORE_RETRY_DELAY_MS);
         continue;
@@ -288,25 +288,25 @@
       this.liveness.loadedAt = this.input.now();
       for (const item of this.input.cache.under(JOB_PREFIX)) {
         const record = readJobRecord(item.value);
-        if (this.input.shareOfTeam.get(record.spec.team) === this.slot)
-          this.shareState.adoptJob(record, item.version);
+        if (this.input.shardOfTeam.get(record.spec.team) === this.shardId)
+          this.shardState.adoptJob(record, item.version);
         this.onStanding(record.spec.id);
       }
-      const loader = new RunLoader({ slot: this.slot, shareState: this.shareState });
+      const loader = new RunLoader({ shardId: this.shardId, shardState: this.shardState });
       this.leftOver.discard(loader.loadAll(all.items));
-      for (const machine of this.shareState.machines.values()) {
+      for (const machine of this.shardState.machines.values()) {
         machine.free = null;
         for (const task of machine.reported) {
           const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
-          if (binding) this.shareState.apply(binding, { _tag: 'reported', state: task.state });
+          if (binding) this.shardState.apply(binding, { _tag: 'reported', state: task.state });
         }
       }
       log.info({
         event: 'share.loaded',
-        share: this.slot,
+        shardId: this.shardId,
         claim: this.claim,
-        jobs: this.shareState.jobs.size,
-        machines: this.shareState.machines.size,
+        jobs: this.shardState.jobs.size,
+        machines: this.shardState.machines.size,
       });
       this.input.loaded();
       return;
@@ -357,7 +357,7 @@
   /** Resolves when the binds of a whole round that begins after now are durable, or after `ms`. */
   nextRound(id: string, ms: number): Promise<void> {
     this.poke();
-    const machine = this.shareState.machines.get(id);
+    const machine = this.shardState.machines.get(id);
     if (machine) machine.answering += 1;
     return new Promise<void>((resolve) => {
       const end = (): void => {
@@ -394,7 +394,7 @@
     this.flusher.finishJobs();
     if (this.stage === 'rebuilding' && this.liveness.rebuilt()) {
       this.stage = 'placing';
-      log.info({ event: 'share.placing', share: this.slot });
+      log.info({ event: 'share.placing', shardId: this.shardId });
     }
     const catalog = this.input.catalog();
     const placed = this.stage === 'placing' && catalog ? this.place(catalog) : Promise.resolve();
@@ -416,7 +416,7 @@
   lose(): void {
     if (this.stage === 'lost') return;
     this.stage = 'lost';
-    log.info({ event: 'share.lost', share: this.slot, claim: this.claim });
+    log.info({ event: 'share.lost', shardId: this.shardId, claim: this.claim });
     this.poke();
   }
 
@@ -424,7 +424,7 @@
 
   private view(catalog: Catalog): ViewInput {
     return {
-      shareState: this.shareState,
+      shardState: this.shardState,
       liveness: this.liveness,
       catalog,
       scarceDemand: this.input.scarceDemand,
@@ -441,7 +441,7 @@
     const view = this.view(catalog);
     const asks = placementRequests(view);
     const rooms = availableCapacity(view);
-    const uses = teamUsage(this.shareState);
+    const uses = teamUsage(this.shardState);
     const packed = packAll(
       asks,
       rooms.filter((room) => room.live),
@@ -457,7 +457,7 @@
   /** Of the jobs with tasks on machines, a bounded number. */
   allCounts(): readonly (readonly [id: string, done: number, running: number])[] {
     const list: (readonly [string, number, number])[] = [];
-    for (const job of this.shareState.jobs.values()) {
+    for (const job of this.shardState.jobs.values()) {
       if (list.length >= MAX_JOBS_WITH_TASK_COUNTS) break;
       const counts = job.bindings.size > 0 || job.done.size > 0 ? this.counts(job.spec.id) : null;
       if (counts) list.push([job.spec.id, counts.done, counts.running]);
@@ -466,7 +466,7 @@
   }
 
   counts(id: string): { done: number; running: number } | null {
-    const job = this.shareState.jobs.get(id);
+    const job = this.shardState.jobs.get(id);
     if (!job) return null;
     let running = 0;
     for (const binding of job.bindings.values()) if (onMachine(binding.phase)) running += 1;
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -7,7 +7,13 @@
   RESERVE_DELAY_TARGET_FRACTION,
 } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import type { UnlistedSpares, UnmetDemand, SpareMachine, Summary, WaitingGang } from '../fleet/records.js';
+import type {
+  UnlistedSpares,
+  UnmetDemand,
+  SpareMachine,
+  ShardSummary,
+  WaitingGang,
+} from '../fleet/records.js';
 import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import {
   packAll,
@@ -16,7 +22,7 @@
   type AvailableCapacity,
   type Usage,
 } from './bin-packing.js';
-import type { ShareMachine } from './shard-model.js';
+import type { ShardMachine } from './shard-model.js';
 import type { Objectives } from './urgency.js';
 
 /** A request with the number of its tasks that found no room. */
@@ -140,7 +146,7 @@
 }
 
 /** Free machines that may go to another share: a few of each kind by name, of the others their number. */
-export const spareMachines = (machines: Iterable<ShareMachine>, now: number): Spares => {
+export const spareMachines = (machines: Iterable<ShardMachine>, now: number): Spares => {
   const kinds = new Map<string, SpareMachine[]>();
   for (const machine of machines) {
     const key = `${machine.type}|${machine.zone}|${machine.spot}`;
@@ -167,7 +173,7 @@
 };
 
 /** What peers that don't lead hear: whether there is a spare of some kind, nothing of needs. */
-export const briefly = (summary: Summary): Summary => {
+export const briefly = (summary: ShardSummary): ShardSummary => {
   const kinds = new Set<string>();
   const spares = summary.spares.filter((spare) => {
     const key = `${spare.type}|${spare.zone}|${spare.spot}`;
