--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -3,10 +3,10 @@
 import type { MachineType } from '../jobs/model.js';
 import type { JobSpec } from '../jobs/model.js';
 import type { Command, Report, ReportedTask } from '../workers/model.js';
-import { ShareState } from './shard-state.js';
+import { ShardState } from './shard-state.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { WorkerSessions } from './worker-sessions.js';
-import type { ShareMachine } from './shard-model.js';
+import type { ShardMachine } from './shard-model.js';
 
 /** What reports are taken for, in which order, and what is concluded from silence: a table of short stories. */
 const LEASE_S = 20;
@@ -46,17 +46,17 @@
 
 class Story {
   now = 1_000_000;
-  readonly shareState = new ShareState({ now: () => this.now, wall: () => this.now, poke: () => undefined });
+  readonly shardState = new ShardState({ now: () => this.now, wall: () => this.now, poke: () => undefined });
   readonly liveness = new MachineLiveness({
     bootBound: () => false,
-    machines: this.shareState.machines,
+    machines: this.shardState.machines,
     catalog: () => new Map([['g', type]]),
     workers: { lease_s: LEASE_S, report_s: 5, cancel_s: 2 * LEASE_S },
     now: () => this.now,
     wall: () => this.now,
   });
   readonly sessions = new WorkerSessions({
-    shareState: this.shareState,
+    shardState: this.shardState,
     claim: 50,
     now: () => this.now,
     leaseMs: this.liveness.leaseMs,
@@ -67,28 +67,28 @@
     poke: () => undefined,
     direct: () => new Promise(() => undefined),
   });
-  readonly job = this.shareState.adoptJob(
+  readonly job = this.shardState.adoptJob(
     { spec, at: 0, cancelled: false, cancelledAt: null, follows: [], parts: 0 },
     1,
   );
-  readonly machines: readonly ShareMachine[];
+  readonly machines: readonly ShardMachine[];
 
   constructor() {
     this.liveness.loadedAt = this.now;
     this.machines = ['m-0', 'm-1'].map((id) => this.machine(id, this.now));
   }
-  machine(id: string, since: number, spot = false): ShareMachine {
-    return this.shareState.addMachine(
+  machine(id: string, since: number, spot = false): ShardMachine {
+    return this.shardState.addMachine(
       id,
-      { share: 0, type: 'g', zone: 'x', spot, at: since, releasing: false, addr: '', session: 0 },
+      { shardId: 0, type: 'g', zone: 'x', spot, at: since, releasing: false, addr: '', session: 0 },
       40,
       type,
     );
   }
   bind(): void {
     this.machines.forEach((machine, index) => {
-      const binding = this.shareState.bind(this.job, index, 1, machine, { _tag: 'binding' });
-      this.shareState.apply(binding, { _tag: 'durable' });
+      const binding = this.shardState.bind(this.job, index, 1, machine, { _tag: 'binding' });
+      this.shardState.apply(binding, { _tag: 'durable' });
     });
   }
   report(id: string, seq: number, over: Partial<Report> = {}): boolean {
@@ -195,7 +195,7 @@
     name: 'a machine known only from a report that may be a late copy goes back after a lease of silence',
     run: (story) => {
       story.machine('m-2', 0);
-      const known = story.shareState.machines.get('m-2') as ShareMachine;
+      const known = story.shardState.machines.get('m-2') as ShardMachine;
       assert.equal(story.liveness.expected(known, story.now, story.now), false);
       story.now += (LEASE_S + 2) * 1_000;
       assert.deepEqual(story.releases(), ['m-2 never came up'], 'those that boot are given their time');
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -3,14 +3,14 @@
 import type { Command, Report } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
 import { answer, readChanges } from '../workers/reconcile.js';
-import type { ShareState } from './shard-state.js';
+import type { ShardState } from './shard-state.js';
 import { chunkOf } from './run-records.js';
-import { bindingKey, type Binding, type ShareMachine } from './shard-model.js';
+import { bindingKey, type Binding, type ShardMachine } from './shard-model.js';
 import { onMachine } from './attempt-phase.js';
 
 /** What the sessions with workers need of their share. */
 export interface WorkerSessionsInput {
-  readonly shareState: ShareState;
+  readonly shardState: ShardState;
   readonly claim: number;
   readonly now: () => number;
   /** ms: a worker that we answered within this time has not lost its lease if it heard us. */
@@ -36,14 +36,14 @@
 export class WorkerSessions {
   constructor(private readonly input: WorkerSessionsInput) {}
 
-  token(machine: ShareMachine): number {
+  token(machine: ShardMachine): number {
     return Math.max(this.input.claim, machine.version);
   }
 
   /** null: an older message than one already seen, a late copy, or one that knows a higher token than ours. */
   onReport(report: Report): { readonly hurry: boolean } | null {
-    const { shareState } = this.input;
-    const machine = shareState.machines.get(report.machine);
+    const { shardState } = this.input;
+    const machine = shardState.machines.get(report.machine);
     if (!machine) return null;
     const token = this.token(machine);
     if (report.token > token) return null;
@@ -73,10 +73,10 @@
     }
     machine.noticeS = report.noticeS;
     const bound = machine.bound.size;
-    for (const change of changes) shareState.apply(change.binding, change.event);
+    for (const change of changes) shardState.apply(change.binding, change.event);
     if (forgotUs) this.findDeaf(machine, 'its lease ran out although we answered');
     else this.checkHeard(machine);
-    if (machine.noticeAt !== null) shareState.drain(machine);
+    if (machine.noticeAt !== null) shardState.drain(machine);
     if (machine.confirmedToken !== 0 && !wasConfirmed) this.input.poke();
     // Room came free, or the machine came: what is placed on it next can travel in this very answer.
     const hurry = this.input.placing() && (machine.bound.size < bound || (underToken && !wasConfirmed));
@@ -84,7 +84,7 @@
   }
 
   /** A `run` that went out with several answers and shows in no report after them was not heard. */
-  private checkHeard(machine: ShareMachine): void {
+  private checkHeard(machine: ShardMachine): void {
     for (const binding of machine.bound.values()) {
       if (binding.phase._tag === 'bound' && !binding.stop && binding.asked >= MAX_RUN_COMMAND_ATTEMPTS)
         return this.findDeaf(machine, 'it starts nothing');
@@ -95,20 +95,20 @@
    * Its reports come, and what we say does not arrive. Nothing more goes there until it has taken up a new token,
    * which shows that it hears; what was bound there and never seen goes elsewhere, once proven absent.
    */
-  private findDeaf(machine: ShareMachine, why: string): void {
+  private findDeaf(machine: ShardMachine, why: string): void {
     log.info({ event: 'machine.deaf', machine: machine.id, why });
     machine.raiseToken = true;
     for (const binding of [...machine.bound.values()]) {
       if (binding.phase._tag !== 'bound') continue;
-      const job = this.input.shareState.jobs.get(binding.job);
-      if (job?.spec.kind === 'gang') this.input.shareState.breakGang(job);
-      else this.input.shareState.stop(binding, 'broken', 0);
+      const job = this.input.shardState.jobs.get(binding.job);
+      if (job?.spec.kind === 'gang') this.input.shardState.breakGang(job);
+      else this.input.shardState.stop(binding, 'broken', 0);
     }
     this.input.poke();
   }
 
   /** May a direct `run` of this attempt still be carried out, as far as a worker with this token goes? */
-  private mayBeLate(machine: ShareMachine, key: string, seenToken: number): boolean {
+  private mayBeLate(machine: ShardMachine, key: string, seenToken: number): boolean {
     const token = machine.unsureRuns.get(key);
     if (token === undefined) return false;
     if (seenToken <= token) return true;
@@ -116,7 +116,7 @@
     return false;
   }
 
-  private noteSeen(machine: ShareMachine, report: Report): void {
+  private noteSeen(machine: ShardMachine, report: Report): void {
     for (const task of report.tasks) {
       const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
       const seen = binding?.seen;
@@ -130,10 +130,10 @@
     }
   }
 
-  private byMachine(bindings: Iterable<Binding>): ReadonlyMap<ShareMachine, Binding[]> {
-    const lists = new Map<ShareMachine, Binding[]>();
+  private byMachine(bindings: Iterable<Binding>): ReadonlyMap<ShardMachine, Binding[]> {
+    const lists = new Map<ShardMachine, Binding[]>();
     for (const binding of bindings) {
-      const machine = this.input.shareState.machines.get(binding.machine);
+      const machine = this.input.shardState.machines.get(binding.machine);
       if (!machine || machine.addr === '' || machine.confirmedToken === 0) continue;
       const list = lists.get(machine);
       if (list) list.push(binding);
@@ -147,7 +147,7 @@
    * tasks wait for each other, and reports alone may take as long. A late copy stops only what is to stop anyway.
    */
   sendStops(): void {
-    const { stops } = this.input.shareState;
+    const { stops } = this.input.shardState;
     if (stops.size === 0) return;
     const waiting = [...stops].filter((binding) => binding.stop && onMachine(binding.phase));
     stops.clear();
@@ -201,25 +201,25 @@
    * What a direct answer shows is there is there. What it doesn't show proves nothing: the answer to a report
    * may be on its way at the same time.
    */
-  private onDirectReport(machine: ShareMachine, report: Report): void {
-    const { shareState } = this.input;
-    if (this.input.lost() || !this.input.loaded() || shareState.machines.get(machine.id) !== machine) return;
+  private onDirectReport(machine: ShardMachine, report: Report): void {
+    const { shardState } = this.input;
+    if (this.input.lost() || !this.input.loaded() || shardState.machines.get(machine.id) !== machine) return;
     if (report.session < machine.session) return;
     for (const task of report.tasks) {
       const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
       const seen = binding?.seen;
       if (!binding || (seen && seen.session === report.session && seen.seq >= report.seq)) continue;
-      shareState.apply(binding, { _tag: 'reported', state: task.state });
+      shardState.apply(binding, { _tag: 'reported', state: task.state });
     }
     this.noteSeen(machine, report);
   }
 
   /** A machine that came from another share: its worker hears of the new token at once, not by asking around. */
-  greet(machine: ShareMachine, session: number): void {
+  greet(machine: ShardMachine, session: number): void {
     const token = this.token(machine);
     void this.input.direct(machine.addr, token, session, []).then((result) => {
       if (
-        this.input.shareState.machines.get(machine.id) !== machine ||
+        this.input.shardState.machines.get(machine.id) !== machine ||
         this.token(machine) !== token ||
         machine.confirmedToken !== 0
       )
@@ -239,7 +239,7 @@
 
   /** The commands that answer a machine's last report. */
   orders(report: Report): { readonly token: number; readonly commands: readonly Command[] } | null {
-    const machine = this.input.shareState.machines.get(report.machine);
+    const machine = this.input.shardState.machines.get(report.machine);
     if (!machine || machine.seq !== report.seq || machine.session !== report.session) return null;
     const token = this.token(machine);
     if (!this.input.loaded()) return { token, commands: this.stopsOfCancelled(report) };
@@ -270,6 +270,6 @@
 
   /** The state service no longer binds this attempt: a later holder won't start it again. */
   settled(key: string, job: string, index: number): boolean {
-    return !(this.input.shareState.jobs.get(job)?.chunks.get(chunkOf(index))?.durable.has(key) ?? false);
+    return !(this.input.shardState.jobs.get(job)?.chunks.get(chunkOf(index))?.durable.has(key) ?? false);
   }
 }
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -136,8 +136,8 @@
   async seedClaims(claims: Readonly<Record<string, Node>>): Promise<void> {
     const granted = await this.state.handle('seed', 'POST', '/holds', { ttlMs: FOREIGN_LEASE_MS });
     const { permit } = (granted as Answer & { _tag: 'answer' }).body as { permit: number };
-    for (const [slot, node] of Object.entries(claims))
-      await this.seed(`w/c/${slot}`, `{"n":"${node}","i":"${node}.1"}`, permit);
+    for (const [claimName, node] of Object.entries(claims))
+      await this.seed(`w/c/${claimName}`, `{"n":"${node}","i":"${node}.1"}`, permit);
   }
 
   start(): void {
@@ -399,8 +399,8 @@
   }
 
   /** Its record as it is stored. */
-  recordJson(share: number): string {
-    return `{"s":${share},"b":"g8","z":"${this.paddock}","p":true,"t":${START_MS},"r":false}`;
+  recordJson(shardId: number): string {
+    return `{"s":${shardId},"b":"g8","z":"${this.paddock}","p":true,"t":${START_MS},"r":false}`;
   }
 }
 
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -70,7 +70,7 @@
 };
 
 const MACHINE: MachineRecord = {
-  share: 1,
+  shardId: 1,
   type: 'g8',
   zone: 'x',
   spot: true,
@@ -135,7 +135,7 @@
   machineType: 'g8',
   zone: 'x',
   spot: n % 2 === 0,
-  shares: [0, 2, 2],
+  shardIds: [0, 2, 2],
   at: AT + n,
 });
 
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -87,7 +87,7 @@
   const sent: Record<string, unknown> = {};
   await returnUrgently(
     {
-      share: 1,
+      shardId: 1,
       duty: leaderDuties(TOKEN, () => 0).leader('release'),
       me: 'n1',
       leaderNode: () => 'n0',
--- a/src/testing/bodies.ts
+++ b/src/testing/bodies.ts
@@ -53,7 +53,7 @@
 
 /** The record of an ordinary machine that nobody has heard of yet; what a test is about goes over it. */
 export const machineRecord = (over: Partial<MachineRecord> = {}): MachineRecord => ({
-  share: 0,
+  shardId: 0,
   type: 'g',
   zone: 'x',
   spot: false,
--- a/src/testing/day.ts
+++ b/src/testing/day.ts
@@ -62,13 +62,13 @@
   }
 
   /** The node that holds the share with this number, and so `L` for the one that leads. */
-  holder(slot: string): string {
-    const claim = this.world.state.value(`w/c/${slot}`) as { n: string } | undefined;
+  holder(claimName: string): string {
+    const claim = this.world.state.value(`w/c/${claimName}`) as { n: string } | undefined;
     return claim?.n ?? 'n0';
   }
   /** The holder of the share in which most tasks run. */
   busiest(): string {
-    const count = (slot: string): number => this.world.state.keys(`r/${slot}/`).length;
+    const count = (claimName: string): number => this.world.state.keys(`r/${claimName}/`).length;
     return this.holder(['0', '1', '2'].sort((a, b) => count(b) - count(a))[0] ?? '0');
   }
   /** The node's process ends and comes back with this version. */
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -10,7 +10,7 @@
 ): DutyRegistry => {
   const registry = new DutyRegistry({
     leases: {
-      slots: [LEADER],
+      claimNames: [LEADER],
       claim: () => ({ node: 'n0', incarnation: '1', version: revision }),
       mine: () => revision,
       entitled: () => (mayAct() ? revision : null),
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -3,7 +3,7 @@
  * Prints milliseconds of one placement round, one summary for the leader, one plan of the leader's and one takeover.
  */
 import { planSteps } from '../fleet/scaling-plan.js';
-import type { Summary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/records.js';
 import type { Catalog, JobSpec } from '../jobs/model.js';
 import {
   placementRequests,
@@ -11,13 +11,13 @@
   teamUsage,
   type ViewInput,
 } from '../placement/placement-view.js';
-import { ShareState } from '../placement/shard-state.js';
+import { ShardState } from '../placement/shard-state.js';
 import { MachineLiveness } from '../placement/machine-liveness.js';
 import { unmetDemand, spareMachines } from '../placement/unmet-demand.js';
 import { packAll } from '../placement/bin-packing.js';
 import { readRunRecord, runRecord, writeRunRecord } from '../placement/run-records.js';
 
-const SHARES = 5;
+const SHARD_COUNT = 5;
 const ZONES = ['x', 'y', 'z'];
 const catalog: Catalog = new Map([
   [
@@ -61,12 +61,12 @@
 });
 
 /** One share with its machines full but for one in twenty, and a job waiting for every eight machines. */
-const shareOf = (machines: number) => {
+const shardOf = (machines: number) => {
   const now = 1_000_000;
-  const shareState = new ShareState({ now: () => now, wall: () => now, poke: () => undefined });
+  const shardState = new ShardState({ now: () => now, wall: () => now, poke: () => undefined });
   const liveness = new MachineLiveness({
     bootBound: () => false,
-    machines: shareState.machines,
+    machines: shardState.machines,
     catalog: () => catalog,
     workers: { lease_s: 24, report_s: 5, cancel_s: 45 },
     now: () => now,
@@ -76,7 +76,7 @@
   let jobs = 0;
   const add = (gang: boolean) => {
     jobs += 1;
-    return shareState.adoptJob(
+    return shardState.adoptJob(
       {
         spec: specOf(jobs, gang),
         at: now - 20_000,
@@ -92,7 +92,7 @@
   let next = 0;
   for (let m = 0; m < machines; m += 1) {
     const record = {
-      share: 0,
+      shardId: 0,
       type: 'g',
       zone: ZONES[m % 3] ?? 'x',
       spot: m % 2 === 0,
@@ -101,7 +101,7 @@
       addr: 'a:1',
       session: 1,
     };
-    const machine = shareState.addMachine(
+    const machine = shardState.addMachine(
       `i-${m}`,
       record,
       1,
@@ -115,7 +115,7 @@
         job = add(false);
         next = 0;
       }
-      shareState.apply(shareState.bind(job, next, 1, machine, { _tag: 'bound' }), {
+      shardState.apply(shardState.bind(job, next, 1, machine, { _tag: 'bound' }), {
         _tag: 'reported',
         state: { _tag: 'running' },
       });
@@ -124,7 +124,7 @@
   }
   for (let k = 0; k < machines / 8; k += 1) add(k % 2 === 0);
   const view: ViewInput = {
-    shareState,
+    shardState,
     liveness,
     catalog,
     scarceDemand: () => ({ cpus: 57, gpus: 8, memoryGb: 310 }),
@@ -134,13 +134,13 @@
     now,
     wall: now,
   };
-  return { shareState, view };
+  return { shardState, view };
 };
 
 const round = (view: ViewInput) => {
   const asks = placementRequests(view);
   const rooms = availableCapacity(view);
-  const uses = teamUsage(view.shareState);
+  const uses = teamUsage(view.shardState);
   const packed = packAll(
     asks,
     rooms.filter((room) => room.live),
@@ -161,28 +161,28 @@
   );
 
 const rows = [100, 1_000, 2_000, 4_000, 6_000].map((all) => {
-  const { shareState, view } = shareOf(all / SHARES);
+  const { shardState, view } = shardOf(all / SHARD_COUNT);
   const needs = () => {
     const { packed, rooms, uses } = round(view);
     return unmetDemand(packed.left, rooms, limits, uses, catalog, view.objectives, view.wall);
   };
   const free = spareMachines(
-    [...shareState.machines.values()].filter((machine) => machine.bound.size === 0),
+    [...shardState.machines.values()].filter((machine) => machine.bound.size === 0),
     view.now,
   );
-  const summaries = Array.from({ length: SHARES }, (_, share): Summary => ({
-    share,
+  const summaries = Array.from({ length: SHARD_COUNT }, (_, shardId): ShardSummary => ({
+    shardId,
     claim: 1,
     revision: 1,
     needs: needs(),
     spares: free.listed,
     unlisted: free.unlisted,
   }));
-  const records = [...shareState.jobs.values()].map((job) => writeRunRecord(runRecord(job, 0), 0));
+  const records = [...shardState.jobs.values()].map((job) => writeRunRecord(runRecord(job, 0), 0));
   const roundMs = timed(() => round(view));
   return {
     machines: all,
-    'jobs of a share': shareState.jobs.size,
+    'jobs of a share': shardState.jobs.size,
     'round ms': roundMs.toFixed(2),
     'summary ms': (timed(needs) - roundMs).toFixed(2),
     'plan ms': timed(() =>
--- a/src/upgrade.test.ts
+++ b/src/upgrade.test.ts
@@ -70,7 +70,7 @@
 
 test('upgrade: machines and final records are the same in both versions', () => {
   const machine: MachineRecord = {
-    share: 1,
+    shardId: 1,
     type: 'g',
     zone: 'x',
     spot: true,
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -13,7 +13,7 @@
   readonly cache: WatchCache;
   readonly now: () => number;
   /** The share with this number, if this node may answer for it now. */
-  readonly share: (slot: number) => {
+  readonly shard: (shardId: number) => {
     onReport(report: Report): { readonly hurry: boolean } | null;
     nextRound(machine: string, ms: number): Promise<void>;
     orders(report: Report): { readonly token: number; readonly commands: readonly Command[] } | null;
@@ -28,7 +28,7 @@
 
 /** Answers reports of workers, or names the node that does. */
 export class ReportHandler {
-  private readonly strays = new Map<string, { share: number; at: number }>();
+  private readonly strays = new Map<string, { shardId: number; at: number }>();
   constructor(private readonly input: ReportHandlerInput) {}
 
   /** Machines of other nodes' shares that reported here lately, by share: their holder can't hear them. */
@@ -36,13 +36,13 @@
     const counts: Record<string, number> = {};
     for (const [id, stray] of this.strays) {
       if (this.input.now() - stray.at > withinMs) this.strays.delete(id);
-      else counts[stray.share] = (counts[stray.share] ?? 0) + 1;
+      else counts[stray.shardId] = (counts[stray.shardId] ?? 0) + 1;
     }
     return counts;
   }
 
-  private holder(slot: string): string | undefined {
-    const item = this.input.cache.get(claimKey(slot));
+  private holder(claimName: string): string | undefined {
+    const item = this.input.cache.get(claimKey(claimName));
     return item && readClaim(item.value).node;
   }
 
@@ -55,17 +55,17 @@
       if (this.input.adopt(report) || boss === this.input.me) return { status: 503 };
       return elsewhere(boss);
     }
-    const { share } = readMachineRecord(item.value);
-    const holder = this.holder(String(share));
+    const { shardId } = readMachineRecord(item.value);
+    const holder = this.holder(String(shardId));
     if (holder !== this.input.me) {
-      this.strays.set(report.machine, { share, at: this.input.now() });
+      this.strays.set(report.machine, { shardId, at: this.input.now() });
       return elsewhere(holder);
     }
     this.strays.delete(report.machine);
-    const heard = this.input.share(share)?.onReport(report) ?? null;
-    if (heard?.hurry) await this.input.share(share)?.nextRound(report.machine, MAX_REPORT_ANSWER_DELAY_MS);
+    const heard = this.input.shard(shardId)?.onReport(report) ?? null;
+    if (heard?.hurry) await this.input.shard(shardId)?.nextRound(report.machine, MAX_REPORT_ANSWER_DELAY_MS);
     // Asked again after the wait: the claim may have gone meanwhile.
-    const orders = heard ? (this.input.share(share)?.orders(report) ?? null) : null;
+    const orders = heard ? (this.input.shard(shardId)?.orders(report) ?? null) : null;
     if (!orders) return { status: 503 };
     return { status: 200, body: writeOrders(orders.token, orders.commands) };
   }
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
-import type { Binding, ShareMachine } from '../placement/shard-model.js';
+import type { Binding, ShardMachine } from '../placement/shard-model.js';
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
 import type { Report, ReportedTask, TaskState } from './model.js';
@@ -21,7 +21,7 @@
   asked: 0,
   ...over,
 });
-const machineOf = (binding: Binding | null): ShareMachine => ({
+const machineOf = (binding: Binding | null): ShardMachine => ({
   id: 'i-1',
   type: 'g',
   zone: 'x',
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,5 +1,5 @@
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
-import { bindingKey, type Binding, type ShareMachine } from '../placement/shard-model.js';
+import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import { nextPhase, type Gone } from '../placement/attempt-phase.js';
 import type { Command, Report } from './model.js';
 
@@ -18,7 +18,7 @@
  * it is under way.
  */
 export const readChanges = (
-  machine: ShareMachine,
+  machine: ShardMachine,
   report: Report,
   underToken: boolean,
   late: (key: string) => boolean,
@@ -66,7 +66,7 @@
  * attempt to this machine, so that a later holder won't start it again once it is forgotten.
  */
 export const answer = (
-  machine: ShareMachine,
+  machine: ShardMachine,
   report: Report,
   underToken: boolean,
   settled: (key: string, job: string, index: number) => boolean,
