--- a/packages/fencing/src/duty.ts
+++ b/packages/fencing/src/duty.ts
@@ -52,9 +52,9 @@
   /** Compares with what the lease says now. */
   refresh(): void {
     const token = tokenOfState(this.current);
-    const entitled = token !== null && this.input.right() === token;
-    if (this.current._tag === 'draining' && entitled) this.apply({ _tag: 'restored' });
-    else if (!entitled) this.apply({ _tag: 'suspended' });
+    const hasRight = token !== null && this.input.right() === token;
+    if (this.current._tag === 'draining' && hasRight) this.apply({ _tag: 'restored' });
+    else if (!hasRight) this.apply({ _tag: 'suspended' });
   }
 
   /** Leave for an effect of the current holder; null: this process is not that now. */
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -1,26 +1,26 @@
 import type { FencedValue } from './fenced-value.js';
 import {
-  dueForRemoval,
-  EMPTY_REMOVALS,
-  readRemovals,
-  REMOVAL_DELAY_MS,
-  roomToMark,
-  withMarked,
-  withRemoved,
-  withUnmarked,
-  writeRemovals,
-  type MarkedKey,
-  type RemovalBook,
-  type RemovalReason,
+  dueTombstones,
+  EMPTY_TOMBSTONE_RECORD,
+  readTombstoneRecord,
+  COLLECTION_DELAY_MS,
+  tombstonesThatFit,
+  withTombstones,
+  withCollected,
+  withoutTombstones,
+  writeTombstoneRecord,
+  type Tombstone,
+  type TombstoneRecord,
+  type OrphanReason,
 } from './tombstones.js';
 import type { Permit } from './duty.js';
 import type { FencingToken } from './token.js';
 
 /** A key that seems to be left over; revision null: not known, it has to be read. */
-export interface LeftOver {
+export interface OrphanedKey {
   readonly key: string;
   readonly revision: number | null;
-  readonly reason: RemovalReason;
+  readonly reason: OrphanReason;
 }
 
 /** What a key's present revision is. */
@@ -30,7 +30,7 @@
   | { readonly _tag: 'unavailable' };
 
 /** What the remover needs of its share. */
-export interface RemoverInput {
+export interface GarbageCollectorDependencies {
   readonly value: FencedValue;
   /** Leave for one step; null: this process does not hold the duty now. */
   readonly begin: () => Permit | null;
@@ -43,22 +43,22 @@
   readonly maxBytes: number;
   /** ms since the epoch. */
   readonly timeOfDay: () => number;
-  readonly removed: (keys: readonly MarkedKey[]) => void;
+  readonly removed: (keys: readonly Tombstone[]) => void;
 }
 
 /** Marks and removes the left-over keys of one share, under one token. */
-export class Remover {
-  private book: RemovalBook = EMPTY_REMOVALS;
+export class GarbageCollector {
+  private book: TombstoneRecord = EMPTY_TOMBSTONE_RECORD;
   private revision = 0;
   private loaded = false;
-  private readonly found: LeftOver[] = [];
+  private readonly found: OrphanedKey[] = [];
   /** ms since the epoch: until then there is no room for more marks. */
   private fullUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly input: RemoverInput) {}
+  constructor(private readonly input: GarbageCollectorDependencies) {}
 
   /** Has these keys marked, and removed some time. */
-  discard(keys: readonly LeftOver[]): void {
+  discard(keys: readonly OrphanedKey[]): void {
     this.found.push(...keys);
   }
 
@@ -66,11 +66,11 @@
   get due(): boolean {
     if (!this.loaded) return true;
     if (this.found.length > 0 && this.input.timeOfDay() >= this.fullUntil) return true;
-    return this.removalsDue().length > 0;
+    return this.collectableTombstones().length > 0;
   }
 
-  private removalsDue(): readonly MarkedKey[] {
-    return dueForRemoval(this.book, this.input.timeOfDay(), this.input.batch());
+  private collectableTombstones(): readonly Tombstone[] {
+    return dueTombstones(this.book, this.input.timeOfDay(), this.input.batch());
   }
 
   /** One step: reads the book, marks a batch or removes one. */
@@ -80,7 +80,7 @@
     try {
       if (!this.loaded) await this.load();
       // What is due goes first: it makes room for more marks.
-      else if (this.removalsDue().length > 0) await this.removeDue(permit.token);
+      else if (this.collectableTombstones().length > 0) await this.removeDue(permit.token);
       else if (this.found.length > 0) await this.mark(permit.token);
     } finally {
       permit.end();
@@ -91,53 +91,57 @@
     const outcome = await this.input.value.read();
     if (outcome._tag === 'unavailable') return;
     this.revision = outcome.entry.revision;
-    this.book = this.revision === 0 ? EMPTY_REMOVALS : readRemovals(outcome.entry.value);
+    this.book = this.revision === 0 ? EMPTY_TOMBSTONE_RECORD : readTombstoneRecord(outcome.entry.value);
     this.loaded = true;
   }
 
   private async mark(token: FencingToken): Promise<void> {
     const batch = this.found.splice(0, this.input.batch());
-    const marked: MarkedKey[] = [];
-    for (const leftOver of batch) {
-      const revision = await this.revisionOf(leftOver);
-      if (revision === null) this.found.push(leftOver);
+    const marked: Tombstone[] = [];
+    for (const orphan of batch) {
+      const revision = await this.revisionOf(orphan);
+      if (revision === null) this.found.push(orphan);
       else if (revision > 0)
         marked.push({
-          key: leftOver.key,
+          key: orphan.key,
           revision,
-          reason: leftOver.reason,
+          reason: orphan.reason,
           token,
           at: this.input.timeOfDay(),
         });
     }
-    const fit = roomToMark(this.book, marked, this.input.maxBytes);
-    if (fit.length < marked.length) this.fullUntil = this.input.timeOfDay() + REMOVAL_DELAY_MS;
-    const written = fit.length > 0 && (await this.write(withMarked(this.book, fit), [], token));
+    const fit = tombstonesThatFit(this.book, marked, this.input.maxBytes);
+    if (fit.length < marked.length) this.fullUntil = this.input.timeOfDay() + COLLECTION_DELAY_MS;
+    const written = fit.length > 0 && (await this.write(withTombstones(this.book, fit), [], token));
     const waiting = written ? marked.slice(fit.length) : marked;
     this.found.push(...waiting.map(({ key, revision, reason }) => ({ key, revision, reason })));
   }
 
   /** 0: it is gone already; null: it could not be read. */
-  private async revisionOf(leftOver: LeftOver): Promise<number | null> {
-    if (leftOver.revision !== null) return leftOver.revision;
-    const outcome = await this.input.revisionOf(leftOver.key);
+  private async revisionOf(orphan: OrphanedKey): Promise<number | null> {
+    if (orphan.revision !== null) return orphan.revision;
+    const outcome = await this.input.revisionOf(orphan.key);
     if (outcome._tag === 'unavailable') return null;
     return outcome._tag === 'absent' ? 0 : outcome.revision;
   }
 
   private async removeDue(token: FencingToken): Promise<void> {
     const now = this.input.timeOfDay();
-    const due = this.removalsDue();
+    const due = this.collectableTombstones();
     const again = new Set(due.filter(({ key }) => this.input.inUse(key)).map(({ key }) => key));
     const gone = due.filter(({ key }) => !again.has(key));
-    const next = withRemoved(withUnmarked(this.book, again), gone, token, now);
+    const next = withCollected(withoutTombstones(this.book, again), gone, token, now);
     if (await this.write(next, gone, token)) this.input.removed(gone);
   }
 
   /** True: written. Else it is tried again later, by whoever holds the duty then. */
-  private async write(next: RemovalBook, gone: readonly MarkedKey[], token: FencingToken): Promise<boolean> {
+  private async write(
+    next: TombstoneRecord,
+    gone: readonly Tombstone[],
+    token: FencingToken,
+  ): Promise<boolean> {
     const outcome = await this.input.value.write(
-      writeRemovals(next, this.input.maxBytes),
+      writeTombstoneRecord(next, this.input.maxBytes),
       this.revision,
       token,
       gone.map(({ key, revision }) => ({ key, revision })),
@@ -161,13 +165,13 @@
   }
 
   /** Keys whose revision changed since they were marked are not removed: one that still exists is marked anew. */
-  private async lookAgain(changed: ReadonlySet<string>, gone: readonly MarkedKey[]): Promise<void> {
+  private async lookAgain(changed: ReadonlySet<string>, gone: readonly Tombstone[]): Promise<void> {
     const affected = gone.filter(({ key }) => changed.has(key));
     if (affected.length === 0) {
       this.loaded = false;
       return;
     }
-    this.book = withUnmarked(this.book, new Set(affected.map(({ key }) => key)));
+    this.book = withoutTombstones(this.book, new Set(affected.map(({ key }) => key)));
     for (const { key, reason } of affected) {
       const outcome = await this.input.revisionOf(key);
       if (outcome._tag === 'absent') continue;
--- a/packages/fencing/src/history.test.ts
+++ b/packages/fencing/src/history.test.ts
@@ -108,7 +108,7 @@
 const held: readonly Step[] = [advanceBy(1), advanceBy(1), advanceBy(1)];
 const pause: readonly Step[] = [advanceBy(4_000), advanceBy(1_200), advanceBy(10), advanceBy(10)];
 const woken: readonly Step[] = [{ _tag: 'resume', process: 0 }, advanceBy(10), advanceBy(10)];
-const rent: Step = { _tag: 'rent', process: 0 };
+const provision: Step = { _tag: 'rent', process: 0 };
 const stop: Step = { _tag: 'stop', process: 0 };
 const suspend: Step = { _tag: 'suspend', process: 0 };
 const arrives: Step = { _tag: 'deliver', index: 0, again: false };
@@ -124,7 +124,7 @@
     steps: [
       ...held,
       { _tag: 'nextWrite', how: 'late' },
-      rent,
+      provision,
       stop,
       ...pause,
       { _tag: 'deliverWrites' },
@@ -135,17 +135,17 @@
   },
   {
     name: 'stopped between intent and call: the call is withheld',
-    steps: [...held, rent, advanceBy(1), stop, ...pause, ...woken, arrives],
+    steps: [...held, provision, advanceBy(1), stop, ...pause, ...woken, arrives],
     needsFencing: true,
   },
   {
     name: 'stopped between call and answer: the successor repeated it, and the late call rents nothing',
-    steps: [...held, rent, advanceBy(1), advanceBy(1), stop, ...pause, arrives, ...woken],
+    steps: [...held, provision, advanceBy(1), advanceBy(1), stop, ...pause, arrives, ...woken],
     needsFencing: false,
   },
   {
     name: 'suspended with its host between intent and call: its steady clock says that nothing passed',
-    steps: [...held, rent, advanceBy(1), suspend, ...pause, ...woken, arrives],
+    steps: [...held, provision, advanceBy(1), suspend, ...pause, ...woken, arrives],
     needsFencing: true,
   },
   {
@@ -153,7 +153,7 @@
     steps: [
       ...held,
       { _tag: 'setTime', process: 0, ms: -HOUR_MS },
-      rent,
+      provision,
       advanceBy(1),
       suspend,
       ...pause,
@@ -165,7 +165,7 @@
     name: 'two changes of holder within one pause',
     steps: [
       ...held,
-      rent,
+      provision,
       advanceBy(1),
       stop,
       ...pause,
@@ -185,7 +185,7 @@
     name: 'lost and regained by the same process, with its own old call waiting',
     steps: [
       ...held,
-      rent,
+      provision,
       advanceBy(1),
       stop,
       ...pause,
@@ -202,7 +202,14 @@
   },
   {
     name: 'the time of the holder jumps forward: at most the duty is lost',
-    steps: [...held, { _tag: 'setTime', process: 0, ms: HOUR_MS }, rent, advanceBy(1), advanceBy(1), arrives],
+    steps: [
+      ...held,
+      { _tag: 'setTime', process: 0, ms: HOUR_MS },
+      provision,
+      advanceBy(1),
+      advanceBy(1),
+      arrives,
+    ],
     needsFencing: false,
   },
 ];
--- a/packages/fencing/src/provisioning-intent.ts
+++ b/packages/fencing/src/provisioning-intent.ts
@@ -13,7 +13,7 @@
 const KEPT_OUTCOMES = 24;
 
 /** A rental request as it is announced. */
-export interface RentalIntent {
+export interface ProvisioningIntent {
   readonly name: string;
   readonly machineType: string;
   readonly zone: string;
@@ -25,52 +25,63 @@
 }
 
 /** How a rental request ended. */
-export type RentalOutcome =
+export type ProvisioningOutcome =
   'rented' | 'no capacity' | 'refused' | 'withheld' | 'unanswered' | 'abandoned' | 'repeated by successor';
 
 /** A request that is over. */
-export interface SettledRental {
+export interface SettledProvisioning {
   readonly name: string;
-  readonly outcome: RentalOutcome;
+  readonly outcome: ProvisioningOutcome;
   readonly machines: number;
   readonly at: number;
 }
 
 /** What the state service holds: open requests, and the last that ended. */
-export interface RentalBook {
+export interface ProvisioningRecord {
   /** The token under which it was written last. */
   readonly token: FencingToken | null;
-  readonly open: readonly RentalIntent[];
-  readonly settled: readonly SettledRental[];
+  readonly open: readonly ProvisioningIntent[];
+  readonly settled: readonly SettledProvisioning[];
   /** Stored entries that could not be read: never acted on, kept for an operator. */
   readonly malformed: readonly unknown[];
 }
 
 /** A book without entries. */
-export const EMPTY_BOOK: RentalBook = { token: null, open: [], settled: [], malformed: [] };
+export const EMPTY_PROVISIONING_RECORD: ProvisioningRecord = {
+  token: null,
+  open: [],
+  settled: [],
+  malformed: [],
+};
 
 /** What a new holder does with a request that an earlier one left open. */
 export type Settlement =
   /** Send it again under its name: either it was carried out, or it is now; a late copy then changes nothing. */
-  | { readonly _tag: 'repeat'; readonly intent: RentalIntent }
+  | { readonly _tag: 'repeat'; readonly intent: ProvisioningIntent }
   /** Leave it: its machines, if any come, are adopted and returned when idle. */
-  | { readonly _tag: 'abandon'; readonly intent: RentalIntent };
+  | { readonly _tag: 'abandon'; readonly intent: ProvisioningIntent };
 
 /** Decides about each open request. An intent from the future, by a clock that was set back, counts as fresh. */
-export const settlementsFor = (book: RentalBook, now: number): readonly Settlement[] =>
+export const settlementsFor = (book: ProvisioningRecord, now: number): readonly Settlement[] =>
   book.open.map((intent) => ({
     _tag: now - intent.at <= INTENT_FRESH_MS ? 'repeat' : 'abandon',
     intent,
   }));
 
 /** Announces requests. */
-export const withOpened = (book: RentalBook, intents: readonly RentalIntent[]): RentalBook => ({
+export const withOpened = (
+  book: ProvisioningRecord,
+  intents: readonly ProvisioningIntent[],
+): ProvisioningRecord => ({
   ...book,
   open: [...book.open, ...intents],
 });
 
 /** Notes the outcome of requests. */
-export const withSettled = (book: RentalBook, settled: readonly SettledRental[]): RentalBook => {
+export const withSettled = (
+  book: ProvisioningRecord,
+  settled: readonly SettledProvisioning[],
+): ProvisioningRecord => {
   const names = new Set(settled.map((rental) => rental.name));
   return {
     ...book,
@@ -89,7 +100,7 @@
 }
 interface StoredSettled {
   n: string;
-  o: RentalOutcome;
+  o: ProvisioningOutcome;
   m: number;
   a: number;
 }
@@ -97,7 +108,7 @@
 const isText = (value: unknown): value is string => typeof value === 'string' && value !== '';
 const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 
-const readIntent = (raw: unknown): RentalIntent | null => {
+const readIntent = (raw: unknown): ProvisioningIntent | null => {
   if (typeof raw !== 'object' || raw === null) return null;
   const { n, b, z, p, s, a } = raw as Partial<StoredIntent>;
   if (!isText(n) || !isText(b) || !isText(z) || typeof p !== 'boolean') return null;
@@ -106,7 +117,7 @@
   return { name: n, machineType: b, zone: z, spot: p, shardIds: s, at: a };
 };
 
-const readSettled = (raw: unknown): SettledRental[] => {
+const readSettled = (raw: unknown): SettledProvisioning[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { n, o, m, a } = raw as Partial<StoredSettled>;
   if (!isText(n) || o === undefined || !isCount(m) || typeof a !== 'number') return [];
@@ -114,12 +125,14 @@
 };
 
 /** Reads a stored book; what is malformed is kept aside. */
-export const readBook = (value: unknown): RentalBook => {
-  if (typeof value !== 'object' || value === null) return { ...EMPTY_BOOK, malformed: [value] };
+export const readProvisioningRecord = (value: unknown): ProvisioningRecord => {
+  if (typeof value !== 'object' || value === null)
+    return { ...EMPTY_PROVISIONING_RECORD, malformed: [value] };
   const { t, o, d, q } = value as { t?: unknown; o?: unknown; d?: unknown; q?: unknown };
   const token = parseToken(t, 't');
-  if (token._tag === 'invalid' || !Array.isArray(o)) return { ...EMPTY_BOOK, malformed: [value] };
-  const open: RentalIntent[] = [];
+  if (token._tag === 'invalid' || !Array.isArray(o))
+    return { ...EMPTY_PROVISIONING_RECORD, malformed: [value] };
+  const open: ProvisioningIntent[] = [];
   const malformed: unknown[] = Array.isArray(q) ? [...(q as unknown[])] : [];
   for (const raw of o as unknown[]) {
     const intent = readIntent(raw);
@@ -136,9 +149,9 @@
 const keptMalformed = (malformed: readonly unknown[]): readonly unknown[] =>
   JSON.stringify(malformed).length <= MALFORMED_MAX_BYTES ? malformed : [];
 
-const storeBook = (
-  { open, malformed }: RentalBook,
-  settled: readonly SettledRental[],
+const encodeProvisioningRecord = (
+  { open, malformed }: ProvisioningRecord,
+  settled: readonly SettledProvisioning[],
   token: FencingToken,
 ): unknown => ({
   t: token,
@@ -160,9 +173,14 @@
 });
 
 /** Writes a book as it is stored, with as many outcomes as it has room for; null: its open requests alone are too many. */
-export const writeBook = (book: RentalBook, token: FencingToken, maxBytes: number): unknown => {
+export const writeProvisioningRecord = (
+  book: ProvisioningRecord,
+  token: FencingToken,
+  maxBytes: number,
+): unknown => {
   const bounded = { ...book, malformed: keptMalformed(book.malformed) };
-  const store = (settled: readonly SettledRental[]): unknown => storeBook(bounded, settled, token);
+  const store = (settled: readonly SettledProvisioning[]): unknown =>
+    encodeProvisioningRecord(bounded, settled, token);
   const stored = store(newestThatFit(book.settled, maxBytes, store));
   return storedBytes(stored) <= maxBytes ? stored : null;
 };
--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import {
   INTENT_FRESH_MS,
-  readBook,
+  readProvisioningRecord,
   settlementsFor,
-  writeBook,
-  EMPTY_BOOK,
-  type RentalIntent,
+  writeProvisioningRecord,
+  EMPTY_PROVISIONING_RECORD,
+  type ProvisioningIntent,
 } from './provisioning-intent.js';
-import { RentalJournal } from './provisioning-journal.js';
+import { ProvisioningJournal } from './provisioning-journal.js';
 import type { WriteOutcome } from './fenced-value.js';
 import { storedBytes } from './stored-size.js';
 import { MemoryValue, type NextWrite } from './testing/memory-value.js';
@@ -16,7 +16,7 @@
 
 const token = tokenOf(5);
 const ROOMY = 16 * 1024;
-const intent = (name: string, at = 0): RentalIntent => ({
+const intent = (name: string, at = 0): ProvisioningIntent => ({
   name,
   machineType: 'g8',
   zone: 'a',
@@ -25,8 +25,12 @@
   at,
 });
 
-const journalOn = async (value: MemoryValue, under = token, maxBytes = ROOMY): Promise<RentalJournal> => {
-  const journal = new RentalJournal({
+const journalOn = async (
+  value: MemoryValue,
+  under = token,
+  maxBytes = ROOMY,
+): Promise<ProvisioningJournal> => {
+  const journal = new ProvisioningJournal({
     value,
     maxBytes,
     timeOfDay: () => 0,
@@ -39,7 +43,7 @@
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 const stored = (value: MemoryValue): readonly string[] =>
-  value.entry.revision === 0 ? [] : readBook(value.entry.value).open.map(({ name }) => name);
+  value.entry.revision === 0 ? [] : readProvisioningRecord(value.entry.value).open.map(({ name }) => name);
 
 const opened: readonly { name: string; next: NextWrite; outcome: string; durable: readonly string[] }[] = [
   { name: 'written before it is sent', next: 'normal', outcome: 'announced', durable: ['r-5-1'] },
@@ -137,10 +141,14 @@
 ];
 for (const row of malformed) {
   test(`rental intents, malformed: ${row.name}`, () => {
-    const book = readBook(row.value);
+    const book = readProvisioningRecord(row.value);
     assert.equal(book.open.length, row.open);
     assert.equal(book.malformed.length, row.aside, 'kept aside, never acted on');
-    assert.equal(readBook(writeBook(book, token, ROOMY)).malformed.length, row.aside, 'and still there');
+    assert.equal(
+      readProvisioningRecord(writeProvisioningRecord(book, token, ROOMY)).malformed.length,
+      row.aside,
+      'and still there',
+    );
   });
 }
 
@@ -151,8 +159,11 @@
     machines: 1,
     at: n,
   }));
-  const book = { ...EMPTY_BOOK, token, open: [intent('r-5-1')], settled: settledRentals };
-  assert.deepEqual(readBook(JSON.parse(JSON.stringify(writeBook(book, token, ROOMY)))), book);
+  const book = { ...EMPTY_PROVISIONING_RECORD, token, open: [intent('r-5-1')], settled: settledRentals };
+  assert.deepEqual(
+    readProvisioningRecord(JSON.parse(JSON.stringify(writeProvisioningRecord(book, token, ROOMY)))),
+    book,
+  );
 });
 
 test('rental journal: where values are small old outcomes make way, and requests that do not fit wait', async () => {
@@ -164,7 +175,11 @@
     journal.close(`r-5-${n}`, 'rented', 2);
   }
   assert.ok(storedBytes(value.entry.value) <= 600);
-  assert.equal(readBook(value.entry.value).settled.at(-1)?.name, 'r-5-29', 'the newest are kept');
+  assert.equal(
+    readProvisioningRecord(value.entry.value).settled.at(-1)?.name,
+    'r-5-29',
+    'the newest are kept',
+  );
   const outcomes = await Promise.all(
     Array.from({ length: 12 }, (_, n) => journal.open(intent(`r-5-${100 + n}`))),
   );
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -1,14 +1,14 @@
 import type { FencedValue } from './fenced-value.js';
 import {
-  EMPTY_BOOK,
-  readBook,
+  EMPTY_PROVISIONING_RECORD,
+  readProvisioningRecord,
   withOpened,
   withSettled,
-  writeBook,
-  type RentalBook,
-  type RentalIntent,
-  type RentalOutcome,
-  type SettledRental,
+  writeProvisioningRecord,
+  type ProvisioningRecord,
+  type ProvisioningIntent,
+  type ProvisioningOutcome,
+  type SettledProvisioning,
 } from './provisioning-intent.js';
 import type { FencingToken } from './token.js';
 
@@ -20,7 +20,7 @@
 const RETRY_MS = 300;
 
 /** What the journal needs of its process. */
-export interface RentalJournalInput {
+export interface ProvisioningJournalDependencies {
   readonly value: FencedValue;
   /** bytes: the largest value that may be stored. */
   readonly maxBytes: number;
@@ -33,7 +33,7 @@
 export type OpenOutcome = 'announced' | 'claim lost' | 'unavailable';
 
 interface Announcement {
-  readonly intent: RentalIntent;
+  readonly intent: ProvisioningIntent;
   readonly settle: (outcome: OpenOutcome) => void;
 }
 
@@ -41,12 +41,12 @@
  * The holder's side of the durable rental intents. Requests that are announced at the same time share one write, and
  * outcomes go along with the next one: a wave of rentals costs one change of the state service, not two a request.
  */
-export class RentalJournal {
-  private book: RentalBook = EMPTY_BOOK;
+export class ProvisioningJournal {
+  private book: ProvisioningRecord = EMPTY_PROVISIONING_RECORD;
   private revision = 0;
   private token: FencingToken | null = null;
   private announcements: Announcement[] = [];
-  private outcomes: SettledRental[] = [];
+  private outcomes: SettledProvisioning[] = [];
   /** Requests of this tenure that are not over. */
   private readonly live = new Set<string>();
   private writing = false;
@@ -54,19 +54,19 @@
   /** Writes made, for measuring what the intents cost. */
   writes = 0;
 
-  constructor(private readonly input: RentalJournalInput) {}
+  constructor(private readonly input: ProvisioningJournalDependencies) {}
 
   /** The open requests and the last outcomes, as this process knows them. */
-  get current(): RentalBook {
+  get current(): ProvisioningRecord {
     return this.book;
   }
 
   /** Reads what earlier holders left, at the beginning of a tenure; null: it could not be read. */
-  async load(token: FencingToken): Promise<RentalBook | null> {
+  async load(token: FencingToken): Promise<ProvisioningRecord | null> {
     const outcome = await this.input.value.read();
     if (outcome._tag === 'unavailable') return null;
     const { value, revision } = outcome.entry;
-    this.book = revision === 0 ? EMPTY_BOOK : readBook(value);
+    this.book = revision === 0 ? EMPTY_PROVISIONING_RECORD : readProvisioningRecord(value);
     this.revision = revision;
     this.token = token;
     this.outcomes = [];
@@ -76,7 +76,7 @@
   }
 
   /** Makes a request durable before it is sent. */
-  open(intent: RentalIntent): Promise<OpenOutcome> {
+  open(intent: ProvisioningIntent): Promise<OpenOutcome> {
     return new Promise((resolve) => {
       this.live.add(intent.name);
       this.announcements.push({
@@ -91,7 +91,7 @@
   }
 
   /** A request is over. */
-  close(name: string, outcome: RentalOutcome, machines = 0): void {
+  close(name: string, outcome: ProvisioningOutcome, machines = 0): void {
     this.live.delete(name);
     this.outcomes.push({ name, outcome, machines, at: this.input.timeOfDay() });
     this.flushLater();
@@ -127,7 +127,7 @@
 
   private async commit(
     announced: readonly Announcement[],
-    outcomes: readonly SettledRental[],
+    outcomes: readonly SettledProvisioning[],
   ): Promise<OpenOutcome> {
     const token = this.token;
     if (token === null) return 'claim lost';
@@ -135,7 +135,7 @@
       withSettled(this.book, outcomes),
       announced.map(({ intent }) => intent),
     );
-    const stored = writeBook(next, token, this.input.maxBytes);
+    const stored = writeProvisioningRecord(next, token, this.input.maxBytes);
     if (stored === null) return this.commitFewer(announced, outcomes);
     const result = await this.writeSurely(stored, token);
     if (result === 'announced' && this.token === token) this.book = next;
@@ -145,7 +145,7 @@
   /** Not all requests fit in one value: the last one waits until others are over. */
   private commitFewer(
     announced: readonly Announcement[],
-    outcomes: readonly SettledRental[],
+    outcomes: readonly SettledProvisioning[],
   ): Promise<OpenOutcome> {
     announced.at(-1)?.settle('unavailable');
     return announced.length === 0
@@ -183,7 +183,8 @@
     const same = JSON.stringify(outcome.entry.value) === JSON.stringify(stored);
     if (same) return 'announced';
     // An earlier write of ours, given up without an answer, was applied late: what it announced was never sent.
-    const late = outcome.entry.revision === 0 ? EMPTY_BOOK : readBook(outcome.entry.value);
+    const late =
+      outcome.entry.revision === 0 ? EMPTY_PROVISIONING_RECORD : readProvisioningRecord(outcome.entry.value);
     this.book = late;
     const at = this.input.timeOfDay();
     for (const { name } of late.open) {
--- a/packages/fencing/src/stored-size.ts
+++ b/packages/fencing/src/stored-size.ts
@@ -5,9 +5,10 @@
 export const newestThatFit = <T>(
   entries: readonly T[],
   maxBytes: number,
-  store: (kept: readonly T[]) => unknown,
+  store: (withheldFromSpotWork: readonly T[]) => unknown,
 ): readonly T[] => {
-  let kept = entries;
-  while (kept.length > 0 && storedBytes(store(kept)) > maxBytes) kept = kept.slice(1);
-  return kept;
+  let withheldFromSpotWork = entries;
+  while (withheldFromSpotWork.length > 0 && storedBytes(store(withheldFromSpotWork)) > maxBytes)
+    withheldFromSpotWork = withheldFromSpotWork.slice(1);
+  return withheldFromSpotWork;
 };
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -7,8 +7,8 @@
 import { SuspensionAwareClock } from '../clock.js';
 import { Duty, type Permit } from '../duty.js';
 import type { FencedValue } from '../fenced-value.js';
-import { settlementsFor, type RentalIntent } from '../provisioning-intent.js';
-import { RentalJournal } from '../provisioning-journal.js';
+import { settlementsFor, type ProvisioningIntent } from '../provisioning-intent.js';
+import { ProvisioningJournal } from '../provisioning-journal.js';
 import { tokenOf, type FencingToken } from '../token.js';
 import { MemoryValue, type NextWrite } from './memory-value.js';
 
@@ -51,7 +51,7 @@
 }
 
 interface Message {
-  readonly intent: RentalIntent;
+  readonly intent: ProvisioningIntent;
   readonly answered: () => void;
 }
 
@@ -67,7 +67,7 @@
   sequence = 0;
   readonly clock: SuspensionAwareClock;
   readonly duty: Duty;
-  readonly journal: RentalJournal;
+  readonly journal: ProvisioningJournal;
 
   constructor(value: FencedValue, audit: DutyAudit, enforce: boolean) {
     this.clock = new SuspensionAwareClock({
@@ -81,7 +81,7 @@
       await this.delay();
       return received;
     };
-    this.journal = new RentalJournal({
+    this.journal = new ProvisioningJournal({
       value: {
         read: () => awake(value.read()),
         write: (...args) => awake(value.write(...args)),
@@ -170,7 +170,7 @@
         this.setTime(step.process, step.ms);
         return;
       case 'rent':
-        this.rent(step.process);
+        this.provision(step.process);
         return;
       case 'deliver':
         this.deliver(step.index, step.again);
@@ -239,12 +239,12 @@
     this.processes.forEach((process, index) => {
       if (!process.running) return;
       process.clock.now();
-      const mine = this.claim?.process === index ? this.claim.token : null;
-      if (mine === null) {
+      const ownRevision = this.claim?.process === index ? this.claim.token : null;
+      if (ownRevision === null) {
         process.duty.apply({ _tag: 'released' });
         return;
       }
-      process.duty.apply({ _tag: 'claimed', token: mine });
+      process.duty.apply({ _tag: 'claimed', token: ownRevision });
       process.duty.refresh();
       if (process.duty.state._tag === 'acquiring') void this.takeOver(process);
     });
@@ -276,7 +276,7 @@
     return true;
   }
 
-  private rent(index: number): void {
+  private provision(index: number): void {
     const process = this.processes[index];
     const permit = process?.running ? process.duty.begin('rental request') : null;
     if (process && permit) void this.rentUnder(process, permit).finally(() => permit.end());
@@ -284,7 +284,7 @@
 
   private async rentUnder(process: SimulatedProcess, permit: Permit): Promise<void> {
     process.sequence += 1;
-    const intent: RentalIntent = {
+    const intent: ProvisioningIntent = {
       name: `r-${permit.token}-${process.sequence}`,
       machineType: 'g',
       zone: 'a',
--- a/packages/fencing/src/tombstones.ts
+++ b/packages/fencing/src/tombstones.ts
@@ -7,12 +7,12 @@
 import { parseToken, type FencingToken } from './token.js';
 
 /** ms between the mark and the removal: longer than a change of holder, so that a successor looks again too. */
-export const REMOVAL_DELAY_MS = 10_000;
+export const COLLECTION_DELAY_MS = 10_000;
 /** Removals that stay readable. */
 const KEPT_REMOVALS = 32;
 
 /** Why a key is left over. */
-export type RemovalReason =
+export type OrphanReason =
   /** The job that it belongs to is over. */
   | 'job over'
   /** It was found at a takeover and belongs to no job. */
@@ -21,58 +21,58 @@
   | 'part not named';
 
 /** A key marked for removal. */
-export interface MarkedKey {
+export interface Tombstone {
   readonly key: string;
   readonly revision: number;
-  readonly reason: RemovalReason;
+  readonly reason: OrphanReason;
   readonly token: FencingToken;
   /** ms since the epoch. */
   readonly at: number;
 }
 
 /** A key that was removed. */
-export interface RemovedKey {
+export interface CollectedKey {
   readonly key: string;
-  readonly reason: RemovalReason;
+  readonly reason: OrphanReason;
   readonly markedUnder: FencingToken;
   readonly removedUnder: FencingToken;
   readonly at: number;
 }
 
 /** What the state service holds for one share. */
-export interface RemovalBook {
-  readonly marked: readonly MarkedKey[];
-  readonly removed: readonly RemovedKey[];
+export interface TombstoneRecord {
+  readonly marked: readonly Tombstone[];
+  readonly removed: readonly CollectedKey[];
 }
 
 /** A book without entries. */
-export const EMPTY_REMOVALS: RemovalBook = { marked: [], removed: [] };
+export const EMPTY_TOMBSTONE_RECORD: TombstoneRecord = { marked: [], removed: [] };
 
 /** Marks keys; one that is marked already stays as it is. */
-export const withMarked = (book: RemovalBook, keys: readonly MarkedKey[]): RemovalBook => {
+export const withTombstones = (book: TombstoneRecord, keys: readonly Tombstone[]): TombstoneRecord => {
   const known = new Set(book.marked.map((marked) => marked.key));
   return { ...book, marked: [...book.marked, ...keys.filter(({ key }) => !known.has(key))] };
 };
 
 /** Marked keys that are due for the second look. */
-export const dueForRemoval = (book: RemovalBook, now: number, most: number): readonly MarkedKey[] =>
-  book.marked.filter((marked) => Math.abs(now - marked.at) >= REMOVAL_DELAY_MS).slice(0, most);
+export const dueTombstones = (book: TombstoneRecord, now: number, most: number): readonly Tombstone[] =>
+  book.marked.filter((marked) => Math.abs(now - marked.at) >= COLLECTION_DELAY_MS).slice(0, most);
 
 /** Takes keys out of the marked ones without removing them: they changed, or belong to something again. */
-export const withUnmarked = (book: RemovalBook, keys: ReadonlySet<string>): RemovalBook => ({
+export const withoutTombstones = (book: TombstoneRecord, keys: ReadonlySet<string>): TombstoneRecord => ({
   ...book,
   marked: book.marked.filter(({ key }) => !keys.has(key)),
 });
 
 /** Notes that keys were removed. */
-export const withRemoved = (
-  book: RemovalBook,
-  keys: readonly MarkedKey[],
+export const withCollected = (
+  book: TombstoneRecord,
+  keys: readonly Tombstone[],
   token: FencingToken,
   now: number,
-): RemovalBook => {
-  const rest = withUnmarked(book, new Set(keys.map(({ key }) => key)));
-  const removed = keys.map((marked): RemovedKey => ({
+): TombstoneRecord => {
+  const rest = withoutTombstones(book, new Set(keys.map(({ key }) => key)));
+  const removed = keys.map((marked): CollectedKey => ({
     key: marked.key,
     reason: marked.reason,
     markedUnder: marked.token,
@@ -82,7 +82,7 @@
   return { ...rest, removed: [...rest.removed, ...removed].slice(-KEPT_REMOVALS) };
 };
 
-const REASONS: readonly RemovalReason[] = ['job over', 'belongs to no job', 'part not named'];
+const REASONS: readonly OrphanReason[] = ['job over', 'belongs to no job', 'part not named'];
 
 interface StoredMarked {
   k: string;
@@ -99,7 +99,7 @@
   a: number;
 }
 
-const readMarked = (raw: unknown): MarkedKey[] => {
+const readMarked = (raw: unknown): Tombstone[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { k, v, r, t, a } = raw as Partial<StoredMarked>;
   const token = parseToken(t, 't');
@@ -109,7 +109,7 @@
   return [{ key: k, revision: v as number, reason, token: token.token, at: a }];
 };
 
-const readRemoved = (raw: unknown): RemovedKey[] => {
+const readRemoved = (raw: unknown): CollectedKey[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { k, r, t, u, a } = raw as Partial<StoredRemoved>;
   const markedUnder = parseToken(t, 't');
@@ -121,8 +121,8 @@
 };
 
 /** Reads a stored book; malformed entries are left out, so what they name stays where it is. */
-export const readRemovals = (value: unknown): RemovalBook => {
-  if (typeof value !== 'object' || value === null) return EMPTY_REMOVALS;
+export const readTombstoneRecord = (value: unknown): TombstoneRecord => {
+  if (typeof value !== 'object' || value === null) return EMPTY_TOMBSTONE_RECORD;
   const { m, d } = value as { m?: unknown; d?: unknown };
   return {
     marked: Array.isArray(m) ? (m as unknown[]).flatMap(readMarked) : [],
@@ -130,7 +130,7 @@
   };
 };
 
-const storeRemovals = (marked: readonly MarkedKey[], removed: readonly RemovedKey[]): unknown => ({
+const encodeTombstoneRecord = (marked: readonly Tombstone[], removed: readonly CollectedKey[]): unknown => ({
   m: marked.map(({ key, revision, reason, token, at }): StoredMarked => ({
     k: key,
     v: revision,
@@ -148,19 +148,19 @@
 });
 
 /** Writes a book as it is stored, with as many past removals as it has room for. */
-export const writeRemovals = (book: RemovalBook, maxBytes: number): unknown => {
-  const store = (removed: readonly RemovedKey[]): unknown => storeRemovals(book.marked, removed);
+export const writeTombstoneRecord = (book: TombstoneRecord, maxBytes: number): unknown => {
+  const store = (removed: readonly CollectedKey[]): unknown => encodeTombstoneRecord(book.marked, removed);
   return store(newestThatFit(book.removed, maxBytes, store));
 };
 
 /** How many of these keys there is room to mark. */
-export const roomToMark = (
-  book: RemovalBook,
-  keys: readonly MarkedKey[],
+export const tombstonesThatFit = (
+  book: TombstoneRecord,
+  keys: readonly Tombstone[],
   maxBytes: number,
-): readonly MarkedKey[] => {
+): readonly Tombstone[] => {
   let fit = keys;
-  while (fit.length > 0 && storedBytes(storeRemovals([...book.marked, ...fit], [])) > maxBytes)
+  while (fit.length > 0 && storedBytes(encodeTombstoneRecord([...book.marked, ...fit], [])) > maxBytes)
     fit = fit.slice(0, -1);
   return fit;
 };
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -6,7 +6,7 @@
   MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
 } from '../constants/cancellation.js';
 import type { ShardSummary } from '../fleet/records.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { claimKey, markKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
@@ -26,7 +26,7 @@
 /** What the acknowledgement of cancellations needs of the rest of the controller. */
 export interface CancellationAcknowledgementInput {
   readonly me: string;
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly fresh: LinearizableReads;
   readonly cache: Pick<WatchCache, 'get'>;
   /** Puts cancellations to the share held by this process under that claim; false: it does not hold it. */
@@ -84,11 +84,11 @@
    * May users be told of the cancellation that is durable at this revision? Asked after that, so the claim is
    * read later.
    */
-  assured(shardId: number, job: string, version: number): Effect.Effect<boolean> {
+  mayConfirmCancellation(shardId: number, job: string, version: number): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const claim = yield* this.claim(shardId);
-      const signs = { acknowledged: null, summary: null, mark: null, understands: false };
-      if (claim._tag !== 'held') return assessEvidence(version, claim, signs)._tag === 'assured';
+      const evidence = { acknowledged: null, summary: null, mark: null, understands: false };
+      if (claim._tag !== 'held') return assessEvidence(version, claim, evidence)._tag === 'assured';
       const cancellation: Cancellation = { shardId, claim: claim.version, job, version };
       const mark = this.input.cache.get(markKey(String(shardId)));
       const known = {
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,6 +1,6 @@
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey, markKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { writeAcknowledgement } from './codec.js';
@@ -13,7 +13,7 @@
 
 /** What durable acknowledgements need of the rest of the controller. */
 export interface DurableAcknowledgementsInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get' | 'revision'>;
   /** Shares held here whose book is loaded, with their claims. */
   readonly held: () => readonly { readonly shardId: number; readonly claim: number }[];
@@ -40,7 +40,7 @@
       const key = markKey(String(shardId));
       const before = this.input.cache.get(key);
       const { revision } = this.input.cache;
-      const result = yield* this.input.store.txn(
+      const result = yield* this.input.store.compareAndSwap(
         // Conditional on itself too: a late copy must not take back what a newer one says.
         [
           { key: claimKey(String(shardId)), version: claim },
--- a/src/cancellation/evidence.test.ts
+++ b/src/cancellation/evidence.test.ts
@@ -1,70 +1,75 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readAcknowledgeRequest } from './codec.js';
-import { assessEvidence, outageGraceUntil, type FreshClaim, type Signs } from './evidence.js';
+import { assessEvidence, outageGraceUntil, type FreshClaim, type CancellationEvidence } from './evidence.js';
 
 /** When a cancellation that is durable at revision 100 may be told. */
-const none: Signs = { acknowledged: null, summary: null, mark: null, understands: true };
+const none: CancellationEvidence = { acknowledged: null, summary: null, mark: null, understands: true };
 const held = (version: number): FreshClaim => ({ _tag: 'held', node: 'n1', version });
-const rows: readonly { name: string; claim: FreshClaim; signs: Signs; by: string | null }[] = [
-  { name: 'the claim could not be read', claim: { _tag: 'unsure' }, signs: none, by: null },
-  { name: 'nobody holds the share', claim: { _tag: 'free' }, signs: none, by: 'free' },
-  { name: 'the holder came later', claim: held(101), signs: none, by: 'later claim' },
+const rows: readonly {
+  name: string;
+  claim: FreshClaim;
+  evidence: CancellationEvidence;
+  by: string | null;
+}[] = [
+  { name: 'the claim could not be read', claim: { _tag: 'unsure' }, evidence: none, by: null },
+  { name: 'nobody holds the share', claim: { _tag: 'free' }, evidence: none, by: 'free' },
+  { name: 'the holder came later', claim: held(101), evidence: none, by: 'later claim' },
   // It answers workers with nothing before it has read the share's runs, and rides out an outage like that.
   {
     name: 'the holder came later and is of an earlier version',
     claim: held(101),
-    signs: { ...none, understands: false },
+    evidence: { ...none, understands: false },
     by: null,
   },
-  { name: 'the holder was there before, and gave no sign', claim: held(50), signs: none, by: null },
+  { name: 'the holder was there before, and gave no sign', claim: held(50), evidence: none, by: null },
   {
     name: 'the holder has it in its book',
     claim: held(50),
-    signs: { ...none, acknowledged: { claim: 50 } },
+    evidence: { ...none, acknowledged: { claim: 50 } },
     by: 'acknowledged',
   },
   {
     name: 'an acknowledgement under a claim that is over',
     claim: held(50),
-    signs: { ...none, acknowledged: { claim: 40 } },
+    evidence: { ...none, acknowledged: { claim: 40 } },
     by: null,
   },
   {
     name: 'its summary shows a later revision',
     claim: held(50),
-    signs: { ...none, summary: { claim: 50, revision: 100 }, understands: false },
+    evidence: { ...none, summary: { claim: 50, revision: 100 }, understands: false },
     by: 'summary',
   },
   {
     name: 'its summary is from before',
     claim: held(50),
-    signs: { ...none, summary: { claim: 50, revision: 99 } },
+    evidence: { ...none, summary: { claim: 50, revision: 99 } },
     by: null,
   },
   {
     name: 'a summary of the holder before',
     claim: held(50),
-    signs: { ...none, summary: { claim: 40, revision: 200 } },
+    evidence: { ...none, summary: { claim: 40, revision: 200 } },
     by: null,
   },
   {
     name: 'its durable mark, where connections are refused',
     claim: held(50),
-    signs: { ...none, mark: { claim: 50, revision: 120 } },
+    evidence: { ...none, mark: { claim: 50, revision: 120 } },
     by: 'mark',
   },
   {
     name: 'a mark of the holder before',
     claim: held(50),
-    signs: { ...none, mark: { claim: 40, revision: 120 } },
+    evidence: { ...none, mark: { claim: 40, revision: 120 } },
     by: null,
   },
 ];
 for (const row of rows) {
   test(`assurance: ${row.name}`, () => {
-    const assured = assessEvidence(100, row.claim, row.signs);
-    assert.equal(assured._tag === 'assured' ? assured.by : null, row.by);
+    const mayConfirmCancellation = assessEvidence(100, row.claim, row.evidence);
+    assert.equal(mayConfirmCancellation._tag === 'assured' ? mayConfirmCancellation.by : null, row.by);
   });
 }
 
@@ -87,7 +92,7 @@
 for (const row of rides) {
   test(`riding: ${row.name}`, () =>
     assert.equal(
-      outageGraceUntil({ ...row, freshAt: 1_000, cancelMs: 44_000, leaseMs: 24_000, marginMs: 5_000 }),
+      outageGraceUntil({ ...row, confirmedAt: 1_000, cancelMs: 44_000, leaseMs: 24_000, marginMs: 5_000 }),
       row.until,
     ));
 }
--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -11,7 +11,7 @@
   | { readonly _tag: 'unsure' };
 
 /** What the claim's holder let be known, and under which claim. */
-export interface Signs {
+export interface CancellationEvidence {
   /** Answered `/heed` for this very cancellation: it is in its book. */
   readonly acknowledged: { readonly claim: number } | null;
   /** Its summary, which it makes only with its book loaded: it has seen all shared keys up to this revision. */
@@ -23,14 +23,18 @@
 }
 
 /** Whether a cancellation may be told to its user, and on which evidence. */
-export type Assured =
+export type CancellationVerdict =
   | { readonly _tag: 'assured'; readonly by: 'free' | 'later claim' | 'acknowledged' | 'summary' | 'mark' }
   | { readonly _tag: 'open' };
 
-const open: Assured = { _tag: 'open' };
+const open: CancellationVerdict = { _tag: 'open' };
 
 /** `cancelled`: the revision at which the cancellation became durable. */
-export const assessEvidence = (cancelled: number, claim: FreshClaim, signs: Signs): Assured => {
+export const assessEvidence = (
+  cancelled: number,
+  claim: FreshClaim,
+  evidence: CancellationEvidence,
+): CancellationVerdict => {
   switch (claim._tag) {
     case 'unsure':
       return open;
@@ -39,12 +43,12 @@
       return { _tag: 'assured', by: 'free' };
     case 'held': {
       const { version } = claim;
-      if (version > cancelled && signs.understands) return { _tag: 'assured', by: 'later claim' };
-      if (signs.acknowledged?.claim === version) return { _tag: 'assured', by: 'acknowledged' };
+      if (version > cancelled && evidence.understands) return { _tag: 'assured', by: 'later claim' };
+      if (evidence.acknowledged?.claim === version) return { _tag: 'assured', by: 'acknowledged' };
       const seen = (sign: { claim: number; revision: number } | null): boolean =>
         sign !== null && sign.claim === version && sign.revision >= cancelled;
-      if (seen(signs.summary)) return { _tag: 'assured', by: 'summary' };
-      if (seen(signs.mark)) return { _tag: 'assured', by: 'mark' };
+      if (seen(evidence.summary)) return { _tag: 'assured', by: 'summary' };
+      if (seen(evidence.mark)) return { _tag: 'assured', by: 'mark' };
       return open;
     }
   }
@@ -60,12 +64,12 @@
   readonly confirmed: boolean;
   /** Every node says so, and each is known to tell only what the holder has acknowledged. */
   readonly nobodyTells: boolean;
-  readonly freshAt: number;
+  readonly confirmedAt: number;
   readonly cancelMs: number;
   readonly leaseMs: number;
   readonly marginMs: number;
 }): number | null => {
   if (!outage.confirmed) return null;
   if (outage.nobodyTells) return Number.POSITIVE_INFINITY;
-  return outage.freshAt + outage.cancelMs - outage.leaseMs - outage.marginMs;
+  return outage.confirmedAt + outage.cancelMs - outage.leaseMs - outage.marginMs;
 };
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -7,63 +7,63 @@
 } from '../constants/leases.js';
 
 /** Which claims to take or hand back. Plain data in, plain data out. */
-export const LEADER = 'L';
+export const LEADER_CLAIM = 'L';
 
 /** Which process holds a slot. */
-export interface Claim {
+export interface ClaimHolder {
   readonly node: string;
   /** Tells this process from an earlier one of the same node. */
   readonly incarnation: string;
 }
 /** A claim as the watch cache shows it, with the revision at which it was taken. */
-export interface SeenClaim extends Claim {
+export interface ObservedClaim extends ClaimHolder {
   readonly version: number;
 }
 /** What the claims need to know of another controller. */
-export interface Peer {
+export interface PeerStatus {
   readonly node: string;
   readonly incarnation: string;
   readonly lease: number | null;
   /** ms for which it has answered without a gap; negative: it does not answer. */
   readonly steadyMs: number;
-  readonly stateOk: boolean;
+  readonly storeReachable: boolean;
   /** It says that workers lately could not reach it. */
-  readonly deaf: boolean;
+  readonly workersUnreachable: boolean;
 }
 /** Everything that a decision about claims looks at. */
 export interface ClaimsView {
-  readonly me: Claim;
+  readonly me: ClaimHolder;
   readonly nodes: readonly string[];
   readonly claimNames: readonly string[];
-  readonly claims: ReadonlyMap<string, SeenClaim>;
+  readonly claims: ReadonlyMap<string, ObservedClaim>;
   /** When each slot without a claim was first seen without (ms). */
   readonly freeSince: ReadonlyMap<string, number>;
-  readonly peers: readonly Peer[];
+  readonly peers: readonly PeerStatus[];
   /** Shares of ours whose workers reach another node but not us: by slot, that node. */
-  readonly unheard: ReadonlyMap<string, string>;
+  readonly unreachableShards: ReadonlyMap<string, string>;
   /** Workers lately could not reach this node: it leaves shares to others as long as they take them. */
-  readonly deaf: boolean;
+  readonly workersUnreachable: boolean;
   readonly now: number;
 }
 /** A claim to take, or to hand to another controller. */
 export type ClaimAction =
   | { readonly _tag: 'take'; readonly claimName: string; readonly version: number }
-  | { readonly _tag: 'hand'; readonly claimName: string; readonly version: number; readonly to: Peer };
+  | { readonly _tag: 'hand'; readonly claimName: string; readonly version: number; readonly to: PeerStatus };
 
 const preferred = (view: ClaimsView, claimName: string): string | undefined =>
-  claimName === LEADER ? undefined : view.nodes[Number(claimName) % view.nodes.length];
+  claimName === LEADER_CLAIM ? undefined : view.nodes[Number(claimName) % view.nodes.length];
 
 /** How many shares the node holds, the leadership aside. */
 const heldBy = (view: ClaimsView, node: string): number =>
-  [...view.claims].filter(([claimName, claim]) => claimName !== LEADER && claim.node === node).length;
+  [...view.claims].filter(([claimName, claim]) => claimName !== LEADER_CLAIM && claim.node === node).length;
 
-const isMine = (view: ClaimsView, claim: SeenClaim): boolean =>
+const isMine = (view: ClaimsView, claim: ObservedClaim): boolean =>
   claim.node === view.me.node && claim.incarnation === view.me.incarnation;
 
 /** ms that this node leaves a free claim to others. */
 const patienceMs = (view: ClaimsView, claimName: string): number => {
   const rank = Math.max(0, view.nodes.indexOf(view.me.node));
-  if (claimName === LEADER) return rank * LEADER_RANK_DELAY_MS;
+  if (claimName === LEADER_CLAIM) return rank * LEADER_RANK_DELAY_MS;
   const owner = preferred(view, claimName);
   if (owner === view.me.node) return 0;
   const pause = heldBy(view, view.me.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
@@ -85,11 +85,11 @@
   });
 
 /** Shares of ours whose workers reach only another node go there. */
-const claimsUnheard = (view: ClaimsView): readonly ClaimAction[] =>
-  [...view.unheard].flatMap(([claimName, node]): readonly ClaimAction[] => {
+const claimsOfUnreachableShards = (view: ClaimsView): readonly ClaimAction[] =>
+  [...view.unreachableShards].flatMap(([claimName, node]): readonly ClaimAction[] => {
     const claim = view.claims.get(claimName);
     const to = view.peers.find((peer) => peer.node === node);
-    const able = to?.stateOk && to.lease !== null && to.steadyMs >= 0;
+    const able = to?.storeReachable && to.lease !== null && to.steadyMs >= 0;
     return claim && isMine(view, claim) && able
       ? [{ _tag: 'hand', claimName, version: claim.version, to }]
       : [];
@@ -104,7 +104,13 @@
     if (!claim || !isMine(view, claim) || owner === undefined || owner === view.me.node) continue;
     if (heldBy(view, owner) > 0) continue;
     const to = view.peers.find((peer) => peer.node === owner);
-    if (to && !to.deaf && to.stateOk && to.lease !== null && to.steadyMs >= HANDBACK_STABILITY_MS)
+    if (
+      to &&
+      !to.workersUnreachable &&
+      to.storeReachable &&
+      to.lease !== null &&
+      to.steadyMs >= HANDBACK_STABILITY_MS
+    )
       return [{ _tag: 'hand', claimName, version: claim.version, to }];
   }
   return [];
@@ -113,6 +119,6 @@
 /** The claims that this node should take or hand on now. */
 export const decideClaims = (view: ClaimsView): readonly ClaimAction[] => [
   ...claimsToTake(view),
-  ...claimsUnheard(view),
-  ...(view.unheard.size > 0 ? [] : claimToHandBack(view)),
+  ...claimsOfUnreachableShards(view),
+  ...(view.unreachableShards.size > 0 ? [] : claimToHandBack(view)),
 ];
--- a/src/claims/codec.test.ts
+++ b/src/claims/codec.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readClaim, writeClaim } from './codec.js';
-import type { Claim, Peer } from './claim-decisions.js';
+import type { ClaimHolder, PeerStatus } from './claim-decisions.js';
 
-const claim: Claim = { node: 'n1', incarnation: 'n1.7' };
-const peer: Peer = { ...claim, lease: 5, steadyMs: 1, stateOk: true, deaf: false };
+const claim: ClaimHolder = { node: 'n1', incarnation: 'n1.7' };
+const peer: PeerStatus = { ...claim, lease: 5, steadyMs: 1, storeReachable: true, workersUnreachable: false };
 
-const rows: readonly { readonly name: string; readonly claim: Claim }[] = [
+const rows: readonly { readonly name: string; readonly claim: ClaimHolder }[] = [
   { name: 'a claim', claim },
   { name: 'a claim that is handed to a peer: nothing else of it is stored', claim: peer },
 ];
--- a/src/claims/codec.ts
+++ b/src/claims/codec.ts
@@ -1,4 +1,4 @@
-import type { Claim } from './claim-decisions.js';
+import type { ClaimHolder } from './claim-decisions.js';
 
 /** Claims as they are stored in the state service. */
 
@@ -8,10 +8,10 @@
 }
 
 /** Writes a claim as it is stored. */
-export const writeClaim = (claim: Claim): StoredClaim => ({ n: claim.node, i: claim.incarnation });
+export const writeClaim = (claim: ClaimHolder): StoredClaim => ({ n: claim.node, i: claim.incarnation });
 
 /** Reads a stored claim. */
-export const readClaim = (value: unknown): Claim => {
+export const readClaim = (value: unknown): ClaimHolder => {
   const stored = value as StoredClaim;
   return { node: stored.n, incarnation: stored.i };
 };
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -6,22 +6,28 @@
   UNREACHABLE_HANDBACK_PAUSE_MS,
 } from '../constants/leases.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readClaim, writeClaim } from './codec.js';
-import { decideClaims, LEADER, type Claim, type SeenClaim, type Peer } from './claim-decisions.js';
+import {
+  decideClaims,
+  LEADER_CLAIM,
+  type ClaimHolder,
+  type ObservedClaim,
+  type PeerStatus,
+} from './claim-decisions.js';
 import { mayAct, nextLeaseState, type LeaseState, type LeaseEvent } from './lease-state.js';
 
 /** What the lease manager needs of the rest of the controller. */
 export interface LeaseManagerInput {
-  readonly me: Claim;
+  readonly me: ClaimHolder;
   readonly nodes: readonly string[];
   readonly shardCount: number;
-  readonly peers: () => readonly Peer[];
+  readonly peers: () => readonly PeerStatus[];
   /** Until when workers may be answered without renewals (ms, steady); null: there is no outage. */
   readonly outageGraceUntil: () => number | null;
-  readonly unheard: () => ReadonlyMap<string, string>;
+  readonly unreachableShards: () => ReadonlyMap<string, string>;
   readonly now: () => number;
 }
 
@@ -31,21 +37,24 @@
   readonly claimNames: readonly string[];
   private readonly freeSince = new Map<string, number>();
 
-  private deafUntil = 0;
+  private workersUnreachableUntil = 0;
   /** Workers lately could not reach this node. */
-  get deaf(): boolean {
-    return this.input.now() < this.deafUntil;
+  get workersUnreachable(): boolean {
+    return this.input.now() < this.workersUnreachableUntil;
   }
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly cache: WatchCache,
     private readonly input: LeaseManagerInput,
   ) {
-    this.claimNames = [...Array.from({ length: input.shardCount }, (_, shardId) => String(shardId)), LEADER];
+    this.claimNames = [
+      ...Array.from({ length: input.shardCount }, (_, shardId) => String(shardId)),
+      LEADER_CLAIM,
+    ];
   }
 
-  claim(claimName: string): SeenClaim | undefined {
+  claim(claimName: string): ObservedClaim | undefined {
     const item = this.cache.get(claimKey(claimName));
     if (!item) return undefined;
     const { node, incarnation } = readClaim(item.value);
@@ -53,7 +62,7 @@
   }
 
   /** The revision of this process's claim on the slot, or null when the cache shows another or none. */
-  mine(claimName: string): number | null {
+  ownRevision(claimName: string): number | null {
     const claim = this.claim(claimName);
     if (!claim || claim.node !== this.input.me.node || claim.incarnation !== this.input.me.incarnation)
       return null;
@@ -61,8 +70,8 @@
   }
 
   /** May this node answer workers and decide for the slot right now? */
-  entitled(claimName: string): number | null {
-    return mayAct(this.leaseState, this.input.now()) ? this.mine(claimName) : null;
+  actingRevision(claimName: string): number | null {
+    return mayAct(this.leaseState, this.input.now()) ? this.ownRevision(claimName) : null;
   }
 
   get lease(): number | null {
@@ -103,7 +112,7 @@
       this.step({ _tag: 'tick', now, outageGraceUntil: this.input.outageGraceUntil() });
       const lease = this.lease;
       if (!this.cache.ready || lease === null || !mayAct(this.leaseState, now)) continue;
-      const claims = new Map<string, SeenClaim>();
+      const claims = new Map<string, ObservedClaim>();
       for (const claimName of this.claimNames) {
         const claim = this.claim(claimName);
         if (claim) {
@@ -111,8 +120,8 @@
           this.freeSince.delete(claimName);
         } else if (!this.freeSince.has(claimName)) this.freeSince.set(claimName, now);
       }
-      const unheard = this.input.unheard();
-      if (unheard.size > 0) this.deafUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
+      const unreachableShards = this.input.unreachableShards();
+      if (unreachableShards.size > 0) this.workersUnreachableUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
       const actions = decideClaims({
         me: this.input.me,
         nodes: this.input.nodes,
@@ -120,14 +129,14 @@
         claims,
         freeSince: this.freeSince,
         peers: this.input.peers(),
-        unheard,
-        deaf: this.deaf,
+        unreachableShards,
+        workersUnreachable: this.workersUnreachable,
         now,
       });
       for (const action of actions) {
-        const holder: Claim = action._tag === 'take' ? this.input.me : action.to;
+        const holder: ClaimHolder = action._tag === 'take' ? this.input.me : action.to;
         const holderLease = action._tag === 'take' ? lease : (action.to.lease ?? lease);
-        const result = yield* this.store.txn(
+        const result = yield* this.store.compareAndSwap(
           [{ key: claimKey(action.claimName), version: action.version }],
           [{ _tag: 'put', key: claimKey(action.claimName), value: writeClaim(holder), lease: holderLease }],
           'vital',
--- a/src/claims/lease-state.test.ts
+++ b/src/claims/lease-state.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decideClaims, type ClaimsView, type SeenClaim } from './claim-decisions.js';
+import { decideClaims, type ClaimsView, type ObservedClaim } from './claim-decisions.js';
 import { deadline, mayAct, nextLeaseState, type LeaseState, type LeaseEvent } from './lease-state.js';
 
 const TTL = 5_000;
@@ -108,7 +108,11 @@
   });
 }
 
-const claim = (node: string, incarnation = '1', version = 5): SeenClaim => ({ node, incarnation, version });
+const claim = (node: string, incarnation = '1', version = 5): ObservedClaim => ({
+  node,
+  incarnation,
+  version,
+});
 const view = (over: Partial<ClaimsView>): ClaimsView => ({
   me: { node: 'n0', incarnation: '1' },
   nodes: ['n0', 'n1', 'n2'],
@@ -116,12 +120,12 @@
   claims: new Map(),
   freeSince: new Map(),
   peers: [],
-  unheard: new Map(),
-  deaf: false,
+  unreachableShards: new Map(),
+  workersUnreachable: false,
   now: 0,
   ...over,
 });
-const all = (entries: Record<string, SeenClaim>): ReadonlyMap<string, SeenClaim> =>
+const all = (entries: Record<string, ObservedClaim>): ReadonlyMap<string, ObservedClaim> =>
   new Map(Object.entries(entries));
 
 const decisions: readonly { name: string; view: ClaimsView; expect: readonly string[] }[] = [
@@ -145,7 +149,16 @@
     view: view({
       claims: all({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       freeSince: new Map([['1', 0]]),
-      peers: [{ node: 'n1', incarnation: '1', lease: 3, steadyMs: -1, stateOk: true, deaf: false }],
+      peers: [
+        {
+          node: 'n1',
+          incarnation: '1',
+          lease: 3,
+          steadyMs: -1,
+          storeReachable: true,
+          workersUnreachable: false,
+        },
+      ],
       now: 700,
     }),
     expect: ['take 1'],
@@ -155,7 +168,16 @@
     view: view({
       claims: all({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       freeSince: new Map([['1', 0]]),
-      peers: [{ node: 'n1', incarnation: '1', lease: 3, steadyMs: 100, stateOk: true, deaf: false }],
+      peers: [
+        {
+          node: 'n1',
+          incarnation: '1',
+          lease: 3,
+          steadyMs: 100,
+          storeReachable: true,
+          workersUnreachable: false,
+        },
+      ],
       now: 700,
     }),
     expect: [],
@@ -176,7 +198,16 @@
     name: 'a second share goes back to a steady node without one',
     view: view({
       claims: all({ '0': claim('n0'), '1': claim('n0'), '2': claim('n2'), L: claim('n2') }),
-      peers: [{ node: 'n1', incarnation: '2', lease: 3, steadyMs: 60_000, stateOk: true, deaf: false }],
+      peers: [
+        {
+          node: 'n1',
+          incarnation: '2',
+          lease: 3,
+          steadyMs: 60_000,
+          storeReachable: true,
+          workersUnreachable: false,
+        },
+      ],
     }),
     expect: ['hand 1'],
   },
@@ -185,8 +216,22 @@
     view: view({
       claims: all({ '0': claim('n0'), '1': claim('n0'), '2': claim('n0'), L: claim('n2') }),
       peers: [
-        { node: 'n1', incarnation: '2', lease: 3, steadyMs: 100, stateOk: true, deaf: false },
-        { node: 'n2', incarnation: '2', lease: 4, steadyMs: 60_000, stateOk: false, deaf: false },
+        {
+          node: 'n1',
+          incarnation: '2',
+          lease: 3,
+          steadyMs: 100,
+          storeReachable: true,
+          workersUnreachable: false,
+        },
+        {
+          node: 'n2',
+          incarnation: '2',
+          lease: 4,
+          steadyMs: 60_000,
+          storeReachable: false,
+          workersUnreachable: false,
+        },
       ],
     }),
     expect: [],
@@ -195,8 +240,17 @@
     name: 'a share whose workers reach only another node is handed to that node',
     view: view({
       claims: all({ '0': claim('n0'), '1': claim('n1'), '2': claim('n2'), L: claim('n2') }),
-      peers: [{ node: 'n1', incarnation: '2', lease: 3, steadyMs: 100, stateOk: true, deaf: false }],
-      unheard: new Map([['0', 'n1']]),
+      peers: [
+        {
+          node: 'n1',
+          incarnation: '2',
+          lease: 3,
+          steadyMs: 100,
+          storeReachable: true,
+          workersUnreachable: false,
+        },
+      ],
+      unreachableShards: new Map([['0', 'n1']]),
     }),
     expect: ['hand 0'],
   },
@@ -204,7 +258,16 @@
     name: 'and does not come back while its owner says that workers could not reach it',
     view: view({
       claims: all({ '0': claim('n0'), '1': claim('n0'), '2': claim('n2'), L: claim('n2') }),
-      peers: [{ node: 'n1', incarnation: '2', lease: 3, steadyMs: 60_000, stateOk: true, deaf: true }],
+      peers: [
+        {
+          node: 'n1',
+          incarnation: '2',
+          lease: 3,
+          steadyMs: 60_000,
+          storeReachable: true,
+          workersUnreachable: true,
+        },
+      ],
     }),
     expect: [],
   },
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -11,17 +11,17 @@
 export interface OutageInput {
   readonly nodes: number;
   /** ms since the state service last answered this node. */
-  readonly stateAge: () => number;
-  readonly peers: Pick<PeerNetwork, 'stateReachability' | 'allDown'>;
+  readonly msSinceStoreAnswered: () => number;
+  readonly peers: Pick<PeerNetwork, 'storeReachability' | 'allDown'>;
   readonly protocolVersion: Pick<ProtocolVersion, 'agreed'>;
-  readonly cache: Pick<WatchCache, 'freshAt'>;
+  readonly cache: Pick<WatchCache, 'confirmedAt'>;
   readonly workers: { readonly cancel_s: number; readonly lease_s: number };
 }
 
 /** Most nodes, this one included, can't reach the state service, and no node says that it can. */
-const confirmed = ({ stateAge, peers, nodes }: OutageInput): boolean => {
-  if (stateAge() < HEARTBEAT_FRESHNESS_MS) return false;
-  const word = peers.stateReachability();
+const confirmed = ({ msSinceStoreAnswered, peers, nodes }: OutageInput): boolean => {
+  if (msSinceStoreAnswered() < HEARTBEAT_FRESHNESS_MS) return false;
+  const word = peers.storeReachability();
   return word.up === 0 && (word.down + 1) * 2 > nodes;
 };
 
@@ -30,7 +30,7 @@
   outageGraceUntil({
     confirmed: confirmed(input),
     nobodyTells: input.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && input.peers.allDown(),
-    freshAt: input.cache.freshAt,
+    confirmedAt: input.cache.confirmedAt,
     cancelMs: input.workers.cancel_s * 1000 * (1 - CLOCK_DRIFT_FRACTION),
     leaseMs: input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION),
     marginMs: OUTAGE_GRACE_MARGIN_MS,
--- a/src/concurrency/batcher.ts
+++ b/src/concurrency/batcher.ts
@@ -4,18 +4,18 @@
  * Questions that come together are asked together: the first waits a moment for others, then one call answers
  * all. An answer is always younger than its question.
  */
-export class Batcher<Question, Answer> {
-  private waiting: { question: Question; settle: (answer: Answer) => void }[] = [];
+export class Batcher<Question, CallOutcome> {
+  private waiting: { question: Question; settle: (answer: CallOutcome) => void }[] = [];
   private timer: ReturnType<typeof setTimeout> | null = null;
 
   constructor(
     private readonly delayMs: number,
     private readonly most: number,
     /** Answers in the order of the questions; must not reject. */
-    private readonly askAll: (questions: readonly Question[]) => Promise<readonly Answer[]>,
+    private readonly askAll: (questions: readonly Question[]) => Promise<readonly CallOutcome[]>,
   ) {}
 
-  ask(question: Question): Promise<Answer> {
+  ask(question: Question): Promise<CallOutcome> {
     return new Promise((resolve) => {
       this.waiting.push({ question, settle: resolve });
       if (this.waiting.length >= this.most) this.send();
@@ -29,7 +29,7 @@
     const batch = this.waiting;
     this.waiting = [];
     void this.askAll(batch.map((entry) => entry.question)).then((answers) => {
-      batch.forEach((entry, index) => entry.settle(answers[index] as Answer));
+      batch.forEach((entry, index) => entry.settle(answers[index] as CallOutcome));
     });
   }
 }
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -4,11 +4,11 @@
  */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { DutiesApi } from '../duties/admin-api.js';
-import type { Call, Reply } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http.js';
 import { UsersApi } from '../jobs/api.js';
 import { PeerRequests } from '../peers/peer-requests.js';
 import type { AdminAccess } from '../settings/networks.js';
-import { ReportHandler } from '../workers/heartbeat-handler.js';
+import { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import type { HeldShards } from './held-shards.js';
@@ -23,20 +23,20 @@
   return new UsersApi({
     store: state.store,
     fresh: state.linearizableReads,
-    finals: state.finals,
+    finalRecords: state.finalRecords,
     pipelines: sharding.pipelines,
     takesPipelines: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     valueBytes: deployment.valueBytes,
-    copyAgeMs: () => clocks.lease() - state.cache.freshAt,
-    assured: (job, team, version) =>
-      cancellations.acknowledgement.assured(deployment.shardOf(team), job, version),
+    copyAgeMs: () => clocks.lease() - state.cache.confirmedAt,
+    mayConfirmCancellation: (job, team, version) =>
+      cancellations.acknowledgement.mayConfirmCancellation(deployment.shardOf(team), job, version),
     cache: state.cache,
     catalog: state.catalog,
     zones: settings.facts.zones,
     limits: deployment.limits,
     counts: (job, team) => {
       const shardId = deployment.shardOf(team);
-      return sharding.shards.entitled(shardId)?.counts(job) ?? peers.counts(shardId, job);
+      return sharding.shards.actingShard(shardId)?.counts(job) ?? peers.counts(shardId, job);
     },
     wall: clocks.wall,
   });
@@ -52,19 +52,19 @@
     access: adminAccess,
     ready: () => context.state.cache.ready,
     releaseIntents: () => leadership.leader.releaseIntents,
-    rentals: coordination.duties.readRentals,
+    rentals: coordination.duties.loadProvisioningRecord,
   });
 
 /** Creates the route of the API address. */
 export const createApi = (
   subsystems: Subsystems,
   adminAccess: AdminAccess,
-): ((call: Call) => Promise<Reply>) => {
+): ((call: ServerRequest) => Promise<ServerResponse>) => {
   const { state } = subsystems.context;
   const { peers } = subsystems.coordination;
   return createRouter({
     ready: () => isReady({ state, peers }),
-    reports: subsystems.reportHandler,
+    reports: subsystems.heartbeatHandler,
     users: createUsersApi(subsystems),
     duties: createDutiesApi(subsystems, adminAccess),
   });
@@ -75,12 +75,12 @@
   { deployment, clocks, state }: ControllerContext,
   shards: HeldShards,
   leadership: Leadership,
-): ReportHandler =>
-  new ReportHandler({
+): WorkerHeartbeatHandler =>
+  new WorkerHeartbeatHandler({
     me: deployment.me.node,
     cache: state.cache,
     now: clocks.steady,
-    shard: (shardId) => shards.entitled(shardId),
+    shard: (shardId) => shards.actingShard(shardId),
     adopt: leadership.adopt,
   });
 
@@ -93,6 +93,6 @@
   new PeerRequests({
     gate: duties.gate,
     move: (from, moves) => transfers.carryOut(from, moves),
-    returnNow: (machines) => leader.returnNow(machines),
+    releaseNow: (machines) => leader.releaseNow(machines),
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
   });
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -5,7 +5,7 @@
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { packIds } from '../pipelines/codec.js';
 import type { Change } from '../kv-store/change-feed.js';
-import type { Item } from '../kv-store/client.js';
+import type { StoredEntry } from '../kv-store/client.js';
 import { followsKey, jobKey } from '../kv-store/keys.js';
 import { ChangeDispatcher, type ShardListener } from './change-dispatcher.js';
 
@@ -14,7 +14,7 @@
 
 const spec: JobSpec = {
   id: JOB,
-  klass: 'train',
+  jobClass: 'train',
   team: 'red',
   kind: 'array',
   priority: 1,
@@ -34,9 +34,9 @@
   saveS: 0,
   deadlineS: null,
 };
-const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 0 };
+const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 const cancelled: JobRecord = { ...job, cancelled: true, cancelledAt: 18 };
-const inParts: JobRecord = { ...job, follows: ['job-2'], parts: 1 };
+const inParts: JobRecord = { ...job, dependsOn: ['job-2'], parts: 1 };
 const machine = newMachineRecord(1, { type: 'g', zone: 'x', spot: false }, 5);
 
 /** Dispatches a change to subscribers that only note what they hear, in order. */
@@ -52,7 +52,7 @@
   const shards = [shard('first'), shard('second')];
   new ChangeDispatcher({
     cache: {
-      get: (key): Item | undefined =>
+      get: (key): StoredEntry | undefined =>
         stored.has(key) ? { key, value: stored.get(key), version: VERSION } : undefined,
     },
     relay: {
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -8,7 +8,7 @@
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import { readJobRecord } from '../jobs/codec.js';
-import type { StoreRelay } from '../peers/store-relay.js';
+import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
 import type { Shard } from '../placement/shard.js';
 import type { Change } from '../kv-store/change-feed.js';
@@ -22,7 +22,7 @@
 /** Who follows changes of the shared keys. */
 export interface ChangeSubscribers {
   readonly cache: Pick<WatchCache, 'get'>;
-  readonly relay: Pick<StoreRelay, 'onSummary' | 'onOrders'>;
+  readonly relay: Pick<KeyValueStoreRelay, 'onSummary' | 'onOrders'>;
   readonly gate: Pick<OrderGate, 'seen'>;
   readonly registry: Pick<DutyRegistry, 'onClaim'>;
   readonly shards: {
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -34,7 +34,7 @@
   const { shards } = sharding;
   const leadership: Leadership = createLeadership(context, coordination, shards);
   const cancellations = createCancellations(context, coordination, shards);
-  const reportHandler = createReportHandler(context, shards, leadership);
+  const heartbeatHandler = createReportHandler(context, shards, leadership);
   const peerRequests = createPeerRequests(coordination, shards, leadership);
   const heartbeatInput = {
     me: deployment.me,
@@ -43,10 +43,10 @@
     stateAgeMs: state.ageMs,
     store: state.store,
     shards,
-    reportHandler,
+    heartbeatHandler,
     reservations: () => leadership.reservations.announced(),
   };
-  return { context, coordination, sharding, leadership, cancellations, reportHandler };
+  return { context, coordination, sharding, leadership, cancellations, heartbeatHandler };
 };
 
 /** Has the subsystems hear of each change of the shared keys. */
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -27,7 +27,7 @@
     address: settings.services.state,
     deployment,
     leaseClock: clocks.lease,
-    callers: ports.callers,
+    createHttpClient: ports.createHttpClient,
   });
   return { settings, features, ports, deployment, clocks, state };
 };
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -3,12 +3,12 @@
  * and claims, and the duties that go with them. Built by the composition root; every later subsystem asks it
  * who holds what.
  */
-import { LEADER } from '../claims/claim-decisions.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
 import { outageGrace } from '../claims/outage-grace.js';
 import { FENCED_ORDERS_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { composeDuties, type Duties } from '../duties/compose.js';
-import type { Reply } from '../http.js';
+import type { ServerResponse } from '../http.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { PeerNetwork } from '../peers/network.js';
 import { ProtocolVersion } from '../peers/protocol-version.js';
@@ -19,7 +19,7 @@
   /** What this node tells a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
   /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
-  readonly answer: (path: string, body: unknown) => Promise<Reply | null>;
+  readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
   /** Shards of ours whose workers reach only another node: by slot, that node. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
@@ -39,12 +39,12 @@
 /** Creates the coordination of one controller. */
 export const createCoordination = (context: ControllerContext, input: CoordinationInput): Coordination => {
   const { settings, deployment, clocks, state } = context;
-  const leaderNode = (): string | undefined => leases.claim(LEADER)?.node;
+  const leaderNode = (): string | undefined => leases.claim(LEADER_CLAIM)?.node;
   const peers = new PeerNetwork({
     me: deployment.me.node,
     peers: settings.siblings,
     now: clocks.lease,
-    callers: context.ports.callers,
+    createHttpClient: context.ports.createHttpClient,
     leader: leaderNode,
     heartbeat: input.heartbeat,
     answer: input.answer,
@@ -63,13 +63,13 @@
     outageGraceUntil: () =>
       outageGrace({
         nodes: deployment.nodes.length,
-        stateAge: state.ageMs,
+        msSinceStoreAnswered: state.ageMs,
         peers,
         protocolVersion,
         cache: state.cache,
         workers: settings.facts.workers,
       }),
-    unheard: input.unreachableShards,
+    unreachableShards: input.unreachableShards,
     now: clocks.lease,
   });
   const duties: Duties = composeDuties({
@@ -80,6 +80,6 @@
     enforce: context.features.fencing,
     tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
-  const mayLead = (): boolean => leases.entitled(LEADER) !== null;
+  const mayLead = (): boolean => leases.actingRevision(LEADER_CLAIM) !== null;
   return { peers, protocolVersion, leases, duties, leaderNode, mayLead };
 };
--- a/src/controller/dependency-list.ts
+++ b/src/controller/dependency-list.ts
@@ -18,5 +18,5 @@
     cache.get(followsKey(record.spec.id, part)),
   );
   if (parts.some((part) => part === undefined)) return null;
-  return [...record.follows, ...parts.flatMap((part) => unpackIds(part?.value as string[]))];
+  return [...record.dependsOn, ...parts.flatMap((part) => unpackIds(part?.value as string[]))];
 };
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -2,10 +2,10 @@
  * What the settings say of the deployment, in the form in which the subsystems need it. Worked out once, when
  * the controller is composed; every node that has the same settings works out the same.
  */
-import type { Claim } from '../claims/claim-decisions.js';
-import type { Limit, Usage } from '../placement/bin-packing.js';
+import type { ClaimHolder } from '../claims/claim-decisions.js';
+import type { TeamLimit, TeamUsage } from '../placement/bin-packing.js';
 import { readObjectives, type Objectives } from '../placement/urgency.js';
-import { lasting, type StateLimits } from '../settings/limits.js';
+import { effectiveLimits, type StateLimits } from '../settings/limits.js';
 import type { Settings } from '../settings/schema.js';
 import { divideTeams, nodeNames } from '../settings/teams.js';
 
@@ -16,7 +16,7 @@
 /** What the settings say of the deployment. */
 export interface Deployment {
   /** This process, as its claims name it. */
-  readonly me: Claim;
+  readonly me: ClaimHolder;
   /** All controllers by name, in order. */
   readonly nodes: readonly string[];
   readonly shardCount: number;
@@ -25,9 +25,9 @@
   /** The shard of any team. */
   readonly shardOf: (team: string) => number;
   /** What each team may use at most. */
-  readonly limits: ReadonlyMap<string, Limit>;
+  readonly limits: ReadonlyMap<string, TeamLimit>;
   /** What each team is guaranteed. */
-  readonly guarantees: ReadonlyMap<string, Usage>;
+  readonly guarantees: ReadonlyMap<string, TeamUsage>;
   /** Targets of each class of jobs. */
   readonly objectives: ReadonlyMap<string, Objectives>;
   /** The state service's limits, now and after the announced change. */
@@ -40,7 +40,7 @@
 export const readDeployment = (settings: Settings, incarnation: string): Deployment => {
   const { facts } = settings;
   const shardByTeam = divideTeams(facts.teams, facts.count);
-  const stateLimits = lasting(facts.state);
+  const stateLimits = effectiveLimits(facts.state);
   return {
     me: { node: settings.host_name, incarnation },
     nodes: nodeNames(settings),
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -2,27 +2,27 @@
  * Builds this node's heartbeats from the state of the subsystems. No state of its own; the peer network calls
  * it.
  */
-import type { Claim } from '../claims/claim-decisions.js';
+import type { ClaimHolder } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
 import { MISROUTED_HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { PROTOCOL_VERSION } from '../constants/protocol.js';
 import type { Reservation } from '../fleet/records.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
-import { briefly } from '../placement/unmet-demand.js';
-import type { Store } from '../kv-store/client.js';
-import type { ReportHandler } from '../workers/heartbeat-handler.js';
+import { abridgedSummary } from '../placement/unmet-demand.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { HeldShards } from './held-shards.js';
 
 /** What a heartbeat is built from. */
 export interface HeartbeatInput {
-  readonly me: Claim;
-  readonly leases: Pick<LeaseManager, 'lease' | 'deaf'>;
+  readonly me: ClaimHolder;
+  readonly leases: Pick<LeaseManager, 'lease' | 'workersUnreachable'>;
   readonly leaderNode: () => string | undefined;
   /** ms since the state service last answered this node. */
   readonly stateAgeMs: () => number;
-  readonly store: Pick<Store, 'requests' | 'changes'>;
+  readonly store: Pick<KeyValueStore, 'requests' | 'changes'>;
   readonly shards: Pick<HeldShards, 'taskCounts' | 'ownSummaries'>;
-  readonly reportHandler: Pick<ReportHandler, 'strayCounts'>;
+  readonly heartbeatHandler: Pick<WorkerHeartbeatHandler, 'misroutedCounts'>;
   /** The reservations that this node announces as the leader. */
   readonly reservations: () => readonly Reservation[];
 }
@@ -33,14 +33,14 @@
   return {
     from: me.node,
     incarnation: me.incarnation,
-    level: PROTOCOL_VERSION,
+    protocolVersion: PROTOCOL_VERSION,
     lease: leases.lease,
-    stateAgeMs: input.stateAgeMs(),
+    storeSilenceMs: input.stateAgeMs(),
     counts: shards.taskCounts(),
-    summaries: to === input.leaderNode() ? shards.ownSummaries() : shards.ownSummaries().map(briefly),
-    deaf: leases.deaf,
-    strays: input.reportHandler.strayCounts(MISROUTED_HEARTBEAT_FRESHNESS_MS),
+    summaries: to === input.leaderNode() ? shards.ownSummaries() : shards.ownSummaries().map(abridgedSummary),
+    workersUnreachable: leases.workersUnreachable,
+    misroutedHeartbeats: input.heartbeatHandler.misroutedCounts(MISROUTED_HEARTBEAT_FRESHNESS_MS),
     demand: { requests: store.requests.demand(), changes: store.changes.demand() },
-    holds: input.reservations(),
+    reservations: input.reservations(),
   };
 };
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -17,7 +17,7 @@
 /** What the lifecycle of shards needs of the rest of the controller. */
 export interface HeldShardsInput {
   readonly shardCount: number;
-  readonly leases: Pick<LeaseManager, 'mine' | 'entitled'>;
+  readonly leases: Pick<LeaseManager, 'ownRevision' | 'actingRevision'>;
   /** Creates the shard for the claim with this revision. */
   readonly create: (shardId: number, claim: number) => Shard;
   /** A shard was taken: what its jobs wait for is to be looked up. */
@@ -45,7 +45,7 @@
   followClaim(claimName: string): void {
     const shardId = parseShard(claimName);
     if (shardId === null || shardId >= this.input.shardCount) return;
-    const claim = this.input.leases.mine(claimName);
+    const claim = this.input.leases.ownRevision(claimName);
     const held = this.running.get(shardId);
     if (held && held.shard.claim === claim) return;
     if (held) this.drop(shardId, held);
@@ -53,7 +53,7 @@
   }
 
   private drop(shardId: number, held: RunningShard): void {
-    held.shard.lose();
+    held.shard.markLost();
     this.running.delete(shardId);
   }
 
@@ -71,8 +71,8 @@
   }
 
   /** The shard, if this process may act for it now. */
-  entitled(shardId: number): Shard | null {
-    const claim = this.input.leases.entitled(String(shardId));
+  actingShard(shardId: number): Shard | null {
+    const claim = this.input.leases.actingRevision(String(shardId));
     const shard = this.running.get(shardId)?.shard;
     return claim !== null && shard && shard.claim === claim && shard.stage !== 'lost' ? shard : null;
   }
@@ -90,7 +90,7 @@
 
   /** The summaries of the shards that this process may act for. */
   ownSummaries(): readonly ShardSummary[] {
-    return [...this.running.keys()].flatMap((shardId) => this.entitled(shardId)?.summary ?? []);
+    return [...this.running.keys()].flatMap((shardId) => this.actingShard(shardId)?.summary ?? []);
   }
 
   /** Task counts of the jobs of the shards held, as heartbeats carry them. */
@@ -101,7 +101,7 @@
   /** The shards that this process may act for and whose runs are read. */
   loaded(): readonly LoadedShard[] {
     return [...this.running.keys()].flatMap((shardId) => {
-      const shard = this.entitled(shardId);
+      const shard = this.actingShard(shardId);
       return shard && shard.stage !== 'loading' ? [{ shardId, claim: shard.claim }] : [];
     });
   }
@@ -109,7 +109,7 @@
   /** Ends all shards. */
   stop(): void {
     for (const { shard, fiber } of this.running.values()) {
-      shard.lose();
+      shard.markLost();
       Effect.runFork(Fiber.interrupt(fiber));
     }
   }
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -2,14 +2,14 @@
  * What the leader does and how shards hear of it: the leader itself, the relay through the state service,
  * transfers and reservations. Every controller has all of it; the leader acts only while this node leads.
  */
-import { LEADER } from '../claims/claim-decisions.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { Cloud } from '../fleet/cloud.js';
 import { Leader } from '../fleet/leader.js';
 import type { ShardSummary } from '../fleet/records.js';
 import { parseTarget } from '../http.js';
-import { StoreRelay } from '../peers/store-relay.js';
-import type { Report } from '../workers/model.js';
+import { KeyValueStoreRelay } from '../peers/store-relay.js';
+import type { WorkerHeartbeat } from '../workers/model.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import type { HeldShards } from './held-shards.js';
@@ -20,11 +20,11 @@
 /** What the leader does and how shards hear of it. */
 export interface Leadership {
   readonly leader: Leader;
-  readonly relay: StoreRelay;
+  readonly relay: KeyValueStoreRelay;
   readonly transfers: Transfers;
   readonly reservations: Reservations;
   /** Has the leader adopt the unknown machine of a report; false: this node does not lead. */
-  readonly adopt: (report: Report) => boolean;
+  readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
 /** Our summaries while the leader is another node that can't be heard; else none. */
@@ -44,7 +44,7 @@
     settings.facts.cloud.rps,
     deployment.nodes.length,
     clocks.steady,
-    ports.callers,
+    ports.createHttpClient,
   );
 
 /** Creates the leadership of one controller. */
@@ -55,13 +55,13 @@
 ): Leadership => {
   const { settings, deployment, clocks, state } = context;
   const { peers, leases, duties, protocolVersion, mayLead } = coordination;
-  const relay: StoreRelay = new StoreRelay({
+  const relay: KeyValueStoreRelay = new KeyValueStoreRelay({
     store: state.store,
     valueBytes: deployment.valueBytes,
     now: clocks.steady,
-    leaderClaim: () => leases.claim(LEADER)?.version ?? null,
+    leaderClaim: () => leases.claim(LEADER_CLAIM)?.version ?? null,
     cutOff: () => cutOffSummaries(context, coordination, shards),
-    give: (shardId, moves) => void transfers.carryOut(shardId, moves),
+    transferMachines: (shardId, moves) => void transfers.carryOut(shardId, moves),
   });
   const transfers = new Transfers({
     node: deployment.me.node,
@@ -69,7 +69,7 @@
     leases,
     peers,
     relay,
-    reservations: () => leader.holds,
+    reservations: () => leader.reservations,
   });
   const leader: Leader = new Leader({
     store: state.store,
@@ -82,14 +82,14 @@
     valueBytes: deployment.valueBytes,
     maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     catalog: state.catalog,
-    entitled: () => leases.entitled(LEADER),
+    actingRevision: () => leases.actingRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
     move: (from, moves, permit) => transfers.order(from, moves, permit),
     now: clocks.steady,
     wall: clocks.wall,
   });
   const reservations = new Reservations({ coordination, leader, peers, relay });
-  const adopt = ({ machine, type, zone, spot }: Report): boolean => {
+  const adopt = ({ machine, type, zone, spot }: WorkerHeartbeat): boolean => {
     if (!mayLead()) return false;
     leader.adopt(machine, type, zone, spot);
     return true;
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -12,14 +12,14 @@
 /** What the decision looks at. */
 export interface MisroutingInput {
   readonly shards: Pick<HeldShards, 'forEach'>;
-  readonly peers: Pick<PeerNetwork, 'strays'>;
+  readonly peers: Pick<PeerNetwork, 'misroutedHeartbeats'>;
 }
 
 /** The node that hears the shard's workers while this one hears none of them; null: there is no such node. */
 const nodeReachedInstead = (shard: Shard, peers: MisroutingInput['peers']): string | null => {
   const { machines, heard } = shard.hearing();
   if (machines === 0 || heard > 0) return null;
-  const misrouted = peers.strays(String(shard.shardId));
+  const misrouted = peers.misroutedHeartbeats(String(shard.shardId));
   return misrouted && misrouted.count >= machines * MISROUTED_FRACTION ? misrouted.node : null;
 };
 
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -1,6 +1,6 @@
 /** The controller's interface to its process: what it is given, and what it offers. No state. */
 import type * as Effect from 'effect/Effect';
-import type { Call, Callers, Reply } from '../http.js';
+import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http.js';
 import type { DirectCommands } from '../workers/worker-client.js';
 
 /** What a controller needs of the world outside; tests put stand-ins here. */
@@ -13,16 +13,16 @@
   readonly processorMs: () => number;
   /** Differs for every process that ever runs as this node. */
   readonly incarnation: string;
-  readonly callers: Callers;
+  readonly createHttpClient: HttpClientFactory;
   readonly workerClient: DirectCommands;
 }
 
 /** A composed controller. */
 export interface Controller {
   /** Users, workers and health checks. */
-  readonly route: (call: Call) => Promise<Reply>;
+  readonly route: (call: ServerRequest) => Promise<ServerResponse>;
   /** The other controllers. */
-  readonly peerRoute: (call: Call) => Promise<Reply>;
+  readonly peerRoute: (call: ServerRequest) => Promise<ServerResponse>;
   readonly run: Effect.Effect<unknown>;
   /** Ends what runs beside `run`. */
   readonly stop: () => void;
--- a/src/controller/readiness.ts
+++ b/src/controller/readiness.ts
@@ -9,11 +9,11 @@
 /** What readiness depends on. */
 export interface ReadinessInput {
   readonly state: Pick<StateAccess, 'cache' | 'catalog' | 'ageMs'>;
-  readonly peers: Pick<PeerNetwork, 'stateReachability'>;
+  readonly peers: Pick<PeerNetwork, 'storeReachability'>;
 }
 
 /** Ready means: takes users' requests at least as well as the other nodes. */
 export const isReady = ({ state, peers }: ReadinessInput): boolean => {
   if (!state.cache.ready || state.catalog() === null) return false;
-  return state.ageMs() < HEARTBEAT_FRESHNESS_MS || peers.stateReachability().up === 0;
+  return state.ageMs() < HEARTBEAT_FRESHNESS_MS || peers.storeReachability().up === 0;
 };
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -5,15 +5,15 @@
 import type { Leader } from '../fleet/leader.js';
 import type { Reservation } from '../fleet/records.js';
 import type { PeerNetwork } from '../peers/network.js';
-import type { StoreRelay } from '../peers/store-relay.js';
+import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { Coordination } from './coordination.js';
 
 /** Where reservations come from. */
 export interface ReservationsInput {
   readonly coordination: Pick<Coordination, 'leaderNode' | 'mayLead'>;
-  readonly leader: Pick<Leader, 'holds'>;
+  readonly leader: Pick<Leader, 'reservations'>;
   readonly peers: Pick<PeerNetwork, 'fresh'>;
-  readonly relay: Pick<StoreRelay, 'holds'>;
+  readonly relay: Pick<KeyValueStoreRelay, 'reservations'>;
 }
 
 /** The reservations of whichever node leads. */
@@ -22,7 +22,7 @@
 
   /** What this node announces; nothing unless it leads. */
   announced(): readonly Reservation[] {
-    return this.input.coordination.mayLead() ? this.input.leader.holds : [];
+    return this.input.coordination.mayLead() ? this.input.leader.reservations : [];
   }
 
   /**
@@ -30,9 +30,9 @@
    */
   forShard(shardId: number): readonly Reservation[] {
     const { coordination, leader, peers, relay } = this.input;
-    if (coordination.mayLead()) return leader.holds;
+    if (coordination.mayLead()) return leader.reservations;
     const node = coordination.leaderNode();
     const heartbeat = node === undefined ? null : peers.fresh(node);
-    return heartbeat ? heartbeat.holds : relay.holds(shardId);
+    return heartbeat ? heartbeat.reservations : relay.reservations(shardId);
   }
 }
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -5,9 +5,9 @@
 import * as Effect from 'effect/Effect';
 import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from '../constants/users-api.js';
 import type { DutiesApi } from '../duties/admin-api.js';
-import type { Call, Reply } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http.js';
 import type { UsersApi } from '../jobs/api.js';
-import type { ReportHandler } from '../workers/heartbeat-handler.js';
+import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 
 /** Where workers send their heartbeats. */
 export const WORKER_PATH = '/hello';
@@ -16,7 +16,7 @@
 export interface RouterInput {
   /** Does this node take users' requests at least as well as the others? */
   readonly ready: () => boolean;
-  readonly reports: Pick<ReportHandler, 'handle'>;
+  readonly reports: Pick<WorkerHeartbeatHandler, 'handle'>;
   readonly users: Pick<UsersApi, 'handle'>;
   readonly duties: Pick<DutiesApi, 'handle'>;
 }
@@ -24,7 +24,7 @@
 /**
  * Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers.
  */
-const withinBudget = (reply: Effect.Effect<Reply>): Promise<Reply> =>
+const withinBudget = (reply: Effect.Effect<ServerResponse>): Promise<ServerResponse> =>
   new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
       resolve({
@@ -43,7 +43,7 @@
  * calls.
  */
 export const createRouter =
-  ({ ready, reports, users, duties }: RouterInput): ((call: Call) => Promise<Reply>) =>
+  ({ ready, reports, users, duties }: RouterInput): ((call: ServerRequest) => Promise<ServerResponse>) =>
   (call) => {
     if (call.path === '/ready') return Promise.resolve({ status: ready() ? 200 : 503 });
     if (call.path === WORKER_PATH) {
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -1,6 +1,6 @@
 /** Builds what one shard needs of the rest of the controller. No state; called when a shard is taken. */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
-import { returnUrgently } from '../duties/urgent-release.js';
+import { releaseUrgently } from '../duties/urgent-release.js';
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
@@ -22,29 +22,32 @@
 }
 
 /** What depends on the shard and its claim; the rest is the same for all shards. */
-type ClaimInput = Pick<ShardContext, 'entitled' | 'holds' | 'direct' | 'returnNow' | 'cleanUp' | 'loaded'>;
+type ClaimInput = Pick<
+  ShardContext,
+  'mayAct' | 'reservations' | 'direct' | 'releaseNow' | 'cleanUp' | 'loaded'
+>;
 
 const createClaimInput = (dependencies: ShardDependencies, shardId: number, claim: number): ClaimInput => {
   const { context, coordination, leadership } = dependencies;
   const { leases, duties, peers, leaderNode } = coordination;
-  const mayAct = (): boolean => leases.entitled(String(shardId)) === claim;
+  const mayAct = (): boolean => leases.actingRevision(String(shardId)) === claim;
   return {
-    entitled: mayAct,
-    holds: () => leadership().reservations.forShard(shardId),
+    mayAct: mayAct,
+    reservations: () => leadership().reservations.forShard(shardId),
     // Asked for at the very moment of sending: this process may have stood still since the decision.
-    direct: (addr, token, session, commands) =>
+    direct: (addr, token, agentEpoch, commands) =>
       mayAct()
-        ? context.ports.workerClient.send(addr, token, session, commands)
-        : Promise.resolve({ _tag: 'refused', report: null }),
-    returnNow: (machines) =>
-      returnUrgently(
+        ? context.ports.workerClient.send(addr, token, agentEpoch, commands)
+        : Promise.resolve({ _tag: 'refused', heartbeat: null }),
+    releaseNow: (machines) =>
+      releaseUrgently(
         {
           shardId: shardId,
           duty: duties.registry.shard(shardId, 'reclaim'),
           me: context.deployment.me.node,
           leaderNode,
-          stateAge: context.state.ageMs,
-          returnHere: (own) => leadership().leader.returnNow(own),
+          msSinceStoreAnswered: context.state.ageMs,
+          releaseLocally: (own) => leadership().leader.releaseNow(own),
           ask: (node, path, body, timeoutMs) => peers.ask(node, path, body, timeoutMs),
         },
         machines,
@@ -83,7 +86,7 @@
     wall: clocks.wall,
     settled: (job, final) => pipelines.settle(job, final),
     readiness: (job) => pipelines.readiness(job),
-    standing: (job) => pipelines.standing(job),
+    effectivePriority: (job) => pipelines.effectivePriority(job),
     changed: () => coordination.peers.notifyLeader(),
   };
 };
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -33,10 +33,10 @@
   const bootBoundTypes = new BootBoundTypes(state.catalog, deployment.objectives);
   const pipelines: Pipelines = new Pipelines({
     cache: state.cache,
-    finals: state.finals,
-    ours: (team) => shards.holds(deployment.shardOf(team)),
+    finalRecords: state.finalRecords,
+    ownsTeam: (team) => shards.holds(deployment.shardOf(team)),
     changed: (jobs) => {
-      for (const job of jobs) shards.forEach((shard) => shard.onStanding(job));
+      for (const job of jobs) shards.forEach((shard) => shard.onEffectivePriority(job));
     },
   });
   const spareElsewhere: ShardContext['spareElsewhere'] = (shardId, spec) =>
@@ -58,7 +58,7 @@
     shardCount: deployment.shardCount,
     leases: coordination.leases,
     create: (shardId, claim) => new Shard(shardId, claim, createShardInput(dependencies, shardId, claim)),
-    onTaken: () => pipelines.lookAll(),
+    onTaken: () => pipelines.reevaluateAll(),
   });
   return { shards, pipelines, scarceTypes, bootBoundTypes };
 };
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -8,7 +8,7 @@
   WORKER_CLIENT_SOCKET_FRACTION,
 } from '../constants/http.js';
 import { MAX_INCOMING_SOCKETS_PER_NODE } from '../constants/peers.js';
-import { Client, parseTarget, serve } from '../http.js';
+import { PooledHttpClient, parseTarget, serve } from '../http.js';
 import { log } from '../log.js';
 import type { Features } from '../settings/features.js';
 import type { AdminAccess } from '../settings/networks.js';
@@ -41,7 +41,7 @@
     return (user + system) / MICROSECONDS_PER_MS;
   },
   incarnation: randomUUID(),
-  callers: (target, sockets) => new Client(target, sockets),
+  createHttpClient: (target, sockets) => new PooledHttpClient(target, sockets),
   workerClient: new WorkerClient(workerConnections(settings)),
 });
 
--- a/src/controller/state-access.ts
+++ b/src/controller/state-access.ts
@@ -3,20 +3,20 @@
  * through them. Owns these objects; built once by the context and used by every subsystem.
  */
 import { CatalogView } from '../fleet/catalog-view.js';
-import { parseTarget, type Callers } from '../http.js';
+import { parseTarget, type HttpClientFactory } from '../http.js';
 import type { Catalog } from '../jobs/model.js';
-import { Finals } from '../pipelines/final-record-cache.js';
-import { Store } from '../kv-store/client.js';
+import { FinalRecordCache } from '../pipelines/final-record-cache.js';
+import { KeyValueStore } from '../kv-store/client.js';
 import { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { WatchCache } from '../kv-store/watch-cache.js';
 import type { Deployment } from './deployment.js';
 
 /** This controller's access to the state service. */
 export interface StateAccess {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly linearizableReads: LinearizableReads;
-  readonly finals: Finals;
+  readonly finalRecords: FinalRecordCache;
   /** The catalog of machine types; null: not known yet. */
   readonly catalog: () => Catalog | null;
   /** ms since the state service last answered this node. */
@@ -28,25 +28,25 @@
   readonly address: string;
   readonly deployment: Deployment;
   readonly leaseClock: () => number;
-  readonly callers: Callers;
+  readonly createHttpClient: HttpClientFactory;
 }
 
 /** Creates the client and the copy of the shared keys; the copy is filled once its `run` is started. */
 export const createStateAccess = (input: StateAccessInput): StateAccess => {
   const { deployment, leaseClock } = input;
-  const store = new Store(
+  const store = new KeyValueStore(
     parseTarget(input.address),
     { ...deployment.stateLimits, nodes: deployment.nodes.length },
     leaseClock,
-    input.callers,
+    input.createHttpClient,
   );
   const cache = new WatchCache(store, leaseClock);
   return {
     store,
     cache,
     linearizableReads: new LinearizableReads(store),
-    finals: new Finals(store),
+    finalRecords: new FinalRecordCache(store),
     catalog: new CatalogView(cache).current,
-    ageMs: () => (store.okAt === 0 ? Number.MAX_SAFE_INTEGER : leaseClock() - store.okAt),
+    ageMs: () => (store.lastAnsweredAt === 0 ? Number.MAX_SAFE_INTEGER : leaseClock() - store.lastAnsweredAt),
   };
 };
--- a/src/controller/subsystems.ts
+++ b/src/controller/subsystems.ts
@@ -2,7 +2,7 @@
  * The subsystems of one controller, as the composition root hands them on once all are built. No state of its
  * own.
  */
-import type { ReportHandler } from '../workers/heartbeat-handler.js';
+import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { Cancellations } from './cancellations.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
@@ -16,5 +16,5 @@
   readonly sharding: Sharding;
   readonly leadership: Leadership;
   readonly cancellations: Cancellations;
-  readonly reportHandler: ReportHandler;
+  readonly heartbeatHandler: WorkerHeartbeatHandler;
 }
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -2,7 +2,7 @@
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { ShardSummary } from '../fleet/records.js';
 import type { PeerNetwork } from '../peers/network.js';
-import type { StoreRelay } from '../peers/store-relay.js';
+import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
 /** Matches the claim of no summary. */
@@ -14,7 +14,7 @@
   readonly leases: Pick<LeaseManager, 'claim'>;
   readonly shards: Pick<HeldShards, 'ownSummaries'>;
   readonly peers: Pick<PeerNetwork, 'summaries'>;
-  readonly relay: Pick<StoreRelay, 'summary'>;
+  readonly relay: Pick<KeyValueStoreRelay, 'summary'>;
 }
 
 /** The summaries that come without a detour: those of our own shards, and of the peers that are heard. */
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -5,20 +5,20 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import type { LeaseManager } from '../claims/lease-manager.js';
-import type { Move, Reservation } from '../fleet/records.js';
+import type { MachineTransfer, Reservation } from '../fleet/records.js';
 import type { PeerNetwork } from '../peers/network.js';
 import { writeMoveOrder } from '../peers/order-codec.js';
-import type { StoreRelay } from '../peers/store-relay.js';
+import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
 /** What transfers need of the rest of the controller. */
 export interface TransfersInput {
   /** This node's name. */
   readonly node: string;
-  readonly shards: Pick<HeldShards, 'entitled'>;
+  readonly shards: Pick<HeldShards, 'actingShard'>;
   readonly leases: Pick<LeaseManager, 'claim'>;
   readonly peers: Pick<PeerNetwork, 'fresh' | 'ask'>;
-  readonly relay: Pick<StoreRelay, 'order'>;
+  readonly relay: Pick<KeyValueStoreRelay, 'order'>;
   /** The leader's reservations, which relayed orders carry too. */
   readonly reservations: () => readonly Reservation[];
 }
@@ -28,10 +28,10 @@
   constructor(private readonly input: TransfersInput) {}
 
   /** Has the holder of a shard carry out the leader's transfers from it. */
-  order(from: number, moves: readonly Move[], permit: Permit): Effect.Effect<unknown> {
+  order(from: number, moves: readonly MachineTransfer[], permit: Permit): Effect.Effect<unknown> {
     const { node, leases, peers, relay } = this.input;
-    const shard = this.input.shards.entitled(from);
-    if (shard) return Effect.promise(() => shard.give(moves));
+    const shard = this.input.shards.actingShard(from);
+    if (shard) return Effect.promise(() => shard.transferMachines(moves));
     const holder = leases.claim(String(from))?.node;
     if (holder === undefined || holder === node) return Effect.void;
     if (peers.fresh(holder) === null) return relay.order(from, moves, this.input.reservations());
@@ -44,7 +44,7 @@
    * Carries out transfers from a shard of ours; false: they were not, or this process may not act for the
    * shard.
    */
-  async carryOut(from: number, moves: readonly Move[]): Promise<boolean> {
-    return (await this.input.shards.entitled(from)?.give(moves)) ?? false;
+  async carryOut(from: number, moves: readonly MachineTransfer[]): Promise<boolean> {
+    return (await this.input.shards.actingShard(from)?.transferMachines(moves)) ?? false;
   }
 }
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -8,9 +8,9 @@
   type EffectDefinition,
   type HoldingPeriod,
   type Refusal,
-  type RentalBook,
+  type ProvisioningRecord,
 } from '@dalegate/fencing';
-import type { Call, Reply } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http.js';
 import type { AdminAccess } from '../settings/networks.js';
 import { writeDuties, writeDutiesOverview } from './admin-codec.js';
 import type { DutyRegistry } from './registry.js';
@@ -24,7 +24,7 @@
   readonly ready: () => boolean;
   readonly releaseIntents: () => readonly ReleaseIntentView[];
   /** Open rental requests, as the state service holds them; null: it does not answer. */
-  readonly rentals: () => Promise<RentalBook | null>;
+  readonly rentals: () => Promise<ProvisioningRecord | null>;
 }
 
 /** One duty on one claim, as an operator reads it. */
@@ -53,14 +53,14 @@
 export interface DutiesView {
   readonly node: string;
   readonly duties: readonly DutyView[];
-  readonly openRentals: RentalBook['open'] | null;
-  readonly settledRentals: RentalBook['settled'] | null;
-  readonly malformedIntents: RentalBook['malformed'] | null;
+  readonly openRentals: ProvisioningRecord['open'] | null;
+  readonly settledRentals: ProvisioningRecord['settled'] | null;
+  readonly malformedIntents: ProvisioningRecord['malformed'] | null;
   readonly releaseIntents: readonly ReleaseIntentView[];
   readonly refusedSinceStart: number;
 }
 
-const json = (status: number, body: unknown): Reply => ({
+const json = (status: number, body: unknown): ServerResponse => ({
   status,
   text: `${JSON.stringify(body)}\n`,
   headers: { 'content-type': 'application/json' },
@@ -70,7 +70,7 @@
 export class DutiesApi {
   constructor(private readonly input: DutiesApiInput) {}
 
-  async handle(call: Call, path: readonly string[]): Promise<Reply> {
+  async handle(call: ServerRequest, path: readonly string[]): Promise<ServerResponse> {
     if (!this.input.access.allows(call.remoteAddress))
       return json(403, { error: 'the administration API is not open to this address' });
     if (call.method !== 'GET') return { ...json(405, { error: 'read only' }), headers: { allow: 'GET' } };
--- a/src/duties/admin-codec.ts
+++ b/src/duties/admin-codec.ts
@@ -3,8 +3,8 @@
   EffectDefinition,
   HoldingPeriod,
   Refusal,
-  RentalIntent,
-  SettledRental,
+  ProvisioningIntent,
+  SettledProvisioning,
 } from '@dalegate/fencing';
 import type { DutiesView, DutyView, ReleaseIntentView } from './admin-api.js';
 
@@ -135,7 +135,7 @@
   at: refusal.at,
 });
 
-const writeRentalIntent = (intent: RentalIntent): WireRentalIntent => ({
+const writeRentalIntent = (intent: ProvisioningIntent): WireRentalIntent => ({
   name: intent.name,
   machineType: intent.machineType,
   zone: intent.zone,
@@ -144,7 +144,7 @@
   at: intent.at,
 });
 
-const writeSettledRental = (rental: SettledRental): WireSettledRental => ({
+const writeSettledRental = (rental: SettledProvisioning): WireSettledRental => ({
   name: rental.name,
   outcome: rental.outcome,
   machines: rental.machines,
--- a/src/duties/compose.ts
+++ b/src/duties/compose.ts
@@ -1,15 +1,20 @@
-import { EMPTY_BOOK, readBook, RentalJournal, type RentalBook } from '@dalegate/fencing';
-import { LEADER } from '../claims/claim-decisions.js';
+import {
+  EMPTY_PROVISIONING_RECORD,
+  readProvisioningRecord,
+  ProvisioningJournal,
+  type ProvisioningRecord,
+} from '@dalegate/fencing';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
-import type { Store } from '../kv-store/client.js';
-import { RENTALS_KEY } from '../kv-store/keys.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import { PROVISIONING_KEY } from '../kv-store/keys.js';
 import { fencedValue } from './fenced-store.js';
 import { OrderGate } from './order-gate.js';
 import { DutyRegistry, type DutyRegistryInput } from './registry.js';
 
 /** What the duties need of their controller. */
 export interface DutiesInput extends DutyRegistryInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   /** bytes: the largest value that the state service takes, now and later. */
   readonly valueBytes: number;
   /** Every controller sends fencing tokens with its orders. */
@@ -21,9 +26,9 @@
   readonly registry: DutyRegistry;
   readonly gate: OrderGate;
   /** Null where fencing is off: requests are sent without being announced. */
-  readonly journal: RentalJournal | null;
+  readonly journal: ProvisioningJournal | null;
   /** Open rental requests, as the state service holds them; null: it does not answer. */
-  readonly readRentals: () => Promise<RentalBook | null>;
+  readonly loadProvisioningRecord: () => Promise<ProvisioningRecord | null>;
 }
 
 const sleep = (ms: number): Promise<void> =>
@@ -36,15 +41,17 @@
   const { store, wall, enforce, tokensRequired } = input;
   const registry = new DutyRegistry(input);
   const maxBytes = input.valueBytes * VALUE_FILL_FRACTION;
-  const rentals = fencedValue(store, RENTALS_KEY, LEADER, 'user');
+  const rentals = fencedValue(store, PROVISIONING_KEY, LEADER_CLAIM, 'user');
   return {
     registry,
     gate: new OrderGate({ audit: registry.audit, tokensRequired, enforce }),
-    journal: enforce ? new RentalJournal({ value: rentals, maxBytes, timeOfDay: wall, sleep }) : null,
-    readRentals: async () => {
+    journal: enforce ? new ProvisioningJournal({ value: rentals, maxBytes, timeOfDay: wall, sleep }) : null,
+    loadProvisioningRecord: async () => {
       const outcome = await rentals.read();
       if (outcome._tag === 'unavailable') return null;
-      return outcome.entry.revision === 0 ? EMPTY_BOOK : readBook(outcome.entry.value);
+      return outcome.entry.revision === 0
+        ? EMPTY_PROVISIONING_RECORD
+        : readProvisioningRecord(outcome.entry.value);
     },
   };
 };
--- a/src/duties/duties.test.ts
+++ b/src/duties/duties.test.ts
@@ -1,10 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DutyAudit, EMPTY_BOOK, readBook, type RentalBook } from '@dalegate/fencing';
-import type { Call, Reply } from '../http.js';
+import {
+  DutyAudit,
+  EMPTY_PROVISIONING_RECORD,
+  readProvisioningRecord,
+  type ProvisioningRecord,
+} from '@dalegate/fencing';
+import type { ServerRequest, ServerResponse } from '../http.js';
 import { PeerRequests } from '../peers/peer-requests.js';
 import { leaderDuties } from '../testing/duties.js';
-import { returnUrgently } from './urgent-release.js';
+import { releaseUrgently } from './urgent-release.js';
 import { DutiesApi } from './admin-api.js';
 import type { WireDutiesOverview } from './admin-codec.js';
 import { OrderGate } from './order-gate.js';
@@ -17,21 +22,21 @@
   readonly method?: string;
   readonly ready?: boolean;
   readonly from?: string;
-  readonly rentals?: RentalBook | null;
+  readonly rentals?: ProvisioningRecord | null;
   readonly status: number;
   readonly says: (body: unknown) => void;
 }
 
-const answerOf = async (row: ApiCase): Promise<Reply> => {
+const answerOf = async (row: ApiCase): Promise<ServerResponse> => {
   const api = new DutiesApi({
     node: 'n0',
     registry: leaderDuties(HELD_UNDER, () => 5_000),
     access: { allows: (address) => address === '127.0.0.1' },
     ready: () => row.ready ?? true,
     releaseIntents: () => [{ machine: 'i-1', shardId: 2, reason: 'idle', token: 7 }],
-    rentals: () => Promise.resolve(row.rentals === undefined ? EMPTY_BOOK : row.rentals),
+    rentals: () => Promise.resolve(row.rentals === undefined ? EMPTY_PROVISIONING_RECORD : row.rentals),
   });
-  const call: Call = {
+  const call: ServerRequest = {
     method: row.method ?? 'GET',
     path: '',
     query: '',
@@ -54,7 +59,7 @@
       assert.equal(rent?.holder?.token, HELD_UNDER);
       assert.equal(rent?.state, 'acquiring', 'renting waits until open requests are settled');
       assert.equal(view.duties.find(({ duty }) => duty === 'release')?.state, 'held');
-      assert.deepEqual(view.releaseIntents, [{ machine: 'i-1', shardId: 2, reason: 'idle', token: 7 }]);
+      assert.deepEqual(view.releaseIntents, [{ machine: 'i-1', share: 2, reason: 'idle', token: 7 }]);
       assert.deepEqual(view.openRentals, []);
     },
   },
@@ -68,7 +73,7 @@
   {
     name: 'a malformed stored intent is shown',
     path: [],
-    rentals: readBook({ t: 1, o: [{ n: 5 }] }),
+    rentals: readProvisioningRecord({ t: 1, o: [{ n: 5 }] }),
     status: 200,
     says: (body) => assert.deepEqual((body as WireDutiesOverview).malformedIntents, [{ n: 5 }]),
   },
@@ -167,7 +172,7 @@
         carriedOut += 1;
         return Promise.resolve(true);
       },
-      returnNow: () => Promise.resolve(true),
+      releaseNow: () => Promise.resolve(true),
       acknowledge: () => true,
     });
     const order = { from: 0, moves: [], ...(row.token === undefined ? {} : { token: row.token }) };
@@ -184,11 +189,11 @@
   const requests = new PeerRequests({
     gate,
     move: () => Promise.resolve(true),
-    returnNow: () => Promise.resolve(true),
+    releaseNow: () => Promise.resolve(true),
     acknowledge: () => true,
   });
   const statusOf = async (shardId: number, token: number): Promise<number | undefined> =>
-    (await requests.answer('/return', { machines: ['i-1'], shardId, token }))?.status;
+    (await requests.answer('/return', { machines: ['i-1'], share: shardId, token }))?.status;
   assert.equal(await statusOf(1, HELD_UNDER - 1), 409);
   assert.equal(await statusOf(1, HELD_UNDER), 200);
   assert.equal(await statusOf(2, 1), 200);
@@ -197,7 +202,7 @@
 
 const returns: readonly {
   name: string;
-  stateAge?: number;
+  msSinceStoreAnswered?: number;
   leader?: string;
   answer?: unknown;
   asked: number;
@@ -205,21 +210,26 @@
 }[] = [
   { name: 'the leader says that they are gone', answer: { returned: true }, asked: 1, returned: true },
   { name: 'the leader does not answer', answer: null, asked: 1, returned: false },
-  { name: 'the state service answers: the record is the way', stateAge: 100, asked: 0, returned: false },
+  {
+    name: 'the state service answers: the record is the way',
+    msSinceStoreAnswered: 100,
+    asked: 0,
+    returned: false,
+  },
   { name: 'this node leads', leader: 'n0', asked: 0, returned: true },
   { name: 'nobody leads', leader: '', asked: 0, returned: false },
 ];
 for (const row of returns) {
   test(`urgent return: ${row.name}`, async () => {
     const orders: unknown[] = [];
-    const returned = await returnUrgently(
+    const returned = await releaseUrgently(
       {
         shardId: 2,
         duty: leaderDuties(HELD_UNDER, () => 0).leader('release'),
         me: 'n0',
         leaderNode: () => (row.leader === '' ? undefined : (row.leader ?? 'n1')),
-        stateAge: () => row.stateAge ?? 60_000,
-        returnHere: () => Promise.resolve(true),
+        msSinceStoreAnswered: () => row.msSinceStoreAnswered ?? 60_000,
+        releaseLocally: () => Promise.resolve(true),
         ask: (_node, _path, body) => {
           orders.push(body);
           return Promise.resolve(row.answer);
@@ -228,7 +238,7 @@
       ['i-1'],
     );
     assert.equal(returned, row.returned);
-    const order = { machines: ['i-1'], shardId: 2, token: HELD_UNDER };
+    const order = { machines: ['i-1'], share: 2, token: HELD_UNDER };
     assert.deepEqual(orders, row.asked === 1 ? [order] : []);
   });
 }
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -1,21 +1,21 @@
 import type { FencedValue, FencingToken, Permit, ReadOutcome, WriteOutcome } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import type { Condition, Store, TxnResult, Write } from '../kv-store/client.js';
+import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
-import type { Rank } from '../kv-store/rate-limiter.js';
+import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
 /** A transaction of a duty: the claim that the permit stands for is always among its conditions. */
 export const fencedTransaction = (
-  store: Store,
+  store: KeyValueStore,
   permit: Pick<Permit, 'claim' | 'token'>,
   when: readonly Condition[],
   writes: readonly Write[],
-  rank: Rank,
-): Effect.Effect<TxnResult> =>
-  store.txn([{ key: claimKey(permit.claim), version: permit.token }, ...when], writes, rank);
+  rank: RequestPriority,
+): Effect.Effect<TransactionResult> =>
+  store.compareAndSwap([{ key: claimKey(permit.claim), version: permit.token }, ...when], writes, rank);
 
 /** What became of a write of a value that only the holder of a claim may write. */
-const readWriteOutcome = (result: TxnResult, claim: string): WriteOutcome => {
+const readWriteOutcome = (result: TransactionResult, claim: string): WriteOutcome => {
   switch (result._tag) {
     case 'committed':
       return { _tag: 'written', revision: result.revision };
@@ -33,7 +33,12 @@
 };
 
 /** One key of the state service, written under a claim only. */
-export const fencedValue = (store: Store, key: string, claim: string, rank: Rank): FencedValue => ({
+export const fencedValue = (
+  store: KeyValueStore,
+  key: string,
+  claim: string,
+  rank: RequestPriority,
+): FencedValue => ({
   read: async (): Promise<ReadOutcome> => {
     const result = await Effect.runPromise(store.get(key, 'user'));
     switch (result._tag) {
--- a/src/duties/registry.ts
+++ b/src/duties/registry.ts
@@ -10,7 +10,7 @@
   type LeaderDutyName,
   type ShardDutyName,
 } from '@dalegate/fencing';
-import { LEADER } from '../claims/claim-decisions.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
 import { log } from '../log.js';
 
@@ -19,7 +19,7 @@
 
 /** What the registry needs of its controller. */
 export interface DutyRegistryInput {
-  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'mine' | 'entitled'>;
+  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'ownRevision' | 'actingRevision'>;
   /** ms since the epoch. */
   readonly wall: () => number;
   /** Refuses effects that lost their right; else they are only counted. */
@@ -47,7 +47,7 @@
   constructor(private readonly input: DutyRegistryInput) {
     this.audit = new DutyAudit(input.wall, logAudit);
     for (const claimName of input.leases.claimNames) {
-      for (const name of claimName === LEADER ? LEADER_DUTIES : SHARD_DUTIES) this.add(claimName, name);
+      for (const name of claimName === LEADER_CLAIM ? LEADER_DUTIES : SHARD_DUTIES) this.add(claimName, name);
     }
   }
 
@@ -63,7 +63,7 @@
   }
 
   private right(claimName: string): FencingToken | null {
-    const revision = this.input.leases.entitled(claimName);
+    const revision = this.input.leases.actingRevision(claimName);
     return revision === null ? null : tokenOf(revision);
   }
 
@@ -75,7 +75,7 @@
 
   /** A duty of the leader. */
   leader(name: LeaderDutyName): Duty {
-    return this.duty(LEADER, name);
+    return this.duty(LEADER_CLAIM, name);
   }
 
   /** A duty of the holder of a share. */
@@ -93,16 +93,17 @@
     const claim = this.input.leases.claim(claimName);
     if (claim) this.audit.holder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
     else this.audit.end(claimName, 'lease ended');
-    const mine = this.input.leases.mine(claimName);
+    const ownRevision = this.input.leases.ownRevision(claimName);
     for (const duty of this.duties.values()) {
       if (duty.claim !== claimName) continue;
-      if (mine === null) {
+      if (ownRevision === null) {
         duty.apply({ _tag: 'released' });
         continue;
       }
-      const token = tokenOf(mine);
+      const token = tokenOf(ownRevision);
       duty.apply({ _tag: 'claimed', token });
-      if (claimName === LEADER && !SETTLED_BY_LEADER.has(duty.name)) duty.apply({ _tag: 'settled', token });
+      if (claimName === LEADER_CLAIM && !SETTLED_BY_LEADER.has(duty.name))
+        duty.apply({ _tag: 'settled', token });
     }
   }
 
--- a/src/duties/urgent-release.ts
+++ b/src/duties/urgent-release.ts
@@ -4,15 +4,15 @@
 import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
 
 /** What an urgent return needs of its controller. */
-export interface UrgentReturnInput {
+export interface UrgentReleaseDependencies {
   readonly shardId: number;
   readonly duty: Duty;
   readonly me: string;
   readonly leaderNode: () => string | undefined;
   /** ms since the state service last answered this node. */
-  readonly stateAge: () => number;
+  readonly msSinceStoreAnswered: () => number;
   /** Returns machines as the leader that this node is. */
-  readonly returnHere: (machines: readonly string[]) => Promise<boolean>;
+  readonly releaseLocally: (machines: readonly string[]) => Promise<boolean>;
   readonly ask: (node: string, path: string, body: unknown, timeoutMs: number) => Promise<unknown>;
 }
 
@@ -21,17 +21,20 @@
  * come first. Where it answers, the machine's record is the way: it tells a later leader too. True: they are
  * gone.
  */
-export const returnUrgently = async (
-  input: UrgentReturnInput,
+export const releaseUrgently = async (
+  input: UrgentReleaseDependencies,
   machines: readonly string[],
 ): Promise<boolean> => {
-  if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST || input.stateAge() < HEARTBEAT_FRESHNESS_MS)
+  if (
+    machines.length > MAX_MACHINES_PER_RELEASE_REQUEST ||
+    input.msSinceStoreAnswered() < HEARTBEAT_FRESHNESS_MS
+  )
     return false;
   const to = input.leaderNode();
   const permit = to === undefined ? null : input.duty.begin('order to return machines at once');
   if (to === undefined || permit === null) return false;
   try {
-    if (to === input.me) return await input.returnHere(machines);
+    if (to === input.me) return await input.releaseLocally(machines);
     const order = writeReturnOrder({ machines, shardId: input.shardId }, permit.token);
     return readReturnAnswer(await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS));
   } finally {
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -7,7 +7,7 @@
   UNKNOWN_MACHINE_SLACK_S,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { AdoptionQueue } from './adoption-queue.js';
@@ -15,18 +15,18 @@
 import type { MachineIndex } from './machine-index.js';
 import type { MachineRecorder } from './machine-recorder.js';
 import { newMachineRecord } from './records.js';
-import type { Returner } from './scale-in.js';
+import type { ScaleIn } from './scale-in.js';
 
 /** What the adopter needs of the leader. */
 export interface AdopterInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get'>;
   readonly cloud: Cloud;
   readonly duty: Duty;
   readonly queue: AdoptionQueue;
   readonly machines: MachineIndex;
   readonly recorder: MachineRecorder;
-  readonly returner: Returner;
+  readonly scaleIn: ScaleIn;
   readonly shardCount: number;
   readonly listLagS: number;
   readonly now: () => number;
@@ -42,8 +42,8 @@
 
   /** A worker that no record knows reported somewhere, or the cloud lists its machine. */
   adopt(id: string, type: string, zone: string, spot: boolean, at = 0): void {
-    const { cache, queue, returner } = this.input;
-    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || returner.returned(id)) return;
+    const { cache, queue, scaleIn } = this.input;
+    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.returned(id)) return;
     // By a report its age is not known, and a late copy may speak of a machine long gone: it is not taken for
     // one that boots, and goes back if it is not heard from within a lease.
     queue.add(id, newMachineRecord(this.smallestShard(type, zone, spot), { type, zone, spot }, at));
@@ -68,7 +68,7 @@
     const permit = this.input.duty.begin('machine record');
     if (permit === null) return;
     // Each unknown worker asks around once a second until it is recorded, so all that fit go at once; the rate is owed.
-    const batch = this.input.queue.take(this.input.store.txnOps);
+    const batch = this.input.queue.take(this.input.store.maxTransactionWrites);
     const fresh = batch.filter(([id]) => this.input.cache.get(machineKey(id)) === undefined);
     if (fresh.length > 0) {
       const result = yield* this.input.recorder.record(permit, fresh);
@@ -85,7 +85,7 @@
     const listed = yield* this.list;
     if (listed === null) return;
     const lagS = this.input.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
-    this.input.returner.forgetOlderThan(lagS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
+    this.input.scaleIn.forgetOlderThan(lagS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
     for (const { id, type, zone, spot, ageS } of listed) {
       if (ageS >= lagS) this.adopt(id, type, zone, spot, this.input.wall() - ageS * 1_000);
     }
--- a/src/fleet/boot-bound-types.ts
+++ b/src/fleet/boot-bound-types.ts
@@ -18,7 +18,7 @@
   /** Takes note of a job that was submitted. Work that may use spot machines is not kept ordinary ones for. */
   note(spec: JobSpec): void {
     const catalog = this.catalog();
-    const loosestS = this.objectives.get(spec.klass)?.wait.at(-1);
+    const loosestS = this.objectives.get(spec.jobClass)?.wait.at(-1);
     if (!catalog || loosestS === undefined || spec.spot) return;
     for (const type of catalog.values()) {
       if (
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -23,7 +23,7 @@
     this.until.delete(kind);
   }
 
-  holds(kind: string): boolean {
+  isRefused(kind: string): boolean {
     return (this.until.get(kind)?.at ?? 0) > this.now();
   }
 }
--- a/src/fleet/catalog-codec.test.ts
+++ b/src/fleet/catalog-codec.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
-import type { Item } from '../kv-store/client.js';
+import type { StoredEntry } from '../kv-store/client.js';
 import { isStored, readStored, storeCatalog } from './catalog.js';
 import { readMachineType, writeMachineType, type StoredMachineType } from './catalog-codec.js';
 
@@ -23,7 +23,7 @@
 const LATER_TYPE = TYPE.replace('"name"', '"later":1,"name"');
 const LARGE = 10_000;
 const none = (): undefined => undefined;
-const itemOf = (value: unknown): Item => ({ key: 'w/catalog', value, version: 7 });
+const itemOf = (value: unknown): StoredEntry => ({ key: 'w/catalog', value, version: 7 });
 
 test('catalog codec: a machine type', () => {
   assert.equal(JSON.stringify(writeMachineType(type)), TYPE);
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -5,7 +5,7 @@
 import { fencedTransaction } from '../duties/fenced-store.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store, Write } from '../kv-store/client.js';
+import type { KeyValueStore, Write } from '../kv-store/client.js';
 import { CATALOG_KEY } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { isStored, storeCatalog } from './catalog.js';
@@ -13,7 +13,7 @@
 
 /** What the keeper needs of the leader. */
 export interface CatalogKeeperInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly cloud: Cloud;
   readonly duty: Duty;
@@ -56,7 +56,7 @@
     const writes = storeCatalog(
       result.types,
       this.input.valueBytes * VALUE_FILL_FRACTION,
-      this.input.store.txnOps,
+      this.input.store.maxTransactionWrites,
       this.input.maySplit(),
     );
     if (writes === null) {
@@ -75,7 +75,7 @@
         permit.end();
       } else if (this.input.catalog() === null) {
         // Without a catalog no node is ready, and there is nothing that a late copy could take the place of.
-        yield* this.input.store.txn(when, writes, 'user');
+        yield* this.input.store.compareAndSwap(when, writes, 'user');
       }
     });
   }
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,6 +1,6 @@
 import { JSON_BRACKETS_BYTES, JSON_COMMA_BYTES } from '../constants/key-value-store.js';
 import type { Catalog, MachineType } from '../jobs/model.js';
-import type { Item, Write } from '../kv-store/client.js';
+import type { StoredEntry, Write } from '../kv-store/client.js';
 import { CATALOG_KEY, catalogPartKey } from '../kv-store/keys.js';
 import {
   readMachineType,
@@ -21,7 +21,7 @@
 export const storeCatalog = (
   types: readonly MachineType[],
   bytes: number,
-  txnOps: number,
+  maxTransactionWrites: number,
   maySplit: boolean,
 ): readonly Write[] | null => {
   const stored = types.map(writeMachineType);
@@ -37,7 +37,7 @@
     parts.at(-1)?.push(type);
     size += more;
   }
-  if (parts.length + 1 > txnOps) return null;
+  if (parts.length + 1 > maxTransactionWrites) return null;
   const count: StoredPartCount = { p: parts.length };
   return [
     ...parts.map((value, part): Write => ({ _tag: 'put', key: catalogPartKey(part), value })),
@@ -47,8 +47,8 @@
 
 /** The stored types as they are, or null while a part is not there yet. */
 const storedTypes = (
-  item: Item,
-  get: (key: string) => Item | undefined,
+  item: StoredEntry,
+  get: (key: string) => StoredEntry | undefined,
 ): readonly StoredMachineType[] | null => {
   if (Array.isArray(item.value)) return item.value as StoredMachineType[];
   const types: StoredMachineType[] = [];
@@ -62,15 +62,15 @@
 
 /** The stored types, or null while a part is not there yet. */
 export const readStored = (
-  item: Item,
-  get: (key: string) => Item | undefined,
+  item: StoredEntry,
+  get: (key: string) => StoredEntry | undefined,
 ): readonly MachineType[] | null => storedTypes(item, get)?.map(readMachineType) ?? null;
 
 /** Does the state service hold exactly these types? What another version stored with other fields differs. */
 export const isStored = (
   types: readonly MachineType[],
-  item: Item,
-  get: (key: string) => Item | undefined,
+  item: StoredEntry,
+  get: (key: string) => StoredEntry | undefined,
 ): boolean => {
   const stored = storedTypes(item, get);
   return stored !== null && JSON.stringify(stored) === JSON.stringify(types.map(writeMachineType));
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -6,7 +6,7 @@
   CLOUD_SOCKETS,
   MACHINE_LIST_PAGE_ITEMS,
 } from '../constants/fleet.js';
-import type { Answer, Caller, Callers, Target } from '../http.js';
+import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http.js';
 import type { MachineType } from '../jobs/model.js';
 import { RateLimiter } from '../kv-store/rate-limiter.js';
 
@@ -24,7 +24,7 @@
   | { readonly _tag: 'types'; readonly types: readonly MachineType[] }
   | { readonly _tag: 'failed'; readonly why: string };
 /** What became of a rental request. */
-export type RentResult =
+export type ProvisioningResult =
   | { readonly _tag: 'rented'; readonly machines: readonly string[] }
   | { readonly _tag: 'noCapacity' }
   /** Not carried out, as far as the answer says. */
@@ -39,7 +39,7 @@
   | { readonly _tag: 'failed'; readonly why: string };
 
 /** A rental request under its unique name. */
-export interface RentRequest {
+export interface ProvisioningRequest {
   readonly name: string;
   readonly type: string;
   readonly zone: string;
@@ -73,8 +73,8 @@
     zones: type.paddocks,
   }));
 
-const readRental = (answer: Answer): RentResult => {
-  if (answer._tag === 'silence')
+const readRental = (answer: CallOutcome): ProvisioningResult => {
+  if (answer._tag === 'noResponse')
     return answer.sent === false ? { _tag: 'withheld' } : { _tag: 'unknown', why: answer.why };
   const body = answer.body as { drovers?: string[]; error?: string } | null;
   if (answer.status === 200) return { _tag: 'rented', machines: body?.drovers ?? [] };
@@ -89,14 +89,20 @@
 };
 
 /** As the cloud itself would answer: not carried out. */
-const OVER_RATE: Answer = { _tag: 'answer', status: 429, body: null };
+const OVER_RATE: CallOutcome = { _tag: 'response', status: 429, body: null };
 
 /** Client for the cloud's interface, within this node's part of its rate. */
 export class Cloud {
-  private readonly client: Caller;
+  private readonly client: HttpClient;
   private readonly budget: RateLimiter;
-  constructor(target: Target, rps: number, nodes: number, now: () => number, callers: Callers) {
-    this.client = callers(target, CLOUD_SOCKETS);
+  constructor(
+    target: Target,
+    rps: number,
+    nodes: number,
+    now: () => number,
+    createHttpClient: HttpClientFactory,
+  ) {
+    this.client = createHttpClient(target, CLOUD_SOCKETS);
     // Only the leader calls regularly; the others read the catalog at their start.
     this.budget = new RateLimiter(
       rps * (nodes > 1 ? CLOUD_RATE_FRACTION : 1),
@@ -106,26 +112,26 @@
     );
   }
 
-  private async read(path: string): Promise<Answer> {
+  private async read(path: string): Promise<CallOutcome> {
     if (!(await this.budget.take(1, 'user'))) return OVER_RATE;
     return this.client.request('GET', path, undefined, CLOUD_REQUEST_TIMEOUT_MS);
   }
 
   /** A call with an effect: the right to make it is asked for again as its bytes leave. */
-  private async act(path: string, body: unknown, { mayProceed }: Permit): Promise<Answer> {
+  private async act(path: string, body: unknown, { mayProceed }: Permit): Promise<CallOutcome> {
     if (!(await this.budget.take(1, 'user'))) return OVER_RATE;
     return this.client.request('POST', path, body, CLOUD_REQUEST_TIMEOUT_MS, mayProceed);
   }
 
   readonly catalog: Effect.Effect<CatalogResult> = Effect.promise(async (): Promise<CatalogResult> => {
     const answer = await this.read('/catalog');
-    if (answer._tag === 'silence') return { _tag: 'failed', why: answer.why };
+    if (answer._tag === 'noResponse') return { _tag: 'failed', why: answer.why };
     if (answer.status !== 200) return { _tag: 'failed', why: `status ${answer.status}` };
     return { _tag: 'types', types: readTypes((answer.body as { breeds: RawType[] }).breeds) };
   });
 
-  rent(request: RentRequest, permit: Permit): Effect.Effect<RentResult> {
-    return Effect.promise(async (): Promise<RentResult> => {
+  provision(request: ProvisioningRequest, permit: Permit): Effect.Effect<ProvisioningResult> {
+    return Effect.promise(async (): Promise<ProvisioningResult> => {
       const body = {
         hire: request.name,
         breed: request.type,
@@ -142,7 +148,7 @@
   release(ids: readonly string[], permit: Permit): Effect.Effect<boolean> {
     return Effect.promise(async () => {
       const answer = await this.act('/machines/release', { drovers: ids }, permit);
-      return answer._tag === 'answer' && answer.status === 200;
+      return answer._tag === 'response' && answer.status === 200;
     });
   }
 
@@ -151,7 +157,7 @@
       const answer = await this.read(
         `/machines?most=${MACHINE_LIST_PAGE_ITEMS}${after === null ? '' : `&since=${encodeURIComponent(after)}`}`,
       );
-      if (answer._tag === 'silence') return { _tag: 'failed', why: answer.why };
+      if (answer._tag === 'noResponse') return { _tag: 'failed', why: answer.why };
       if (answer.status !== 200) return { _tag: 'failed', why: `status ${answer.status}` };
       const body = answer.body as {
         drovers: {
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -2,8 +2,8 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { Callers } from '../http.js';
-import { Store } from '../kv-store/client.js';
+import type { HttpClientFactory } from '../http.js';
+import { KeyValueStore } from '../kv-store/client.js';
 import { WatchCache } from '../kv-store/watch-cache.js';
 import { machineRecord } from '../testing/bodies.js';
 import { leaderDuties } from '../testing/duties.js';
@@ -31,12 +31,12 @@
   try {
     const state = new StateStandIn();
     const calls: string[] = [];
-    const callers: Callers = (target) => ({
+    const createHttpClient: HttpClientFactory = (target) => ({
       request: (method, path, body) => {
         if (target.host === 'state') return state.handle('n0', method, path, body);
         calls.push(path);
         return Promise.resolve({
-          _tag: 'answer',
+          _tag: 'response',
           status: 200,
           body:
             path === '/catalog'
@@ -45,22 +45,22 @@
         });
       },
     });
-    const puts = [
+    const assignments = [
       { write: 'w/c/L', data: { n: 'n0', i: '1' } },
       ...known.map((id) => ({ write: `w/m/${id}`, data: writeMachineRecord(RECORD) })),
     ];
     // All records are put at once; from then on what the settings say holds.
-    state.limits = { valueBytes: 16 * 1024, ops: puts.length };
-    await state.handle('n0', 'POST', '/txn', { when: [], writes: puts });
+    state.limits = { valueBytes: 16 * 1024, ops: assignments.length };
+    await state.handle('n0', 'POST', '/txn', { when: [], writes: assignments });
     state.limits.ops = 48;
     const now = (): number => Date.now();
     const limits = { rps: 150, write_rps: CHANGES_A_SECOND, txn_ops: 48, nodes: 1 };
-    const store = new Store({ host: 'state', port: 1 }, limits, now, callers);
+    const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, createHttpClient);
     const cache = new WatchCache(store);
     const leader = new Leader({
       store,
       cache,
-      cloud: new Cloud({ host: 'cloud', port: 1 }, 2, 1, now, callers),
+      cloud: new Cloud({ host: 'cloud', port: 1 }, 2, 1, now, createHttpClient),
       duties: leaderDuties(1, now, mayAct),
       journal: null,
       shardCount: 3,
@@ -68,7 +68,7 @@
       maySplit: () => true,
       listLagS: 10,
       catalog: () => new Map(),
-      entitled: () => (mayAct() ? 1 : null),
+      actingRevision: () => (mayAct() ? 1 : null),
       summaries: () => [],
       move: () => Effect.void,
       now,
@@ -126,7 +126,7 @@
   const { calls, state } = await withLeader(
     [],
     (leader, stateService) => {
-      setTimeout(() => void leader.returnNow(['i-000001']).then((done) => inDoubt.push(done)), 4_000);
+      setTimeout(() => void leader.releaseNow(['i-000001']).then((done) => inDoubt.push(done)), 4_000);
       const put = { write: 'w/m/i-000002', data: writeMachineRecord(RECORD) };
       setTimeout(() => void stateService.handle('n0', 'POST', '/txn', { when: [], writes: [put] }), 8_000);
     },
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -1,4 +1,4 @@
-import { type Permit, type RentalJournal } from '@dalegate/fencing';
+import { type Permit, type ProvisioningJournal } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import {
   LEADERSHIP_CHECK_INTERVAL_MS,
@@ -10,7 +10,7 @@
 import type { DutyRegistry } from '../duties/registry.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { Adopter } from './adopter.js';
@@ -20,19 +20,19 @@
 import type { Cloud } from './cloud.js';
 import { kindKey, MachineIndex } from './machine-index.js';
 import { MachineRecorder } from './machine-recorder.js';
-import { planSteps, type Moving, type Step } from './scaling-plan.js';
-import type { Move, Reservation, ShardSummary } from './records.js';
-import { Renter } from './scale-out.js';
-import { Returner } from './scale-in.js';
+import { planSteps, type PendingTransfer, type Step } from './scaling-plan.js';
+import type { MachineTransfer, Reservation, ShardSummary } from './records.js';
+import { ScaleOut } from './scale-out.js';
+import { ScaleIn } from './scale-in.js';
 
 /** What the leader needs of the rest of the controller. */
 export interface LeaderInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly cloud: Cloud;
   readonly duties: Pick<DutyRegistry, 'leader'>;
   /** Announces rental requests durably before they are sent; null: they are sent at once. */
-  readonly journal: RentalJournal | null;
+  readonly journal: ProvisioningJournal | null;
   readonly shardCount: number;
   readonly listLagS: number;
   /** bytes: the largest value that the state service takes, now and later. */
@@ -41,9 +41,9 @@
   readonly maySplit: () => boolean;
   readonly catalog: () => Catalog | null;
   /** The revision of our claim to lead, if we may act on it now. */
-  readonly entitled: () => number | null;
+  readonly actingRevision: () => number | null;
   readonly summaries: () => readonly ShardSummary[];
-  readonly move: (from: number, moves: readonly Move[], permit: Permit) => Effect.Effect<unknown>;
+  readonly move: (from: number, moves: readonly MachineTransfer[], permit: Permit) => Effect.Effect<unknown>;
   readonly now: () => number;
   /** ms since the epoch. */
   readonly wall: () => number;
@@ -55,16 +55,16 @@
   private readonly machines = new MachineIndex();
   private readonly refusals: CapacityRefusals;
   private readonly recorder: MachineRecorder;
-  private readonly renter: Renter;
-  private readonly returner: Returner;
+  private readonly scaleOut: ScaleOut;
+  private readonly scaleIn: ScaleIn;
   private readonly adopter: Adopter;
   private readonly catalogKeeper: CatalogKeeper;
   /** What machines are being gathered for; the shares hear of it with the heartbeats. */
-  holds: readonly Reservation[] = [];
+  reservations: readonly Reservation[] = [];
   private plannedAt = 0;
   /** Moves ordered lately, with the time (ms): until the new share's summary shows them they are neither here nor
    *  there, and what they were gathered for would be given up for another zone. */
-  private readonly moving = new Map<string, { readonly move: Moving; readonly at: number }>();
+  private readonly moving = new Map<string, { readonly move: PendingTransfer; readonly at: number }>();
 
   constructor(private readonly input: LeaderInput) {
     const { store, cache, cloud, duties, journal, now, wall } = input;
@@ -72,10 +72,19 @@
     this.refusals = new CapacityRefusals(now);
     this.recorder = new MachineRecorder(store);
     const { refusals, recorder } = this;
-    const rent = duties.leader('rent');
-    this.renter = new Renter({ store, cloud, duty: rent, journal, recorder, adopting, refusals, wall });
+    const provision = duties.leader('rent');
+    this.scaleOut = new ScaleOut({
+      store,
+      cloud,
+      duty: provision,
+      journal,
+      recorder,
+      adopting,
+      refusals,
+      wall,
+    });
     const release = duties.leader('release');
-    this.returner = new Returner({ store, cache, cloud, duty: release, machines, refusals, now });
+    this.scaleIn = new ScaleIn({ store, cache, cloud, duty: release, machines, refusals, now });
     this.adopter = new Adopter({
       store,
       cache,
@@ -84,7 +93,7 @@
       queue: adopting,
       machines,
       recorder,
-      returner: this.returner,
+      scaleIn: this.scaleIn,
       shardCount: input.shardCount,
       listLagS: input.listLagS,
       now,
@@ -109,8 +118,8 @@
   }
 
   /** Returns machines while nothing can be written; true: they are gone. */
-  returnNow(machines: readonly string[]): Promise<boolean> {
-    return this.returner.returnNow(machines);
+  releaseNow(machines: readonly string[]): Promise<boolean> {
+    return this.scaleIn.releaseNow(machines);
   }
 
   /** Machines whose records ask for their release. */
@@ -132,7 +141,7 @@
       let leads = false;
       for (;;) {
         yield* Effect.sleep(leads ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS);
-        leads = this.input.entitled() !== null && this.input.cache.ready;
+        leads = this.input.actingRevision() !== null && this.input.cache.ready;
         if (leads) yield* work;
         else this.rest();
       }
@@ -140,7 +149,7 @@
   }
   private rest(): void {
     this.adopting.clear();
-    this.holds = [];
+    this.reservations = [];
   }
 
   /** Without a catalog no node is ready, so it is looked for more often then. */
@@ -158,8 +167,8 @@
     Effect.all(
       [
         this.whileLeading(Effect.andThen(this.adopter.record, this.act)),
-        this.whileLeading(this.renter.settle),
-        this.whileLeading(this.returner.returnAsked),
+        this.whileLeading(this.scaleOut.settle),
+        this.whileLeading(this.scaleIn.releaseRequested),
         this.whileLeading(this.adopter.readList),
         this.refreshCatalog,
       ],
@@ -173,8 +182,8 @@
     const summaries = this.input.summaries();
     this.forgetArrived(summaries);
     const steps = this.plan(catalog, summaries);
-    yield* this.orderMoves(steps.filter((step) => step._tag === 'move'));
-    for (const step of steps) if (step._tag === 'rent') this.renter.begin(step);
+    yield* this.orderTransfers(steps.filter((step) => step._tag === 'move'));
+    for (const step of steps) if (step._tag === 'rent') this.scaleOut.begin(step);
   });
 
   /** Shares whose summaries don't show yet what was rented or found for them. */
@@ -198,41 +207,46 @@
 
   private plan(catalog: Catalog, summaries: readonly ShardSummary[]): readonly Step[] {
     const now = this.input.now();
-    const before = this.holds.map((hold) => ({ ...hold, ageMs: hold.ageMs + now - this.plannedAt }));
-    const { steps, holds: planned } = planSteps({
+    const before = this.reservations.map((reservation) => ({
+      ...reservation,
+      ageMs: reservation.ageMs + now - this.plannedAt,
+    }));
+    const { steps, reservations: planned } = planSteps({
       summaries,
       catalog,
-      refused: (type, zone, spot) => this.refusals.holds(kindKey(type, zone, spot)),
+      refused: (type, zone, spot) => this.refusals.isRefused(kindKey(type, zone, spot)),
       machines: (type, zone, spot) => this.machines.ofKind(type, zone, spot),
-      holds: before,
+      reservations: before,
       behind: this.shardsBehind(summaries),
       moving: [...this.moving.values()].map(({ move }) => move),
     });
     // A share that is not to be heard for a moment does not lose what was gathered for it.
-    const unheard = before.filter(
+    const withoutSummary = before.filter(
       (hold) =>
         hold.ageMs < MAX_RESERVATION_AGE_MS &&
         !summaries.some((summary) => summary.shardId === hold.shardId) &&
         !planned.some((other) => other.zone === hold.zone),
     );
-    this.reserve([...planned, ...unheard]);
+    this.reserve([...planned, ...withoutSummary]);
     return steps;
   }
 
-  private reserve(holds: readonly Reservation[]): void {
-    for (const hold of holds) {
-      if (!this.holds.some((known) => known.job === hold.job && known.zone === hold.zone))
-        log.info({ event: 'hold.begun', ...hold });
+  private reserve(reservations: readonly Reservation[]): void {
+    for (const reservation of reservations) {
+      if (
+        !this.reservations.some((known) => known.job === reservation.job && known.zone === reservation.zone)
+      )
+        log.info({ event: 'hold.begun', ...reservation });
     }
-    this.holds = holds;
+    this.reservations = reservations;
     this.plannedAt = this.input.now();
   }
 
-  private orderMoves(steps: readonly (Step & { readonly _tag: 'move' })[]): Effect.Effect<void> {
+  private orderTransfers(steps: readonly (Step & { readonly _tag: 'move' })[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       if (steps.length === 0) return;
       const now = this.input.now();
-      const bySource = new Map<number, Move[]>();
+      const bySource = new Map<number, MachineTransfer[]>();
       for (const { from, machine, to } of steps) {
         const list = bySource.get(from) ?? [];
         bySource.set(from, list);
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { StoreEvent } from '../kv-store/client.js';
+import type { WatchEvent } from '../kv-store/client.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { MachineIndex } from './machine-index.js';
 import { machineRecord } from '../testing/bodies.js';
 import { writeMachineRecord, type MachineRecord } from './records.js';
 
-const put = (id: string, over: Partial<MachineRecord> = {}): StoreEvent => ({
+const put = (id: string, over: Partial<MachineRecord> = {}): WatchEvent => ({
   _tag: 'put',
   item: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(over)), version: 1 },
 });
-const remove = (id: string): StoreEvent => ({ _tag: 'delete', key: `w/m/${id}`, version: 2 });
+const remove = (id: string): WatchEvent => ({ _tag: 'delete', key: `w/m/${id}`, version: 2 });
 
 /** Guards the counts that stand in for a walk over all machines several times a second. */
 const cases: readonly {
   readonly name: string;
-  readonly events: readonly StoreEvent[];
+  readonly events: readonly WatchEvent[];
   readonly ofKind: number;
   readonly releasing: readonly string[];
 }[] = [
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,5 +1,5 @@
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
-import type { StoreEvent } from '../kv-store/client.js';
+import type { WatchEvent } from '../kv-store/client.js';
 import { parseSharedKey } from '../kv-store/keys.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
@@ -39,7 +39,7 @@
   /** Machines that their holders want released. */
   readonly releasing = new Set<string>();
 
-  onEvent(event: StoreEvent): void {
+  onEvent(event: WatchEvent): void {
     const key = parseSharedKey(event._tag === 'put' ? event.item.key : event.key);
     if (key._tag !== 'machine') return;
     const id = key.machine;
--- a/src/fleet/machine-recorder.ts
+++ b/src/fleet/machine-recorder.ts
@@ -1,7 +1,7 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { fencedTransaction } from '../duties/fenced-store.js';
-import type { Store, TxnResult } from '../kv-store/client.js';
+import type { KeyValueStore, TransactionResult } from '../kv-store/client.js';
 import { machineKey } from '../kv-store/keys.js';
 import { writeMachineRecord, type MachineRecord } from './records.js';
 
@@ -13,10 +13,10 @@
   /** By share: summaries older than this revision don't know of machines recorded since. */
   private readonly recordedAt = new Map<number, number>();
 
-  constructor(private readonly store: Store) {}
+  constructor(private readonly store: KeyValueStore) {}
 
   /** Records of new machines, as many as fit in one transaction. */
-  record(permit: Permit, machines: readonly NewMachine[]): Effect.Effect<TxnResult['_tag']> {
+  record(permit: Permit, machines: readonly NewMachine[]): Effect.Effect<TransactionResult['_tag']> {
     return Effect.gen({ self: this }, function* () {
       const result = yield* fencedTransaction(
         this.store,
--- a/src/fleet/records.ts
+++ b/src/fleet/records.ts
@@ -16,7 +16,7 @@
   readonly releasing: boolean;
   /** Where its worker was last heard, for the next holder; empty: not known. */
   readonly addr: string;
-  readonly session: number;
+  readonly agentEpoch: number;
   /** Images that it has, most recently used last; for the share that it moves to. */
   readonly images?: readonly string[];
   /** With `releasing`; for reading only. Earlier versions don't write it. */
@@ -28,7 +28,7 @@
   shardId: number,
   kind: Pick<MachineRecord, 'type' | 'zone' | 'spot'>,
   at: number,
-): MachineRecord => ({ shardId, ...kind, at, releasing: false, addr: '', session: 0 });
+): MachineRecord => ({ shardId, ...kind, at, releasing: false, addr: '', agentEpoch: 0 });
 
 /** Writes a machine record as it is stored. */
 export const writeMachineRecord = (record: MachineRecord): unknown => ({
@@ -38,7 +38,7 @@
   p: record.spot,
   t: record.at,
   r: record.releasing,
-  ...(record.addr === '' ? {} : { a: record.addr, n: record.session }),
+  ...(record.addr === '' ? {} : { a: record.addr, n: record.agentEpoch }),
   ...(record.images && record.images.length > 0 ? { i: record.images } : {}),
   ...(record.release ? { w: record.release.reason, k: record.release.token } : {}),
 });
@@ -66,7 +66,7 @@
     at: raw.t,
     releasing: raw.r,
     addr: raw.a ?? '',
-    session: raw.n ?? 0,
+    agentEpoch: raw.n ?? 0,
     ...(raw.i ? { images: raw.i } : {}),
     ...(raw.w !== undefined && raw.k !== undefined ? { release: { reason: raw.w, token: raw.k } } : {}),
   };
@@ -78,7 +78,7 @@
   readonly tasks: number;
   readonly waitedMs: number;
   /** How long it waits before machines are gathered for it. */
-  readonly patienceMs: number;
+  readonly reserveAfterMs: number;
 }
 
 /**
@@ -101,7 +101,7 @@
 }
 
 /** A free machine that the leader wants in another share. */
-export interface Move {
+export interface MachineTransfer {
   readonly machine: string;
   readonly to: number;
 }
@@ -123,7 +123,7 @@
   readonly tasks: number;
   readonly gangs: readonly WaitingGang[];
   /** Of a one-zone gang: room that its share already has, by zone. */
-  readonly room: Readonly<Record<string, number>>;
+  readonly zoneCapacity: Readonly<Record<string, number>>;
   /** ms that the oldest has waited. */
   readonly waitedMs: number;
 }
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -8,7 +8,7 @@
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { Item, Store } from '../kv-store/client.js';
+import type { StoredEntry, KeyValueStore } from '../kv-store/client.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
@@ -16,8 +16,8 @@
 import { kindKey, type MachineIndex } from './machine-index.js';
 
 /** What the returner needs of the leader. */
-export interface ReturnerInput {
-  readonly store: Store;
+export interface ScaleInDependencies {
+  readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get'>;
   readonly cloud: Cloud;
   readonly duty: Duty;
@@ -27,34 +27,34 @@
 }
 
 /** Returns machines to the cloud, and removes the records of those that are gone. */
-export class Returner {
-  private readonly returnedAt = new Map<string, number>();
+export class ScaleIn {
+  private readonly releasedAt = new Map<string, number>();
 
-  constructor(private readonly input: ReturnerInput) {}
+  constructor(private readonly input: ScaleInDependencies) {}
 
   /** Was the machine returned lately by this process? */
   returned(machine: string): boolean {
-    return this.returnedAt.has(machine);
+    return this.releasedAt.has(machine);
   }
 
   /** Lets go of what lists no longer show. */
   forgetOlderThan(ms: number): void {
     const now = this.input.now();
-    for (const [id, at] of this.returnedAt) if (now - at > ms) this.returnedAt.delete(id);
+    for (const [id, at] of this.releasedAt) if (now - at > ms) this.releasedAt.delete(id);
   }
 
   /**
    * Returns machines that their holder asks to be rid of while nothing can be written. Their records go the usual way
    * later, and are released once more then, which changes nothing. Only who surely leads may say that they are gone.
    */
-  async returnNow(machines: readonly string[]): Promise<boolean> {
+  async releaseNow(machines: readonly string[]): Promise<boolean> {
     if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
     const permit = this.input.duty.begin('return at once');
     if (permit === null) return false;
     try {
       const released = await Effect.runPromise(this.input.cloud.release(machines, permit));
       log.info({ event: 'machine.returned_at_once', machines, ok: released });
-      if (released) for (const id of machines) this.returnedAt.set(id, this.input.now());
+      if (released) for (const id of machines) this.releasedAt.set(id, this.input.now());
       return released;
     } finally {
       permit.end();
@@ -62,7 +62,7 @@
   }
 
   /** Returns the machines whose records ask for it: that record is the durable intent, which no holder contradicts. */
-  readonly returnAsked: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly releaseRequested: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     // As many as one call takes: the cloud's rate is the scarcest, and replacements need it too.
     const ids = [...this.input.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
@@ -78,7 +78,7 @@
       log.info({ event: 'machine.released', machines: ids, ok: released });
       if (!released) return;
       for (const id of ids) {
-        this.returnedAt.set(id, this.input.now());
+        this.releasedAt.set(id, this.input.now());
         const record = this.input.machines.get(id);
         // What we gave back may be had again.
         if (record) this.input.refusals.lift(kindKey(record.type, record.zone, record.spot));
@@ -86,13 +86,16 @@
       while (wanted.length > 0)
         yield* this.forget(
           permit,
-          wanted.splice(0, Math.min(this.input.store.txnOps, MAX_RECORD_DELETIONS_PER_TRANSACTION)),
+          wanted.splice(
+            0,
+            Math.min(this.input.store.maxTransactionWrites, MAX_RECORD_DELETIONS_PER_TRANSACTION),
+          ),
         );
     });
   }
 
   /** Records of machines that are gone; what is not deleted now is released once more, which changes nothing. */
-  private forget(permit: Permit, gone: readonly Item[]): Effect.Effect<void> {
+  private forget(permit: Permit, gone: readonly StoredEntry[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       for (let tries = 0; tries < RECORD_DELETION_ATTEMPTS; tries += 1) {
         const result = yield* fencedTransaction(
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -1,10 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readBook, RentalJournal, writeBook, tokenOf, type RentalIntent } from '@dalegate/fencing';
+import {
+  readProvisioningRecord,
+  ProvisioningJournal,
+  writeProvisioningRecord,
+  tokenOf,
+  type ProvisioningIntent,
+} from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { fencedValue } from '../duties/fenced-store.js';
-import type { Answer } from '../http.js';
-import { Store } from '../kv-store/client.js';
+import type { CallOutcome } from '../http.js';
+import { KeyValueStore } from '../kv-store/client.js';
 import { leaderDuties } from '../testing/duties.js';
 import { CloudStandIn } from '../testing/cloud-stand-in.js';
 import { reply, StateStandIn } from '../testing/state-stand-in.js';
@@ -12,10 +18,17 @@
 import { CapacityRefusals } from './capacity-refusals.js';
 import { Cloud } from './cloud.js';
 import { MachineRecorder } from './machine-recorder.js';
-import { Renter, type RentStep } from './scale-out.js';
+import { ScaleOut, type ProvisioningStep } from './scale-out.js';
 
-const SILENCE: Answer = { _tag: 'silence', why: 'timeout' };
-const step: RentStep = { _tag: 'rent', type: 'g', zone: 'x', spot: false, count: 2, shardIds: [0, 1] };
+const SILENCE: CallOutcome = { _tag: 'noResponse', why: 'timeout' };
+const step: ProvisioningStep = {
+  _tag: 'rent',
+  type: 'g',
+  zone: 'x',
+  spot: false,
+  count: 2,
+  shardIds: [0, 1],
+};
 
 /** What becomes of a request on its way: `lost` never arrives, `unanswered` is carried out and its answer lost. */
 type Fate = 'answered' | 'lost' | 'unanswered' | 'no capacity' | 'trouble';
@@ -28,10 +41,10 @@
     when: [],
     writes: [{ write: 'w/c/L', data: { n: 'n0', i: '1' } }],
   });
-  assert.equal(claim._tag === 'answer' && claim.status, 200);
+  assert.equal(claim._tag === 'response' && claim.status, 200);
   const token = state.version('w/c/L');
-  const callers = (target: { host: string }) => ({
-    request: async (method: string, path: string, body: unknown): Promise<Answer> => {
+  const createHttpClient = (target: { host: string }) => ({
+    request: async (method: string, path: string, body: unknown): Promise<CallOutcome> => {
       if (target.host === 'state') return state.handle('n0', method, path, body);
       const fate = fates.shift() ?? 'answered';
       if (fate === 'no capacity') return reply(503, { error: 'no capacity' });
@@ -43,15 +56,15 @@
   });
   const now = (): number => performance.now();
   const limits = { rps: 1e6, write_rps: 1e6, txn_ops: 16, nodes: 1 };
-  const store = new Store({ host: 'state', port: 1 }, limits, now, callers);
+  const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, createHttpClient);
   const duty = leaderDuties(token, wall).leader('rent');
   const adopting = new AdoptionQueue();
   const refusals = new CapacityRefusals(now);
-  const renter = new Renter({
+  const scaleOut = new ScaleOut({
     store,
-    cloud: new Cloud({ host: 'cloud', port: 1 }, 1e6, 1, now, callers),
+    cloud: new Cloud({ host: 'cloud', port: 1 }, 1e6, 1, now, createHttpClient),
     duty,
-    journal: new RentalJournal({
+    journal: new ProvisioningJournal({
       value: fencedValue(store, 'i/rent', 'L', 'user'),
       maxBytes: 16 * 1024,
       timeOfDay: wall,
@@ -62,8 +75,8 @@
     refusals,
     wall,
   });
-  const book = () => readBook(state.value('i/rent') ?? { t: 1, o: [] });
-  return { state, cloud: cloudStandIn, duty, renter, adopting, refusals, book };
+  const book = () => readProvisioningRecord(state.value('i/rent') ?? { t: 1, o: [] });
+  return { state, cloud: cloudStandIn, duty, scaleOut, adopting, refusals, book };
 };
 const settle = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 80));
 
@@ -112,19 +125,19 @@
 ];
 for (const row of rents) {
   test(`renter: a request is ${row.name}`, async () => {
-    const { renter, state, cloud, refusals, book } = await setUp([...row.fates]);
-    await Effect.runPromise(renter.settle);
-    renter.begin(step);
+    const { scaleOut, state, cloud, refusals, book } = await setUp([...row.fates]);
+    await Effect.runPromise(scaleOut.settle);
+    scaleOut.begin(step);
     await settle();
     assert.equal(cloud.machines.size, row.machines);
     assert.equal(state.keys('w/m/').length, row.recorded);
     assert.deepEqual(book().open, [], 'nothing is left open');
     assert.equal(book().settled.at(-1)?.outcome, row.outcome);
-    assert.equal(refusals.holds('g|x|false'), row.refused);
+    assert.equal(refusals.isRefused('g|x|false'), row.refused);
   });
 }
 
-const left = (at: number): RentalIntent => ({
+const left = (at: number): ProvisioningIntent => ({
   name: 'r-1-1',
   machineType: 'g',
   zone: 'x',
@@ -151,13 +164,13 @@
 ];
 for (const row of takeovers) {
   test(`renter: what an earlier leader left open is ${row.name}`, async () => {
-    const { renter, state, cloud, duty, adopting, book } = await setUp([...row.fates], () => 100_000);
+    const { scaleOut, state, cloud, duty, adopting, book } = await setUp([...row.fates], () => 100_000);
     await state.handle('n0', 'POST', '/txn', {
       when: [],
       writes: [
         {
           write: 'i/rent',
-          data: writeBook(
+          data: writeProvisioningRecord(
             { token: null, open: [left(100_000 - row.ageMs)], settled: [], malformed: [] },
             tokenOf(1),
             16 * 1024,
@@ -165,9 +178,9 @@
         },
       ],
     });
-    renter.begin(step);
+    scaleOut.begin(step);
     assert.equal(cloud.actions.length, 0, 'nothing is rented before that is settled');
-    await Effect.runPromise(renter.settle);
+    await Effect.runPromise(scaleOut.settle);
     assert.equal(duty.state._tag, 'held');
     await settle();
     assert.equal(cloud.machines.size, row.machines);
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -2,9 +2,9 @@
   settlementsFor,
   type Duty,
   type Permit,
-  type RentalIntent,
-  type RentalJournal,
-  type RentalOutcome,
+  type ProvisioningIntent,
+  type ProvisioningJournal,
+  type ProvisioningOutcome,
   type Settlement,
 } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -14,25 +14,25 @@
   PROVISIONING_RETRIES,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import type { AdoptionQueue } from './adoption-queue.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
-import type { Cloud, RentRequest, RentResult } from './cloud.js';
+import type { Cloud, ProvisioningRequest, ProvisioningResult } from './cloud.js';
 import { kindKey } from './machine-index.js';
 import type { MachineRecorder, NewMachine } from './machine-recorder.js';
 import type { Step } from './scaling-plan.js';
 import { newMachineRecord, type MachineRecord } from './records.js';
 
 /** A step of the leader's plan that rents machines. */
-export type RentStep = Step & { readonly _tag: 'rent' };
+export type ProvisioningStep = Step & { readonly _tag: 'rent' };
 
 /** What the renter needs of the leader. */
-export interface RenterInput {
-  readonly store: Store;
+export interface ScaleOutDependencies {
+  readonly store: KeyValueStore;
   readonly cloud: Cloud;
   readonly duty: Duty;
   /** Announces requests durably before they are sent; null: they are sent at once. */
-  readonly journal: RentalJournal | null;
+  readonly journal: ProvisioningJournal | null;
   readonly recorder: MachineRecorder;
   readonly adopting: AdoptionQueue;
   readonly refusals: CapacityRefusals;
@@ -40,7 +40,7 @@
   readonly wall: () => number;
 }
 
-const OUTCOMES: Readonly<Record<RentResult['_tag'], RentalOutcome>> = {
+const OUTCOMES: Readonly<Record<ProvisioningResult['_tag'], ProvisioningOutcome>> = {
   rented: 'rented',
   noCapacity: 'no capacity',
   refused: 'refused',
@@ -52,13 +52,13 @@
   machineType,
   zone,
   spot,
-}: RentalIntent): Pick<MachineRecord, 'type' | 'zone' | 'spot'> => ({
+}: ProvisioningIntent): Pick<MachineRecord, 'type' | 'zone' | 'spot'> => ({
   type: machineType,
   zone,
   spot,
 });
 
-const requestOf = (intent: RentalIntent): RentRequest => ({
+const requestOf = (intent: ProvisioningIntent): ProvisioningRequest => ({
   name: intent.name,
   type: intent.machineType,
   zone: intent.zone,
@@ -67,15 +67,15 @@
 });
 
 /** Rents machines: one request a kind at a time, each under a name that is never used for another. */
-export class Renter {
+export class ScaleOut {
   private sequence = 0;
   /** Kinds of machines that are being rented this very moment. */
   private readonly renting = new Set<string>();
 
-  constructor(private readonly input: RenterInput) {}
+  constructor(private readonly input: ScaleOutDependencies) {}
 
   /** Rents what the plan asks for, beside what is under way already. */
-  begin(step: RentStep): void {
+  begin(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
     // What is asked for already shows in the next summaries.
     if (this.renting.has(kind) || this.renting.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
@@ -86,10 +86,10 @@
       this.renting.delete(kind);
       permit.end();
     });
-    Effect.runFork(Effect.ensuring(this.rent(permit, this.intentOf(permit, step)), done));
+    Effect.runFork(Effect.ensuring(this.provision(permit, this.intentOf(permit, step)), done));
   }
 
-  private intentOf(permit: Permit, step: RentStep): RentalIntent {
+  private intentOf(permit: Permit, step: ProvisioningStep): ProvisioningIntent {
     this.sequence += 1;
     return {
       // The claim's revision is durable and belongs to this process alone: such a name is never used twice.
@@ -102,7 +102,7 @@
     };
   }
 
-  private rent(permit: Permit, intent: RentalIntent): Effect.Effect<void> {
+  private provision(permit: Permit, intent: ProvisioningIntent): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { journal } = this.input;
       const kind = kindKey(intent.machineType, intent.zone, intent.spot);
@@ -121,11 +121,11 @@
   }
 
   /** Without an answer the same request is sent again under its name: that rents nothing more, and tells what came of it. */
-  private request(permit: Permit, intent: RentalIntent): Effect.Effect<RentResult> {
+  private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
       const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
       for (let tries = 0; ; tries += 1) {
-        const result = yield* this.input.cloud.rent(requestOf(intent), permit);
+        const result = yield* this.input.cloud.provision(requestOf(intent), permit);
         const machines = machinesOf(result);
         log.info({
           event: 'machine.rent',
@@ -143,7 +143,7 @@
     });
   }
 
-  private noteCapacity(kind: string, intent: RentalIntent, result: RentResult): void {
+  private noteCapacity(kind: string, intent: ProvisioningIntent, result: ProvisioningResult): void {
     const { refusals } = this.input;
     switch (result._tag) {
       case 'rented':
@@ -162,7 +162,11 @@
     }
   }
 
-  private record(permit: Permit, intent: RentalIntent, machines: readonly string[]): Effect.Effect<void> {
+  private record(
+    permit: Permit,
+    intent: ProvisioningIntent,
+    machines: readonly string[],
+  ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const at = this.input.wall();
       const made = machines.map((id, index): NewMachine => [
@@ -170,7 +174,7 @@
         newMachineRecord(intent.shardIds[index] ?? 0, kindOf(intent), at),
       ]);
       while (made.length > 0) {
-        const batch = made.splice(0, this.input.store.batchOps);
+        const batch = made.splice(0, this.input.store.batchWrites);
         const written = yield* this.input.recorder.record(permit, batch);
         // Without an answer they may be recorded yet; if they are, they are known before the next try.
         if (written !== 'committed') for (const [id, record] of batch) this.input.adopting.add(id, record);
@@ -205,7 +209,7 @@
     });
   }
 
-  private settleOne(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<RentalOutcome> {
+  private settleOne(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<ProvisioningOutcome> {
     return Effect.gen({ self: this }, function* () {
       log.info({ event: 'rental_intent.settled', how: _tag, name: intent.name });
       if (_tag === 'abandon') return 'abandoned';
@@ -222,5 +226,5 @@
   }
 }
 
-const machinesOf = (result: RentResult): readonly string[] =>
+const machinesOf = (result: ProvisioningResult): readonly string[] =>
   result._tag === 'rented' ? result.machines : [];
--- a/src/fleet/scaling-plan.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { Catalog } from '../jobs/model.js';
 import { RateLimiter } from '../kv-store/rate-limiter.js';
-import { planSteps, type Moving } from './scaling-plan.js';
+import { planSteps, type PendingTransfer } from './scaling-plan.js';
 import type { Reservation, UnmetDemand, SpareMachine, ShardSummary, WaitingGang } from './records.js';
 
 const catalog: Catalog = new Map([
@@ -39,7 +39,7 @@
   job,
   tasks,
   waitedMs,
-  patienceMs: 8_000,
+  reserveAfterMs: 8_000,
 });
 const need = (over: Partial<UnmetDemand>): UnmetDemand => ({
   cpus: 4,
@@ -54,7 +54,7 @@
   priority: 1,
   tasks: 4,
   gangs: [],
-  room: {},
+  zoneCapacity: {},
   waitedMs: 0,
   ...over,
 });
@@ -81,7 +81,7 @@
 const full = ['large a false', 'large b false', 'small a false', 'small b false'];
 const whole = (over: Partial<UnmetDemand>): UnmetDemand =>
   need({ spot: false, gang: true, oneZone: true, gpus: 4, cpus: 16, ...over });
-const hold = (over: Partial<Reservation>): Reservation => ({
+const reservation = (over: Partial<Reservation>): Reservation => ({
   shardId: 0,
   job: 'job-4',
   zone: 'b',
@@ -101,9 +101,9 @@
   summaries: readonly ShardSummary[];
   refused?: readonly string[];
   machines?: Readonly<Record<string, number>>;
-  holds?: readonly Reservation[];
+  reservations?: readonly Reservation[];
   behind?: readonly number[];
-  moving?: readonly Moving[];
+  moving?: readonly PendingTransfer[];
   expect: readonly string[];
 }[] = [
   {
@@ -174,7 +174,7 @@
           cpus: 16,
           tasks: 3,
           gangs: [gang(3)],
-          room: { b: 2 },
+          zoneCapacity: { b: 2 },
         }),
       ]),
     ],
@@ -184,7 +184,15 @@
     name: 'a gang larger than any share is gathered from several',
     summaries: [
       summary(0, [
-        need({ gang: true, oneZone: true, gpus: 4, cpus: 16, tasks: 3, gangs: [gang(3)], room: { a: 1 } }),
+        need({
+          gang: true,
+          oneZone: true,
+          gpus: 4,
+          cpus: 16,
+          tasks: 3,
+          gangs: [gang(3)],
+          zoneCapacity: { a: 1 },
+        }),
       ]),
       summary(1, [], [spare('m')]),
       summary(2, [], [spare('n')]),
@@ -227,7 +235,7 @@
     ],
     refused: full,
     machines: { 'large b': 6 },
-    holds: [hold({})],
+    reservations: [reservation({})],
     expect: ['move m 1>0', 'hold b 0 job-4'],
   },
   {
@@ -235,7 +243,7 @@
     summaries: [summary(0, [whole({ gangs: [gang(4, 20_000)] })], [])],
     refused: full,
     machines: { 'large a': 5, 'large b': 6 },
-    holds: [hold({ ageMs: 200_000 })],
+    reservations: [reservation({ ageMs: 200_000 })],
     expect: ['hold a 0 job-4'],
   },
   {
@@ -255,7 +263,7 @@
     behind: [0],
     refused: full,
     machines: { 'large b': 6 },
-    holds: [hold({})],
+    reservations: [reservation({})],
     expect: ['move m 1>0', 'hold b 0 job-4'],
   },
   // A gang of eight changed its zone 46 times in 240 s: each time machines on their way showed nowhere.
@@ -268,7 +276,7 @@
     ],
     refused: full,
     machines: { 'large a': 6, 'large b': 6 },
-    holds: [hold({ job: 'job-2', tasks: 2 })],
+    reservations: [reservation({ job: 'job-2', tasks: 2 })],
     moving: [
       { machine: 'm', to: 0, type: 'large', zone: 'b', spot: false },
       { machine: 'x', to: 0, type: 'large', zone: 'b', spot: false },
@@ -283,12 +291,12 @@
 ];
 for (const row of rows) {
   test(`plan: ${row.name}`, () => {
-    const { steps, holds } = planSteps({
+    const { steps, reservations } = planSteps({
       summaries: row.summaries,
       catalog,
       refused: (type, zone, spot) => row.refused?.includes(`${type} ${zone} ${spot}`) ?? false,
       machines: (type, zone) => row.machines?.[`${type} ${zone}`] ?? 0,
-      holds: row.holds ?? [],
+      reservations: row.reservations ?? [],
       behind: new Set(row.behind ?? []),
       moving: row.moving ?? [],
     });
@@ -299,7 +307,9 @@
             ? `move ${step.machine} ${step.from}>${step.to}`
             : `rent ${step.shardIds.join()} ${step.type} ${step.zone} ${step.spot ? 'spot' : 'ordinary'} ${step.count}`,
         ),
-        ...holds.map((hold) => `hold ${hold.zone} ${hold.shardId} ${hold.job}`),
+        ...reservations.map(
+          (reservation) => `hold ${reservation.zone} ${reservation.shardId} ${reservation.job}`,
+        ),
       ],
       row.expect,
     );
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -26,15 +26,15 @@
   /** Machines that there are, up or coming, of all shares together. */
   readonly machines: (type: string, zone: string, spot: boolean) => number;
   /** Those of the last round. */
-  readonly holds: readonly Reservation[];
+  readonly reservations: readonly Reservation[];
   /** Shares whose summary does not know yet of machines that were rented for it: nothing more is done for them,
    *  but what is being gathered goes on. */
   readonly behind: ReadonlySet<number>;
   /** Machines that were lately ordered to a share whose summary does not show them yet. */
-  readonly moving: readonly Moving[];
+  readonly moving: readonly PendingTransfer[];
 }
 /** A machine that was ordered to a share and does not show there yet. */
-export interface Moving {
+export interface PendingTransfer {
   readonly machine: string;
   readonly to: number;
   readonly type: string;
@@ -44,7 +44,7 @@
 /** What the leader does this round, and the reservations in force after it. */
 export interface Plan {
   readonly steps: readonly Step[];
-  readonly holds: readonly Reservation[];
+  readonly reservations: readonly Reservation[];
 }
 
 interface Offer {
@@ -152,7 +152,7 @@
 
 class Planner {
   readonly steps: Step[] = [];
-  readonly holds: Reservation[] = [];
+  readonly reservations: Reservation[] = [];
   private readonly pools: readonly Pool[];
   /** Hundreds of gangs of few needs wait on the roughest days: what depends on the need alone is worked out once. */
   private readonly offered = new Map<UnmetDemand, readonly Offer[]>();
@@ -222,7 +222,7 @@
     return left;
   }
 
-  private rent(need: UnmetDemand, shardId: number, zone: string | null, missing: number): void {
+  private provision(need: UnmetDemand, shardId: number, zone: string | null, missing: number): void {
     for (const offer of this.offersOf(need)) {
       if (zone !== null && offer.zone !== zone) continue;
       // An ordinary machine for work that could use spot is worth its price only when filled.
@@ -263,45 +263,50 @@
     gang: WaitingGang,
     room: Record<string, number>,
   ): void {
-    const held = this.input.holds.find((hold) => hold.shardId === shardId && hold.job === gang.job);
+    const held = this.input.reservations.find(
+      (reservation) => reservation.shardId === shardId && reservation.job === gang.job,
+    );
     const rentable = new Set(this.offersOf(need).map((offer) => offer.zone));
     const zones = new Set([...rentable, ...Object.keys(room), ...this.pools.map((pool) => pool.zone)]);
     let best: { zone: string; lack: number } | null = null;
     for (const zone of [...zones].sort()) {
       if (need.zone !== null && need.zone !== zone) continue;
-      if (this.holds.some((hold) => hold.zone === zone && hold.job !== gang.job)) continue;
+      if (this.reservations.some((reservation) => reservation.zone === zone && reservation.job !== gang.job))
+        continue;
       const lack = gang.tasks - (room[zone] ?? 0) - this.reach(need, shardId, zone);
       if (lack > 0 && !rentable.has(zone)) continue;
       if (!best || lack < best.lack) best = { zone, lack };
     }
     if (held && this.input.behind.has(shardId)) {
-      this.hold(need, shardId, gang, room, zones, held);
+      this.reservation(need, shardId, gang, room, zones, held);
       return;
     }
     if (this.input.behind.has(shardId)) return;
     if (!best) {
-      this.hold(need, shardId, gang, room, zones, held);
+      this.reservation(need, shardId, gang, room, zones, held);
       return;
     }
     const have = Math.min(gang.tasks, Math.max(0, room[best.zone] ?? 0));
     room[best.zone] = (room[best.zone] ?? 0) - have;
     const before = gang.tasks - have;
     const missing = this.gather(need, shardId, best.zone, before);
-    if (missing > 0) this.rent(need, shardId, best.zone, missing);
+    if (missing > 0) this.provision(need, shardId, best.zone, missing);
     // What is on its way to the gang's share must not be taken there by others before the last one arrives.
     else if (gang.tasks > 1 && (before > 0 || held))
-      this.holds.push(holdOf(need, shardId, gang, best.zone, held));
+      this.reservations.push(holdOf(need, shardId, gang, best.zone, held));
   }
 
   /** Work that needs no one zone, and yet has not begun since gangs are gathered for all the time. */
   private starving(need: UnmetDemand, shardId: number, gang: WaitingGang): void {
-    if (gang.waitedMs < gang.patienceMs || need.gang) return;
-    const held = this.input.holds.find((hold) => hold.shardId === shardId && hold.job === gang.job);
-    this.hold(need, shardId, gang, {}, new Set(), held);
+    if (gang.waitedMs < gang.reserveAfterMs || need.gang) return;
+    const held = this.input.reservations.find(
+      (reservation) => reservation.shardId === shardId && reservation.job === gang.job,
+    );
+    this.reservation(need, shardId, gang, {}, new Set(), held);
   }
 
   /** One a zone, so that two never block each other; bounded in time. */
-  private hold(
+  private reservation(
     need: UnmetDemand,
     shardId: number,
     gang: WaitingGang,
@@ -309,10 +314,10 @@
     zones: ReadonlySet<string>,
     held: Reservation | undefined,
   ): void {
-    if (gang.waitedMs < gang.patienceMs) return;
+    if (gang.waitedMs < gang.reserveAfterMs) return;
     const open = (zone: string): boolean =>
       (need.zone === null || need.zone === zone) &&
-      !this.holds.some((hold) => hold.zone === zone) &&
+      !this.reservations.some((reservation) => reservation.zone === zone) &&
       this.couldHold(need, zone, gang.tasks);
     let zone = held && held.ageMs < MAX_RESERVATION_AGE_MS && open(held.zone) ? held.zone : null;
     if (zone === null) {
@@ -329,7 +334,7 @@
       }
     }
     if (zone === null) return;
-    this.holds.push(holdOf(need, shardId, gang, zone, held));
+    this.reservations.push(holdOf(need, shardId, gang, zone, held));
     const have = Math.min(gang.tasks, Math.max(0, room[zone] ?? 0));
     room[zone] = (room[zone] ?? 0) - have;
     this.gather(need, shardId, zone, gang.tasks - have);
@@ -337,16 +342,16 @@
 
   run(): Plan {
     const wanted: { shardId: number; need: UnmetDemand; gang: WaitingGang | null; waitedMs: number }[] = [];
-    const rooms = new Map<UnmetDemand, Record<string, number>>();
+    const capacities = new Map<UnmetDemand, Record<string, number>>();
     for (const summary of this.input.summaries) {
       for (const need of summary.needs) {
-        const room = { ...need.room };
+        const room = { ...need.zoneCapacity };
         for (const machine of this.input.moving) {
           const type = this.input.catalog.get(machine.type);
           if (machine.to === summary.shardId && type)
             room[machine.zone] = (room[machine.zone] ?? 0) + fitsPool(need, need.tasks, { ...machine, type });
         }
-        rooms.set(need, room);
+        capacities.set(need, room);
         if (need.gang && need.oneZone)
           for (const gang of need.gangs)
             wanted.push({ shardId: summary.shardId, need, gang, waitedMs: gang.waitedMs });
@@ -365,20 +370,21 @@
     }
     // Gangs that machines are being gathered for keep their place, or two would take them from each other in turn.
     const holding = (gang: WaitingGang | null): number =>
-      Number(gang !== null && this.input.holds.some((hold) => hold.job === gang.job));
+      Number(gang !== null && this.input.reservations.some((reservation) => reservation.job === gang.job));
     wanted.sort(
       (a, b) =>
         b.need.priority - a.need.priority || holding(b.gang) - holding(a.gang) || b.waitedMs - a.waitedMs,
     );
     for (const { shardId, need, gang } of wanted) {
-      if (gang && need.oneZone && need.gang) this.oneZoneGang(need, shardId, gang, rooms.get(need) ?? {});
+      if (gang && need.oneZone && need.gang)
+        this.oneZoneGang(need, shardId, gang, capacities.get(need) ?? {});
       else if (gang) this.starving(need, shardId, gang);
       else if (!this.input.behind.has(shardId)) {
         const missing = this.gather(need, shardId, null, need.tasks);
-        if (missing > 0) this.rent(need, shardId, null, missing);
+        if (missing > 0) this.provision(need, shardId, null, missing);
       }
     }
-    return { steps: merge(this.steps), holds: this.holds };
+    return { steps: merge(this.steps), reservations: this.reservations };
   }
 }
 
@@ -387,13 +393,14 @@
 
 /** Is a machine of this type, zone and kind among those that a hold gathers? */
 export const heldBy = (
-  holds: readonly Reservation[],
+  reservations: readonly Reservation[],
   machine: { readonly type: string; readonly zone: string; readonly spot: boolean; readonly total: Demand },
 ): Reservation | null => {
-  for (const hold of holds) {
-    if (hold.zone !== machine.zone || (machine.spot && !hold.spot)) continue;
-    if (!typeAllowed(hold, machine.type) || howMany(demand(hold), machine.total, 1) === 0) continue;
-    return hold;
+  for (const reservation of reservations) {
+    if (reservation.zone !== machine.zone || (machine.spot && !reservation.spot)) continue;
+    if (!typeAllowed(reservation, machine.type) || howMany(demand(reservation), machine.total, 1) === 0)
+      continue;
+    return reservation;
   }
   return null;
 };
--- a/src/http.test.ts
+++ b/src/http.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { test } from 'node:test';
-import { Client, decode, encode, parseTarget, serve, WITHHELD } from './http.js';
+import { PooledHttpClient, decode, encode, parseTarget, serve, WITHHELD } from './http.js';
 import { MAX_SINGLE_WRITE_BYTES } from './constants/http.js';
 
 /** Sockets on loopback: what a node does at its limit of connections, and that bodies arrive as they were sent. */
@@ -32,13 +32,13 @@
   );
   const port = portOf(server);
   const workers = Array.from({ length: 60 }, () => new http.Agent({ keepAlive: true, maxSockets: 1 }));
-  const kept: (string | undefined)[] = [];
+  const withheldFromSpotWork: (string | undefined)[] = [];
   for (const agent of workers) {
     const answer = await ask(port, '/hello', agent);
     assert.equal(answer.status, 200);
-    kept.push(answer.connection);
+    withheldFromSpotWork.push(answer.connection);
   }
-  assert.equal(kept.filter((connection) => connection === 'keep-alive').length, 17);
+  assert.equal(withheldFromSpotWork.filter((connection) => connection === 'keep-alive').length, 17);
   const users = [new http.Agent({ keepAlive: true }), new http.Agent({ keepAlive: true })];
   for (const agent of users) {
     const answer = await ask(port, '/ready', agent);
@@ -82,7 +82,7 @@
     (call) => Promise.resolve({ status: 200, body: call.body._tag === 'value' ? call.body.value : null }),
     failed,
   );
-  const client = new Client(parseTarget(`127.0.0.1:${portOf(server)}`), 2);
+  const client = new PooledHttpClient(parseTarget(`127.0.0.1:${portOf(server)}`), 2);
   const bodies = [
     { text: 'äöü€ \u0000\u007f\u0080\u00ff 𝄞' },
     { numbers: [0, -1, 127, 128, 255, 256, 65_535, 2 ** 40, 1.5, -0.1] },
@@ -91,7 +91,7 @@
   ];
   for (const body of bodies) {
     const answer = await client.request('POST', '/echo', body, 2_000);
-    assert.deepEqual(answer, { _tag: 'answer', status: 200, body });
+    assert.deepEqual(answer, { _tag: 'response', status: 200, body });
     assert.deepEqual(decode(encode(body)), body);
   }
   server.closeAllConnections();
@@ -115,7 +115,7 @@
     },
     failed,
   );
-  const client = new Client({ host: '127.0.0.1', port: portOf(server) }, 1);
+  const client = new PooledHttpClient({ host: '127.0.0.1', port: portOf(server) }, 1);
   let right = true;
   let asked = 0;
   const maySend = (): boolean => {
@@ -127,11 +127,11 @@
   const second = client.request('POST', '/second', { n: 2 }, 2_000, maySend);
   right = false;
   answerFirst();
-  assert.equal((await first)._tag, 'answer');
+  assert.equal((await first)._tag, 'response');
   assert.deepEqual(await second, WITHHELD);
   right = true;
   const third = await client.request('POST', '/third', { n: 3 }, 2_000, maySend);
-  assert.equal(third._tag, 'answer', 'the next one has a connection again');
+  assert.equal(third._tag, 'response', 'the next one has a connection again');
   assert.deepEqual(seen, ['/first', '/third']);
   assert.equal(asked, 3, 'each is asked for once, as its bytes would leave');
   server.closeAllConnections();
