--- a/src/http.ts
+++ b/src/http.ts
@@ -31,10 +31,10 @@
 export const decode = (body: Buffer): unknown => packr.unpack(body);
 
 /** The outcome of a request. */
-export type Answer =
-  | { readonly _tag: 'answer'; readonly status: number; readonly body: unknown }
+export type CallOutcome =
+  | { readonly _tag: 'response'; readonly status: number; readonly body: unknown }
   /** Nothing is known about what became of the request, unless `sent` is false: then no byte of it left the process. */
-  | { readonly _tag: 'silence'; readonly why: string; readonly sent?: false };
+  | { readonly _tag: 'noResponse'; readonly why: string; readonly sent?: false };
 
 /** Host and port of a server. */
 export interface Target {
@@ -49,7 +49,7 @@
 };
 
 /** Whatever carries requests to one address. */
-export interface Caller {
+export interface HttpClient {
   request(
     method: string,
     path: string,
@@ -57,11 +57,11 @@
     timeoutMs: number,
     /** Asked when a connection is there, immediately before the first byte leaves; false: the request is withheld. */
     maySend?: () => boolean,
-  ): Promise<Answer>;
+  ): Promise<CallOutcome>;
 }
 
 /** The answer to a request that lost its right while it waited for a connection. */
-export const WITHHELD: Answer = { _tag: 'silence', why: 'withheld', sent: false };
+export const WITHHELD: CallOutcome = { _tag: 'noResponse', why: 'withheld', sent: false };
 
 /** Runs `send` once the request has an open connection. */
 const whenConnected = (req: http.ClientRequest, send: () => void): void => {
@@ -71,10 +71,10 @@
   });
 };
 /** Makes a caller for one address with a bounded number of sockets. */
-export type Callers = (target: Target, sockets: number) => Caller;
+export type HttpClientFactory = (target: Target, sockets: number) => HttpClient;
 
 /** HTTP client for one address, with connections kept open. */
-export class Client implements Caller {
+export class PooledHttpClient implements HttpClient {
   private readonly agent: http.Agent;
   constructor(
     private readonly target: Target,
@@ -93,10 +93,10 @@
     body: unknown,
     timeoutMs: number,
     maySend?: () => boolean,
-  ): Promise<Answer> {
+  ): Promise<CallOutcome> {
     return new Promise((resolve) => {
       let over = false;
-      const end = (answer: Answer): void => {
+      const end = (answer: CallOutcome): void => {
         if (over) return;
         over = true;
         clearTimeout(timer);
@@ -131,17 +131,17 @@
                 value = null;
               }
             }
-            end({ _tag: 'answer', status: res.statusCode ?? 0, body: value });
+            end({ _tag: 'response', status: res.statusCode ?? 0, body: value });
           });
-          res.on('error', (error) => end({ _tag: 'silence', why: error.message }));
-          res.on('aborted', () => end({ _tag: 'silence', why: 'aborted' }));
+          res.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
+          res.on('aborted', () => end({ _tag: 'noResponse', why: 'aborted' }));
         },
       );
       const timer = setTimeout(() => {
-        end({ _tag: 'silence', why: 'timeout' });
+        end({ _tag: 'noResponse', why: 'timeout' });
         req.destroy();
       }, timeoutMs);
-      req.on('error', (error) => end({ _tag: 'silence', why: error.message }));
+      req.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
       const send = (): void => {
         if (payload) req.end(...oneWrite(payload));
         else req.end();
@@ -165,7 +165,7 @@
 }
 
 /** An answer of this node, before it is packed. */
-export interface Reply {
+export interface ServerResponse {
   readonly status: number;
   readonly body?: unknown;
   readonly headers?: Record<string, string>;
@@ -174,25 +174,25 @@
 }
 
 /** A request body after reading. */
-export type Body =
+export type RequestBody =
   | { readonly _tag: 'value'; readonly value: unknown }
   | { readonly _tag: 'empty' }
   | { readonly _tag: 'malformed' }
   | { readonly _tag: 'tooLarge' };
 
 /** A request to this node. */
-export interface Call {
+export interface ServerRequest {
   readonly method: string;
   readonly path: string;
   /** What follows the question mark, as it came. */
   readonly query: string;
-  readonly body: Body;
+  readonly body: RequestBody;
   /** The caller's IP address, where it came through a socket. */
   readonly remoteAddress?: string | undefined;
 }
 
 /** The protocol measures sizes in the JSON form; MessagePack is never longer than that for our data. */
-const readBody = (parts: Buffer[], size: number, limit: number): Body => {
+const readBody = (parts: Buffer[], size: number, limit: number): RequestBody => {
   if (size > limit) return { _tag: 'tooLarge' };
   if (size === 0) return { _tag: 'empty' };
   try {
@@ -210,7 +210,7 @@
 };
 
 /** What one listening address may hold open. */
-export interface Guests {
+export interface ConnectionLimits {
   readonly connections: number;
   /** Calls whose callers are so many that they must not keep connections once most are in use: the next call makes a
    *  new one, while all others find room. */
@@ -222,14 +222,14 @@
 /** Listens on an address and answers each request with what `handle` resolves to. */
 export const serve = (
   at: Target,
-  guests: Guests,
+  connectionLimits: ConnectionLimits,
   limit: number,
-  handle: (call: Call) => Promise<Reply>,
+  handle: (call: ServerRequest) => Promise<ServerResponse>,
   failed: (error: unknown) => void,
 ): Promise<http.Server> => {
   /** When each open connection was last used. */
   const used = new Map<Socket, number>();
-  const full = guests.connections * CROWDED_SOCKET_FRACTION;
+  const full = connectionLimits.connections * CROWDED_SOCKET_FRACTION;
   const server = http.createServer((req, res) => {
     used.set(req.socket, performance.now());
     const parts: Buffer[] = [];
@@ -240,10 +240,10 @@
     });
     req.on('error', () => undefined);
     req.on('end', () => {
-      const send = (reply: Reply): void => {
+      const send = (reply: ServerResponse): void => {
         if (res.destroyed) return;
         res.sendDate = false;
-        if (used.size > full && guests.crowd?.(req.url ?? '')) res.shouldKeepAlive = false;
+        if (used.size > full && connectionLimits.crowd?.(req.url ?? '')) res.shouldKeepAlive = false;
         const payload = reply.text !== undefined ? Buffer.from(reply.text) : encode(reply.body ?? {});
         res.writeHead(reply.status, {
           'content-type': reply.text !== undefined ? 'text/plain; charset=utf-8' : 'application/msgpack',
@@ -271,13 +271,13 @@
     socket.once('close', () => used.delete(socket));
   });
   // The far end of a machine that died, or is cut off, never closes: such connections would add up.
-  const idleMs = guests.idleMs ?? CONNECTION_IDLE_TIMEOUT_MS;
+  const idleMs = connectionLimits.idleMs ?? CONNECTION_IDLE_TIMEOUT_MS;
   const sweep = setInterval(() => {
     const since = performance.now() - idleMs;
     for (const [socket, last] of used) if (last < since) socket.destroy();
   }, idleMs / IDLE_CHECKS_PER_TIMEOUT).unref();
   server.once('close', () => clearInterval(sweep));
-  server.maxConnections = guests.connections;
+  server.maxConnections = connectionLimits.connections;
   server.keepAliveTimeout = 0;
   server.requestTimeout = 0;
   server.headersTimeout = REQUEST_HEAD_TIMEOUT_MS;
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -6,12 +6,12 @@
 } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_FINAL_RECORD_READS } from '../constants/pipelines.js';
 import { CANCELLATION_ATTEMPTS, MAX_ECHOED_ID_CHARS, RETRY_AFTER_S } from '../constants/users-api.js';
-import type { Call, Reply } from '../http.js';
-import { quotaRoom, type Limit } from '../placement/bin-packing.js';
+import type { ServerRequest, ServerResponse } from '../http.js';
+import { quotaRoom, type TeamLimit } from '../placement/bin-packing.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
-import type { Finals } from '../pipelines/final-record-cache.js';
+import type { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { Store, Write } from '../kv-store/client.js';
+import type { KeyValueStore, Write } from '../kv-store/client.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { finalKey, followsKey, jobKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
@@ -36,15 +36,15 @@
 
 /** What the users' API needs of the rest of the controller. */
 export interface ApiInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly fresh: LinearizableReads;
   readonly cache: Pick<WatchCache, 'get'>;
   readonly catalog: () => Catalog | null;
   readonly zones: readonly string[];
-  readonly limits: ReadonlyMap<string, Limit>;
+  readonly limits: ReadonlyMap<string, TeamLimit>;
   /** May users be told of the cancellation that became durable at this revision? */
-  readonly assured: (id: string, team: string, version: number) => Effect.Effect<boolean>;
-  readonly finals: Finals;
+  readonly mayConfirmCancellation: (id: string, team: string, version: number) => Effect.Effect<boolean>;
+  readonly finalRecords: FinalRecordCache;
   readonly pipelines: Pick<Pipelines, 'readiness' | 'resolve'>;
   /** Every node understands jobs that follow others. */
   readonly takesPipelines: () => boolean;
@@ -58,10 +58,10 @@
 }
 
 /** Why a job can never run, or null if it can. */
-export const hopeless = (
+export const unplaceable = (
   spec: JobSpec,
   catalog: Catalog,
-  limits: ReadonlyMap<string, Limit>,
+  limits: ReadonlyMap<string, TeamLimit>,
 ): string | null => {
   const limit = limits.get(spec.team);
   if (!limit) return `unknown team ${spec.team}`;
@@ -84,7 +84,7 @@
     ? spec
     : { ...spec, types: [...new Set(spec.types)].filter((type) => catalog.has(type)) };
 
-const later: Reply = {
+const later: ServerResponse = {
   status: 503,
   body: { error: 'not able to answer now' },
   headers: { 'retry-after': String(RETRY_AFTER_S) },
@@ -101,7 +101,7 @@
   constructor(private readonly input: ApiInput) {}
 
   private readFinal(id: string): Effect.Effect<Known> {
-    return Effect.map(this.input.finals.read(id), (read): Known => {
+    return Effect.map(this.input.finalRecords.read(id), (read): Known => {
       switch (read._tag) {
         case 'failed':
           return { _tag: 'unsure' };
@@ -120,7 +120,7 @@
    */
   private look(id: string): Effect.Effect<Known> {
     return Effect.gen({ self: this }, function* () {
-      const cached = this.input.finals.get(id);
+      const cached = this.input.finalRecords.get(id);
       if (cached) return { _tag: 'final', final: cached } as const;
       const copy = this.input.cache.get(jobKey(id));
       if (copy) {
@@ -143,7 +143,7 @@
   }
 
   /** What a user is told of a job. Of a cancellation only once the job's holder can't fail to act on it. */
-  private state(id: string, known: Known): Effect.Effect<Reply> {
+  private state(id: string, known: Known): Effect.Effect<ServerResponse> {
     switch (known._tag) {
       case 'unsure':
         return Effect.succeed(later);
@@ -159,22 +159,23 @@
       case 'active': {
         const { record } = known;
         const counts = this.input.counts(id, record.spec.team) ?? { done: 0, running: 0 };
-        if (!record.cancelled && record.follows.length + record.parts > 0 && counts.running === 0)
+        if (!record.cancelled && record.dependsOn.length + record.parts > 0 && counts.running === 0)
           return this.waiting(id, known);
         if (!record.cancelled) {
           const status: JobStatus = counts.running > 0 ? 'running' : 'pending';
           return Effect.succeed({ status: 200, body: writeStatus(id, status, counts) });
         }
-        const told: Reply = { status: 200, body: writeStatus(id, 'cancelled', counts) };
-        return Effect.map(this.input.assured(id, record.spec.team, known.version), (assured) =>
-          assured ? told : later,
+        const told: ServerResponse = { status: 200, body: writeStatus(id, 'cancelled', counts) };
+        return Effect.map(
+          this.input.mayConfirmCancellation(id, record.spec.team, known.version),
+          (mayConfirmCancellation) => (mayConfirmCancellation ? told : later),
         );
       }
     }
   }
 
   /** A job that follows others, none of whose tasks runs: is one of those cancelled, so is this one, durably, before it is said. */
-  private waiting(id: string, known: Known & { readonly _tag: 'active' }): Effect.Effect<Reply> {
+  private waiting(id: string, known: Known & { readonly _tag: 'active' }): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const { record, version } = known;
       const stands = this.input.pipelines.readiness(id);
@@ -191,10 +192,10 @@
   }
 
   /** Makes a cancellation durable; what it then says is what is known then. Null: the record has changed meanwhile. */
-  private callOff(id: string, before: JobRecord, version: number): Effect.Effect<Reply | null> {
+  private callOff(id: string, before: JobRecord, version: number): Effect.Effect<ServerResponse | null> {
     return Effect.gen({ self: this }, function* () {
       const record = { ...before, cancelled: true, cancelledAt: this.input.wall() };
-      const result = yield* this.input.store.txn(
+      const result = yield* this.input.store.compareAndSwap(
         [{ key: jobKey(id), version }],
         [{ _tag: 'put', key: jobKey(id), value: writeCancelledRecord(record, this.input.valueBytes) }],
         'user',
@@ -209,7 +210,9 @@
   private accepted(ids: readonly string[]): Effect.Effect<'all' | 'unsure' | { readonly never: string }> {
     return Effect.gen({ self: this }, function* () {
       // What this node's copy shows was accepted; only of the others it must be read.
-      const others = ids.filter((id) => !this.input.cache.get(jobKey(id)) && !this.input.finals.get(id));
+      const others = ids.filter(
+        (id) => !this.input.cache.get(jobKey(id)) && !this.input.finalRecords.get(id),
+      );
       const looks = yield* Effect.forEach(others, (id) => this.look(id), {
         concurrency: MAX_CONCURRENT_FINAL_RECORD_READS,
       });
@@ -220,7 +223,7 @@
   }
 
   /** Why a job that follows these is not taken, or null. A repeat of an accepted job is answered as such. */
-  private refuses(id: string, follows: readonly string[]): Effect.Effect<Reply | null> {
+  private refuses(id: string, follows: readonly string[]): Effect.Effect<ServerResponse | null> {
     return Effect.gen({ self: this }, function* () {
       const answer = this.input.takesPipelines() ? yield* this.accepted(follows) : 'unsure';
       if (answer === 'all' && !follows.includes(id)) return null;
@@ -239,28 +242,29 @@
       at: this.input.wall(),
       cancelled: false,
       cancelledAt: null,
-      follows: [],
+      dependsOn: [],
       parts: 0,
     };
     const put = (key: string, value: unknown): Write => ({ _tag: 'put', key, value });
     const room = this.input.valueBytes * VALUE_FILL_FRACTION;
-    const whole = writeJobRecord({ ...plain, follows });
+    const whole = writeJobRecord({ ...plain, dependsOn: follows });
     if (jsonBytes(whole) <= room) return [put(jobKey(spec.id), whole)];
     const parts = splitIds(follows, room - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
       put(followsKey(spec.id, part), packIds(ids)),
     );
     const record = writeJobRecord({ ...plain, parts: parts.length });
-    if (jsonBytes(record) > this.input.valueBytes || parts.length + 1 > this.input.store.txnOps) return null;
+    if (jsonBytes(record) > this.input.valueBytes || parts.length + 1 > this.input.store.maxTransactionWrites)
+      return null;
     return [...parts, put(jobKey(spec.id), record)];
   }
 
-  private submit(value: unknown): Effect.Effect<Reply> {
+  private submit(value: unknown): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const read = readSubmission(value);
       if (read._tag === 'malformed') return { status: 400, body: { error: read.why } };
       const catalog = this.input.catalog();
       const spec = catalog ? knownTypes(read.spec, catalog) : read.spec;
-      const why = catalog ? hopeless(spec, catalog, this.input.limits) : null;
+      const why = catalog ? unplaceable(spec, catalog, this.input.limits) : null;
       if (!catalog || why !== null) {
         // A repeat of an accepted job is answered as such, whatever its body says.
         const known = yield* this.look(spec.id);
@@ -275,7 +279,7 @@
       }
       const records = this.records(spec, follows);
       if (records === null) return { status: 422, body: { error: 'too long to be kept' } };
-      const result = yield* this.input.store.txn(
+      const result = yield* this.input.store.compareAndSwap(
         [
           { key: jobKey(spec.id), version: 0 },
           { key: finalKey(spec.id), version: 0 },
@@ -296,7 +300,7 @@
     });
   }
 
-  private cancel(id: string): Effect.Effect<Reply> {
+  private cancel(id: string): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       for (let tries = 0; tries < CANCELLATION_ATTEMPTS; tries += 1) {
         const known = yield* this.look(id);
@@ -308,7 +312,7 @@
     });
   }
 
-  handle(call: Call, rest: readonly string[]): Effect.Effect<Reply> {
+  handle(call: ServerRequest, rest: readonly string[]): Effect.Effect<ServerResponse> {
     const [id, verb] = rest;
     if (id === undefined) {
       if (call.method !== 'POST') return Effect.succeed({ status: 405, headers: { allow: 'POST' } });
--- a/src/jobs/codec.ts
+++ b/src/jobs/codec.ts
@@ -62,7 +62,7 @@
     follows: [...new Set(s.follows ?? [])],
     spec: {
       id: s.uid,
-      klass: s.herd,
+      jobClass: s.herd,
       team: s.owner,
       kind: KINDS[s.shape] ?? 'array',
       priority: PRIORITIES[s.urgency] ?? 0,
@@ -102,7 +102,7 @@
 /** Records keep the field names of the model; a spec is stored as a list, which is a third the size. */
 const SPEC_FIELDS = [
   'id',
-  'klass',
+  'jobClass',
   'team',
   'kind',
   'priority',
@@ -132,7 +132,7 @@
   t: job.at,
   c: job.cancelled,
   ...(job.cancelledAt === null ? {} : { x: job.cancelledAt }),
-  ...(job.follows.length === 0 ? {} : { f: packIds(job.follows) }),
+  ...(job.dependsOn.length === 0 ? {} : { f: packIds(job.dependsOn) }),
   ...(job.parts === 0 ? {} : { p: job.parts }),
 });
 
@@ -148,7 +148,7 @@
   if (jsonBytes(whole) <= bytes) return whole;
   return writeJobRecord({
     ...job,
-    spec: { ...job.spec, klass: DROPPED_TEXT, image: DROPPED_TEXT, types: [], zone: null },
+    spec: { ...job.spec, jobClass: DROPPED_TEXT, image: DROPPED_TEXT, types: [], zone: null },
   });
 };
 
@@ -171,7 +171,7 @@
     at: raw.t,
     cancelled: raw.c,
     cancelledAt: raw.x ?? null,
-    follows: unpackIds(raw.f ?? []),
+    dependsOn: unpackIds(raw.f ?? []),
     parts: raw.p ?? 0,
   };
 };
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import type { Answer } from '../http.js';
-import { Finals } from '../pipelines/final-record-cache.js';
+import type { CallOutcome } from '../http.js';
+import { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import type { Readiness } from '../pipelines/graph.js';
-import { Store } from '../kv-store/client.js';
+import { KeyValueStore } from '../kv-store/client.js';
 import { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { submission } from '../testing/bodies.js';
 import { UsersApi } from './api.js';
@@ -34,7 +34,7 @@
     at: 1,
     cancelled: false,
     cancelledAt: null,
-    follows: [],
+    dependsOn: [],
     parts: 0,
     ...over,
   });
@@ -52,7 +52,7 @@
   readonly status: number;
   readonly says?: string;
 }
-const waits = record('job-9', { follows: ['job-1'] });
+const waits = record('job-9', { dependsOn: ['job-1'] });
 const rows: readonly Row[] = [
   { name: 'not a list', stored: {}, submit: { follows: 'job-1' }, status: 400 },
   { name: 'not ids', stored: {}, submit: { follows: ['x'] }, status: 400 },
@@ -139,9 +139,9 @@
   test(`follows: ${row.name}`, async () => {
     const items = new Map(Object.entries(row.stored).map(([key, value]) => [key, { value, version: 3 }]));
     let revision = 10;
-    const request = (_: string, path: string, sent: unknown): Promise<Answer> => {
-      const answer = (status: number, said: unknown): Promise<Answer> =>
-        Promise.resolve({ _tag: 'answer', status, body: said });
+    const request = (_: string, path: string, sent: unknown): Promise<CallOutcome> => {
+      const answer = (status: number, said: unknown): Promise<CallOutcome> =>
+        Promise.resolve({ _tag: 'response', status, body: said });
       if (row.down === true) return answer(503, {});
       if (path === '/txn') {
         const { when, writes } = sent as {
@@ -162,7 +162,7 @@
         ? answer(200, { path: key, data: found.value, brandMark: found.version })
         : answer(404, {});
     };
-    const store = new Store(
+    const store = new KeyValueStore(
       { host: 'h', port: 1 },
       { rps: 1e6, write_rps: 1e6, txn_ops: 10, nodes: 1 },
       () => 0,
@@ -171,7 +171,7 @@
     const api = new UsersApi({
       store,
       fresh: new LinearizableReads(store),
-      finals: new Finals(store),
+      finalRecords: new FinalRecordCache(store),
       pipelines: {
         readiness: () => row.stands ?? { _tag: 'ready', since: 0 },
         resolve: () => Effect.succeed(true),
@@ -179,7 +179,7 @@
       takesPipelines: () => row.early !== true,
       valueBytes: 2048,
       copyAgeMs: () => (row.stale === true ? 60_000 : 0),
-      assured: () => Effect.succeed(true),
+      mayConfirmCancellation: () => Effect.succeed(true),
       cache: { get: () => undefined },
       catalog: () => catalog,
       zones: ['a'],
--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Limit } from '../placement/bin-packing.js';
-import { urgency, tier } from '../placement/urgency.js';
+import type { TeamLimit } from '../placement/bin-packing.js';
+import { urgency, attainableObjective } from '../placement/urgency.js';
 import { readRunRecord, writeRunRecord } from '../placement/run-records.js';
 import { checkSettings } from '../settings/schema.js';
 import { divideTeams } from '../settings/teams.js';
-import { hopeless, knownTypes } from './api.js';
+import { unplaceable, knownTypes } from './api.js';
 import { readJobRecord, readSubmission, writeJobRecord } from './codec.js';
 import type { Catalog, JobRecord, JobSpec } from './model.js';
 
@@ -63,8 +63,15 @@
 };
 test('a job record comes back as it was', () => {
   const cases: readonly JobRecord[] = [
-    { spec: spec({}), at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 0 },
-    { spec: spec({}), at: 17, cancelled: true, cancelledAt: 40, follows: ['job-1', 'job-000398'], parts: 2 },
+    { spec: spec({}), at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
+    {
+      spec: spec({}),
+      at: 17,
+      cancelled: true,
+      cancelledAt: 40,
+      dependsOn: ['job-1', 'job-000398'],
+      parts: 2,
+    },
   ];
   for (const record of cases)
     assert.deepEqual(readJobRecord(JSON.parse(JSON.stringify(writeJobRecord(record)))), record);
@@ -94,7 +101,7 @@
     },
   ],
 ]);
-const limits = new Map<string, Limit>([['vision', { cpusMax: 0, gpusMax: 16 }]]);
+const limits = new Map<string, TeamLimit>([['vision', { cpusMax: 0, gpusMax: 16 }]]);
 const never: readonly { name: string; spec: JobSpec; ok: boolean }[] = [
   { name: 'fits', spec: spec({}), ok: true },
   { name: 'an unknown team', spec: spec({ team: 'nobody' }), ok: false },
@@ -111,7 +118,7 @@
 ];
 for (const row of never) {
   test(`can it ever run: ${row.name}`, () =>
-    assert.equal(hopeless(row.spec, catalog, limits) === null, row.ok));
+    assert.equal(unplaceable(row.spec, catalog, limits) === null, row.ok));
 }
 
 test('a long list of types that do not exist does not outgrow the record', () => {
@@ -124,41 +131,53 @@
   finished: readonly number[];
   waited: number;
   place: boolean;
-  rent: boolean;
+  provision: boolean;
 }[] = [
-  { name: 'much slack', finished: [200], waited: 0, place: false, rent: false },
-  { name: 'the last moment to rent', finished: [200], waited: 70, place: false, rent: true },
+  { name: 'much slack', finished: [200], waited: 0, place: false, provision: false },
+  { name: 'the last moment to rent', finished: [200], waited: 70, place: false, provision: true },
   {
     name: 'too late to rent, still time on a machine that is up',
     finished: [200],
     waited: 105,
     place: true,
-    rent: false,
+    provision: false,
+  },
+  { name: 'lost', finished: [200], waited: 150, place: false, provision: false },
+  {
+    name: 'lost, with a looser target to save',
+    finished: [200, 300],
+    waited: 170,
+    place: false,
+    provision: true,
+  },
+  {
+    name: 'lost, and no spot machine for very long',
+    finished: [200],
+    waited: 185,
+    place: false,
+    provision: true,
   },
-  { name: 'lost', finished: [200], waited: 150, place: false, rent: false },
-  { name: 'lost, with a looser target to save', finished: [200, 300], waited: 170, place: false, rent: true },
-  { name: 'lost, and no spot machine for very long', finished: [200], waited: 185, place: false, rent: true },
-  { name: 'no target: after a long while', finished: [], waited: 185, place: true, rent: true },
+  { name: 'no target: after a long while', finished: [], waited: 185, place: true, provision: true },
 ];
 for (const row of urgencies) {
   test(`urgency: ${row.name}`, () => {
     const job = spec({ estimateS: 70, deadlineS: null });
     assert.deepEqual(urgency(job, { wait: [], finished: row.finished }, row.waited, 40, 10), {
       place: row.place,
-      rent: row.rent,
+      provision: row.provision,
     });
   });
 }
-const tiers: readonly { waited: number; tier: number }[] = [
-  { waited: 10, tier: 0 },
-  { waited: 40, tier: 1 },
-  { waited: 90, tier: 2 },
+const tiers: readonly { waited: number; attainableObjective: number }[] = [
+  { waited: 10, attainableObjective: 0 },
+  { waited: 40, attainableObjective: 1 },
+  { waited: 90, attainableObjective: 2 },
   // Whoever waited that long goes first again: no target is worth starving a job.
-  { waited: 200, tier: 0 },
+  { waited: 200, attainableObjective: 0 },
 ];
 for (const row of tiers) {
-  test(`tier after ${row.waited} s: ${row.tier}`, () =>
-    assert.equal(tier({ wait: [30, 70], finished: [] }, row.waited), row.tier));
+  test(`tier after ${row.waited} s: ${row.attainableObjective}`, () =>
+    assert.equal(attainableObjective({ wait: [30, 70], finished: [] }, row.waited), row.attainableObjective));
 }
 
 test('teams are divided the same on every node, each in one share', () => {
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -10,7 +10,7 @@
 /** A job as it was submitted, in the terms of this service. */
 export interface JobSpec {
   readonly id: string;
-  readonly klass: string;
+  readonly jobClass: string;
   readonly team: string;
   readonly kind: JobKind;
   readonly priority: Priority;
@@ -40,7 +40,7 @@
   /** ms since the epoch, when it was cancelled; null: not, or by a node that did not say. */
   readonly cancelledAt: number | null;
   /** Jobs that have to be done before a task of this one starts; without those that stand in parts of their own. */
-  readonly follows: readonly string[];
+  readonly dependsOn: readonly string[];
   /** How many such parts there are: a record of a long list would outgrow a value. */
   readonly parts: number;
 }
--- a/src/kv-store/change-feed.test.ts
+++ b/src/kv-store/change-feed.test.ts
@@ -4,14 +4,22 @@
 import { writeJobRecord } from '../jobs/codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { decodeChange, type Change } from './change-feed.js';
-import { claimKey, followsKey, jobKey, LEVEL_KEY, machineKey, ordersKey, summaryKey } from './keys.js';
+import {
+  claimKey,
+  followsKey,
+  jobKey,
+  PROTOCOL_VERSION_KEY,
+  machineKey,
+  ordersKey,
+  summaryKey,
+} from './keys.js';
 
 const VERSION = 7;
 const REMOVED_AT = 9;
 
 const spec: JobSpec = {
   id: 'job-1',
-  klass: 'train',
+  jobClass: 'train',
   team: 'red',
   kind: 'array',
   priority: 1,
@@ -31,7 +39,7 @@
   saveS: 0,
   deadlineS: null,
 };
-const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 1 };
+const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 1 };
 const machine: MachineRecord = {
   shardId: 1,
   type: 'g',
@@ -40,7 +48,7 @@
   at: 5,
   releasing: false,
   addr: '',
-  session: 0,
+  agentEpoch: 0,
 };
 const OTHER: Change = { _tag: 'other' };
 
@@ -82,7 +90,7 @@
     put: { _tag: 'ordersRelayed', shardId: 2, value: { leader: 3 } },
     removed: OTHER,
   },
-  { key: LEVEL_KEY, value: { v: 1 }, put: OTHER, removed: OTHER },
+  { key: PROTOCOL_VERSION_KEY, value: { v: 1 }, put: OTHER, removed: OTHER },
   { key: 'w/catalog/1', value: [], put: OTHER, removed: OTHER },
   { key: 'w/s/02', value: {}, put: OTHER, removed: OTHER },
 ];
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -5,7 +5,7 @@
 import { readMachineRecord, type MachineRecord } from '../fleet/records.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { JobRecord } from '../jobs/model.js';
-import type { Item, StoreEvent } from './client.js';
+import type { StoredEntry, WatchEvent } from './client.js';
 import { parseSharedKey } from './keys.js';
 
 /** A change of the shared keys. */
@@ -36,7 +36,7 @@
 
 const OTHER_CHANGE: Change = { _tag: 'other' };
 
-const decodePut = ({ key, value, version }: Item): Change => {
+const decodePut = ({ key, value, version }: StoredEntry): Change => {
   const parsed = parseSharedKey(key);
   switch (parsed._tag) {
     case 'claim':
@@ -74,5 +74,5 @@
 };
 
 /** Decodes a watch event. */
-export const decodeChange = (event: StoreEvent): Change =>
+export const decodeChange = (event: WatchEvent): Change =>
   event._tag === 'put' ? decodePut(event.item) : decodeDelete(event.key);
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -18,8 +18,8 @@
   WATCH_TIMEOUT_MS,
 } from '../constants/key-value-store.js';
 import { SHARD_LEASE_TTL_MS } from '../constants/leases.js';
-import type { Answer, Caller, Callers, Target } from '../http.js';
-import { RateLimiter, type Rank } from './rate-limiter.js';
+import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http.js';
+import { RateLimiter, type RequestPriority } from './rate-limiter.js';
 
 /** The one module that speaks to the state service. */
 export interface Condition {
@@ -33,7 +33,7 @@
   | { readonly _tag: 'delete'; readonly key: string };
 
 /** The outcome of a transaction. */
-export type TxnResult =
+export type TransactionResult =
   | { readonly _tag: 'committed'; readonly revision: number }
   | { readonly _tag: 'conflict'; readonly failed: readonly string[] }
   | { readonly _tag: 'noLease' }
@@ -43,32 +43,32 @@
   | { readonly _tag: 'unknown'; readonly why: string };
 
 /** A key with its value and the revision of its last change. */
-export interface Item {
+export interface StoredEntry {
   readonly key: string;
   readonly value: unknown;
   readonly version: number;
 }
 /** The outcome of reading a key. */
-export type GetResult =
-  | { readonly _tag: 'found'; readonly item: Item }
+export type ReadResult =
+  | { readonly _tag: 'found'; readonly item: StoredEntry }
   | { readonly _tag: 'absent' }
   | { readonly _tag: 'failed'; readonly why: string };
 /** The outcome of reading a page of keys. */
 export type ListResult =
   | {
       readonly _tag: 'page';
-      readonly items: readonly Item[];
+      readonly items: readonly StoredEntry[];
       readonly more: boolean;
       readonly revision: number;
     }
   | { readonly _tag: 'failed'; readonly why: string };
 /** A change that a watch showed. */
-export type StoreEvent =
-  | { readonly _tag: 'put'; readonly item: Item }
+export type WatchEvent =
+  | { readonly _tag: 'put'; readonly item: StoredEntry }
   | { readonly _tag: 'delete'; readonly key: string; readonly version: number };
 /** The outcome of one watch. */
 export type WatchResult =
-  | { readonly _tag: 'events'; readonly events: readonly StoreEvent[]; readonly revision: number }
+  | { readonly _tag: 'events'; readonly events: readonly WatchEvent[]; readonly revision: number }
   | { readonly _tag: 'tooOld' }
   | { readonly _tag: 'failed'; readonly why: string };
 /** The outcome of asking for a lease or renewing it. */
@@ -82,28 +82,29 @@
   data: unknown;
   brandMark: number;
 }
-const item = (raw: RawItem): Item => ({ key: raw.path, value: raw.data, version: raw.brandMark });
-const why = (answer: Answer): string => (answer._tag === 'silence' ? answer.why : `status ${answer.status}`);
+const item = (raw: RawItem): StoredEntry => ({ key: raw.path, value: raw.data, version: raw.brandMark });
+const why = (answer: CallOutcome): string =>
+  answer._tag === 'noResponse' ? answer.why : `status ${answer.status}`;
 
 /** Client for the state service, within this node's part of its rates. */
-export class Store {
-  private readonly calls: Caller;
-  private readonly watches: Caller;
-  private readonly leases: Caller;
+export class KeyValueStore {
+  private readonly calls: HttpClient;
+  private readonly watches: HttpClient;
+  private readonly leases: HttpClient;
   readonly requests: RateLimiter;
   readonly changes: RateLimiter;
   /** When the service last answered anything but 503 here. */
-  okAt = 0;
+  lastAnsweredAt = 0;
 
   constructor(
     target: Target,
     limits: { rps: number; write_rps: number; txn_ops: number; nodes: number },
     private readonly now: () => number,
-    callers: Callers,
+    createHttpClient: HttpClientFactory,
   ) {
-    this.calls = callers(target, STORE_SOCKETS);
-    this.watches = callers(target, WATCH_SOCKETS);
-    this.leases = callers(target, LEASE_SOCKETS);
+    this.calls = createHttpClient(target, STORE_SOCKETS);
+    this.watches = createHttpClient(target, WATCH_SOCKETS);
+    this.leases = createHttpClient(target, LEASE_SOCKETS);
     this.requests = new RateLimiter(
       limits.rps / limits.nodes,
       RATE_RESERVE_FRACTION,
@@ -116,15 +117,15 @@
       RATE_QUEUE_TIMEOUT_MS,
       now,
     );
-    this.txnOps = limits.txn_ops;
+    this.maxTransactionWrites = limits.txn_ops;
     this.watchGapMs = (1000 * limits.nodes) / (limits.rps * WATCH_REQUEST_FRACTION);
     this.rates = { requests: limits.rps, changes: limits.write_rps };
   }
-  readonly txnOps: number;
+  readonly maxTransactionWrites: number;
   /** Changes that one transaction should hold at the present rate. */
-  get batchOps(): number {
+  get batchWrites(): number {
     return Math.min(
-      this.txnOps,
+      this.maxTransactionWrites,
       Math.max(MIN_TRANSACTION_CHANGES, Math.floor(this.changes.perSecond * TRANSACTION_RATE_FRACTION)),
     );
   }
@@ -133,19 +134,27 @@
   /** What all nodes together may use, a second. */
   readonly rates: { readonly requests: number; readonly changes: number };
 
-  private seen(answer: Answer): Answer {
-    if (answer._tag === 'answer' && answer.status < 500 && answer.status !== 429) this.okAt = this.now();
+  private seen(answer: CallOutcome): CallOutcome {
+    if (answer._tag === 'response' && answer.status < 500 && answer.status !== 429)
+      this.lastAnsweredAt = this.now();
     return answer;
   }
 
-  private async call(rank: Rank, client: Caller, method: string, path: string, body: unknown, ms: number) {
+  private async call(
+    rank: RequestPriority,
+    client: HttpClient,
+    method: string,
+    path: string,
+    body: unknown,
+    ms: number,
+  ) {
     for (let tries = 0; ; tries += 1) {
       if (!(await this.requests.take(1, rank))) return null;
       const answer = this.seen(await client.request(method, path, body, ms));
       // 429: not carried out. All nodes together asked for more than there is; soon there is some again.
       if (
         rank !== 'user' ||
-        answer._tag !== 'answer' ||
+        answer._tag !== 'response' ||
         answer.status !== 429 ||
         tries >= MAX_RATE_LIMITED_RETRIES
       )
@@ -156,8 +165,8 @@
     }
   }
 
-  get(key: string, rank: Rank): Effect.Effect<GetResult> {
-    return Effect.promise(async (): Promise<GetResult> => {
+  get(key: string, rank: RequestPriority): Effect.Effect<ReadResult> {
+    return Effect.promise(async (): Promise<ReadResult> => {
       const answer = await this.call(
         rank,
         this.calls,
@@ -167,28 +176,28 @@
         STORE_REQUEST_TIMEOUT_MS,
       );
       if (answer === null) return { _tag: 'failed', why: 'over budget' };
-      if (answer._tag === 'answer' && answer.status === 200)
+      if (answer._tag === 'response' && answer.status === 200)
         return { _tag: 'found', item: item(answer.body as RawItem) };
-      if (answer._tag === 'answer' && answer.status === 404) return { _tag: 'absent' };
+      if (answer._tag === 'response' && answer.status === 404) return { _tag: 'absent' };
       return { _tag: 'failed', why: why(answer) };
     });
   }
 
-  page(prefix: string, after: string | null, rank: Rank): Effect.Effect<ListResult> {
+  page(prefix: string, after: string | null, rank: RequestPriority): Effect.Effect<ListResult> {
     return Effect.promise(async (): Promise<ListResult> => {
       const path = `/store?under=${encodeURIComponent(prefix)}&most=${LIST_PAGE_ITEMS}${after === null ? '' : `&since=${encodeURIComponent(after)}`}`;
       const answer = await this.call(rank, this.calls, 'GET', path, undefined, STORE_LIST_TIMEOUT_MS);
       if (answer === null) return { _tag: 'failed', why: 'over budget' };
-      if (answer._tag !== 'answer' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
+      if (answer._tag !== 'response' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
       const body = answer.body as { rows: RawItem[]; more: boolean; epoch: number };
       return { _tag: 'page', items: body.rows.map(item), more: body.more, revision: body.epoch };
     });
   }
 
   /** All pages under a prefix. The revision is that of the first page: a watch from there misses nothing. */
-  list(prefix: string, rank: Rank): Effect.Effect<ListResult> {
+  list(prefix: string, rank: RequestPriority): Effect.Effect<ListResult> {
     return Effect.gen({ self: this }, function* () {
-      const items: Item[] = [];
+      const items: StoredEntry[] = [];
       let after: string | null = null;
       let revision = -1;
       for (;;) {
@@ -203,8 +212,12 @@
     });
   }
 
-  txn(when: readonly Condition[], writes: readonly Write[], rank: Rank): Effect.Effect<TxnResult> {
-    return Effect.promise(async (): Promise<TxnResult> => {
+  compareAndSwap(
+    when: readonly Condition[],
+    writes: readonly Write[],
+    rank: RequestPriority,
+  ): Effect.Effect<TransactionResult> {
+    return Effect.promise(async (): Promise<TransactionResult> => {
       if (writes.length > 0 && !(await this.changes.take(writes.length, rank))) {
         return { _tag: 'refused', why: 'over budget' };
       }
@@ -222,7 +235,7 @@
       };
       const answer = await this.call(rank, this.calls, 'POST', '/txn', body, STORE_REQUEST_TIMEOUT_MS);
       if (answer === null) return { _tag: 'refused', why: 'over budget' };
-      if (answer._tag === 'silence') return { _tag: 'unknown', why: answer.why };
+      if (answer._tag === 'noResponse') return { _tag: 'unknown', why: answer.why };
       const data = answer.body as { epoch?: number; failed?: string[]; error?: string } | null;
       switch (answer.status) {
         case 200:
@@ -254,10 +267,10 @@
       if (!(await this.requests.take(1, 'vital'))) return { _tag: 'failed', why: 'over budget' };
       const sentAt = this.now();
       const answer = this.seen(await this.leases.request(method, path, body, LEASE_REQUEST_TIMEOUT_MS));
-      if (answer._tag === 'answer' && answer.status === 200) {
+      if (answer._tag === 'response' && answer.status === 200) {
         return { _tag: 'held', lease: (answer.body as { permit: number }).permit, sentAt };
       }
-      if (answer._tag === 'answer' && answer.status === 404) return { _tag: 'gone' };
+      if (answer._tag === 'response' && answer.status === 404) return { _tag: 'gone' };
       return { _tag: 'failed', why: why(answer) };
     });
   }
@@ -267,8 +280,8 @@
       if (!(await this.requests.take(1, 'user'))) return { _tag: 'failed', why: 'over budget' };
       const path = `/follow?under=${encodeURIComponent(prefix)}&since=${since}&waitMs=${WATCH_TIMEOUT_MS}`;
       const answer = this.seen(await this.watches.request('GET', path, undefined, WATCH_REQUEST_TIMEOUT_MS));
-      if (answer._tag === 'answer' && answer.status === 410) return { _tag: 'tooOld' };
-      if (answer._tag !== 'answer' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
+      if (answer._tag === 'response' && answer.status === 410) return { _tag: 'tooOld' };
+      if (answer._tag !== 'response' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
       const body = answer.body as {
         epoch: number;
         news: ({ write: string; data: unknown; brandMark: number } | { remove: string; brandMark: number })[];
--- a/src/kv-store/clients.test.ts
+++ b/src/kv-store/clients.test.ts
@@ -2,22 +2,26 @@
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import { Cloud } from '../fleet/cloud.js';
-import { WITHHELD, type Answer, type Callers } from '../http.js';
+import { WITHHELD, type CallOutcome, type HttpClientFactory } from '../http.js';
 import { permitWhile } from '../testing/duties.js';
-import { Store } from './client.js';
+import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
 
 /** Clients against stand-ins that answer one thing: what each answer is taken to mean. */
 const saying =
-  (answer: Answer): Callers =>
+  (answer: CallOutcome): HttpClientFactory =>
   () => ({ request: () => Promise.resolve(answer) });
-const status = (code: number, body: unknown = null): Answer => ({ _tag: 'answer', status: code, body });
-const silence: Answer = { _tag: 'silence', why: 'timeout' };
+const status = (code: number, body: unknown = null): CallOutcome => ({
+  _tag: 'response',
+  status: code,
+  body,
+});
+const silence: CallOutcome = { _tag: 'noResponse', why: 'timeout' };
 const at = { host: 'h', port: 1 };
-const store = (answer: Answer): Store =>
-  new Store(at, { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 }, () => 0, saying(answer));
+const store = (answer: CallOutcome): KeyValueStore =>
+  new KeyValueStore(at, { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 }, () => 0, saying(answer));
 
-const txns: readonly { name: string; answer: Answer; expect: string }[] = [
+const txns: readonly { name: string; answer: CallOutcome; expect: string }[] = [
   { name: 'carried out', answer: status(200, { epoch: 7 }), expect: 'committed' },
   { name: 'a condition failed', answer: status(409, { failed: ['a'], epoch: 7 }), expect: 'conflict' },
   { name: 'the lease has ended', answer: status(400, { error: 'no such lease' }), expect: 'noLease' },
@@ -28,12 +32,14 @@
 ];
 for (const row of txns) {
   test(`txn: ${row.name}`, async () => {
-    const result = await Effect.runPromise(store(row.answer).txn([], [{ _tag: 'delete', key: 'k' }], 'user'));
+    const result = await Effect.runPromise(
+      store(row.answer).compareAndSwap([], [{ _tag: 'delete', key: 'k' }], 'user'),
+    );
     assert.equal(result._tag, row.expect);
   });
 }
 
-const reads: readonly { name: string; answer: Answer; expect: string }[] = [
+const reads: readonly { name: string; answer: CallOutcome; expect: string }[] = [
   { name: 'found', answer: status(200, { path: 'k', data: 1, brandMark: 3 }), expect: 'found' },
   { name: 'absent only when the service says so', answer: status(404, { epoch: 3 }), expect: 'absent' },
   { name: 'not when it is down', answer: status(503), expect: 'failed' },
@@ -44,7 +50,7 @@
     assert.equal((await Effect.runPromise(store(row.answer).get('k', 'user')))._tag, row.expect));
 }
 
-const watches: readonly { name: string; answer: Answer; expect: string }[] = [
+const watches: readonly { name: string; answer: CallOutcome; expect: string }[] = [
   {
     name: 'changes',
     answer: status(200, { epoch: 4, news: [{ remove: 'k', brandMark: 4 }] }),
@@ -58,7 +64,7 @@
     assert.equal((await Effect.runPromise(store(row.answer).watch('w/', 3)))._tag, row.expect));
 }
 
-const renewals: readonly { name: string; answer: Answer; expect: string }[] = [
+const renewals: readonly { name: string; answer: CallOutcome; expect: string }[] = [
   { name: 'held', answer: status(200, { permit: 7 }), expect: 'held' },
   { name: 'ended', answer: status(404), expect: 'gone' },
   { name: 'an outage says nothing about the lease', answer: status(503), expect: 'failed' },
@@ -68,7 +74,7 @@
     assert.equal((await Effect.runPromise(store(row.answer).renew(7)))._tag, row.expect));
 }
 
-const rents: readonly { name: string; answer: Answer; expect: string }[] = [
+const rents: readonly { name: string; answer: CallOutcome; expect: string }[] = [
   { name: 'rented, perhaps fewer', answer: status(200, { drovers: ['i-1'] }), expect: 'rented' },
   { name: 'no capacity', answer: status(503, { error: 'no capacity' }), expect: 'noCapacity' },
   {
@@ -84,7 +90,7 @@
   test(`rent: ${row.name}`, async () => {
     const cloud = new Cloud(at, 10, 1, () => 0, saying(row.answer));
     const result = await Effect.runPromise(
-      cloud.rent(
+      cloud.provision(
         { name: 'r', type: 'g', zone: 'a', spot: false, count: 2 },
         permitWhile(() => true),
       ),
@@ -95,7 +101,7 @@
 
 test('cloud: what a duty must cover neither compiles nor runs without its permit', async () => {
   let requests = 0;
-  const counting: Callers = () => ({
+  const counting: HttpClientFactory = () => ({
     request: () => {
       requests += 1;
       return Promise.resolve(silence);
@@ -104,7 +110,7 @@
   const cloud = new Cloud(at, 10, 1, () => 0, counting);
   const request = { name: 'r', type: 'g', zone: 'a', spot: false, count: 2 };
   // @ts-expect-error a rental without a permit
-  await assert.rejects(Effect.runPromise(cloud.rent(request)));
+  await assert.rejects(Effect.runPromise(cloud.provision(request)));
   // @ts-expect-error a release without a permit
   await assert.rejects(Effect.runPromise(cloud.release(['i-1'])));
   assert.equal(requests, 0);
--- a/src/kv-store/keys.ts
+++ b/src/kv-store/keys.ts
@@ -31,7 +31,7 @@
 /** A holder's durable word that it has seen the shared keys up to a revision. */
 export const markKey = (claimName: string): string => `w/k/${claimName}`;
 /** The protocol version that every node of this deployment is known to understand. */
-export const LEVEL_KEY = 'w/level';
+export const PROTOCOL_VERSION_KEY = 'w/level';
 /** The last known catalog. */
 export const CATALOG_KEY = 'w/catalog';
 /** A part of a catalog that one value cannot hold. */
@@ -44,9 +44,9 @@
 export const runPartKey = (shardId: number, job: string, chunk: number, part: number): string =>
   `${runKey(shardId, job, chunk)}+${part}`;
 /** Announced rental requests that are not over. Outside the shared keys: only the leader reads them. */
-export const RENTALS_KEY = 'i/rent';
+export const PROVISIONING_KEY = 'i/rent';
 /** Keys of a share that are marked for removal. */
-export const removalsKey = (shardId: number): string => `x/${shardId}`;
+export const tombstonesKey = (shardId: number): string => `x/${shardId}`;
 /** A job's final record. */
 export const finalKey = (id: string): string => `f/${id}`;
 
--- a/src/kv-store/limits.test.ts
+++ b/src/kv-store/limits.test.ts
@@ -3,17 +3,17 @@
 import * as Effect from 'effect/Effect';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
-import type { Answer } from '../http.js';
+import type { CallOutcome } from '../http.js';
 import { UsersApi } from '../jobs/api.js';
 import { readJobRecord, writeCancelledRecord, writeJobRecord } from '../jobs/codec.js';
 import type { JobRecord, JobSpec, MachineType } from '../jobs/model.js';
-import { StoreRelay } from '../peers/store-relay.js';
+import { KeyValueStoreRelay } from '../peers/store-relay.js';
 import { unpackIds } from '../pipelines/codec.js';
-import { Finals } from '../pipelines/final-record-cache.js';
+import { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import { partsOf, readRunRecord, storeRun, type RunRecord } from '../placement/run-records.js';
-import { lasting } from '../settings/limits.js';
+import { effectiveLimits } from '../settings/limits.js';
 import { submission } from '../testing/bodies.js';
-import { Store, type Item } from './client.js';
+import { KeyValueStore, type StoredEntry } from './client.js';
 import { LinearizableReads } from './linearizable-reads.js';
 
 /** Every kind of record at the smallest limits known: values of 2 KiB, ten changes a transaction. */
@@ -42,7 +42,7 @@
 for (const row of limits) {
   test(`limits: ${row.name}`, () => {
     const state = { rps: 150, write_rps: 60, value_kb: 16, txn_ops: 48 };
-    const found = lasting(row.next ? { ...state, next: row.next } : state);
+    const found = effectiveLimits(row.next ? { ...state, next: row.next } : state);
     assert.deepEqual(
       [found.value_kb, found.txn_ops, found.write_rps, found.rps],
       [row.kb, row.ops, row.rate, 150],
@@ -102,7 +102,7 @@
   test(`limits: a catalog of ${count} types`, () => {
     const writes = storeCatalog(types(count), BYTES * VALUE_FILL_FRACTION, OPS, true);
     assert.ok(writes !== null && writes.length <= OPS);
-    const items = new Map<string, Item>();
+    const items = new Map<string, StoredEntry>();
     for (const write of writes) {
       assert.ok(write._tag === 'put' && bytesOf(write.value) <= BYTES);
       items.set(write.key, { key: write.key, value: write.value, version: 7 });
@@ -114,7 +114,7 @@
       types(count),
     );
     // Of a part from before nothing is taken.
-    const stale = (key: string): Item | undefined => {
+    const stale = (key: string): StoredEntry | undefined => {
       const item = items.get(key);
       return item && { ...item, version: 6 };
     };
@@ -125,7 +125,7 @@
 const cancelled = (texts: string, types: readonly string[] | null): JobRecord => ({
   spec: {
     id: 'job-000001',
-    klass: texts,
+    jobClass: texts,
     team: 'red',
     kind: 'gang',
     priority: 2,
@@ -148,21 +148,24 @@
   at: 1_700_000_000_000,
   cancelled: true,
   cancelledAt: 1_700_000_060_000,
-  follows: ['job-000007'],
+  dependsOn: ['job-000007'],
   parts: 0,
 });
 
-const usersApi = (store: Store, copy: (key: string) => Item | undefined = () => undefined): UsersApi => {
+const usersApi = (
+  store: KeyValueStore,
+  copy: (key: string) => StoredEntry | undefined = () => undefined,
+): UsersApi => {
   const catalog = new Map(types(1).map((type) => [type.name, type]));
   return new UsersApi({
     store,
     fresh: new LinearizableReads(store),
-    finals: new Finals(store),
+    finalRecords: new FinalRecordCache(store),
     pipelines: { readiness: () => ({ _tag: 'waiting' }), resolve: () => Effect.succeed(true) },
     takesPipelines: () => true,
     valueBytes: BYTES,
     copyAgeMs: () => 0,
-    assured: () => Effect.succeed(true),
+    mayConfirmCancellation: () => Effect.succeed(true),
     cache: { get: copy },
     catalog: () => catalog,
     zones: ['a'],
@@ -175,15 +178,15 @@
 /** A state service that keeps nothing but notes what it is asked to write. */
 const noting = () => {
   const writes: { write?: string; remove?: string; data?: unknown }[][] = [];
-  const store = new Store(
+  const store = new KeyValueStore(
     { host: 'h', port: 1 },
     { rps: 1e6, write_rps: 1e6, txn_ops: OPS, nodes: 1 },
     () => 0,
     () => ({
-      request: (_, path, body): Promise<Answer> => {
-        if (path !== '/txn') return Promise.resolve({ _tag: 'answer', status: 404, body: { epoch: 1 } });
+      request: (_, path, body): Promise<CallOutcome> => {
+        if (path !== '/txn') return Promise.resolve({ _tag: 'response', status: 404, body: { epoch: 1 } });
         writes.push((body as { writes: { write?: string; data?: unknown }[] }).writes);
-        return Promise.resolve({ _tag: 'answer', status: 200, body: { epoch: 2 } });
+        return Promise.resolve({ _tag: 'response', status: 200, body: { epoch: 2 } });
       },
     }),
   );
@@ -198,14 +201,14 @@
   });
   assert.ok(bytesOf(stored) > BYTES);
   const writes: { data: unknown }[] = [];
-  const store = new Store(
+  const store = new KeyValueStore(
     { host: 'h', port: 1 },
     { rps: 1e6, write_rps: 1e6, txn_ops: OPS, nodes: 1 },
     () => 0,
     () => ({
-      request: (_, path, body): Promise<Answer> => {
-        const answer = (status: number, value: unknown): Promise<Answer> =>
-          Promise.resolve({ _tag: 'answer', status, body: value });
+      request: (_, path, body): Promise<CallOutcome> => {
+        const answer = (status: number, value: unknown): Promise<CallOutcome> =>
+          Promise.resolve({ _tag: 'response', status, body: value });
         if (path === '/store/w/j/job-000001')
           return answer(200, { path: 'w/j/job-000001', data: stored, brandMark: 3 });
         if (path !== '/txn') return answer(404, { epoch: 1 });
@@ -256,30 +259,38 @@
   );
 });
 
-const cancellations: readonly { name: string; record: JobRecord; kept: boolean }[] = [
-  { name: 'an ordinary record is kept whole', record: cancelled('train', ['g8']), kept: true },
+const cancellations: readonly { name: string; record: JobRecord; withheldFromSpotWork: boolean }[] = [
+  {
+    name: 'an ordinary record is kept whole',
+    record: cancelled('train', ['g8']),
+    withheldFromSpotWork: true,
+  },
   {
     name: 'types that an earlier version took',
     record: cancelled(
       'train',
       Array.from({ length: 90 }, (_, k) => `type-with-a-long-name-${k}`),
     ),
-    kept: false,
+    withheldFromSpotWork: false,
   },
   // Such a job could run, and its cancellation was answered 503 for ever: the state service refused the record.
   {
     name: 'texts that an earlier version took, each character six when written',
     record: cancelled('\u0001'.repeat(256), null),
-    kept: false,
+    withheldFromSpotWork: false,
   },
 ];
-for (const { name, record, kept } of cancellations) {
+for (const { name, record, withheldFromSpotWork } of cancellations) {
   test(`limits: the record of a cancelled job, ${name}`, () => {
-    assert.equal(bytesOf(writeJobRecord(record)) <= BYTES, kept, 'the row is what its name says');
+    assert.equal(
+      bytesOf(writeJobRecord(record)) <= BYTES,
+      withheldFromSpotWork,
+      'the row is what its name says',
+    );
     const written = writeCancelledRecord(record, BYTES);
     assert.ok(bytesOf(written) <= BYTES, `${bytesOf(written)} B`);
     const read = readJobRecord(JSON.parse(JSON.stringify(written)));
-    if (kept) assert.deepEqual(read, record);
+    if (withheldFromSpotWork) assert.deepEqual(read, record);
     // What stopping its tasks, counting them and answering its user needs.
     const { spec } = read;
     assert.deepEqual(
@@ -287,21 +298,21 @@
       ['job-000001', 'red', 'gang', 16, 8, 1, 64, 4],
     );
     assert.deepEqual(
-      [read.cancelled, read.cancelledAt, read.at, read.follows],
-      [true, record.cancelledAt, record.at, record.follows],
+      [read.cancelled, read.cancelledAt, read.at, read.dependsOn],
+      [true, record.cancelledAt, record.at, record.dependsOn],
     );
   });
 }
 
 test('limits: orders and summaries that go through the state service', async () => {
   const { store, writes } = noting();
-  const detour = new StoreRelay({
+  const detour = new KeyValueStoreRelay({
     store,
     valueBytes: BYTES,
     now: () => 1e6,
     leaderClaim: () => 7,
     cutOff: () => [],
-    give: () => undefined,
+    transferMachines: () => undefined,
   });
   const hold = {
     shardId: 1,
--- a/src/kv-store/linearizable-reads.ts
+++ b/src/kv-store/linearizable-reads.ts
@@ -5,7 +5,7 @@
   LINEARIZABLE_READ_BATCH_DELAY_MS,
   LINEARIZABLE_READ_BATCH_FACTOR,
 } from '../constants/key-value-store.js';
-import type { Store } from './client.js';
+import type { KeyValueStore } from './client.js';
 
 /** Does a key still have the version that this node's copy shows? */
 export type Freshness = 'same' | 'changed' | 'failed';
@@ -17,11 +17,11 @@
 export class LinearizableReads {
   private readonly batcher: Batcher<{ key: string; version: number }, Freshness>;
 
-  constructor(private readonly store: Store) {
+  constructor(private readonly store: KeyValueStore) {
     // Four times as many conditions as changes are allowed; a conflict costs a second look at the others.
     this.batcher = new Batcher(
       LINEARIZABLE_READ_BATCH_DELAY_MS,
-      store.txnOps * LINEARIZABLE_READ_BATCH_FACTOR,
+      store.maxTransactionWrites * LINEARIZABLE_READ_BATCH_FACTOR,
       (questions) => this.compare(questions),
     );
   }
@@ -40,7 +40,8 @@
       const when = [...known]
         .filter(([key]) => !changed.has(key))
         .map(([key, version]) => ({ key, version }));
-      const result = when.length === 0 ? null : await Effect.runPromise(this.store.txn(when, [], 'user'));
+      const result =
+        when.length === 0 ? null : await Effect.runPromise(this.store.compareAndSwap(when, [], 'user'));
       if (result === null || result._tag === 'committed') {
         return questions.map(({ key, version }) =>
           changed.has(key) || known.get(key) !== version ? 'changed' : 'same',
--- a/src/kv-store/rate-limiter.ts
+++ b/src/kv-store/rate-limiter.ts
@@ -8,8 +8,8 @@
 } from '../constants/key-value-store.js';
 
 /** A token bucket with ranks: renewals and users' calls pass while background work waits. */
-export type Rank = 'vital' | 'user' | 'bind' | 'work';
-const RANKS: readonly Rank[] = ['vital', 'user', 'bind', 'work'];
+export type RequestPriority = 'vital' | 'user' | 'bind' | 'work';
+const REQUEST_PRIORITIES: readonly RequestPriority[] = ['vital', 'user', 'bind', 'work'];
 
 interface Waiting {
   readonly count: number;
@@ -21,7 +21,7 @@
 export class RateLimiter {
   private level: number;
   private at: number;
-  private readonly queues: Record<Rank, Waiting[]> = { vital: [], user: [], bind: [], work: [] };
+  private readonly queues: Record<RequestPriority, Waiting[]> = { vital: [], user: [], bind: [], work: [] };
   private pumping = false;
   private wanted = 0;
   private wantedBefore = 0;
@@ -67,7 +67,7 @@
   }
 
   /** Ranks below `vital` leave some room for those above them. */
-  private floor(rank: Rank): number {
+  private floor(rank: RequestPriority): number {
     switch (rank) {
       case 'vital':
         return -this.rate * VITAL_OVERDRAFT_FRACTION;
@@ -90,18 +90,18 @@
    * What must be there for a call to pass. Of a batch only a part: the rest is owed, and what comes after waits for
    * it. Were the whole asked for, a batch as large as the bucket would need it full, which others never leave it.
    */
-  private need(count: number, rank: Rank): number {
+  private need(count: number, rank: RequestPriority): number {
     return Math.min(count, this.rate * BATCH_ADMISSION_FRACTION, this.rate - this.floor(rank));
   }
 
-  tryTake(count: number, rank: Rank): boolean {
+  tryTake(count: number, rank: RequestPriority): boolean {
     this.refill();
     if (this.level - this.need(count, rank) < this.floor(rank)) return false;
     this.level -= count;
     return true;
   }
 
-  take(count: number, rank: Rank): Promise<boolean> {
+  take(count: number, rank: RequestPriority): Promise<boolean> {
     this.turnWindow();
     this.wanted += count;
     // Whoever came first within a rank goes first; a later small call never overtakes a large one for ever.
@@ -116,7 +116,7 @@
   private nextLookMs(): number {
     this.refill();
     let least = MAX_RATE_QUEUE_CHECK_INTERVAL_MS;
-    for (const rank of RANKS) {
+    for (const rank of REQUEST_PRIORITIES) {
       const head = this.queues[rank][0];
       if (!head) continue;
       const missing = this.floor(rank) + this.need(head.count, rank) - this.level;
@@ -127,9 +127,9 @@
 
   private async pump(): Promise<void> {
     this.pumping = true;
-    while (RANKS.some((rank) => this.queues[rank].length > 0)) {
+    while (REQUEST_PRIORITIES.some((rank) => this.queues[rank].length > 0)) {
       await this.sleep(this.nextLookMs());
-      for (const rank of RANKS) {
+      for (const rank of REQUEST_PRIORITIES) {
         const queue = this.queues[rank];
         for (let head = queue[0]; head; head = queue[0]) {
           const granted = this.tryTake(head.count, rank);
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -4,7 +4,7 @@
 import * as Fiber from 'effect/Fiber';
 import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
 import { StateStandIn } from '../testing/state-stand-in.js';
-import { Store } from './client.js';
+import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
 
 /** How fresh a node's copy of the shared keys is, by what the state service does. */
@@ -24,7 +24,7 @@
     const state = new StateStandIn();
     const now = (): number => Date.now();
     const limits = { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 };
-    const store = new Store({ host: 'state', port: 1 }, limits, now, () => ({
+    const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, () => ({
       request: (method, path, body) => state.handle('n0', method, path, body),
     }));
     const cache = new WatchCache(store, now);
@@ -35,7 +35,7 @@
         if (ms === row.refusedFromS * 1_000) state.refused.add('n0');
         mock.timers.tick(20);
         for (let k = 0; k < 4; k += 1) await new Promise((resolve) => setImmediate(resolve));
-        if (ms > 1_000) oldest = Math.max(oldest, now() - cache.freshAt);
+        if (ms > 1_000) oldest = Math.max(oldest, now() - cache.confirmedAt);
       }
       assert.ok(oldest >= row.ageAt60S[0] && oldest <= row.ageAt60S[1], `${oldest} ms`);
     } finally {
--- a/src/kv-store/watch-cache.ts
+++ b/src/kv-store/watch-cache.ts
@@ -1,7 +1,7 @@
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { log } from '../log.js';
-import type { Item, Store, StoreEvent } from './client.js';
+import type { StoredEntry, KeyValueStore, WatchEvent } from './client.js';
 import { kindOf, SHARED } from './keys.js';
 
 /**
@@ -10,44 +10,44 @@
  */
 export class WatchCache {
   /** By kind of key (`w/j/`, `w/m/`, …), so that a walk over one kind costs only that kind. */
-  private readonly kinds = new Map<string, Map<string, Item>>();
-  private readonly listeners: ((event: StoreEvent) => void)[] = [];
+  private readonly kinds = new Map<string, Map<string, StoredEntry>>();
+  private readonly listeners: ((event: WatchEvent) => void)[] = [];
   revision = -1;
   /** ms, steady: every change made before this moment is shown. */
-  freshAt = Number.NEGATIVE_INFINITY;
+  confirmedAt = Number.NEGATIVE_INFINITY;
   /** True once the first full read is in. */
   ready = false;
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly now: () => number = () => performance.now(),
   ) {}
 
-  onEvent(listener: (event: StoreEvent) => void): void {
+  onEvent(listener: (event: WatchEvent) => void): void {
     this.listeners.push(listener);
   }
-  get(key: string): Item | undefined {
+  get(key: string): StoredEntry | undefined {
     return this.kinds.get(kindOf(key))?.get(key);
   }
   /** All keys of one kind. */
-  under(kind: `w/${string}/`): Iterable<Item> {
+  under(kind: `w/${string}/`): Iterable<StoredEntry> {
     return this.kinds.get(kind)?.values() ?? [];
   }
 
-  apply(event: StoreEvent): void {
+  apply(event: WatchEvent): void {
     const key = event._tag === 'put' ? event.item.key : event.key;
     const version = event._tag === 'put' ? event.item.version : event.version;
     let items = this.kinds.get(kindOf(key));
     const known = items?.get(key);
     if (known && known.version >= version) return;
     if (event._tag === 'put') {
-      if (!items) this.kinds.set(kindOf(key), (items = new Map<string, Item>()));
+      if (!items) this.kinds.set(kindOf(key), (items = new Map<string, StoredEntry>()));
       items.set(key, event.item);
     } else if (!items?.delete(key)) return;
     for (const listener of this.listeners) listener(event);
   }
 
-  private reload(items: readonly Item[], revision: number): void {
+  private reload(items: readonly StoredEntry[], revision: number): void {
     const present = new Set(items.map((item) => item.key));
     for (const items of this.kinds.values()) {
       for (const key of [...items.keys()])
@@ -68,7 +68,7 @@
         continue;
       }
       this.reload(all.items, all.revision);
-      this.freshAt = listedAt;
+      this.confirmedAt = listedAt;
       log.info({ event: 'cache.loaded', items: all.items.length, revision: all.revision });
       for (;;) {
         const askedAt = this.now();
@@ -81,7 +81,7 @@
         for (const event of result.events) this.apply(event);
         this.revision = Math.max(this.revision, result.revision);
         // An answer tells all that happened before its question was sent; it may have been under way for long.
-        this.freshAt = askedAt;
+        this.confirmedAt = askedAt;
         // Each change would otherwise cost every node one more request; together they fit in a few.
         yield* Effect.sleep(this.store.watchGapMs);
       }
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -18,7 +18,7 @@
  */
 const spec: JobSpec = {
   id: 'job-000412',
-  klass: 'train',
+  jobClass: 'train',
   team: 'red',
   kind: 'gang',
   priority: 2,
@@ -40,7 +40,7 @@
 };
 const SPEC =
   '["job-000412","train","red","gang",2,300,8,1,64,["g8"],null,true,false,true,"img",6.2,240,30,4,900]';
-const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 0 };
+const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 
 const run: RunRecord = {
   done: [128, 200],
@@ -62,7 +62,7 @@
   at: 5,
   releasing: true,
   addr: '10.1.0.1:9000',
-  session: 3,
+  agentEpoch: 3,
 };
 
 interface Fixture {
@@ -96,12 +96,12 @@
     version: '55b30b1',
     text: `{"s":${SPEC},"t":17,"c":true,"x":40,"f":["6:b2.7"]}`,
     read: readJobRecord,
-    means: { ...job, cancelled: true, cancelledAt: 40, follows: ['job-000398', 'job-000405'] },
+    means: { ...job, cancelled: true, cancelledAt: 40, dependsOn: ['job-000398', 'job-000405'] },
     written: writeJobRecord({
       ...job,
       cancelled: true,
       cancelledAt: 40,
-      follows: ['job-000398', 'job-000405'],
+      dependsOn: ['job-000398', 'job-000405'],
     }),
   },
   {
@@ -157,8 +157,8 @@
     version: '79bc3b2',
     text: '{"s":1,"b":"g","z":"x","p":false,"t":5,"r":false}',
     read: readMachineRecord,
-    means: { ...machine, spot: false, releasing: false, addr: '', session: 0 },
-    written: writeMachineRecord({ ...machine, spot: false, releasing: false, addr: '', session: 0 }),
+    means: { ...machine, spot: false, releasing: false, addr: '', agentEpoch: 0 },
+    written: writeMachineRecord({ ...machine, spot: false, releasing: false, addr: '', agentEpoch: 0 }),
   },
   {
     name: 'a machine with images, which earlier versions ignore',
@@ -217,7 +217,7 @@
       keys.finalKey('job-1'),
       keys.followsKey('job-1', 4),
       keys.markKey('2'),
-      keys.LEVEL_KEY,
+      keys.PROTOCOL_VERSION_KEY,
       keys.catalogPartKey(4),
       keys.runPartKey(2, 'job-1', 3, 4),
     ],
@@ -303,7 +303,7 @@
     wall: () => 1_000,
     processorMs: () => 0,
     incarnation: 'n0.1',
-    callers: () => ({ request: () => Promise.resolve({ _tag: 'silence', why: 'none' }) }),
+    createHttpClient: () => ({ request: () => Promise.resolve({ _tag: 'noResponse', why: 'none' }) }),
     workerClient: { send: () => Promise.resolve({ _tag: 'unsure' }) },
   });
   const reply = await controller.peerRoute({
--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { decode, encode } from '../http.js';
 import type { Reservation, ShardSummary } from '../fleet/records.js';
-import { briefly } from '../placement/unmet-demand.js';
+import { abridgedSummary } from '../placement/unmet-demand.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
 import type { PeerHeartbeat } from './heartbeat.js';
 import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
@@ -42,8 +42,8 @@
       urgent: false,
       priority: 1,
       tasks: 4,
-      gangs: [{ job: 'job-1', tasks: 4, waitedMs: 5, patienceMs: 10 }],
-      room: { x: 1, y: 2 },
+      gangs: [{ job: 'job-1', tasks: 4, waitedMs: 5, reserveAfterMs: 10 }],
+      zoneCapacity: { x: 1, y: 2 },
       waitedMs: 6,
     },
   ],
@@ -71,7 +71,7 @@
 const summaries: readonly { readonly name: string; readonly summary: ShardSummary; readonly text: string }[] =
   [
     { name: 'in full', summary, text: SUMMARY },
-    { name: 'for peers that do not lead', summary: briefly(summary), text: BRIEF_SUMMARY },
+    { name: 'for peers that do not lead', summary: abridgedSummary(summary), text: BRIEF_SUMMARY },
     { name: 'of a version that names all spares', summary: earlierSummary, text: EARLIER_SUMMARY },
   ];
 for (const row of summaries) {
@@ -84,22 +84,22 @@
 const heartbeat: PeerHeartbeat = {
   from: 'n1',
   incarnation: 'n1.1',
-  level: 2,
+  protocolVersion: 2,
   lease: 3,
-  stateAgeMs: 20.5,
+  storeSilenceMs: 20.5,
   counts: [{ shardId: 1, jobs: [['job-1', 2, 1]] }],
   summaries: [summary],
-  deaf: true,
-  strays: { '0': 2 },
+  workersUnreachable: true,
+  misroutedHeartbeats: { '0': 2 },
   demand: { requests: 1, changes: 2 },
-  holds: [reservation],
+  reservations: [reservation],
 };
 const HEARTBEAT =
   '{"from":"n1","incarnation":"n1.1","level":2,"lease":3,"stateAgeMs":20.5,' +
   '"counts":[{"slot":1,"jobs":[["job-1",2,1]]}],' +
   `"summaries":[${SUMMARY}],"deaf":true,"strays":{"0":2},"demand":{"requests":1,"changes":2},` +
   `"holds":[${RESERVATION}]}`;
-const { level, ...withoutLevel } = heartbeat;
+const { protocolVersion: level, ...withoutLevel } = heartbeat;
 
 interface HeartbeatCase {
   readonly name: string;
@@ -115,7 +115,14 @@
   },
   {
     name: 'without a lease, shares and reservations',
-    means: { ...heartbeat, lease: null, counts: [], summaries: [], strays: {}, holds: [] },
+    means: {
+      ...heartbeat,
+      lease: null,
+      counts: [],
+      summaries: [],
+      misroutedHeartbeats: {},
+      reservations: [],
+    },
     text:
       '{"from":"n1","incarnation":"n1.1","level":2,"lease":null,"stateAgeMs":20.5,"counts":[],"summaries":[],' +
       '"deaf":true,"strays":{},"demand":{"requests":1,"changes":2},"holds":[]}',
@@ -170,7 +177,10 @@
   test(`heartbeat codec: ${row.name} still counts as a heartbeat`, () => {
     const read = readHeartbeat(row.value);
     assert.equal(read?.from, 'n1');
-    assert.deepEqual([read.counts, read.summaries, read.holds, read.strays], [[], [], [], {}]);
+    assert.deepEqual(
+      [read.counts, read.summaries, read.reservations, read.misroutedHeartbeats],
+      [[], [], [], {}],
+    );
     assert.deepEqual([read.demand.requests, read.demand.changes], [0, 0]);
   });
 }
--- a/src/peers/heartbeat-codec.ts
+++ b/src/peers/heartbeat-codec.ts
@@ -62,15 +62,15 @@
 export const writeHeartbeat = (heartbeat: PeerHeartbeat): WireHeartbeat => ({
   from: heartbeat.from,
   incarnation: heartbeat.incarnation,
-  ...(heartbeat.level === undefined ? {} : { level: heartbeat.level }),
+  ...(heartbeat.protocolVersion === undefined ? {} : { level: heartbeat.protocolVersion }),
   lease: heartbeat.lease,
-  stateAgeMs: heartbeat.stateAgeMs,
+  stateAgeMs: heartbeat.storeSilenceMs,
   counts: heartbeat.counts.map(writeShareCounts),
   summaries: heartbeat.summaries.map(writeSummary),
-  deaf: heartbeat.deaf,
-  strays: heartbeat.strays,
+  deaf: heartbeat.workersUnreachable,
+  strays: heartbeat.misroutedHeartbeats,
   demand: writeDemand(heartbeat.demand),
-  holds: heartbeat.holds.map(writeReservation),
+  holds: heartbeat.reservations.map(writeReservation),
 });
 
 /** The node that sent a heartbeat; null: it does not say, so this is none. */
@@ -90,14 +90,14 @@
   return {
     from,
     incarnation: wire.incarnation,
-    ...(wire.level === undefined ? {} : { level: wire.level }),
+    ...(wire.level === undefined ? {} : { protocolVersion: wire.level }),
     lease: wire.lease,
-    stateAgeMs: wire.stateAgeMs,
+    storeSilenceMs: wire.stateAgeMs,
     counts: readEntries(wire.counts, readShareCounts),
     summaries: readEntries(wire.summaries, readSummary),
-    deaf: wire.deaf,
-    strays: isMap(wire.strays) ? wire.strays : {},
+    workersUnreachable: wire.deaf,
+    misroutedHeartbeats: isMap(wire.strays) ? wire.strays : {},
     demand: isMap(wire.demand) ? readDemand(wire.demand) : { requests: 0, changes: 0 },
-    holds: readEntries(wire.holds, readReservation),
+    reservations: readEntries(wire.holds, readReservation),
   };
 };
--- a/src/peers/heartbeat.ts
+++ b/src/peers/heartbeat.ts
@@ -25,18 +25,18 @@
   readonly from: string;
   readonly incarnation: string;
   /** What this node understands (`protocol-version.ts`); versions before that don't say. */
-  readonly level?: number;
+  readonly protocolVersion?: number;
   readonly lease: number | null;
   /** ms since the state service last answered this node. */
-  readonly stateAgeMs: number;
+  readonly storeSilenceMs: number;
   readonly counts: readonly ShardMachineCounts[];
   /** In full for the leader; for the others without needs, and with a few spares of each kind. */
   readonly summaries: readonly ShardSummary[];
-  readonly deaf: boolean;
+  readonly workersUnreachable: boolean;
   /** Machines that lately reported here although another node holds their share: by share. */
-  readonly strays: Readonly<Record<string, number>>;
+  readonly misroutedHeartbeats: Readonly<Record<string, number>>;
   /** What this node asks of the state service, a second. */
   readonly demand: Demand;
   /** The leader's: machines that are being gathered for a large gang. */
-  readonly holds: readonly Reservation[];
+  readonly reservations: readonly Reservation[];
 }
--- a/src/peers/network.test.ts
+++ b/src/peers/network.test.ts
@@ -2,7 +2,7 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { Answer, Reply } from '../http.js';
+import type { CallOutcome, ServerResponse } from '../http.js';
 import type { PeerHeartbeat } from './heartbeat.js';
 import { PeerNetwork } from './network.js';
 
@@ -11,15 +11,19 @@
   from,
   incarnation: '1',
   lease: 1,
-  stateAgeMs: 0,
+  storeSilenceMs: 0,
   summaries: [],
   counts: [],
-  deaf: false,
-  strays: {},
+  workersUnreachable: false,
+  misroutedHeartbeats: {},
   demand: { requests: 0, changes: 0 },
-  holds: [],
+  reservations: [],
+});
+const answerOf = (reply: ServerResponse): CallOutcome => ({
+  _tag: 'response',
+  status: reply.status,
+  body: reply.body,
 });
-const answerOf = (reply: Reply): Answer => ({ _tag: 'answer', status: reply.status, body: reply.body });
 
 interface Row {
   readonly name: string;
@@ -54,9 +58,9 @@
           leader: () => 'a',
           now: () => Date.now(),
           answer: () => Promise.resolve(null),
-          callers: () => ({
+          createHttpClient: () => ({
             request: async (method, path, body) => {
-              if (row.refused.includes(me)) return { _tag: 'silence', why: 'refused' };
+              if (row.refused.includes(me)) return { _tag: 'noResponse', why: 'refused' };
               exchanges += 1;
               const target = meshes.get(other);
               assert.ok(target);
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -11,9 +11,15 @@
   MIN_HEARTBEAT_PAUSE_MS,
   PEER_REQUEST_TIMEOUT_MS,
 } from '../constants/peers.js';
-import type { Peer } from '../claims/claim-decisions.js';
+import type { PeerStatus } from '../claims/claim-decisions.js';
 import type { ShardSummary } from '../fleet/records.js';
-import { parseTarget, type Call, type Caller, type Callers, type Reply } from '../http.js';
+import {
+  parseTarget,
+  type ServerRequest,
+  type HttpClient,
+  type HttpClientFactory,
+  type ServerResponse,
+} from '../http.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
 import type { Demand, PeerHeartbeat } from './heartbeat.js';
 
@@ -35,9 +41,9 @@
   /** The node that leads, as far as this node knows; its heartbeats are hurried. */
   readonly leader: () => string | undefined;
   readonly now: () => number;
-  readonly callers: Callers;
+  readonly createHttpClient: HttpClientFactory;
   /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
-  readonly answer: (path: string, body: unknown) => Promise<Reply | null>;
+  readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
 }
 
 /**
@@ -53,7 +59,7 @@
 
 /** Heartbeats and requests between the controllers, and what each last heard of the others. */
 export class PeerNetwork {
-  private readonly clients = new Map<string, Caller>();
+  private readonly clients = new Map<string, HttpClient>();
   private readonly known = new Map<string, Known>();
   private readonly wakes = new Map<string, () => void>();
   /** Peers that are to hear of something at once. */
@@ -61,7 +67,10 @@
 
   constructor(private readonly input: PeerNetworkInput) {
     for (const sibling of input.peers) {
-      this.clients.set(sibling.host_name, input.callers(parseTarget(sibling.endpoint), MAX_SOCKETS_PER_PEER));
+      this.clients.set(
+        sibling.host_name,
+        input.createHttpClient(parseTarget(sibling.endpoint), MAX_SOCKETS_PER_PEER),
+      );
     }
   }
 
@@ -87,26 +96,26 @@
     return known && this.input.now() - known.at < HEARTBEAT_FRESHNESS_MS ? known.heartbeat : null;
   }
 
-  peers(): readonly Peer[] {
+  peers(): readonly PeerStatus[] {
     const now = this.input.now();
     return [...this.known].map(([node, known]) => ({
       node,
       incarnation: known.heartbeat.incarnation,
       lease: known.heartbeat.lease,
       steadyMs: now - known.at < HEARTBEAT_FRESHNESS_MS ? now - known.steadySince : -1,
-      stateOk: known.heartbeat.stateAgeMs < HEARTBEAT_FRESHNESS_MS,
-      deaf: known.heartbeat.deaf,
+      storeReachable: known.heartbeat.storeSilenceMs < HEARTBEAT_FRESHNESS_MS,
+      workersUnreachable: known.heartbeat.workersUnreachable,
     }));
   }
 
   /** Peers that say, freshly, that they can't reach the state service; and those that can. */
-  stateReachability(): { readonly down: number; readonly up: number } {
+  storeReachability(): { readonly down: number; readonly up: number } {
     let down = 0;
     let up = 0;
     for (const node of this.clients.keys()) {
       const beat = this.fresh(node);
       if (!beat) continue;
-      if (beat.stateAgeMs < HEARTBEAT_FRESHNESS_MS) up += 1;
+      if (beat.storeSilenceMs < HEARTBEAT_FRESHNESS_MS) up += 1;
       else down += 1;
     }
     return { down, up };
@@ -114,7 +123,7 @@
 
   /** Every peer says, freshly, that it can't reach the state service. */
   allDown(): boolean {
-    return this.stateReachability().down === this.clients.size;
+    return this.storeReachability().down === this.clients.size;
   }
 
   allHeard(): boolean {
@@ -125,13 +134,13 @@
   announced(): readonly (number | null)[] {
     return [...this.clients.keys()].map((node) => {
       const known = this.known.get(node);
-      return known ? (known.heartbeat.level ?? 0) : null;
+      return known ? (known.heartbeat.protocolVersion ?? 0) : null;
     });
   }
 
   /** Does a peer that is heard understand this much? */
   understands(node: string, level: number): boolean {
-    return (this.fresh(node)?.level ?? 0) >= level;
+    return (this.fresh(node)?.protocolVersion ?? 0) >= level;
   }
 
   summaries(): readonly ShardSummary[] {
@@ -162,10 +171,10 @@
     return null;
   }
 
-  strays(shard: string): { readonly node: string; readonly count: number } | null {
+  misroutedHeartbeats(shard: string): { readonly node: string; readonly count: number } | null {
     let best: { node: string; count: number } | null = null;
     for (const node of this.clients.keys()) {
-      const count = this.fresh(node)?.strays[shard] ?? 0;
+      const count = this.fresh(node)?.misroutedHeartbeats[shard] ?? 0;
       if (count > (best?.count ?? 0)) best = { node, count };
     }
     return best;
@@ -178,10 +187,10 @@
     timeoutMs = PEER_REQUEST_TIMEOUT_MS,
   ): Promise<unknown> {
     const answer = await this.clients.get(node)?.request('POST', path, body, timeoutMs);
-    return answer?._tag === 'answer' && answer.status === 200 ? answer.body : null;
+    return answer?._tag === 'response' && answer.status === 200 ? answer.body : null;
   }
 
-  async handle(call: Call): Promise<Reply> {
+  async handle(call: ServerRequest): Promise<ServerResponse> {
     const body = call.body._tag === 'value' ? call.body.value : null;
     if (call.path === '/beat') {
       this.note(body);
--- a/src/peers/order-codec.test.ts
+++ b/src/peers/order-codec.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as codec from './order-codec.js';
-import type { MoveOrder, ReturnOrder } from './orders.js';
+import type { TransferOrder, ReleaseOrder } from './orders.js';
 
 /** Orders and their answers with their exact texts, which must not change with names in the code. */
-const move: MoveOrder = {
+const move: TransferOrder = {
   from: 2,
   moves: [
     { machine: 'i-1', to: 0 },
     { machine: 'i-2', to: 1 },
   ],
 };
-const giveBack: ReturnOrder = { machines: ['i-1', 'i-2'], shardId: 2 };
+const giveBack: ReleaseOrder = { machines: ['i-1', 'i-2'], shardId: 2 };
 
 const written: readonly { readonly name: string; readonly value: unknown; readonly text: string }[] = [
   {
@@ -69,7 +69,7 @@
     name: 'an order to return machines of an earlier version',
     text: '{"machines":["i-1"]}',
     read: codec.readReturnOrder,
-    means: { machines: ['i-1'] } satisfies ReturnOrder,
+    means: { machines: ['i-1'] } satisfies ReleaseOrder,
   },
   { name: 'a token', text: '{"token":40}', read: codec.readOrderToken, means: 40 },
   { name: 'a malformed token, unchecked', text: '{"token":"40"}', read: codec.readOrderToken, means: '40' },
--- a/src/peers/order-codec.ts
+++ b/src/peers/order-codec.ts
@@ -1,5 +1,5 @@
-import type { Move } from '../fleet/records.js';
-import type { MoveOrder, ReturnOrder } from './orders.js';
+import type { MachineTransfer } from '../fleet/records.js';
+import type { TransferOrder, ReleaseOrder } from './orders.js';
 
 /**
  * Orders between controllers and their answers, as they travel; the names of the fields and their order are
@@ -52,33 +52,33 @@
 }
 
 /** Writes a move. */
-export const writeMove = (move: Move): WireMove => ({ machine: move.machine, to: move.to });
+export const writeMove = (move: MachineTransfer): WireMove => ({ machine: move.machine, to: move.to });
 
 /** Reads a move. */
-export const readMove = (wire: WireMove): Move => ({ machine: wire.machine, to: wire.to });
+export const readMove = (wire: WireMove): MachineTransfer => ({ machine: wire.machine, to: wire.to });
 
 /** Writes an order to move machines, under the leader's fencing token. */
-export const writeMoveOrder = (order: MoveOrder, token: number): WireMoveOrder => ({
+export const writeMoveOrder = (order: TransferOrder, token: number): WireMoveOrder => ({
   moves: order.moves.map(writeMove),
   from: order.from,
   token,
 });
 
 /** Reads an order to move machines; throws if it is malformed. */
-export const readMoveOrder = (body: unknown): MoveOrder => {
+export const readMoveOrder = (body: unknown): TransferOrder => {
   const wire = body as WireMoveOrder;
   return { from: wire.from, moves: wire.moves.map(readMove) };
 };
 
 /** Writes an order to return machines, under the fencing token of the holder that asks. */
-export const writeReturnOrder = (order: ReturnOrder, token: number): WireReturnOrder => ({
+export const writeReturnOrder = (order: ReleaseOrder, token: number): WireReturnOrder => ({
   machines: order.machines,
   ...(order.shardId === undefined ? {} : { share: order.shardId }),
   token,
 });
 
 /** Reads an order to return machines; throws if there is none. */
-export const readReturnOrder = (body: unknown): ReturnOrder => {
+export const readReturnOrder = (body: unknown): ReleaseOrder => {
   const wire = body as WireReturnOrder;
   return {
     machines: wire.machines,
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -1,9 +1,9 @@
 import type { Cancellation } from '../cancellation/acknowledgement.js';
 import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
-import { LEADER } from '../claims/claim-decisions.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import type { OrderGate, OrderVerdict } from '../duties/order-gate.js';
-import type { Move } from '../fleet/records.js';
-import type { Reply } from '../http.js';
+import type { MachineTransfer } from '../fleet/records.js';
+import type { ServerResponse } from '../http.js';
 import {
   readMoveOrder,
   readOrderToken,
@@ -17,12 +17,12 @@
 /** What is asked of this controller by others. */
 export interface PeerRequestsInput {
   readonly gate: OrderGate;
-  readonly move: (from: number, moves: readonly Move[]) => Promise<boolean>;
-  readonly returnNow: (machines: readonly string[]) => Promise<boolean>;
+  readonly move: (from: number, moves: readonly MachineTransfer[]) => Promise<boolean>;
+  readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
   readonly acknowledge: (cancellation: Cancellation) => boolean;
 }
 
-const refusal = (verdict: OrderVerdict): Reply | null => {
+const refusal = (verdict: OrderVerdict): ServerResponse | null => {
   switch (verdict._tag) {
     case 'accepted':
       return null;
@@ -38,12 +38,12 @@
   constructor(private readonly input: PeerRequestsInput) {}
 
   /** Null: there is nothing under this path. */
-  async answer(path: string, body: unknown): Promise<Reply | null> {
+  async answer(path: string, body: unknown): Promise<ServerResponse | null> {
     switch (path) {
       case '/move':
         return this.move(body);
       case '/return':
-        return this.returnNow(body);
+        return this.releaseNow(body);
       case '/heed':
         return { status: 200, body: writeAcknowledgeReply(this.acknowledge(body)) };
       default:
@@ -58,21 +58,23 @@
   /**
    * The token is checked before the rest is read: a replaced leader hears that it is one, whatever it sent.
    */
-  private async move(body: unknown): Promise<Reply> {
+  private async move(body: unknown): Promise<ServerResponse> {
     const token = readOrderToken(body);
-    const refused = refusal(this.input.gate.check('move', LEADER, 'order to the holder of a share', token));
+    const refused = refusal(
+      this.input.gate.check('move', LEADER_CLAIM, 'order to the holder of a share', token),
+    );
     if (refused) return refused;
     const { from, moves } = readMoveOrder(body);
     return { status: 200, body: writeMoveAnswer(await this.input.move(from, moves)) };
   }
 
-  private async returnNow(body: unknown): Promise<Reply> {
+  private async releaseNow(body: unknown): Promise<ServerResponse> {
     const token = readOrderToken(body);
     const { machines, shardId } = readReturnOrder(body);
     const claim = shardId === undefined ? '' : String(shardId);
     const refused = refusal(
       this.input.gate.check('reclaim', claim, 'order to return machines at once', token),
     );
-    return refused ?? { status: 200, body: writeReturnAnswer(await this.input.returnNow(machines)) };
+    return refused ?? { status: 200, body: writeReturnAnswer(await this.input.releaseNow(machines)) };
   }
 }
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -3,8 +3,8 @@
 import { PROTOCOL_VERSION, PROTOCOL_VERSION_CHECK_INTERVAL_MS } from '../constants/protocol.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
-import { LEVEL_KEY } from '../kv-store/keys.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import { PROTOCOL_VERSION_KEY } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
 
@@ -14,7 +14,7 @@
  * recorded for good.
  */
 export interface ProtocolVersionInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get' | 'ready'>;
   /** What each other node last announced; null: one was never heard. */
   readonly announced: () => readonly (number | null)[];
@@ -28,7 +28,7 @@
 
   /** Every node of the deployment understands at least this much, now and from now on. */
   get agreed(): number {
-    const item = this.input.cache.get(LEVEL_KEY);
+    const item = this.input.cache.get(PROTOCOL_VERSION_KEY);
     return item ? readProtocolVersion(item.value) : 0;
   }
 
@@ -39,12 +39,12 @@
       if (this.input.announced().some((level) => level === null || level < PROTOCOL_VERSION)) continue;
       const permit = this.input.begin();
       if (permit === null) continue;
-      const version = this.input.cache.get(LEVEL_KEY)?.version ?? 0;
+      const version = this.input.cache.get(PROTOCOL_VERSION_KEY)?.version ?? 0;
       const result = yield* fencedTransaction(
         this.input.store,
         permit,
-        [{ key: LEVEL_KEY, version }],
-        [{ _tag: 'put', key: LEVEL_KEY, value: writeProtocolVersion(PROTOCOL_VERSION) }],
+        [{ key: PROTOCOL_VERSION_KEY, version }],
+        [{ _tag: 'put', key: PROTOCOL_VERSION_KEY, value: writeProtocolVersion(PROTOCOL_VERSION) }],
         'user',
       );
       permit.end();
--- a/src/peers/relay-codec.test.ts
+++ b/src/peers/relay-codec.test.ts
@@ -11,7 +11,7 @@
 const orders: RelayedOrders = {
   leader: 41,
   moves: [{ machine: 'i-1', to: 2 }],
-  holds: [
+  reservations: [
     {
       shardId: 1,
       job: 'job-1',
@@ -59,7 +59,11 @@
 }[] = [
   { name: 'nothing', value: null, orders: null },
   { name: 'a number', value: 4, orders: null },
-  { name: 'orders without lists', value: { leader: 41 }, orders: { leader: 41, moves: [], holds: [] } },
+  {
+    name: 'orders without lists',
+    value: { leader: 41 },
+    orders: { leader: 41, moves: [], reservations: [] },
+  },
   {
     name: 'orders with fields of a later version',
     value: { ...(JSON.parse(ORDERS) as object), later: 1 },
--- a/src/peers/relay-codec.ts
+++ b/src/peers/relay-codec.ts
@@ -18,7 +18,7 @@
 export const writeRelayedOrders = (orders: RelayedOrders): StoredOrders => ({
   leader: orders.leader,
   moves: orders.moves.map(writeMove),
-  holds: orders.holds.map(writeReservation),
+  holds: orders.reservations.map(writeReservation),
 });
 
 /** Reads stored orders; null: malformed. */
@@ -28,7 +28,7 @@
   return {
     leader: stored.leader,
     moves: readEntries(stored.moves, readMove),
-    holds: readEntries(stored.holds, readReservation),
+    reservations: readEntries(stored.holds, readReservation),
   };
 };
 
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -1,5 +1,5 @@
 import * as Effect from 'effect/Effect';
-import { LEADER } from '../claims/claim-decisions.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import {
   MAX_RELAYED_GANGS_PER_DEMAND,
@@ -8,8 +8,8 @@
   RELAY_FRESHNESS_MS,
   RELAY_INTERVAL_MS,
 } from '../constants/peers.js';
-import type { Reservation, Move, ShardSummary } from '../fleet/records.js';
-import type { Store } from '../kv-store/client.js';
+import type { Reservation, MachineTransfer, ShardSummary } from '../fleet/records.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey, ordersKey, summaryKey } from '../kv-store/keys.js';
 import type { RelayedOrders } from './orders.js';
 import { readRelayedOrders, readRelayedSummary, writeRelayedOrders } from './relay-codec.js';
@@ -20,8 +20,8 @@
  * orders through the state service, few and small. Nothing here gives any right; what is done is conditional
  * as always.
  */
-export interface StoreRelayInput {
-  readonly store: Store;
+export interface KeyValueStoreRelayDependencies {
+  readonly store: KeyValueStore;
   /** bytes: largest value of a key. */
   readonly valueBytes: number;
   readonly now: () => number;
@@ -29,17 +29,17 @@
   readonly leaderClaim: () => number | null;
   /** Shares held here whose leader is another node that can't be heard. */
   readonly cutOff: () => readonly ShardSummary[];
-  readonly give: (shardId: number, moves: readonly Move[]) => void;
+  readonly transferMachines: (shardId: number, moves: readonly MachineTransfer[]) => void;
 }
 
 /** Passes summaries and orders through the state service where connections are refused. */
-export class StoreRelay {
+export class KeyValueStoreRelay {
   private readonly heard = new Map<number, { summary: ShardSummary; at: number }>();
   private readonly told = new Map<number, { orders: RelayedOrders; at: number }>();
   private readonly wroteAt = new Map<string, number>();
   private readonly lastSaid = new Map<number, string>();
 
-  constructor(private readonly input: StoreRelayInput) {}
+  constructor(private readonly input: KeyValueStoreRelayDependencies) {}
 
   /** The state service shows a relayed summary. */
   onSummary(shardId: number, value: unknown): void {
@@ -52,7 +52,7 @@
     const orders = readRelayedOrders(value);
     if (orders === null || orders.leader !== this.input.leaderClaim()) return;
     this.told.set(shardId, { orders, at: this.input.now() });
-    if (orders.moves.length > 0) this.input.give(shardId, orders.moves);
+    if (orders.moves.length > 0) this.input.transferMachines(shardId, orders.moves);
   }
 
   /** What a share's holder last said this way, if that is recent and by this very claim. */
@@ -63,9 +63,9 @@
       : null;
   }
 
-  holds(shardId: number): readonly Reservation[] {
+  reservations(shardId: number): readonly Reservation[] {
     const told = this.told.get(shardId);
-    return told && this.input.now() - told.at < RELAY_FRESHNESS_MS ? told.orders.holds : [];
+    return told && this.input.now() - told.at < RELAY_FRESHNESS_MS ? told.orders.reservations : [];
   }
 
   private due(key: string): boolean {
@@ -78,16 +78,20 @@
   private write(key: string, value: unknown, claimName: string, claim: number): Effect.Effect<unknown> {
     this.wroteAt.set(key, this.input.now());
     const when = [{ key: claimKey(claimName), version: claim }];
-    return this.input.store.txn(when, [{ _tag: 'put', key, value }], 'work');
+    return this.input.store.compareAndSwap(when, [{ _tag: 'put', key, value }], 'work');
   }
 
   /** The leader's orders for a share whose holder it can't reach. */
-  order(shardId: number, moves: readonly Move[], holds: readonly Reservation[]): Effect.Effect<unknown> {
+  order(
+    shardId: number,
+    moves: readonly MachineTransfer[],
+    reservations: readonly Reservation[],
+  ): Effect.Effect<unknown> {
     const leader = this.input.leaderClaim();
     const key = ordersKey(shardId);
     if (leader === null || !this.due(key)) return Effect.void;
-    const stored = writeRelayedOrders(this.fittingOrders({ leader, moves, holds }));
-    return this.write(key, stored, LEADER, leader);
+    const stored = writeRelayedOrders(this.fittingOrders({ leader, moves, reservations }));
+    return this.write(key, stored, LEADER_CLAIM, leader);
   }
 
   /** Measures the value as it is stored. */
@@ -98,17 +102,17 @@
   /** What doesn't fit comes with the next orders. */
   private fittingOrders(orders: RelayedOrders): RelayedOrders {
     let fit = orders;
-    while (this.tooLong(writeRelayedOrders(fit)) && fit.moves.length + fit.holds.length > 0) {
+    while (this.tooLong(writeRelayedOrders(fit)) && fit.moves.length + fit.reservations.length > 0) {
       fit = {
         ...fit,
         moves: fit.moves.slice(0, Math.floor(fit.moves.length / 2)),
-        holds:
-          fit.holds.length > MIN_RELAYED_RESERVATIONS
-            ? fit.holds.slice(0, Math.floor(fit.holds.length / 2))
-            : fit.holds,
+        reservations:
+          fit.reservations.length > MIN_RELAYED_RESERVATIONS
+            ? fit.reservations.slice(0, Math.floor(fit.reservations.length / 2))
+            : fit.reservations,
       };
       if (fit.moves.length === 0 && this.tooLong(writeRelayedOrders(fit)))
-        fit = { ...fit, holds: fit.holds.slice(0, -1) };
+        fit = { ...fit, reservations: fit.reservations.slice(0, -1) };
     }
     return fit;
   }
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -72,14 +72,14 @@
   job: gang.job,
   tasks: gang.tasks,
   waitedMs: gang.waitedMs,
-  patienceMs: gang.patienceMs,
+  patienceMs: gang.reserveAfterMs,
 });
 
 const readWaitingGang = (wire: WireWaitingGang): WaitingGang => ({
   job: wire.job,
   tasks: wire.tasks,
   waitedMs: wire.waitedMs,
-  patienceMs: wire.patienceMs,
+  reserveAfterMs: wire.patienceMs,
 });
 
 const writeUnmetDemand = (demand: UnmetDemand): WireUnmetDemand => ({
@@ -95,7 +95,7 @@
   priority: demand.priority,
   tasks: demand.tasks,
   gangs: demand.gangs.map(writeWaitingGang),
-  room: demand.room,
+  room: demand.zoneCapacity,
   waitedMs: demand.waitedMs,
 });
 
@@ -112,7 +112,7 @@
   priority: wire.priority,
   tasks: wire.tasks,
   gangs: readEntries(wire.gangs, readWaitingGang),
-  room: wire.room,
+  zoneCapacity: wire.room,
   waitedMs: wire.waitedMs,
 });
 
--- a/src/pipelines/final-record-cache.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -2,7 +2,7 @@
 import { MAX_CACHED_FINAL_RECORDS } from '../constants/pipelines.js';
 import { readFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord } from '../jobs/model.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { finalKey } from '../kv-store/keys.js';
 
 /** The outcome of reading a final record. */
@@ -12,9 +12,9 @@
   | { readonly _tag: 'failed' };
 
 /** Final records, which never change: one seen before will do, for whoever asks. */
-export class Finals {
+export class FinalRecordCache {
   private readonly known = new Map<string, FinalRecord>();
-  constructor(private readonly store: Store) {}
+  constructor(private readonly store: KeyValueStore) {}
 
   get(id: string): FinalRecord | undefined {
     return this.known.get(id);
--- a/src/pipelines/graph.test.ts
+++ b/src/pipelines/graph.test.ts
@@ -124,7 +124,7 @@
   dueAt: number | null,
   priority: Priority = 2,
 ): Event => put(id, follows, { priority, dueAt });
-const standings: readonly {
+const effectivePriorities: readonly {
   name: string;
   events: readonly Event[];
   of: string;
@@ -173,9 +173,12 @@
     dueAt: null,
   },
 ];
-for (const row of standings) {
+for (const row of effectivePriorities) {
   test(`standing: ${row.name}`, () =>
-    assert.deepEqual(play(row.events).standing(row.of), { priority: row.priority, dueAt: row.dueAt }));
+    assert.deepEqual(play(row.events).effectivePriority(row.of), {
+      priority: row.priority,
+      dueAt: row.dueAt,
+    }));
 }
 
 // Each dependant that comes or goes costs what it changes, not the whole index.
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -24,7 +24,7 @@
   | { readonly _tag: 'doomed' };
 
 /** What a job is worth for the jobs that need it. */
-export interface Standing {
+export interface EffectivePriority {
   readonly priority: Priority;
   /** ms since the epoch: when it should be done at the latest for all that comes after to be in time. */
   readonly dueAt: number | null;
@@ -40,7 +40,7 @@
   /** When the last of the others was done. */
   since: number;
   doomed: boolean;
-  standing: Standing;
+  effectivePriority: EffectivePriority;
 }
 
 const earliest = (a: number | null, b: number | null): number | null =>
@@ -78,8 +78,8 @@
     return node.open.size > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: node.since };
   }
 
-  standing(id: string): Standing | null {
-    return this.nodes.get(id)?.standing ?? null;
+  effectivePriority(id: string): EffectivePriority | null {
+    return this.nodes.get(id)?.effectivePriority ?? null;
   }
 
   /** A job's record, new or changed. Returns the jobs whose readiness or standing changed. */
@@ -93,7 +93,7 @@
         open: new Set(),
         since: 0,
         doomed: false,
-        standing: { priority: member.priority, dueAt: member.dueAt },
+        effectivePriority: { priority: member.priority, dueAt: member.dueAt },
       };
       this.nodes.set(member.id, node);
       changed.add(member.id);
@@ -176,13 +176,13 @@
     }
   }
 
-  private standingOf(node: Node): Standing {
+  private effectivePriorityOf(node: Node): EffectivePriority {
     let { priority, dueAt } = node.member;
     for (const id of this.dependants.get(node.member.id) ?? []) {
       const after = this.nodes.get(id);
       if (!after || after.doomed || after.member.cancelled) continue;
-      if (after.standing.priority > priority) priority = after.standing.priority;
-      const due = after.standing.dueAt;
+      if (after.effectivePriority.priority > priority) priority = after.effectivePriority.priority;
+      const due = after.effectivePriority.dueAt;
       dueAt = earliest(dueAt, due === null ? null : due - after.member.estimateMs - this.stageMs);
     }
     return { priority, dueAt };
@@ -194,9 +194,13 @@
     for (let id = queue.shift(); id !== undefined; id = queue.shift()) {
       const node = this.nodes.get(id);
       if (!node) continue;
-      const standing = this.standingOf(node);
-      if (standing.priority === node.standing.priority && standing.dueAt === node.standing.dueAt) continue;
-      node.standing = standing;
+      const effectivePriority = this.effectivePriorityOf(node);
+      if (
+        effectivePriority.priority === node.effectivePriority.priority &&
+        effectivePriority.dueAt === node.effectivePriority.dueAt
+      )
+        continue;
+      node.effectivePriority = effectivePriority;
       changed.add(id);
       queue.push(...node.member.follows);
     }
--- a/src/pipelines/pipelines.ts
+++ b/src/pipelines/pipelines.ts
@@ -8,15 +8,15 @@
 import { log } from '../log.js';
 import { jobKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import type { Finals } from './final-record-cache.js';
-import { PipelineIndex, type Outcome, type Readiness, type Standing } from './graph.js';
+import type { FinalRecordCache } from './final-record-cache.js';
+import { PipelineIndex, type Outcome, type Readiness, type EffectivePriority } from './graph.js';
 
 /** What the view of the pipelines needs of the rest of the controller. */
 export interface PipelinesInput {
   readonly cache: Pick<WatchCache, 'get'>;
-  readonly finals: Finals;
+  readonly finalRecords: FinalRecordCache;
   /** Does this node decide about the job: is it to know at once what became of those that it follows? */
-  readonly ours: (team: string) => boolean;
+  readonly ownsTeam: (team: string) => boolean;
   /** The readiness or standing of these jobs changed. */
   readonly changed: (ids: ReadonlySet<string>) => void;
 }
@@ -40,8 +40,8 @@
   readiness(id: string): Readiness {
     return this.index.readiness(id);
   }
-  standing(id: string): Standing | null {
-    return this.index.standing(id);
+  effectivePriority(id: string): EffectivePriority | null {
+    return this.index.effectivePriority(id);
   }
 
   private tell(ids: ReadonlySet<string>): void {
@@ -79,9 +79,9 @@
     const team = this.teams.get(id);
     if (team === undefined) return;
     for (const dep of [...this.index.openOf(id)]) {
-      const final = this.input.finals.get(dep);
+      const final = this.input.finalRecords.get(dep);
       if (final) this.settle(dep, final);
-      else if (!this.index.has(dep) && !this.input.cache.get(jobKey(dep)) && this.input.ours(team))
+      else if (!this.index.has(dep) && !this.input.cache.get(jobKey(dep)) && this.input.ownsTeam(team))
         this.want(dep);
     }
   }
@@ -92,13 +92,13 @@
   }
 
   /** A share of this node's is new: all that its jobs wait for is looked up. */
-  lookAll(): void {
+  reevaluateAll(): void {
     for (const id of this.teams.keys()) this.look(id);
   }
 
   /** A final record is durable. */
   settle(id: string, final: FinalRecord): void {
-    this.input.finals.remember(id, final);
+    this.input.finalRecords.remember(id, final);
     this.toRead.delete(id);
     this.tell(this.index.settle(id, outcomeOf(final)));
   }
@@ -124,7 +124,7 @@
 
   private read(id: string): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
-      const read = yield* this.input.finals.read(id);
+      const read = yield* this.input.finalRecords.read(id);
       if (read._tag === 'found') this.settle(id, read.final);
       // Its record was there, or it would not be followed; so its final record is.
       else if (read._tag === 'absent') log.error({ event: 'pipeline.no_final', job: id });
--- a/src/placement/bin-packing.test.ts
+++ b/src/placement/bin-packing.test.ts
@@ -3,17 +3,17 @@
 import type { JobSpec } from '../jobs/model.js';
 import {
   order,
-  packAll,
+  packRequests,
   quotaRoom,
   type PlacementRequest,
-  type Limit,
+  type TeamLimit,
   type AvailableCapacity,
 } from './bin-packing.js';
 import { jobSpec } from '../testing/bodies.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec =>
   jobSpec('job-1', {
-    klass: 'k',
+    jobClass: 'k',
     team: 't',
     kind: 'array',
     priority: 1,
@@ -34,11 +34,11 @@
     failedOn: new Set(),
     at: 0,
     withinGuarantee: false,
-    tier: 0,
-    urgency: { place: false, rent: false },
-    ordinary: true,
+    attainableObjective: 0,
+    urgency: { place: false, provision: false },
+    mayUseOnDemand: true,
     hasAlternatives: made.spot,
-    gathering: false,
+    hasReservation: false,
     ...rest,
   };
 };
@@ -54,180 +54,182 @@
   spot: false,
   total: { cpus: 64, gpus: 8, memoryGb: 64 },
   free: { cpus: freeGpus * 8, gpus: freeGpus, memoryGb: freeGpus * 8 },
-  beside: { cpus: 0, gpus: 0, memoryGb: 0 },
+  leftover: { cpus: 0, gpus: 0, memoryGb: 0 },
   images: new Set(),
   live: true,
-  kept: 'no',
-  held: null,
+  withheldFromSpotWork: 'no',
+  reservedFor: null,
   empty: false,
   ...over,
 });
-const LIMIT: Limit = { cpusMax: 0, gpusMax: 100 };
+const LIMIT: TeamLimit = { cpusMax: 0, gpusMax: 100 };
 
 const rows: readonly {
   name: string;
-  asks: readonly PlacementRequest[];
-  rooms: readonly AvailableCapacity[];
-  limit?: Limit;
+  requests: readonly PlacementRequest[];
+  capacities: readonly AvailableCapacity[];
+  limit?: TeamLimit;
   used?: number;
-  puts: readonly string[];
+  assignments: readonly string[];
 }[] = [
   {
     name: 'a gang with room for all but one of its tasks binds none',
-    asks: [ask({ kind: 'gang', tasks: 4, gpus: 8, cpus: 64 })],
-    rooms: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8)],
-    puts: [],
+    requests: [ask({ kind: 'gang', tasks: 4, gpus: 8, cpus: 64 })],
+    capacities: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8)],
+    assignments: [],
   },
   {
     name: 'a one-zone gang does not add up room of two zones',
-    asks: [ask({ kind: 'gang', tasks: 3, gpus: 8, cpus: 64, oneZone: true })],
-    rooms: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8)],
-    puts: [],
+    requests: [ask({ kind: 'gang', tasks: 3, gpus: 8, cpus: 64, oneZone: true })],
+    capacities: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8)],
+    assignments: [],
   },
   {
     name: 'a one-zone gang goes to the fullest zone in which it fits',
-    asks: [ask({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
-    rooms: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8), room('d', 'y', 2)],
-    puts: ['job-1/0@c'],
+    requests: [ask({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
+    capacities: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8), room('d', 'y', 2)],
+    assignments: ['job-1/0@c'],
   },
   {
     name: 'equally full zones: by name',
-    asks: [ask({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
-    rooms: [room('b', 'y', 8), room('a', 'x', 8)],
-    puts: ['job-1/0@a'],
+    requests: [ask({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
+    capacities: [room('b', 'y', 8), room('a', 'x', 8)],
+    assignments: ['job-1/0@a'],
   },
   {
     name: 'a spread job puts at most half, rounded up, in one zone',
-    asks: [ask({ kind: 'array', tasks: 5, spread: true })],
-    rooms: [room('a', 'x', 8), room('b', 'y', 1)],
-    puts: ['job-1/0@b', 'job-1/1@a', 'job-1/2@a', 'job-1/3@a'],
+    requests: [ask({ kind: 'array', tasks: 5, spread: true })],
+    capacities: [room('a', 'x', 8), room('b', 'y', 1)],
+    assignments: ['job-1/0@b', 'job-1/1@a', 'job-1/2@a', 'job-1/3@a'],
   },
   {
     name: 'tasks that may still be in a zone count for a spread job',
-    asks: [ask({ tasks: 2, spread: true }, { waiting: [1], inZones: new Map([['x', 1]]) })],
-    rooms: [room('a', 'x', 8)],
-    puts: [],
+    requests: [ask({ tasks: 2, spread: true }, { waiting: [1], inZones: new Map([['x', 1]]) })],
+    capacities: [room('a', 'x', 8)],
+    assignments: [],
   },
   {
     name: 'a one-zone array stays in the zone that holds its tasks',
-    asks: [ask({ tasks: 2, oneZone: true }, { waiting: [1], inZones: new Map([['y', 1]]) })],
-    rooms: [room('a', 'x', 8), room('b', 'y', 1)],
-    puts: ['job-1/1@b'],
+    requests: [ask({ tasks: 2, oneZone: true }, { waiting: [1], inZones: new Map([['y', 1]]) })],
+    capacities: [room('a', 'x', 8), room('b', 'y', 1)],
+    assignments: ['job-1/1@b'],
   },
   {
     name: 'no spot machine for a job that does not allow it, no machine on which it failed',
-    asks: [ask({ tasks: 2 }, { failedOn: new Set(['b']) })],
-    rooms: [room('a', 'x', 8, { spot: true }), room('b', 'x', 8), room('c', 'x', 1)],
-    puts: ['job-1/0@c'],
+    requests: [ask({ tasks: 2 }, { failedOn: new Set(['b']) })],
+    capacities: [room('a', 'x', 8, { spot: true }), room('b', 'x', 8), room('c', 'x', 1)],
+    assignments: ['job-1/0@c'],
   },
   {
     name: 'work that may use spot leaves ordinary machines alone until it may take them',
-    asks: [ask({ tasks: 3, spot: true }, { ordinary: false })],
-    rooms: [room('a', 'x', 8), room('b', 'x', 2, { spot: true })],
-    puts: ['job-1/0@b', 'job-1/1@b'],
+    requests: [ask({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
+    capacities: [room('a', 'x', 8), room('b', 'x', 2, { spot: true })],
+    assignments: ['job-1/0@b', 'job-1/1@b'],
   },
   {
     name: 'and those kept for others always',
-    asks: [ask({ tasks: 3, spot: true })],
-    rooms: [room('a', 'x', 8, { kept: 'always' }), room('b', 'x', 2, { spot: true })],
-    puts: ['job-1/0@b', 'job-1/1@b'],
+    requests: [ask({ tasks: 3, spot: true })],
+    capacities: [room('a', 'x', 8, { withheldFromSpotWork: 'always' }), room('b', 'x', 2, { spot: true })],
+    assignments: ['job-1/0@b', 'job-1/1@b'],
   },
   // CPU work stood on GPU machines that gangs need whole, or left what was over beside the gangs unused.
   {
     name: 'beside work that has no other type, spot work takes what is over at once',
-    asks: [ask({ tasks: 3, spot: true }, { ordinary: false })],
-    rooms: [room('a', 'x', 8, { kept: 'always', beside: { cpus: 16, gpus: 2, memoryGb: 16 } })],
-    puts: ['job-1/0@a', 'job-1/1@a'],
+    requests: [ask({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
+    capacities: [
+      room('a', 'x', 8, { withheldFromSpotWork: 'always', leftover: { cpus: 16, gpus: 2, memoryGb: 16 } }),
+    ],
+    assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
     name: 'and other work with alternatives goes there before it takes machines that are kept',
-    asks: [ask({ tasks: 2 }, { hasAlternatives: true })],
-    rooms: [
-      room('a', 'x', 8, { kept: 'always' }),
-      room('b', 'x', 8, { kept: 'always', beside: { cpus: 8, gpus: 1, memoryGb: 8 } }),
+    requests: [ask({ tasks: 2 }, { hasAlternatives: true })],
+    capacities: [
+      room('a', 'x', 8, { withheldFromSpotWork: 'always' }),
+      room('b', 'x', 8, { withheldFromSpotWork: 'always', leftover: { cpus: 8, gpus: 1, memoryGb: 8 } }),
       room('c', 'x', 1),
     ],
-    puts: ['job-1/0@c', 'job-1/1@b'],
+    assignments: ['job-1/0@c', 'job-1/1@b'],
   },
   {
     name: 'but takes them where it finds no room otherwise',
-    asks: [ask({ tasks: 2 }, { hasAlternatives: true })],
-    rooms: [room('a', 'x', 8, { kept: 'always' }), room('c', 'x', 1)],
-    puts: ['job-1/0@c', 'job-1/1@a'],
+    requests: [ask({ tasks: 2 }, { hasAlternatives: true })],
+    capacities: [room('a', 'x', 8, { withheldFromSpotWork: 'always' }), room('c', 'x', 1)],
+    assignments: ['job-1/0@c', 'job-1/1@a'],
   },
   {
     name: 'work that has no other type takes all that is free',
-    asks: [ask({ tasks: 2 })],
-    rooms: [room('a', 'x', 8, { kept: 'always' })],
-    puts: ['job-1/0@a', 'job-1/1@a'],
+    requests: [ask({ tasks: 2 })],
+    capacities: [room('a', 'x', 8, { withheldFromSpotWork: 'always' })],
+    assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
     name: 'the limit counts what is used already',
-    asks: [ask({ tasks: 5 })],
-    rooms: [room('a', 'x', 8)],
+    requests: [ask({ tasks: 5 })],
+    capacities: [room('a', 'x', 8)],
     limit: { cpusMax: 0, gpusMax: 6 },
     used: 4,
-    puts: ['job-1/0@a', 'job-1/1@a'],
+    assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
     name: 'a gang over its limit waits and leaves the room to others',
-    asks: [ask({ id: 'job-1', kind: 'gang', tasks: 4 }), ask({ id: 'job-2', tasks: 1 })],
-    rooms: [room('a', 'x', 8)],
+    requests: [ask({ id: 'job-1', kind: 'gang', tasks: 4 }), ask({ id: 'job-2', tasks: 1 })],
+    capacities: [room('a', 'x', 8)],
     limit: { cpusMax: 0, gpusMax: 3 },
-    puts: ['job-2/0@a'],
+    assignments: ['job-2/0@a'],
   },
   {
     name: 'a class that found no room is not tried again in the same round, another one is',
-    asks: [
+    requests: [
       ask({ id: 'job-1', kind: 'gang', tasks: 9 }),
       ask({ id: 'job-2', kind: 'gang', tasks: 9 }),
       ask({ id: 'job-3', kind: 'gang', tasks: 2 }),
     ],
-    rooms: [room('a', 'x', 8)],
-    puts: ['job-3/0@a', 'job-3/1@a'],
+    capacities: [room('a', 'x', 8)],
+    assignments: ['job-3/0@a', 'job-3/1@a'],
   },
   {
     name: 'the fullest machine first, among machines that have the image',
-    asks: [ask({ tasks: 2 })],
-    rooms: [
+    requests: [ask({ tasks: 2 })],
+    capacities: [
       room('a', 'x', 8, { images: new Set(['img']) }),
       room('b', 'x', 2),
       room('c', 'x', 1, { images: new Set(['img']) }),
     ],
-    puts: ['job-1/0@c', 'job-1/1@a'],
+    assignments: ['job-1/0@c', 'job-1/1@a'],
   },
   // Machines in use were filled again and again by small work, and gangs of whole machines never found one.
   {
     name: 'what is gathered for a gang is left alone: empty by all, in use by work that has spot to go to',
-    asks: [
+    requests: [
       ask({ id: 'job-1', kind: 'gang' }),
       ask({ id: 'job-2', kind: 'gang', tasks: 2, gpus: 8, cpus: 64 }),
       ask({ id: 'job-3', spot: true }),
       ask({ id: 'job-4', priority: 2 }),
     ],
-    rooms: [
-      room('a', 'x', 8, { empty: true, held: { job: 'job-9', priority: 1 } }),
-      room('b', 'x', 1, { held: { job: 'job-9', priority: 1 } }),
+    capacities: [
+      room('a', 'x', 8, { empty: true, reservedFor: { job: 'job-9', priority: 1 } }),
+      room('b', 'x', 1, { reservedFor: { job: 'job-9', priority: 1 } }),
     ],
-    puts: ['job-1/0@b', 'job-4/0@a'],
+    assignments: ['job-1/0@b', 'job-4/0@a'],
   },
   {
     name: 'the gang itself goes first',
-    asks: [
+    requests: [
       ask({ id: 'job-1', kind: 'gang', gpus: 8, cpus: 64, estimateS: 1 }),
-      ask({ id: 'job-9', kind: 'gang', gpus: 8, cpus: 64 }, { gathering: true }),
+      ask({ id: 'job-9', kind: 'gang', gpus: 8, cpus: 64 }, { hasReservation: true }),
     ],
-    rooms: [room('a', 'x', 8, { empty: true, held: { job: 'job-9', priority: 1 } })],
-    puts: ['job-9/0@a'],
+    capacities: [room('a', 'x', 8, { empty: true, reservedFor: { job: 'job-9', priority: 1 } })],
+    assignments: ['job-9/0@a'],
   },
 ];
 for (const row of rows) {
   test(`pack: ${row.name}`, () => {
     const uses = new Map([['t', { cpus: 0, gpus: row.used ?? 0 }]]);
-    const packed = packAll(row.asks, row.rooms, new Map([['t', row.limit ?? LIMIT]]), uses);
+    const packed = packRequests(row.requests, row.capacities, new Map([['t', row.limit ?? LIMIT]]), uses);
     assert.deepEqual(
-      packed.puts.map((put) => `${put.job}/${put.index}@${put.machine}`),
-      row.puts,
+      packed.assignments.map((put) => `${put.job}/${put.index}@${put.machine}`),
+      row.assignments,
     );
   });
 }
@@ -235,7 +237,7 @@
 const quotas: readonly {
   name: string;
   need: { cpus: number; gpus: number };
-  limit: Limit;
+  limit: TeamLimit;
   use: { cpus: number; gpus: number };
   room: number;
 }[] = [
@@ -279,26 +281,27 @@
   test(`quota: ${row.name}`, () => assert.equal(quotaRoom(row.need, row.limit, row.use, 50), row.room));
 }
 
-const orders: readonly { name: string; asks: readonly PlacementRequest[]; expect: readonly string[] }[] = [
-  {
-    name: 'priority, then no spot to go to, then the guarantee, then targets, then the shortest, then the deadline, then the oldest',
-    asks: [
-      ask({ id: 'old' }, { at: 1, tier: 1 }),
-      ask({ id: 'short', estimateS: 5 }, { at: 9 }),
-      ask({ id: 'older' }, { at: 2 }),
-      ask({ id: 'newer' }, { at: 3 }),
-      ask({ id: 'due', deadlineS: 60 }, { at: 7 }),
-      ask({ id: 'spot', spot: true }, { at: 0, withinGuarantee: true }),
-      ask({ id: 'owed' }, { at: 8, withinGuarantee: true, tier: 2 }),
-      ask({ id: 'urgent', priority: 2, spot: true }, { at: 99 }),
-    ],
-    expect: ['urgent', 'owed', 'short', 'due', 'older', 'newer', 'old', 'spot'],
-  },
-];
+const orders: readonly { name: string; requests: readonly PlacementRequest[]; expect: readonly string[] }[] =
+  [
+    {
+      name: 'priority, then no spot to go to, then the guarantee, then targets, then the shortest, then the deadline, then the oldest',
+      requests: [
+        ask({ id: 'old' }, { at: 1, attainableObjective: 1 }),
+        ask({ id: 'short', estimateS: 5 }, { at: 9 }),
+        ask({ id: 'older' }, { at: 2 }),
+        ask({ id: 'newer' }, { at: 3 }),
+        ask({ id: 'due', deadlineS: 60 }, { at: 7 }),
+        ask({ id: 'spot', spot: true }, { at: 0, withinGuarantee: true }),
+        ask({ id: 'owed' }, { at: 8, withinGuarantee: true, attainableObjective: 2 }),
+        ask({ id: 'urgent', priority: 2, spot: true }, { at: 99 }),
+      ],
+      expect: ['urgent', 'owed', 'short', 'due', 'older', 'newer', 'old', 'spot'],
+    },
+  ];
 for (const row of orders) {
   test(`order: ${row.name}`, () =>
     assert.deepEqual(
-      order(row.asks).map((entry) => entry.job),
+      order(row.requests).map((entry) => entry.job),
       row.expect,
     ));
 }
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -11,14 +11,14 @@
   readonly total: Demand;
   readonly free: { cpus: number; gpus: number; memoryGb: number };
   /** Of a machine that is always kept for others: what is over beside them. */
-  readonly beside: { cpus: number; gpus: number; memoryGb: number };
+  readonly leftover: { cpus: number; gpus: number; memoryGb: number };
   readonly images: ReadonlySet<string>;
   /** False: still booting, or not heard from yet; counts for planning, takes no tasks. */
   readonly live: boolean;
   /** Held back from spot-capable work: the last idle ones while that can wait, those of scarce types always. */
-  readonly kept: 'no' | 'reserve' | 'always';
+  readonly withheldFromSpotWork: 'no' | 'reserve' | 'always';
   /** Being gathered for this job: work of its priority and below leaves it alone. */
-  readonly held: { readonly job: string; readonly priority: number } | null;
+  readonly reservedFor: { readonly job: string; readonly priority: number } | null;
   /** Nothing is on it. */
   readonly empty: boolean;
 }
@@ -35,23 +35,23 @@
   readonly at: number;
   readonly withinGuarantee: boolean;
   /** Which start targets it can still meet; lower goes first. */
-  readonly tier: number;
+  readonly attainableObjective: number;
   readonly urgency: Urgency;
   /** Work that may use spot machines may take room on ordinary ones now. */
-  readonly ordinary: boolean;
+  readonly mayUseOnDemand: boolean;
   /** It has other machines to go to than ordinary ones of a single type. */
   readonly hasAlternatives: boolean;
   /** Machines are being gathered for it: it goes first within its priority. */
-  readonly gathering: boolean;
+  readonly hasReservation: boolean;
 }
 
 /** CPUs and GPUs that a team uses. */
-export interface Usage {
+export interface TeamUsage {
   cpus: number;
   gpus: number;
 }
 /** CPUs and GPUs that a team may use at most. */
-export interface Limit {
+export interface TeamLimit {
   readonly cpusMax: number;
   readonly gpusMax: number;
 }
@@ -78,21 +78,21 @@
  * What found no room in this round, and with it whatever needs as much or more in the same places: rooms only
  * shrink within a round. Jobs whose amounts differ a little each would otherwise all be tried.
  */
-class Hopeless {
+class UnplaceableRequests {
   private readonly failed = new Map<string, { need: Demand; tasks: number }[]>();
-  private key(ask: PlacementRequest): string {
-    return `${kindOf(ask.spec)}|${ask.spec.priority}|${ask.ordinary}|${ask.urgency.place}`;
+  private key(request: PlacementRequest): string {
+    return `${kindOf(request.spec)}|${request.spec.priority}|${request.mayUseOnDemand}|${request.urgency.place}`;
   }
-  add(ask: PlacementRequest): void {
-    const key = this.key(ask);
+  add(request: PlacementRequest): void {
+    const key = this.key(request);
     const list = this.failed.get(key) ?? [];
     this.failed.set(key, list);
-    list.push({ need: ask.spec, tasks: ask.spec.kind === 'gang' ? ask.spec.tasks : 1 });
+    list.push({ need: request.spec, tasks: request.spec.kind === 'gang' ? request.spec.tasks : 1 });
   }
-  covers(ask: PlacementRequest): boolean {
-    const tasks = ask.spec.kind === 'gang' ? ask.spec.tasks : 1;
-    return (this.failed.get(this.key(ask)) ?? []).some(
-      (known) => tasks >= known.tasks && fitsIn(known.need, ask.spec),
+  covers(request: PlacementRequest): boolean {
+    const tasks = request.spec.kind === 'gang' ? request.spec.tasks : 1;
+    return (this.failed.get(this.key(request)) ?? []).some(
+      (known) => tasks >= known.tasks && fitsIn(known.need, request.spec),
     );
   }
 }
@@ -103,8 +103,8 @@
  */
 export const quotaRoom = (
   spec: Pick<JobSpec, 'cpus' | 'gpus'>,
-  limit: Limit,
-  use: Usage,
+  limit: TeamLimit,
+  use: TeamUsage,
   most: number,
 ): number => {
   let count = most;
@@ -126,9 +126,9 @@
   from.memoryGb -= need.memoryGb * count;
 };
 
-const take = (room: AvailableCapacity, ask: PlacementRequest, count: number): void => {
-  subtract(room.free, ask.spec, count);
-  if (ask.hasAlternatives) subtract(room.beside, ask.spec, count);
+const take = (capacity: AvailableCapacity, request: PlacementRequest, count: number): void => {
+  subtract(capacity.free, request.spec, count);
+  if (request.hasAlternatives) subtract(capacity.leftover, request.spec, count);
 };
 
 /**
@@ -137,23 +137,23 @@
  */
 type Reach = 'beside' | 'all';
 
-const limitedToBeside = (ask: PlacementRequest, room: AvailableCapacity, reach: Reach): boolean =>
-  reach === 'beside' && room.kept === 'always' && ask.hasAlternatives;
+const limitedToBeside = (request: PlacementRequest, capacity: AvailableCapacity, reach: Reach): boolean =>
+  reach === 'beside' && capacity.withheldFromSpotWork === 'always' && request.hasAlternatives;
 
 /** What the request may take of a machine. */
-const roomFor = (ask: PlacementRequest, room: AvailableCapacity, reach: Reach): Demand =>
-  limitedToBeside(ask, room, reach) ? room.beside : room.free;
+const roomFor = (request: PlacementRequest, capacity: AvailableCapacity, reach: Reach): Demand =>
+  limitedToBeside(request, capacity, reach) ? capacity.leftover : capacity.free;
 
 /** MostAllocated: the mean share in use over CPUs, memory and GPUs (where there are any). */
-const fullness = (rooms: readonly AvailableCapacity[]): number => {
+const fullness = (capacities: readonly AvailableCapacity[]): number => {
   let sum = 0;
   let parts = 0;
   for (const field of ['cpus', 'memoryGb', 'gpus'] as const) {
     let total = 0;
     let free = 0;
-    for (const room of rooms) {
-      total += room.total[field];
-      free += room.free[field];
+    for (const capacity of capacities) {
+      total += capacity.total[field];
+      free += capacity.free[field];
     }
     if (total > 0) {
       sum += (total - free) / total;
@@ -166,25 +166,25 @@
 const byName = (a: { id: string }, b: { id: string }): number => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0);
 
 /** Best machine first: not one kept for others, the cheaper kind, with the image, the fullest, by name. */
-const rank = (rooms: readonly AvailableCapacity[], spec: JobSpec): readonly AvailableCapacity[] =>
-  rooms
-    .map((room) => ({ room, full: fullness([room]) }))
+const rank = (capacities: readonly AvailableCapacity[], spec: JobSpec): readonly AvailableCapacity[] =>
+  capacities
+    .map((capacity) => ({ capacity, full: fullness([capacity]) }))
     .sort(
       (a, b) =>
-        Number(a.room.kept !== 'no') - Number(b.room.kept !== 'no') ||
-        Number(b.room.spot) - Number(a.room.spot) ||
-        Number(b.room.images.has(spec.image)) - Number(a.room.images.has(spec.image)) ||
+        Number(a.capacity.withheldFromSpotWork !== 'no') - Number(b.capacity.withheldFromSpotWork !== 'no') ||
+        Number(b.capacity.spot) - Number(a.capacity.spot) ||
+        Number(b.capacity.images.has(spec.image)) - Number(a.capacity.images.has(spec.image)) ||
         b.full - a.full ||
-        byName(a.room, b.room),
+        byName(a.capacity, b.capacity),
     )
-    .map((entry) => entry.room);
+    .map((entry) => entry.capacity);
 
-const heldBack = (ask: PlacementRequest, room: AvailableCapacity): boolean => {
-  switch (room.kept) {
+const isWithheld = (request: PlacementRequest, capacity: AvailableCapacity): boolean => {
+  switch (capacity.withheldFromSpotWork) {
     case 'no':
-      return !ask.ordinary;
+      return !request.mayUseOnDemand;
     case 'reserve':
-      return !ask.ordinary || !ask.urgency.place;
+      return !request.mayUseOnDemand || !request.urgency.place;
     case 'always':
       // What is over beside others costs nothing, and is no use to them.
       return false;
@@ -195,44 +195,44 @@
  * What is gathered for another job is left alone: machines that are empty by all, and those in use by work that has
  * spot machines to go to, or they would be filled again and again and never be empty.
  */
-const gathered = (ask: PlacementRequest, room: AvailableCapacity): boolean =>
-  room.held !== null &&
-  room.held.job !== ask.job &&
-  ask.spec.priority <= room.held.priority &&
-  (room.empty || (ask.spec.spot && !room.spot));
+const reservedForAnother = (request: PlacementRequest, capacity: AvailableCapacity): boolean =>
+  capacity.reservedFor !== null &&
+  capacity.reservedFor.job !== request.job &&
+  request.spec.priority <= capacity.reservedFor.priority &&
+  (capacity.empty || (request.spec.spot && !capacity.spot));
 
 const usable = (
-  ask: PlacementRequest,
-  rooms: readonly AvailableCapacity[],
+  request: PlacementRequest,
+  capacities: readonly AvailableCapacity[],
   reach: Reach,
 ): readonly AvailableCapacity[] =>
-  rooms.filter(
-    (room) =>
+  capacities.filter(
+    (capacity) =>
       // Most rooms are full, so this comes first.
-      fitsIn(ask.spec, roomFor(ask, room, reach)) &&
-      !gathered(ask, room) &&
-      placeAllowed(ask.spec, room) &&
-      !(ask.spec.spot && !room.spot && heldBack(ask, room)) &&
-      !ask.failedOn.has(room.id),
+      fitsIn(request.spec, roomFor(request, capacity, reach)) &&
+      !reservedForAnother(request, capacity) &&
+      placeAllowed(request.spec, capacity) &&
+      !(request.spec.spot && !capacity.spot && isWithheld(request, capacity)) &&
+      !request.failedOn.has(capacity.id),
   );
 
 const fill = (
-  ask: PlacementRequest,
-  rooms: readonly AvailableCapacity[],
+  request: PlacementRequest,
+  capacities: readonly AvailableCapacity[],
   count: number,
   zoneCap: number,
   reach: Reach,
-): { room: AvailableCapacity; count: number }[] => {
-  const chosen: { room: AvailableCapacity; count: number }[] = [];
-  const inZone = new Map(ask.inZones);
+): { capacity: AvailableCapacity; count: number }[] => {
+  const chosen: { capacity: AvailableCapacity; count: number }[] = [];
+  const inZone = new Map(request.inZones);
   let left = count;
-  for (const room of rank(rooms, ask.spec)) {
+  for (const capacity of rank(capacities, request.spec)) {
     if (left <= 0) break;
-    const used = inZone.get(room.zone) ?? 0;
-    const here = Math.min(howMany(ask.spec, roomFor(ask, room, reach), left), zoneCap - used);
+    const used = inZone.get(capacity.zone) ?? 0;
+    const here = Math.min(howMany(request.spec, roomFor(request, capacity, reach), left), zoneCap - used);
     if (here <= 0) continue;
-    chosen.push({ room, count: here });
-    inZone.set(room.zone, used + here);
+    chosen.push({ capacity, count: here });
+    inZone.set(capacity.zone, used + here);
     left -= here;
   }
   return chosen;
@@ -240,18 +240,18 @@
 
 /** The candidate zones of an ask: one entry for each set of machines that it may use together. */
 const zonesOf = (
-  ask: PlacementRequest,
-  rooms: readonly AvailableCapacity[],
+  request: PlacementRequest,
+  capacities: readonly AvailableCapacity[],
 ): Map<string, AvailableCapacity[]> => {
   const zones = new Map<string, AvailableCapacity[]>();
-  const occupied = [...ask.inZones].filter(([, count]) => count > 0).map(([zone]) => zone);
-  for (const room of rooms) {
-    const zone = ask.spec.oneZone ? room.zone : '';
+  const occupied = [...request.inZones].filter(([, count]) => count > 0).map(([zone]) => zone);
+  for (const capacity of capacities) {
+    const zone = request.spec.oneZone ? capacity.zone : '';
     // Once some tasks run, only the zone that holds them counts.
-    if (ask.spec.oneZone && occupied.length > 0 && !occupied.every((held) => held === zone)) continue;
+    if (request.spec.oneZone && occupied.length > 0 && !occupied.every((held) => held === zone)) continue;
     const list = zones.get(zone);
-    if (list) list.push(room);
-    else zones.set(zone, [room]);
+    if (list) list.push(capacity);
+    else zones.set(zone, [capacity]);
   }
   return zones;
 };
@@ -260,27 +260,29 @@
 interface Candidate {
   readonly score: number;
   readonly count: number;
-  readonly chosen: readonly { readonly room: AvailableCapacity; readonly count: number }[];
+  readonly chosen: readonly { readonly capacity: AvailableCapacity; readonly count: number }[];
 }
 
 /** The candidate that holds most of the tasks wanted, and of those the fullest. */
 const bestCandidate = (
-  ask: PlacementRequest,
-  rooms: readonly AvailableCapacity[],
+  request: PlacementRequest,
+  capacities: readonly AvailableCapacity[],
   want: number,
   reach: Reach,
 ): Candidate | null => {
-  const gang = ask.spec.kind === 'gang';
-  const zoneCap = ask.spec.spread
-    ? Math.ceil(ask.spec.tasks * SPREAD_ZONE_FRACTION)
+  const gang = request.spec.kind === 'gang';
+  const zoneCap = request.spec.spread
+    ? Math.ceil(request.spec.tasks * SPREAD_ZONE_FRACTION)
     : Number.POSITIVE_INFINITY;
-  const fits = usable(ask, rooms, reach);
+  const fits = usable(request, capacities, reach);
   let best: Candidate | null = null;
-  for (const [zone, candidates] of [...zonesOf(ask, fits)].sort(([a], [b]) => (a < b ? -1 : 1))) {
-    const chosen = fill(ask, candidates, want, zoneCap, reach);
+  for (const [zone, candidates] of [...zonesOf(request, fits)].sort(([a], [b]) => (a < b ? -1 : 1))) {
+    const chosen = fill(request, candidates, want, zoneCap, reach);
     const count = chosen.reduce((sum, entry) => sum + entry.count, 0);
-    if (count === 0 || (gang && count < ask.spec.tasks)) continue;
-    const score = fullness(zone === '' ? candidates : rooms.filter((room) => room.zone === zone));
+    if (count === 0 || (gang && count < request.spec.tasks)) continue;
+    const score = fullness(
+      zone === '' ? candidates : capacities.filter((capacity) => capacity.zone === zone),
+    );
     if (!best || count > best.count || (count === best.count && score > best.score + AMOUNT_TOLERANCE)) {
       best = { score, count, chosen };
     }
@@ -289,50 +291,50 @@
 };
 
 /** Places one request: the whole gang or nothing, of other jobs as many tasks as fit. */
-const packOne = (
-  ask: PlacementRequest,
-  rooms: readonly AvailableCapacity[],
+const packRequest = (
+  request: PlacementRequest,
+  capacities: readonly AvailableCapacity[],
   mostTasks: number,
 ): readonly Assignment[] => {
-  const want = Math.min(ask.waiting.length, mostTasks);
-  if (want <= 0 || (ask.spec.kind === 'gang' && want < ask.spec.tasks)) return [];
-  let best = bestCandidate(ask, rooms, want, 'beside');
+  const want = Math.min(request.waiting.length, mostTasks);
+  if (want <= 0 || (request.spec.kind === 'gang' && want < request.spec.tasks)) return [];
+  let best = bestCandidate(request, capacities, want, 'beside');
   // Work that may use spot machines never takes more than is over.
-  if ((best?.count ?? 0) < want && ask.hasAlternatives && !ask.spec.spot)
-    best = bestCandidate(ask, rooms, want, 'all');
+  if ((best?.count ?? 0) < want && request.hasAlternatives && !request.spec.spot)
+    best = bestCandidate(request, capacities, want, 'all');
   if (!best) return [];
-  const puts: Assignment[] = [];
+  const assignments: Assignment[] = [];
   let next = 0;
-  for (const { room, count } of best.chosen) {
-    take(room, ask, count);
+  for (const { capacity, count } of best.chosen) {
+    take(capacity, request, count);
     for (let k = 0; k < count; k += 1) {
-      const index = ask.waiting[next];
+      const index = request.waiting[next];
       next += 1;
-      if (index !== undefined) puts.push({ job: ask.job, index, machine: room.id });
+      if (index !== undefined) assignments.push({ job: request.job, index, machine: capacity.id });
     }
   }
-  return puts;
+  return assignments;
 };
 
 /** The outcome of packing a list of requests. */
-export interface Packed {
-  readonly puts: readonly Assignment[];
+export interface PackingResult {
+  readonly assignments: readonly Assignment[];
   /** What found no room, with the number of tasks that the limit allows and that still wait. */
-  readonly left: readonly { readonly ask: PlacementRequest; readonly count: number }[];
+  readonly left: readonly { readonly request: PlacementRequest; readonly count: number }[];
 }
 
-const dueAt = (ask: PlacementRequest): number =>
-  ask.spec.deadlineS === null ? Number.MAX_SAFE_INTEGER : ask.at + ask.spec.deadlineS * 1000;
+const dueAt = (request: PlacementRequest): number =>
+  request.spec.deadlineS === null ? Number.MAX_SAFE_INTEGER : request.at + request.spec.deadlineS * 1000;
 
 /** Most important first; then what machines are gathered for; then work that has no spot machines to go to; then work within its team's guarantee; then by targets; then the shortest; then by deadline; then the oldest. */
-export const order = (asks: readonly PlacementRequest[]): readonly PlacementRequest[] =>
-  [...asks].sort(
+export const order = (requests: readonly PlacementRequest[]): readonly PlacementRequest[] =>
+  [...requests].sort(
     (a, b) =>
       b.spec.priority - a.spec.priority ||
-      Number(b.gathering) - Number(a.gathering) ||
+      Number(b.hasReservation) - Number(a.hasReservation) ||
       Number(a.spec.spot) - Number(b.spec.spot) ||
       Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
-      a.tier - b.tier ||
+      a.attainableObjective - b.attainableObjective ||
       a.spec.estimateS - b.spec.estimateS ||
       dueAt(a) - dueAt(b) ||
       a.at - b.at ||
@@ -340,38 +342,38 @@
   );
 
 /** Places requests in their order within the teams' limits. */
-export const packAll = (
-  asks: readonly PlacementRequest[],
-  rooms: readonly AvailableCapacity[],
-  limits: ReadonlyMap<string, Limit>,
-  uses: Map<string, Usage>,
-): Packed => {
-  const puts: Assignment[] = [];
-  const left: { ask: PlacementRequest; count: number }[] = [];
-  const hopeless = new Hopeless();
+export const packRequests = (
+  requests: readonly PlacementRequest[],
+  capacities: readonly AvailableCapacity[],
+  limits: ReadonlyMap<string, TeamLimit>,
+  uses: Map<string, TeamUsage>,
+): PackingResult => {
+  const assignments: Assignment[] = [];
+  const left: { request: PlacementRequest; count: number }[] = [];
+  const unplaceable = new UnplaceableRequests();
   /** What each team would use if all that waits had its room: a plan must not pass the limit either. */
   const planned = new Map([...uses].map(([team, use]) => [team, { ...use }]));
-  for (const ask of asks) {
-    const limit = limits.get(ask.spec.team);
+  for (const request of requests) {
+    const limit = limits.get(request.spec.team);
     if (!limit) continue;
-    const use = uses.get(ask.spec.team) ?? { cpus: 0, gpus: 0 };
-    const plan = planned.get(ask.spec.team) ?? { cpus: 0, gpus: 0 };
-    uses.set(ask.spec.team, use);
-    planned.set(ask.spec.team, plan);
-    const gang = ask.spec.kind === 'gang';
-    const allowed = quotaRoom(ask.spec, limit, use, ask.waiting.length);
-    if (allowed === 0 || (gang && allowed < ask.spec.tasks)) continue;
-    const plain = ask.failedOn.size === 0 && ask.inZones.size === 0 && !ask.gathering;
-    const placed = plain && hopeless.covers(ask) ? [] : packOne(ask, rooms, allowed);
-    if (placed.length < allowed && plain) hopeless.add(ask);
-    puts.push(...placed);
-    use.cpus += ask.spec.cpus * placed.length;
-    use.gpus += ask.spec.gpus * placed.length;
-    const wish = quotaRoom(ask.spec, limit, plan, allowed);
-    const count = gang && wish < ask.spec.tasks ? 0 : Math.max(0, wish - placed.length);
-    if (count > 0) left.push({ ask, count });
-    plan.cpus += ask.spec.cpus * (placed.length + count);
-    plan.gpus += ask.spec.gpus * (placed.length + count);
+    const use = uses.get(request.spec.team) ?? { cpus: 0, gpus: 0 };
+    const plan = planned.get(request.spec.team) ?? { cpus: 0, gpus: 0 };
+    uses.set(request.spec.team, use);
+    planned.set(request.spec.team, plan);
+    const gang = request.spec.kind === 'gang';
+    const allowed = quotaRoom(request.spec, limit, use, request.waiting.length);
+    if (allowed === 0 || (gang && allowed < request.spec.tasks)) continue;
+    const plain = request.failedOn.size === 0 && request.inZones.size === 0 && !request.hasReservation;
+    const placed = plain && unplaceable.covers(request) ? [] : packRequest(request, capacities, allowed);
+    if (placed.length < allowed && plain) unplaceable.add(request);
+    assignments.push(...placed);
+    use.cpus += request.spec.cpus * placed.length;
+    use.gpus += request.spec.gpus * placed.length;
+    const wish = quotaRoom(request.spec, limit, plan, allowed);
+    const count = gang && wish < request.spec.tasks ? 0 : Math.max(0, wish - placed.length);
+    if (count > 0) left.push({ request, count });
+    plan.cpus += request.spec.cpus * (placed.length + count);
+    plan.gpus += request.spec.gpus * (placed.length + count);
   }
-  return { puts, left };
+  return { assignments, left };
 };
--- a/src/placement/binder.ts
+++ b/src/placement/binder.ts
@@ -13,16 +13,16 @@
   /** The share's claim is no longer held by this process. */
   readonly lost: () => boolean;
   /** Asks for another placement round. */
-  readonly poke: () => void;
+  readonly requestRound: () => void;
 }
 
 /** Makes the assignments of a round durable and starts the tasks once they are. */
 export class Binder {
   constructor(private readonly input: BinderInput) {}
 
-  bindAll(puts: readonly Assignment[]): Promise<unknown> {
+  bindAll(assignments: readonly Assignment[]): Promise<unknown> {
     const byJob = new Map<ShardJob, Binding[]>();
-    for (const put of puts) {
+    for (const put of assignments) {
       const job = this.input.shardState.jobs.get(put.job);
       const machine = this.input.shardState.machines.get(put.machine);
       if (!job || !machine) continue;
@@ -63,6 +63,6 @@
       else this.input.shardState.unbind(binding);
     }
     if (committed && !this.input.lost()) this.input.sessions.sendRuns(bindings);
-    this.input.poke();
+    this.input.requestRound();
   }
 }
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,13 +1,13 @@
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_TRANSACTIONS } from '../constants/placement.js';
-import type { Condition, Store, TxnResult, Write } from '../kv-store/client.js';
+import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
-import type { Rank } from '../kv-store/rate-limiter.js';
+import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
 /** What the transactions need of their share. */
 export interface ClaimTransactionsInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly shardId: number;
   readonly claim: number;
   /** Another holder's claim showed up in a condition. */
@@ -51,8 +51,8 @@
     when: readonly Condition[],
     writes: readonly Write[],
     witness: string,
-    rank: Rank,
-  ): Promise<TxnResult> {
+    rank: RequestPriority,
+  ): Promise<TransactionResult> {
     return this.slotted(() => Effect.runPromise(this.attempts(when, writes, witness, rank)));
   }
 
@@ -60,13 +60,13 @@
     when: readonly Condition[],
     writes: readonly Write[],
     witness: string,
-    rank: Rank,
-  ): Effect.Effect<TxnResult> {
+    rank: RequestPriority,
+  ): Effect.Effect<TransactionResult> {
     return Effect.gen({ self: this }, function* () {
       let unsure = false;
       for (;;) {
         if (this.input.isLost() && !unsure) return { _tag: 'refused', why: 'lost' };
-        const result = yield* this.input.store.txn([this.guard(), ...when], writes, rank);
+        const result = yield* this.input.store.compareAndSwap([this.guard(), ...when], writes, rank);
         switch (result._tag) {
           case 'committed':
             return result;
@@ -103,7 +103,7 @@
   /** Left-over keys, under the claim alone. They cost nothing but room, so a failure is simply tried again later. */
   async remove(keys: readonly string[]): Promise<boolean> {
     const result = await Effect.runPromise(
-      this.input.store.txn(
+      this.input.store.compareAndSwap(
         [this.guard()],
         keys.map((key) => ({ _tag: 'delete', key })),
         'work',
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -1,8 +1,8 @@
-import type { LeftOver } from '@dalegate/fencing';
+import type { OrphanedKey } from '@dalegate/fencing';
 import { writeFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store, Write } from '../kv-store/client.js';
+import type { KeyValueStore, Write } from '../kv-store/client.js';
 import { finalKey, followsKey, jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import type { ShardJob } from './shard-model.js';
@@ -10,13 +10,13 @@
 /** Jobs whose final records are durable, and runs that are left to clear away. */
 export interface Finished {
   readonly done: readonly { readonly job: ShardJob; readonly final: FinalRecord }[];
-  readonly leftOver: readonly LeftOver[];
+  readonly orphanedKeys: readonly OrphanedKey[];
 }
 
 /** What the writer of final records needs of its share. */
 export interface FinalRecordWriterInput {
   readonly transactions: ClaimTransactions;
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly shardId: number;
   /** ms since the epoch. */
   readonly wall: () => number;
@@ -36,8 +36,8 @@
   /** Final records of jobs in one transaction. Returns those that are durable, with runs left to clear away. */
   async finish(jobs: readonly { readonly job: ShardJob; readonly state: FinalState }[]): Promise<Finished> {
     const first = jobs[0];
-    if (!first) return { done: [], leftOver: [] };
-    const leftOver: LeftOver[] = [];
+    if (!first) return { done: [], orphanedKeys: [] };
+    const orphanedKeys: OrphanedKey[] = [];
     const writes: Write[] = [];
     const finals = jobs.map(({ job, state }) => ({
       job,
@@ -51,8 +51,9 @@
       );
     }
     for (const key of jobs.flatMap(({ job }) => this.keysOf(job))) {
-      if (writes.length < this.input.store.txnOps) writes.push({ _tag: 'delete', key: key.key });
-      else leftOver.push(key);
+      if (writes.length < this.input.store.maxTransactionWrites)
+        writes.push({ _tag: 'delete', key: key.key });
+      else orphanedKeys.push(key);
     }
     const result = await this.input.transactions.commit(
       jobs.flatMap(({ job }) => [
@@ -74,16 +75,16 @@
         )
           job.finishAlone = true;
       }
-      return { done: [], leftOver: [] };
+      return { done: [], orphanedKeys: [] };
     }
     for (const { job, state } of jobs)
       log.info({ event: 'job.final', job: job.spec.id, state, ageMs: this.input.wall() - job.at });
-    return { done: finals, leftOver };
+    return { done: finals, orphanedKeys };
   }
 
   /** Everything that is stored of a job beside its record. */
-  private keysOf(job: ShardJob): readonly LeftOver[] {
-    const runs = [...job.chunks].flatMap(([number, chunk]): readonly LeftOver[] => {
+  private keysOf(job: ShardJob): readonly OrphanedKey[] {
+    const runs = [...job.chunks].flatMap(([number, chunk]): readonly OrphanedKey[] => {
       // The parts of a run are written together with its record. One that was never written has no revision yet.
       const revision = chunk.version === 0 ? null : chunk.version;
       const parts = Array.from({ length: chunk.parts }, (_, part) =>
@@ -95,7 +96,7 @@
         reason: 'job over',
       }));
     });
-    const follows = Array.from({ length: job.parts }, (_, part): LeftOver => ({
+    const follows = Array.from({ length: job.parts }, (_, part): OrphanedKey => ({
       key: followsKey(job.spec.id, part),
       revision: null,
       reason: 'job over',
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Answer } from '../http.js';
-import { Store } from '../kv-store/client.js';
+import type { CallOutcome } from '../http.js';
+import { KeyValueStore } from '../kv-store/client.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
@@ -22,14 +22,14 @@
   const items = new Map<string, unknown>();
   let carriedOut = 0;
   let revision = 0;
-  const request = (_: string, path: string, body: unknown): Promise<Answer> => {
+  const request = (_: string, path: string, body: unknown): Promise<CallOutcome> => {
     const { writes } = body as { writes: { write?: string; remove?: string; data?: unknown }[] };
     assert.equal(path, '/txn');
     assert.ok(writes.length <= ops, `${writes.length} changes`);
     const bytes = Buffer.byteLength(JSON.stringify(body));
     assert.ok(bytes <= TXN_LIMIT_BYTES, `${bytes} bytes in one transaction`);
     if (carriedOut >= transactions)
-      return Promise.resolve({ _tag: 'answer', status: 409, body: { failed: ['w/c/0'] } });
+      return Promise.resolve({ _tag: 'response', status: 409, body: { failed: ['w/c/0'] } });
     carriedOut += 1;
     revision += 1;
     for (const { write, remove, data } of writes) {
@@ -38,15 +38,15 @@
         items.set(write, JSON.parse(JSON.stringify(data)));
       } else if (remove !== undefined) items.delete(remove);
     }
-    return Promise.resolve({ _tag: 'answer', status: 200, body: { epoch: revision } });
+    return Promise.resolve({ _tag: 'response', status: 200, body: { epoch: revision } });
   };
-  const store = new Store(
+  const store = new KeyValueStore(
     { host: 'h', port: 1 },
     { rps: 1e6, write_rps: 1e6, txn_ops: ops, nodes: 1 },
     () => 0,
     () => ({ request }),
   );
-  const shardState = new ShardState({ now: () => 0, wall: () => 0, poke: () => undefined });
+  const shardState = new ShardState({ now: () => 0, wall: () => 0, requestRound: () => undefined });
   const claimTransactions = new ClaimTransactions({
     store,
     shardId: 0,
@@ -76,7 +76,7 @@
       at: 0,
       cancelled: false,
       cancelledAt: null,
-      follows: [],
+      dependsOn: [],
       parts: 0,
     },
     1,
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -20,16 +20,16 @@
 const cases: readonly {
   readonly name: string;
   readonly running: readonly Partial<JobSpec>[];
-  readonly beside: readonly [cpus: number, gpus: number, memoryGb: number];
+  readonly leftover: readonly [cpus: number, gpus: number, memoryGb: number];
 }[] = [
-  { name: 'nothing on an empty machine: it may move to another share', running: [], beside: [0, 0, 0] },
-  { name: 'what a gang leaves over', running: [training], beside: [10, 0, 158] },
-  { name: 'less what is beside it already', running: [training, small], beside: [6, 0, 149] },
-  { name: 'nothing once the gang has ended', running: [small], beside: [0, 0, 0] },
+  { name: 'nothing on an empty machine: it may move to another share', running: [], leftover: [0, 0, 0] },
+  { name: 'what a gang leaves over', running: [training], leftover: [10, 0, 158] },
+  { name: 'less what is beside it already', running: [training, small], leftover: [6, 0, 149] },
+  { name: 'nothing once the gang has ended', running: [small], leftover: [0, 0, 0] },
 ];
 for (const row of cases) {
   test(`room beside: ${row.name}`, () => {
-    const shardState = new ShardState({ now: () => NOW, wall: () => NOW, poke: () => undefined });
+    const shardState = new ShardState({ now: () => NOW, wall: () => NOW, requestRound: () => undefined });
     const liveness = new MachineLiveness({
       machines: shardState.machines,
       catalog: () => catalog,
@@ -40,7 +40,16 @@
     });
     const machine = shardState.addMachine(
       'm-0',
-      { shardId: 0, type: 'gpu', zone: 'x', spot: false, at: 0, releasing: false, addr: 'a:1', session: 1 },
+      {
+        shardId: 0,
+        type: 'gpu',
+        zone: 'x',
+        spot: false,
+        at: 0,
+        releasing: false,
+        addr: 'a:1',
+        agentEpoch: 1,
+      },
       1,
       gpu,
     );
@@ -49,7 +58,7 @@
     row.running.forEach((over, index) => {
       const spec = jobSpec(`job-${index}`, over);
       const job = shardState.adoptJob(
-        { spec, at: 0, cancelled: false, cancelledAt: null, follows: [], parts: 0 },
+        { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
         1,
       );
       shardState.bind(job, 0, 1, machine, { _tag: 'running' });
@@ -61,10 +70,10 @@
       scarceDemand: (type) => (type === 'gpu' ? { cpus: 86, gpus: 8, memoryGb: 610 } : null),
       guarantees: new Map(),
       objectives: new Map(),
-      holds: [],
+      reservations: [],
       now: NOW,
       wall: NOW,
     });
-    assert.deepEqual([room?.beside.cpus, room?.beside.gpus, room?.beside.memoryGb], row.beside);
+    assert.deepEqual([room?.leftover.cpus, room?.leftover.gpus, room?.leftover.memoryGb], row.leftover);
   });
 }
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,8 +1,8 @@
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
-import type { Move } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/records.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import type { MachineLiveness } from './machine-liveness.js';
 import type { ShardState } from './shard-state.js';
 import { bindingKey, type ShardMachine } from './shard-model.js';
@@ -12,7 +12,7 @@
 /** What the machine lifecycle needs of its share. */
 export interface MachineLifecycleInput {
   readonly shardId: number;
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
   readonly sessions: WorkerSessions;
@@ -23,7 +23,7 @@
   /** The share's claim is no longer held by this process. */
   readonly lost: () => boolean;
   /** Returns machines to the cloud at once, without a record of it; true: they are gone. */
-  readonly returnNow: (machines: readonly string[]) => Promise<boolean>;
+  readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
 }
 
 /** What becomes of a share's machines: leases that run out, returns to the cloud, moves to other shares. */
@@ -43,7 +43,7 @@
         this.input.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
     }
     const overdue = this.input.liveness.overdue(this.input.shardState.jobs.values());
-    this.returnNow(overdue.map((machine) => machine.id));
+    this.releaseNow(overdue.map((machine) => machine.id));
     const release = [
       ...overdue
         .filter((machine) => !machine.releasing)
@@ -67,13 +67,13 @@
     ];
     while (records.length > 0)
       void this.input.records.assign(
-        records.splice(0, this.input.store.batchOps),
+        records.splice(0, this.input.store.batchWrites),
         raise.length > 0 ? 'bind' : 'work',
       );
   }
 
   /** While the state service can't be written, the leader is asked directly; twice is no harm, nor is too early. */
-  private returnNow(machines: readonly string[]): void {
+  private releaseNow(machines: readonly string[]): void {
     const now = this.input.now();
     if (machines.length === 0 || now - this.returnAskedAt < URGENT_RETURN_INTERVAL_MS) return;
     this.returnAskedAt = now;
@@ -82,7 +82,7 @@
       const machine = this.input.shardState.machines.get(id);
       if (machine) machine.cordoned = true;
     }
-    void this.input.returnNow(machines).then((returned) => {
+    void this.input.releaseNow(machines).then((returned) => {
       if (this.input.lost() || !returned) return;
       for (const id of machines) {
         const machine = this.input.shardState.machines.get(id);
@@ -99,7 +99,7 @@
       !machine.cordoned &&
       !machine.raiseToken &&
       this.input.liveness.idle(machine) &&
-      machine.unsureRuns.size === 0 &&
+      machine.unacknowledgedRuns.size === 0 &&
       machine.noticeAt === null &&
       machine.health._tag === 'fine' &&
       machine.reported.every((task) =>
@@ -109,7 +109,7 @@
   }
 
   /** Moves free machines to other shares. Their new assignment raises the token beyond all that we sent. */
-  async give(moves: readonly Move[]): Promise<boolean> {
+  async transferMachines(moves: readonly MachineTransfer[]): Promise<boolean> {
     if (!this.input.placing()) return false;
     const records = moves.flatMap(({ machine: id, to }) => {
       const machine = this.input.shardState.machines.get(id);
@@ -123,7 +123,7 @@
     });
     const batches: Promise<boolean>[] = [];
     while (records.length > 0)
-      batches.push(this.input.records.assign(records.splice(0, this.input.store.batchOps), 'bind'));
+      batches.push(this.input.records.assign(records.splice(0, this.input.store.batchWrites), 'bind'));
     return (await Promise.all(batches)).some(Boolean);
   }
 }
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -24,17 +24,35 @@
   readonly bootBound: boolean;
   readonly spot: boolean;
   readonly idleBoots: number;
-  readonly kept: boolean;
+  readonly withheldFromSpotWork: boolean;
 }[] = [
-  { name: 'idle for less than a boot', bootBound: false, spot: false, idleBoots: 1.4, kept: true },
-  { name: 'idle for longer than a boot', bootBound: false, spot: false, idleBoots: 1.6, kept: false },
-  { name: 'a boot misses every target', bootBound: true, spot: false, idleBoots: 9, kept: true },
-  { name: 'not for ever', bootBound: true, spot: false, idleBoots: 11, kept: false },
-  { name: 'a spot machine', bootBound: true, spot: true, idleBoots: 1.6, kept: false },
+  {
+    name: 'idle for less than a boot',
+    bootBound: false,
+    spot: false,
+    idleBoots: 1.4,
+    withheldFromSpotWork: true,
+  },
+  {
+    name: 'idle for longer than a boot',
+    bootBound: false,
+    spot: false,
+    idleBoots: 1.6,
+    withheldFromSpotWork: false,
+  },
+  {
+    name: 'a boot misses every target',
+    bootBound: true,
+    spot: false,
+    idleBoots: 9,
+    withheldFromSpotWork: true,
+  },
+  { name: 'not for ever', bootBound: true, spot: false, idleBoots: 11, withheldFromSpotWork: false },
+  { name: 'a spot machine', bootBound: true, spot: true, idleBoots: 1.6, withheldFromSpotWork: false },
 ];
 for (const row of cases) {
   test(`idle machines: ${row.name}`, () => {
-    const shardState = new ShardState({ now: () => NOW, wall: () => NOW, poke: () => undefined });
+    const shardState = new ShardState({ now: () => NOW, wall: () => NOW, requestRound: () => undefined });
     const liveness = new MachineLiveness({
       machines: shardState.machines,
       catalog: () => new Map([['g', machineType]]),
@@ -46,7 +64,16 @@
     liveness.loadedAt = 0;
     const machine = shardState.addMachine(
       'm-0',
-      { shardId: 0, type: 'g', zone: 'x', spot: row.spot, at: 0, releasing: false, addr: 'a:1', session: 1 },
+      {
+        shardId: 0,
+        type: 'g',
+        zone: 'x',
+        spot: row.spot,
+        at: 0,
+        releasing: false,
+        addr: 'a:1',
+        agentEpoch: 1,
+      },
       1,
       machineType,
     );
@@ -54,6 +81,6 @@
     machine.confirmedToken = 1;
     machine.idleSince = NOW - row.idleBoots * BOOT_S * 1000;
     const released = liveness.toRelease(true).map(({ why }) => why);
-    assert.deepEqual(released, row.kept ? [] : ['idle']);
+    assert.deepEqual(released, row.withheldFromSpotWork ? [] : ['idle']);
   });
 }
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -5,7 +5,7 @@
 } from '../constants/key-value-store.js';
 import { writeMachineRecord } from '../fleet/records.js';
 import { machineKey } from '../kv-store/keys.js';
-import type { Rank } from '../kv-store/rate-limiter.js';
+import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import type { ShardMachine } from './shard-model.js';
 
@@ -42,7 +42,7 @@
   constructor(private readonly input: MachineRecordWriterInput) {}
 
   /** Machine records in one transaction. From its start nothing is placed on them, also while the end is open. */
-  async assign(assignments: readonly MachineAssignment[], rank: Rank): Promise<boolean> {
+  async assign(assignments: readonly MachineAssignment[], rank: RequestPriority): Promise<boolean> {
     // No holder takes back a release intent: a late release request must not meet a machine that is in use again.
     const machines = assignments.filter(
       ({ machine, release }) => release !== undefined || !machine.releasing,
@@ -70,7 +70,7 @@
           releasing: release !== undefined,
           ...(release === undefined ? {} : { release: { reason: release, token: this.input.claim } }),
           addr: machine.addr,
-          session: machine.session,
+          agentEpoch: machine.agentEpoch,
           images: recentImages(machine.images, imageBytes),
         }),
       })),
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -1,16 +1,16 @@
-import { Remover, type Duty, type LeftOver, type MarkedKey } from '@dalegate/fencing';
+import { GarbageCollector, type Duty, type OrphanedKey, type Tombstone } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { fencedValue } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
-import { parseRunKey, removalsKey } from '../kv-store/keys.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import { parseRunKey, tombstonesKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 
 /** Keys of a share that belong to nothing any more. */
-export interface LeftOverKeys {
+export interface OrphanedKeys {
   /** Has these keys removed some time. */
-  discard(keys: readonly LeftOver[]): void;
+  discard(keys: readonly OrphanedKey[]): void;
   /** Is there anything to do now? */
   readonly due: boolean;
   /** Marks or removes a few. */
@@ -18,15 +18,15 @@
 }
 
 /** Removal under the claim alone, without a mark: what is done where fencing is off. */
-export class UnmarkedRemoval implements LeftOverKeys {
+export class ImmediateRemoval implements OrphanedKeys {
   private readonly keys: string[] = [];
 
   constructor(
-    private readonly store: Store,
+    private readonly store: KeyValueStore,
     private readonly transactions: ClaimTransactions,
   ) {}
 
-  discard(keys: readonly LeftOver[]): void {
+  discard(keys: readonly OrphanedKey[]): void {
     this.keys.push(...keys.map(({ key }) => key));
   }
 
@@ -35,14 +35,14 @@
   }
 
   async step(): Promise<void> {
-    const batch = this.keys.splice(0, this.store.batchOps);
+    const batch = this.keys.splice(0, this.store.batchWrites);
     if (batch.length > 0 && !(await this.transactions.remove(batch))) this.keys.push(...batch);
   }
 }
 
 /** What the removal in two steps needs of its share. */
-export interface MarkedRemovalInput {
-  readonly store: Store;
+export interface TombstonedRemovalDependencies {
+  readonly store: KeyValueStore;
   readonly shardId: number;
   readonly claim: number;
   readonly duty: Duty;
@@ -55,17 +55,17 @@
 }
 
 /** Removal in two steps, each under the duty's token and the revision of every key. */
-export class MarkedRemoval implements LeftOverKeys {
-  private readonly remover: Remover;
+export class TombstonedRemoval implements OrphanedKeys {
+  private readonly garbageCollector: GarbageCollector;
 
-  constructor(private readonly input: MarkedRemovalInput) {
+  constructor(private readonly input: TombstonedRemovalDependencies) {
     const { store, shardId, duty } = input;
-    this.remover = new Remover({
-      value: fencedValue(store, removalsKey(shardId), String(shardId), 'work'),
+    this.garbageCollector = new GarbageCollector({
+      value: fencedValue(store, tombstonesKey(shardId), String(shardId), 'work'),
       begin: () => duty.begin('removal of left-over state'),
       inUse: (key) => this.inUse(key),
       // The book of removals is one more change.
-      batch: () => Math.max(1, store.batchOps - 1),
+      batch: () => Math.max(1, store.batchWrites - 1),
       maxBytes: input.valueBytes * VALUE_FILL_FRACTION,
       timeOfDay: input.wall,
       revisionOf: async (key) => {
@@ -89,7 +89,7 @@
     return job !== undefined && this.input.jobKnown(job);
   }
 
-  private logRemoved(keys: readonly MarkedKey[]): void {
+  private logRemoved(keys: readonly Tombstone[]): void {
     if (keys.length === 0) return;
     log.info({
       event: 'state.removed',
@@ -99,15 +99,15 @@
     });
   }
 
-  discard(keys: readonly LeftOver[]): void {
-    this.remover.discard(keys);
+  discard(keys: readonly OrphanedKey[]): void {
+    this.garbageCollector.discard(keys);
   }
 
   get due(): boolean {
-    return this.remover.due;
+    return this.garbageCollector.due;
   }
 
   step(): Promise<void> {
-    return this.remover.step();
+    return this.garbageCollector.step();
   }
 }
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -16,7 +16,7 @@
   return {
     spec: {
       id,
-      klass: 'c',
+      jobClass: 'c',
       team: 'red',
       kind: 'array',
       priority: 1,
@@ -40,7 +40,7 @@
     at,
     cancelled: false,
     cancelledAt: null,
-    follows,
+    dependsOn: follows,
     parts: 0,
   } satisfies JobRecord;
 };
@@ -113,7 +113,7 @@
 for (const row of rows) {
   test(`placement requests: ${row.name}`, () => {
     const index = new PipelineIndex(STAGE_MS);
-    const shardState = new ShardState({ now: () => NOW, wall: () => NOW, poke: () => undefined });
+    const shardState = new ShardState({ now: () => NOW, wall: () => NOW, requestRound: () => undefined });
     const liveness = new MachineLiveness({
       bootBound: () => false,
       machines: shardState.machines,
@@ -123,7 +123,7 @@
       wall: () => NOW,
     });
     row.jobs.forEach((record, version) => {
-      const { spec, follows } = record;
+      const { spec, dependsOn: follows } = record;
       shardState.adoptJob(record, version + 1);
       index.put({
         id: spec.id,
@@ -137,9 +137,9 @@
     for (const [id, doneAt] of Object.entries(row.over))
       index.settle(id, doneAt === null ? { _tag: 'cancelled' } : { _tag: 'done', at: doneAt });
     for (const { spec } of row.jobs) {
-      const standing = index.standing(spec.id);
-      assert.ok(standing);
-      shardState.stand(spec.id, index.readiness(spec.id), standing);
+      const effectivePriority = index.effectivePriority(spec.id);
+      assert.ok(effectivePriority);
+      shardState.stand(spec.id, index.readiness(spec.id), effectivePriority);
     }
     const requests = placementRequests({
       shardState,
@@ -148,7 +148,7 @@
       scarceDemand: () => null,
       guarantees: new Map([['red', { cpus: 0, gpus: GUARANTEED_GPUS }]]),
       objectives: new Map(),
-      holds: [],
+      reservations: [],
       now: NOW,
       wall: NOW,
     });
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -19,9 +19,9 @@
 } from '../jobs/model.js';
 import type { ShardState } from './shard-state.js';
 import type { MachineLiveness } from './machine-liveness.js';
-import { order, type PlacementRequest, type AvailableCapacity, type Usage } from './bin-packing.js';
+import { order, type PlacementRequest, type AvailableCapacity, type TeamUsage } from './bin-packing.js';
 import { bindingKey, isFinished, type Free, type ShardJob, type ShardMachine } from './shard-model.js';
-import { tier, urgency, type Objectives } from './urgency.js';
+import { attainableObjective, urgency, type Objectives } from './urgency.js';
 
 /** What waits and where there is room, read from the shareState for one round. Changes nothing but the cached room. */
 export interface ViewInput {
@@ -30,9 +30,9 @@
   readonly catalog: Catalog;
   /** The most that one task takes of work that can't do without ordinary machines of this type; null: there is none. */
   readonly scarceDemand: (type: string) => Demand | null;
-  readonly guarantees: ReadonlyMap<string, Usage>;
+  readonly guarantees: ReadonlyMap<string, TeamUsage>;
   readonly objectives: ReadonlyMap<string, Objectives>;
-  readonly holds: readonly Reservation[];
+  readonly reservations: readonly Reservation[];
   readonly now: number;
   readonly wall: number;
 }
@@ -40,8 +40,8 @@
 const NOTHING: Demand = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 /** What each team has on machines: everything bound, which includes whatever is not proven gone. */
-export const teamUsage = (shardState: ShardState): Map<string, Usage> => {
-  const uses = new Map<string, Usage>();
+export const teamUsage = (shardState: ShardState): Map<string, TeamUsage> => {
+  const uses = new Map<string, TeamUsage>();
   for (const job of shardState.jobs.values()) {
     const tasks = job.bindings.size;
     if (tasks === 0) continue;
@@ -85,7 +85,7 @@
  * Room beside the work that can't do without this type: what is over once as many of its largest tasks as the machine
  * holds have their room. Only where such work runs already: an empty machine stays free to move to another share.
  */
-const besideOf = (machine: ShardMachine, free: Free, scarce: Demand | null): Demand => {
+const leftoverOf = (machine: ShardMachine, free: Free, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.dependent) return NOTHING;
   const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
   const over = (field: keyof Demand): number =>
@@ -97,7 +97,11 @@
  * Ordinary machines that some job can't do without are held back from work that can use spot: where that
  * work has other types to go to, always; where it has none, as long as it would take one of the last idle.
  */
-const keptForOthers = (machine: ShardMachine, idle: number, input: ViewInput): AvailableCapacity['kept'] => {
+const withholdingOf = (
+  machine: ShardMachine,
+  idle: number,
+  input: ViewInput,
+): AvailableCapacity['withheldFromSpotWork'] => {
   if (machine.spot || input.scarceDemand(machine.type) === null) return 'no';
   if (input.catalog.size > 1) return 'always';
   return machine.bound.size === 0 && idle <= RESERVED_IDLE_MACHINES ? 'reserve' : 'no';
@@ -106,7 +110,7 @@
 /** Room on each machine that may take tasks, now or once it is up. */
 export const availableCapacity = (input: ViewInput): AvailableCapacity[] => {
   const { shardState, liveness } = input;
-  const rooms: AvailableCapacity[] = [];
+  const capacities: AvailableCapacity[] = [];
   let idle = 0;
   for (const machine of shardState.machines.values())
     if (!machine.spot && !machine.releasing && liveness.idle(machine)) idle += 1;
@@ -124,23 +128,23 @@
     machine.free ??= freeOf(shardState, machine, input.catalog);
     const { free } = machine;
     if (free._tag === 'unclear') continue;
-    const held = heldBy(input.holds, machine);
-    rooms.push({
+    const held = heldBy(input.reservations, machine);
+    capacities.push({
       id: machine.id,
       type: machine.type,
       zone: machine.zone,
       spot: machine.spot,
       total: machine.total,
       free: { cpus: free.cpus, gpus: free.gpus, memoryGb: free.memoryGb },
-      beside: { ...besideOf(machine, free, input.scarceDemand(machine.type)) },
+      leftover: { ...leftoverOf(machine, free, input.scarceDemand(machine.type)) },
       images: machine.images,
       live,
-      kept: keptForOthers(machine, idle, input),
-      held,
+      withheldFromSpotWork: withholdingOf(machine, idle, input),
+      reservedFor: held,
       empty: machine.bound.size === 0,
     });
   }
-  return rooms;
+  return capacities;
 };
 
 /** The shortest nominal boot among the types that the job may use. */
@@ -177,8 +181,8 @@
 /** Jobs with tasks that wait for room, in the order in which they are to be placed. */
 export const placementRequests = (input: ViewInput): readonly PlacementRequest[] => {
   const { shardState, now, wall } = input;
-  const asks: PlacementRequest[] = [];
-  const ahead = new Map<string, Usage>();
+  const requests: PlacementRequest[] = [];
+  const ahead = new Map<string, TeamUsage>();
   for (const job of [...shardState.jobs.values()].sort((a, b) => a.at - b.at)) {
     const { spec } = job;
     // What waits for others holds no part of its team's limit or guarantee.
@@ -194,29 +198,29 @@
     const waiting = waitingTasks(job);
     if (waiting.length === 0) continue;
     const guarantee = input.guarantees.get(spec.team);
-    const objectives = input.objectives.get(spec.klass);
+    const objectives = input.objectives.get(spec.jobClass);
     const waitedS = (wall - job.at) / 1000;
     const withinGuarantee =
       guarantee !== undefined &&
       use.gpus <= guarantee.gpus &&
       (guarantee.cpus === 0 || use.cpus <= guarantee.cpus);
     const pressing = urgency(spec, objectives, waitedS, bootS(spec, input.catalog), ESTIMATED_IMAGE_FETCH_S);
-    asks.push({
+    requests.push({
       job: spec.id,
       spec,
       waiting,
       inZones: inZones(job, shardState),
       failedOn: job.failedOn,
       at: job.at,
-      tier: tier(objectives, waitedS),
+      attainableObjective: attainableObjective(objectives, waitedS),
       urgency: pressing,
-      ordinary:
+      mayUseOnDemand:
         pressing.place ||
         waitedS > (withinGuarantee ? GUARANTEED_ON_DEMAND_PATIENCE_S : ON_DEMAND_PATIENCE_S),
       withinGuarantee,
       hasAlternatives: hasAlternatives(spec, input.catalog),
-      gathering: input.holds.some((hold) => hold.job === spec.id),
+      hasReservation: input.reservations.some((reservation) => reservation.job === spec.id),
     });
   }
-  return order(asks);
+  return order(requests);
 };
--- a/src/placement/preemption.test.ts
+++ b/src/placement/preemption.test.ts
@@ -6,7 +6,7 @@
 
 const spec = (over: Partial<JobSpec>): JobSpec =>
   jobSpec('job-9', {
-    klass: 'k',
+    jobClass: 'k',
     team: 't',
     kind: 'gang',
     priority: 2,
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -33,20 +33,22 @@
    * that would do, and nothing already on its way out. All jobs that need it are decided together, the most important first,
    * each only if it can start for it: after the loss of a zone, dozens of services wait for room at once.
    */
-  run(left: readonly UnplacedRequest[], rooms: readonly AvailableCapacity[]): void {
+  run(left: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
     const now = this.input.now();
     if (now - this.lastSearchAt < PREEMPTION_SEARCH_INTERVAL_MS) return;
     const candidates = left
-      .filter(({ ask }) => ask.spec.priority > 0 && this.input.wall() - ask.at >= PREEMPTION_DELAY_MS)
+      .filter(
+        ({ request }) => request.spec.priority > 0 && this.input.wall() - request.at >= PREEMPTION_DELAY_MS,
+      )
       .slice(0, MAX_JOBS_PER_PREEMPTION_SEARCH);
     if (candidates.length === 0 || this.evictionsUnderWay()) return;
     this.lastSearchAt = now;
-    let machines = this.occupied(rooms);
-    for (const { ask, count } of candidates) {
-      if (this.input.spareElsewhere(this.input.shardId, ask.spec)) continue;
-      const { spec, inZones, failedOn } = ask;
+    let machines = this.occupied(capacities);
+    for (const { request, count } of candidates) {
+      if (this.input.spareElsewhere(this.input.shardId, request.spec)) continue;
+      const { spec, inZones, failedOn } = request;
       const preemption = preempt({ spec, count, inZones, failedOn }, machines);
-      for (const eviction of preemption.evictions) this.evict(eviction, ask.job);
+      for (const eviction of preemption.evictions) this.evict(eviction, request.job);
       machines = preemption.machines;
     }
   }
@@ -68,12 +70,12 @@
     }
   }
 
-  private occupied(rooms: readonly AvailableCapacity[]): readonly OccupiedMachine[] {
+  private occupied(capacities: readonly AvailableCapacity[]): readonly OccupiedMachine[] {
     const now = this.input.now();
     const occupied: OccupiedMachine[] = [];
-    for (const room of rooms) {
-      const machine = this.input.shardState.machines.get(room.id);
-      if (!machine || !room.live) continue;
+    for (const capacity of capacities) {
+      const machine = this.input.shardState.machines.get(capacity.id);
+      if (!machine || !capacity.live) continue;
       const groups = new Map<string, { binding: Binding; job: ShardJob; tasks: number }>();
       for (const binding of machine.bound.values()) {
         const job = this.input.shardState.jobs.get(binding.job);
@@ -82,11 +84,11 @@
         groups.set(binding.job, { binding, job, tasks: (known?.tasks ?? 0) + 1 });
       }
       occupied.push({
-        id: room.id,
-        type: room.type,
-        zone: room.zone,
-        spot: room.spot,
-        free: room.free,
+        id: capacity.id,
+        type: capacity.type,
+        zone: capacity.zone,
+        spot: capacity.spot,
+        free: capacity.free,
         groups: [...groups.values()]
           // What ends before it could be stopped is not worth stopping.
           .filter(({ binding, job }) => {
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Answer } from '../http.js';
+import type { CallOutcome } from '../http.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
-import { Store } from '../kv-store/client.js';
+import { KeyValueStore } from '../kv-store/client.js';
 import { RecordFlusher } from './record-flusher.js';
 import { ShardState } from './shard-state.js';
-import { UnmarkedRemoval } from './orphaned-keys.js';
+import { ImmediateRemoval } from './orphaned-keys.js';
 import { ClaimTransactions } from './claim-transactions.js';
 import { FinalRecordWriter } from './final-record-writer.js';
 import { RunWriter } from './run-writer.js';
@@ -13,7 +13,7 @@
 /** Final records: each is written once, whatever order the answers and the watch's events come in. */
 const spec: JobSpec = {
   id: 'job-1',
-  klass: 'c',
+  jobClass: 'c',
   team: 't',
   kind: 'array',
   priority: 1,
@@ -35,27 +35,27 @@
 };
 const ACCEPTED_AT = 5;
 const CANCELLED_AT = 7;
-const record: JobRecord = { spec, at: 0, cancelled: false, cancelledAt: null, follows: [], parts: 0 };
+const record: JobRecord = { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 const cancelledRecord: JobRecord = { ...record, cancelled: true, cancelledAt: 1 };
 
 /** A share with one job, and a state service whose record of it has this revision; 0: it is gone. */
 const shardOf = () => {
   const state = { revision: CANCELLED_AT, transactions: 0 };
-  const request = (): Promise<Answer> => {
+  const request = (): Promise<CallOutcome> => {
     state.transactions += 1;
     if (state.revision === 0)
-      return Promise.resolve({ _tag: 'answer', status: 409, body: { failed: ['w/j/job-1', 'f/job-1'] } });
+      return Promise.resolve({ _tag: 'response', status: 409, body: { failed: ['w/j/job-1', 'f/job-1'] } });
     state.revision = 0;
-    return Promise.resolve({ _tag: 'answer', status: 200, body: { epoch: 9 } });
+    return Promise.resolve({ _tag: 'response', status: 200, body: { epoch: 9 } });
   };
-  const store = new Store(
+  const store = new KeyValueStore(
     { host: 'h', port: 1 },
     { rps: 1e6, write_rps: 1e6, txn_ops: 10, nodes: 1 },
     () => 0,
     () => ({ request }),
   );
   const settled: string[] = [];
-  const shardState = new ShardState({ now: () => 0, wall: () => 0, poke: () => undefined });
+  const shardState = new ShardState({ now: () => 0, wall: () => 0, requestRound: () => undefined });
   const transactions = new ClaimTransactions({
     store,
     shardId: 0,
@@ -68,10 +68,10 @@
     shardState,
     runs: new RunWriter({ transactions, store, shardId: 0, valueBytes: 2048, maySplit: () => true }),
     finals: new FinalRecordWriter({ transactions, store, shardId: 0, wall: () => 0 }),
-    leftOver: new UnmarkedRemoval(store, transactions),
+    orphanedKeys: new ImmediateRemoval(store, transactions),
     now: () => 0,
     lost: () => false,
-    poke: () => undefined,
+    requestRound: () => undefined,
     settled: (job) => settled.push(job),
   });
   shardState.adoptJob(record, ACCEPTED_AT);
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -1,7 +1,7 @@
 import { FLUSH_DELAY_MS, FLUSH_INTERVAL_MS, IMMEDIATE_FLUSH_RATE_FRACTION } from '../constants/placement.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
-import type { LeftOverKeys } from './orphaned-keys.js';
-import type { Store } from '../kv-store/client.js';
+import type { OrphanedKeys } from './orphaned-keys.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import type { ShardState } from './shard-state.js';
 import { isFinished, type ShardJob } from './shard-model.js';
 import type { FinalRecordWriter } from './final-record-writer.js';
@@ -9,16 +9,16 @@
 
 /** What the record flusher needs of its share. */
 export interface RecordFlusherInput {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly shardState: ShardState;
   readonly runs: RunWriter;
   readonly finals: FinalRecordWriter;
-  readonly leftOver: LeftOverKeys;
+  readonly orphanedKeys: OrphanedKeys;
   readonly now: () => number;
   /** The share's claim is no longer held by this process. */
   readonly lost: () => boolean;
   /** Asks for another placement round. */
-  readonly poke: () => void;
+  readonly requestRound: () => void;
   /** A job's final record is durable. */
   readonly settled: (job: string, final: FinalRecord) => void;
 }
@@ -45,8 +45,8 @@
           entries.push({ write: this.input.runs.runWrite(job, number) });
       }
     }
-    const { leftOver } = this.input;
-    if (entries.length === 0 && !leftOver.due) return;
+    const { orphanedKeys } = this.input;
+    if (entries.length === 0 && !orphanedKeys.due) return;
     this.flushing = true;
     this.flushedAt = now;
     const work = async (): Promise<void> => {
@@ -56,11 +56,11 @@
           batch.map((entry) => entry.write),
           'work',
         );
-      if (leftOver.due) await leftOver.step();
+      if (orphanedKeys.due) await orphanedKeys.step();
     };
     void work().finally(() => {
       this.flushing = false;
-      this.input.poke();
+      this.input.requestRound();
     });
   }
 
@@ -73,21 +73,21 @@
       batch = [];
       size = 0;
       if (sent.length === 0) return;
-      void this.input.finals.finish(sent).then(({ done, leftOver }) => {
+      void this.input.finals.finish(sent).then(({ done, orphanedKeys }) => {
         for (const { job, final } of done) {
           this.input.shardState.jobs.delete(job.spec.id);
           this.input.settled(job.spec.id, final);
         }
         for (const { job } of sent) this.input.shardState.dropIfOver(job);
-        this.input.leftOver.discard(leftOver);
-        this.input.poke();
+        this.input.orphanedKeys.discard(orphanedKeys);
+        this.input.requestRound();
       });
     };
     for (const job of this.input.shardState.jobs.values()) {
       if (job.finishing || job.writing > 0 || job.bindings.size > 0) continue;
       if (!job.cancelled && !isFinished(job)) continue;
       const more = this.input.finals.finalSize(job);
-      if (job.finishAlone || size + more > this.input.store.batchOps) send();
+      if (job.finishAlone || size + more > this.input.store.batchWrites) send();
       batch.push({ job, state: job.cancelled ? 'cancelled' : 'done' });
       size += more;
       if (job.finishAlone) send();
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,5 +1,5 @@
-import type { LeftOver } from '@dalegate/fencing';
-import type { Item } from '../kv-store/client.js';
+import type { OrphanedKey } from '@dalegate/fencing';
+import type { StoredEntry } from '../kv-store/client.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { counts, durableKeys, partsOf, readRunRecord, validAttempt } from './run-records.js';
 import type { ShardState } from './shard-state.js';
@@ -13,29 +13,29 @@
 /** Rebuilds a share's bindings from the run records that the state service holds, at a takeover. */
 export class RunLoader {
   /** Keys that belong to no job any more. */
-  private readonly leftOver: LeftOver[] = [];
+  private readonly orphanedKeys: OrphanedKey[] = [];
 
   constructor(private readonly input: RunLoaderInput) {}
 
   /** Takes in all runs of the share; returns the keys that are left over. */
-  loadAll(items: readonly Item[]): readonly LeftOver[] {
+  loadAll(items: readonly StoredEntry[]): readonly OrphanedKey[] {
     const byKey = new Map(items.map((item) => [item.key, item]));
     for (const item of items) this.load(item, byKey);
-    return this.leftOver;
+    return this.orphanedKeys;
   }
 
-  private load(item: Item, items: ReadonlyMap<string, Item>): void {
+  private load(item: StoredEntry, items: ReadonlyMap<string, StoredEntry>): void {
     const name = parseRunKey(item.key);
     const job = name ? this.input.shardState.jobs.get(name.job) : undefined;
     if (!name || !job) {
-      this.leftOver.push({ key: item.key, revision: item.version, reason: 'belongs to no job' });
+      this.orphanedKeys.push({ key: item.key, revision: item.version, reason: 'belongs to no job' });
       return;
     }
     // Parts are read with the record that they belong to; one that it doesn't name is left over.
     if (name.part !== null) {
       const whole = items.get(runKey(this.input.shardId, name.job, name.chunk));
       if (!whole || name.part >= partsOf(whole.value))
-        this.leftOver.push({ key: item.key, revision: item.version, reason: 'part not named' });
+        this.orphanedKeys.push({ key: item.key, revision: item.version, reason: 'part not named' });
       return;
     }
     const count = partsOf(item.value);
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -7,9 +7,9 @@
   VALUE_FILL_FRACTION,
 } from '../constants/key-value-store.js';
 import { log } from '../log.js';
-import type { Store, Write } from '../kv-store/client.js';
+import type { KeyValueStore, Write } from '../kv-store/client.js';
 import { jobKey, runKey, runPartKey } from '../kv-store/keys.js';
-import type { Rank } from '../kv-store/rate-limiter.js';
+import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import {
   durableKeys,
@@ -25,7 +25,7 @@
 /** What the writer of runs needs of its share. */
 export interface RunWriterInput {
   readonly transactions: ClaimTransactions;
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly shardId: number;
   /** bytes: the largest value that the state service takes, now and later. */
   readonly valueBytes: number;
@@ -79,7 +79,7 @@
       const more = this.changesOf(entry.write);
       if (
         batch.length > 0 &&
-        (changes + more > this.input.store.batchOps || bytes + size > MAX_RECORD_BATCH_BYTES)
+        (changes + more > this.input.store.batchWrites || bytes + size > MAX_RECORD_BATCH_BYTES)
       ) {
         batches.push(batch);
         batch = [];
@@ -95,7 +95,7 @@
   }
 
   /** Writes runs in one transaction; while it is under way nothing else writes runs of these jobs. */
-  async commitRuns(writes: readonly RunWrite[], rank: Rank): Promise<boolean> {
+  async commitRuns(writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
     const first = writes[0];
     if (!first) return true;
     const key = (write: RunWrite): string => runKey(this.input.shardId, write.job.spec.id, write.chunk);
@@ -142,11 +142,11 @@
       changes += this.changesOf(write);
       bytes += storedBytes(write.stored);
     }
-    return changes <= this.input.store.txnOps && bytes <= MAX_TRANSACTION_BYTES;
+    return changes <= this.input.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
   }
 
   /** Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was prepared. */
-  async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: Rank): Promise<boolean> {
+  async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
     if (!first || first.chunk !== 0 || this.fitOneTransaction(writes)) return this.commitRuns(writes, rank);
     // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the upgrade.
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -23,7 +23,7 @@
   phase: Phase;
   stop: Stop | null;
   /** The newest message of its machine that showed it. */
-  seen: { readonly session: number; readonly seq: number } | null;
+  seen: { readonly agentEpoch: number; readonly sequenceNumber: number } | null;
   /** ms, when it was decided, and when it was first seen running. */
   readonly boundAt: number;
   runningAt: number | null;
@@ -103,8 +103,8 @@
   /** Its return was asked for without a durable intent, which follows: nothing is placed on it, nor is it moved. */
   cordoned: boolean;
   addr: string;
-  session: number;
-  seq: number;
+  agentEpoch: number;
+  sequenceNumber: number;
   /** A report of this session named our current token. */
   confirmedToken: number;
   /** It has reported a token of this holder at some time: no command of an earlier one can reach it. */
@@ -121,7 +121,7 @@
    * Direct `run`s of unknown outcome, with the token they carried: such a command may still be carried out
    * until the worker has seen a higher token.
    */
-  readonly unsureRuns: Map<string, number>;
+  readonly unacknowledgedRuns: Map<string, number>;
   /** Its record is to be rewritten, for a higher token that ends what is unsure. */
   raiseToken: boolean;
   /** Reports whose answer is being held for a placement round: direct commands are not needed. */
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -10,7 +10,7 @@
 import type { MachineRecord } from '../fleet/records.js';
 import type { Demand, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Readiness, Standing } from '../pipelines/graph.js';
+import type { Readiness, EffectivePriority } from '../pipelines/graph.js';
 import { chunkOf } from './run-records.js';
 import {
   bindingKey,
@@ -28,7 +28,7 @@
   /** ms since the epoch. */
   readonly wall: () => number;
   /** Something changed that a round should look at. */
-  readonly poke: () => void;
+  readonly requestRound: () => void;
 }
 
 /** Jobs, machines and bindings of one share, and the one place where a binding changes its state. */
@@ -53,8 +53,8 @@
       releasing: record.releasing,
       cordoned: false,
       addr: record.addr,
-      session: 0,
-      seq: 0,
+      agentEpoch: 0,
+      sequenceNumber: 0,
       confirmedToken: 0,
       tookOurToken: false,
       takenAt: this.input.now(),
@@ -62,7 +62,7 @@
       answeredAt: null,
       noticeAt: null,
       noticeS: null,
-      unsureRuns: new Map(),
+      unacknowledgedRuns: new Map(),
       answering: 0,
       reported: [],
       forgetFrom: null,
@@ -81,7 +81,7 @@
   dropMachine(machine: ShardMachine, how: Gone): void {
     for (const binding of [...machine.bound.values()]) this.apply(binding, { _tag: 'lost', how });
     this.machines.delete(machine.id);
-    this.input.poke();
+    this.input.requestRound();
   }
 
   adoptJob(record: JobRecord, version: number): ShardJob {
@@ -94,7 +94,7 @@
         at: record.at,
         parts: record.parts,
         readiness:
-          record.follows.length + record.parts > 0
+          record.dependsOn.length + record.parts > 0
             ? { _tag: 'waiting' }
             : { _tag: 'ready', since: record.at },
         version,
@@ -119,7 +119,7 @@
       log.debug({
         event: 'job.known',
         job: record.spec.id,
-        class: record.spec.klass,
+        class: record.spec.jobClass,
         tasks: record.spec.tasks,
         ageMs: this.input.wall() - record.at,
       });
@@ -164,19 +164,19 @@
   }
 
   /** Where a job stands among those that it follows, and what it is worth for those that need it. */
-  stand(id: string, readiness: Readiness, standing: Standing): void {
+  stand(id: string, readiness: Readiness, effectivePriority: EffectivePriority): void {
     const job = this.jobs.get(id);
     if (!job) return;
     job.readiness = readiness;
     if (readiness._tag === 'ready') job.at = Math.max(job.submittedAt, readiness.since);
     job.spec = {
       ...job.own,
-      priority: standing.priority,
-      deadlineS: standing.dueAt === null ? null : (standing.dueAt - job.at) / 1000,
+      priority: effectivePriority.priority,
+      deadlineS: effectivePriority.dueAt === null ? null : (effectivePriority.dueAt - job.at) / 1000,
     };
     // It has no task, and never will.
     if (readiness._tag === 'doomed') this.cancel(job, null);
-    this.input.poke();
+    this.input.requestRound();
   }
 
   /** A cancellation that is durable at this revision, told by another node: the shared keys may show it much later. */
@@ -225,7 +225,7 @@
     binding.stop = { reason, graceS, since: this.input.now() };
     // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it with its report.
     if (onMachine(binding.phase) && reason !== 'finished') this.stops.add(binding);
-    this.input.poke();
+    this.input.requestRound();
   }
 
   graceOf(job: ShardJob): number {
@@ -282,7 +282,7 @@
       machine.bound.delete(bindingKey(binding.job, binding.index, binding.attempt));
       machine.free = null;
     }
-    this.input.poke();
+    this.input.requestRound();
     if (!job || job.bindings.get(binding.index) !== binding) return;
     job.bindings.delete(binding.index);
     const chunk = job.chunks.get(chunkOf(binding.index));
--- a/src/placement/shard-summary-builder.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -2,7 +2,7 @@
 import type { ShardSummary } from '../fleet/records.js';
 import type { Catalog } from '../jobs/model.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import type { AvailableCapacity, Limit, Usage } from './bin-packing.js';
+import type { AvailableCapacity, TeamLimit, TeamUsage } from './bin-packing.js';
 import type { ShardState } from './shard-state.js';
 import type { ShardMachine } from './shard-model.js';
 import { spareMachines, unmetDemand, type UnplacedRequest } from './unmet-demand.js';
@@ -14,7 +14,7 @@
   readonly claim: number;
   readonly shardState: ShardState;
   readonly cache: Pick<WatchCache, 'revision'>;
-  readonly limits: ReadonlyMap<string, Limit>;
+  readonly limits: ReadonlyMap<string, TeamLimit>;
   readonly objectives: ReadonlyMap<string, Objectives>;
   readonly now: () => number;
   /** ms since the epoch. */
@@ -36,8 +36,8 @@
   /** What the leader should know. */
   update(
     left: readonly UnplacedRequest[],
-    rooms: readonly AvailableCapacity[],
-    uses: Map<string, Usage>,
+    capacities: readonly AvailableCapacity[],
+    uses: Map<string, TeamUsage>,
     catalog: Catalog,
   ): void {
     const now = this.input.now();
@@ -45,7 +45,7 @@
     this.plannedAt = now;
     const needs = unmetDemand(
       left,
-      rooms,
+      capacities,
       this.input.limits,
       uses,
       catalog,
--- a/src/placement/shard.test.ts
+++ b/src/placement/shard.test.ts
@@ -46,11 +46,11 @@
 
 test('share state: tasks of a gang that is done are not told to stop one by one', () => {
   // They end together and each worker reports so itself: of a gang of 16, 15 commands were sent for nothing.
-  const shardState = new ShardState({ now: () => 0, wall: () => 0, poke: () => undefined });
+  const shardState = new ShardState({ now: () => 0, wall: () => 0, requestRound: () => undefined });
   const tasks = 3;
   const spec = {
     id: 'job-1',
-    klass: 'c',
+    jobClass: 'c',
     team: 't',
     kind: 'gang' as const,
     priority: 1 as const,
@@ -71,7 +71,7 @@
     deadlineS: null,
   };
   const job = shardState.adoptJob(
-    { spec, at: 0, cancelled: false, cancelledAt: null, follows: [], parts: 0 },
+    { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     1,
   );
   const record = {
@@ -82,7 +82,7 @@
     at: 0,
     releasing: false,
     addr: '',
-    session: 1,
+    agentEpoch: 1,
   };
   const total = { cpus: 8, gpus: 8, memoryGb: 8 };
   const bindings = Array.from({ length: tasks }, (_, index) =>
@@ -99,7 +99,7 @@
     assert.equal(other.stop?.reason, 'finished', 'a worker that missed it hears of it');
   // A gang that broke is still told at once, all of it.
   const broken = shardState.adoptJob(
-    { spec: { ...spec, id: 'job-2' }, at: 0, cancelled: false, cancelledAt: null, follows: [], parts: 0 },
+    { spec: { ...spec, id: 'job-2' }, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     2,
   );
   for (let index = 0; index < tasks; index += 1) {
