--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -6,26 +6,26 @@
 import {
   readMachineRecord,
   type MachineRecord,
-  type Move,
+  type MachineTransfer,
   type Reservation,
   type ShardSummary,
 } from '../fleet/records.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { Catalog, Demand, FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Store } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
 import { JOB_PREFIX, jobKey, MACHINE_PREFIX, machineOf, runsPrefix } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { DirectResult } from '../workers/worker-client.js';
-import type { Command, Report } from '../workers/model.js';
-import type { Readiness, Standing } from '../pipelines/graph.js';
+import type { Command, WorkerHeartbeat } from '../workers/model.js';
+import type { Readiness, EffectivePriority } from '../pipelines/graph.js';
 import { placementRequests, availableCapacity, teamUsage, type ViewInput } from './placement-view.js';
 import { Binder } from './binder.js';
 import { ClaimTransactions } from './claim-transactions.js';
 import { FinalRecordWriter } from './final-record-writer.js';
 import { MachineRecordWriter } from './machine-record-writer.js';
 import { MachineLifecycle } from './machine-lifecycle.js';
-import { MarkedRemoval, UnmarkedRemoval, type LeftOverKeys } from './orphaned-keys.js';
+import { TombstonedRemoval, ImmediateRemoval, type OrphanedKeys } from './orphaned-keys.js';
 import { Preemptor } from './preemptor.js';
 import { RecordFlusher } from './record-flusher.js';
 import { RoundPacer } from './round-pacer.js';
@@ -34,7 +34,7 @@
 import { ShardState } from './shard-state.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { WorkerSessions } from './worker-sessions.js';
-import { packAll, type Limit, type Usage } from './bin-packing.js';
+import { packRequests, type TeamLimit, type TeamUsage } from './bin-packing.js';
 import { bindingKey } from './shard-model.js';
 import { onMachine } from './attempt-phase.js';
 import type { Objectives } from './urgency.js';
@@ -42,7 +42,7 @@
 
 /** What a share needs of the rest of the controller. */
 export interface ShardContext {
-  readonly store: Store;
+  readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly catalog: () => Catalog | null;
   /** The most that one task takes of the jobs, of any share, that may not use spot machines and fit no other type. */
@@ -50,8 +50,8 @@
   /** Some class misses every start target if a machine of this type has to be booted for it. */
   readonly bootBound: (type: string) => boolean;
   readonly shardOfTeam: ReadonlyMap<string, number>;
-  readonly limits: ReadonlyMap<string, Limit>;
-  readonly guarantees: ReadonlyMap<string, Usage>;
+  readonly limits: ReadonlyMap<string, TeamLimit>;
+  readonly guarantees: ReadonlyMap<string, TeamUsage>;
   readonly objectives: ReadonlyMap<string, Objectives>;
   readonly workers: { readonly lease_s: number; readonly report_s: number; readonly cancel_s: number };
   /** bytes: the largest value that the state service takes, now and later. */
@@ -61,11 +61,11 @@
   /** Part of a core that this process may use. */
   readonly coreShare: number;
   /** May this node act for the share now, under this very claim? */
-  readonly entitled: () => boolean;
+  readonly mayAct: () => boolean;
   /** Has another share a free machine that would do for this job? */
   readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
   /** What the leader gathers machines for. */
-  readonly holds: () => readonly Reservation[];
+  readonly reservations: () => readonly Reservation[];
   readonly now: () => number;
   /** ms of processor time that this process has used. */
   readonly processorMs: () => number;
@@ -74,19 +74,19 @@
   readonly direct: (
     addr: string,
     token: number,
-    session: number,
+    agentEpoch: number,
     commands: readonly Command[],
   ) => Promise<DirectResult>;
   /** A job's final record is durable. */
   readonly settled: (job: string, final: FinalRecord) => void;
   readonly readiness: (job: string) => Readiness;
-  readonly standing: (job: string) => Standing | null;
+  readonly effectivePriority: (job: string) => EffectivePriority | null;
   /** The duty of cleaning up this share's left-over state; null: it is done without marks. */
   readonly cleanUp: Duty | null;
   /** The share's runs are read: its duties begin. */
   readonly loaded: () => void;
   /** Returns machines to the cloud at once, without a record of it; true: they are gone. */
-  readonly returnNow: (machines: readonly string[]) => Promise<boolean>;
+  readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
   /** Something changed that the leader or a worker waits for. */
   readonly changed: () => void;
 }
@@ -101,13 +101,13 @@
   private readonly liveness: MachineLiveness;
   private readonly sessions: WorkerSessions;
   private readonly lifecycle: MachineLifecycle;
-  private readonly leftOver: LeftOverKeys;
+  private readonly orphanedKeys: OrphanedKeys;
   private readonly flusher: RecordFlusher;
   private readonly binder: Binder;
   private readonly preemptor: Preemptor;
   private readonly summaryBuilder: ShardSummaryBuilder;
   private wake: (() => void) | null = null;
-  private poked = false;
+  private roundRequested = false;
   private restUntil = 0;
   private readonly pacer: RoundPacer;
 
@@ -116,9 +116,9 @@
     readonly claim: number,
     private readonly input: ShardContext,
   ) {
-    const poke = (): void => this.poke();
+    const requestRound = (): void => this.requestRound();
     this.pacer = new RoundPacer(input.coreShare);
-    this.shardState = new ShardState({ now: input.now, wall: input.wall, poke });
+    this.shardState = new ShardState({ now: input.now, wall: input.wall, requestRound });
     this.liveness = new MachineLiveness({
       machines: this.shardState.machines,
       catalog: input.catalog,
@@ -136,14 +136,14 @@
       isCancelled: (id) => this.isCancelled(id),
       placing: () => this.stage === 'placing',
       lost: () => this.stage === 'lost',
-      poke,
+      requestRound,
       direct: input.direct,
     });
     const transactions = new ClaimTransactions({
       store: input.store,
       shardId,
       claim,
-      lost: () => this.lose(),
+      lost: () => this.markLost(),
       isLost: () => this.stage === 'lost',
     });
     const { store, valueBytes, maySplit, now, wall } = input;
@@ -162,13 +162,13 @@
       now,
       placing: () => this.stage === 'placing',
       lost,
-      returnNow: input.returnNow,
+      releaseNow: input.releaseNow,
     });
     const { cleanUp } = input;
-    this.leftOver =
+    this.orphanedKeys =
       cleanUp === null
-        ? new UnmarkedRemoval(store, transactions)
-        : new MarkedRemoval({
+        ? new ImmediateRemoval(store, transactions)
+        : new TombstonedRemoval({
             store,
             shardId,
             claim,
@@ -182,13 +182,13 @@
       shardState,
       runs,
       finals,
-      leftOver: this.leftOver,
+      orphanedKeys: this.orphanedKeys,
       now,
       lost,
-      poke,
+      requestRound,
       settled: input.settled,
     });
-    this.binder = new Binder({ shardState, runs, sessions, lost, poke });
+    this.binder = new Binder({ shardState, runs, sessions, lost, requestRound });
     this.preemptor = new Preemptor({ shardId, shardState, now, wall, spareElsewhere: input.spareElsewhere });
     this.summaryBuilder = new ShardSummaryBuilder({
       shardId,
@@ -230,8 +230,8 @@
     }
     const total = this.input.catalog()?.get(record.type) ?? { cpus: 0, gpus: 0, memoryGb: 0 };
     const machine = this.shardState.addMachine(id, record, version, total);
-    if (record.addr !== '' && this.input.entitled()) this.sessions.greet(machine, record.session);
-    this.poke();
+    if (record.addr !== '' && this.input.mayAct()) this.sessions.greet(machine, record.agentEpoch);
+    this.requestRound();
   }
 
   onMachineGone(id: string): void {
@@ -243,22 +243,22 @@
   onJobRecord(record: JobRecord, version: number): void {
     if (this.input.shardOfTeam.get(record.spec.team) !== this.shardId || this.stage === 'loading') return;
     this.shardState.adoptJob(record, version);
-    this.onStanding(record.spec.id);
-    this.poke();
+    this.onEffectivePriority(record.spec.id);
+    this.requestRound();
   }
 
   /** The readiness or standing of a job may have changed. */
-  onStanding(id: string): void {
+  onEffectivePriority(id: string): void {
     const job = this.shardState.jobs.get(id);
-    const standing = this.input.standing(id);
-    if (job && standing) this.shardState.stand(id, this.input.readiness(id), standing);
+    const effectivePriority = this.input.effectivePriority(id);
+    if (job && effectivePriority) this.shardState.stand(id, this.input.readiness(id), effectivePriority);
   }
 
   /** Another node is about to tell a user of this cancellation. True: from now on every answer to a worker says so. */
   acknowledge(id: string, version: number): boolean {
     if (this.stage === 'lost') return false;
     this.shardState.acknowledge(id, version);
-    this.poke();
+    this.requestRound();
     return true;
   }
 
@@ -290,10 +290,10 @@
         const record = readJobRecord(item.value);
         if (this.input.shardOfTeam.get(record.spec.team) === this.shardId)
           this.shardState.adoptJob(record, item.version);
-        this.onStanding(record.spec.id);
+        this.onEffectivePriority(record.spec.id);
       }
       const loader = new RunLoader({ shardId: this.shardId, shardState: this.shardState });
-      this.leftOver.discard(loader.loadAll(all.items));
+      this.orphanedKeys.discard(loader.loadAll(all.items));
       for (const machine of this.shardState.machines.values()) {
         machine.free = null;
         for (const task of machine.reported) {
@@ -315,11 +315,13 @@
 
   // ---- workers ---------------------------------------------------------------------------------------------
 
-  onReport(report: Report): { readonly hurry: boolean } | null {
-    return this.sessions.onReport(report);
+  onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null {
+    return this.sessions.onHeartbeat(heartbeat);
   }
-  orders(report: Report): { readonly token: number; readonly commands: readonly Command[] } | null {
-    return this.sessions.orders(report);
+  orders(
+    heartbeat: WorkerHeartbeat,
+  ): { readonly token: number; readonly commands: readonly Command[] } | null {
+    return this.sessions.orders(heartbeat);
   }
   /** Machines that should report, and those heard lately: all of none means that nobody reaches this node. */
   hearing(): { readonly machines: number; readonly heard: number } {
@@ -328,8 +330,8 @@
 
   // ---- rounds ----------------------------------------------------------------------------------------------
 
-  poke(): void {
-    this.poked = true;
+  requestRound(): void {
+    this.roundRequested = true;
     this.wake?.();
   }
 
@@ -341,7 +343,7 @@
           const soon = (): void => {
             setTimeout(resolve, Math.max(1, this.restUntil - this.input.now()));
           };
-          if (this.poked) return soon();
+          if (this.roundRequested) return soon();
           const timer = setTimeout(resolve, PLACEMENT_INTERVAL_MS);
           this.wake = () => {
             clearTimeout(timer);
@@ -356,7 +358,7 @@
 
   /** Resolves when the binds of a whole round that begins after now are durable, or after `ms`. */
   nextRound(id: string, ms: number): Promise<void> {
-    this.poke();
+    this.requestRound();
     const machine = this.shardState.machines.get(id);
     if (machine) machine.answering += 1;
     return new Promise<void>((resolve) => {
@@ -376,9 +378,9 @@
     if (this.stage === 'loading') yield* this.load;
     for (;;) {
       yield* this.pause();
-      this.poked = false;
+      this.roundRequested = false;
       if (this.stage === 'lost') return;
-      if (!this.input.entitled()) continue;
+      if (!this.input.mayAct()) continue;
       const begun = this.input.processorMs();
       this.round();
       const rest = this.pacer.restAfter(this.input.processorMs() - begun);
@@ -407,17 +409,17 @@
   // ---- machines ----------------------------------------------------------------------------------------------
 
   /** Moves free machines to other shares, on the leader's order. */
-  give(moves: readonly Move[]): Promise<boolean> {
-    return this.lifecycle.give(moves);
+  transferMachines(moves: readonly MachineTransfer[]): Promise<boolean> {
+    return this.lifecycle.transferMachines(moves);
   }
 
   // ---- durable changes ---------------------------------------------------------------------------------------
 
-  lose(): void {
+  markLost(): void {
     if (this.stage === 'lost') return;
     this.stage = 'lost';
     log.info({ event: 'share.lost', shardId: this.shardId, claim: this.claim });
-    this.poke();
+    this.requestRound();
   }
 
   // ---- placement -----------------------------------------------------------------------------------------------
@@ -430,7 +432,7 @@
       scarceDemand: this.input.scarceDemand,
       guarantees: this.input.guarantees,
       objectives: this.input.objectives,
-      holds: this.input.holds(),
+      reservations: this.input.reservations(),
       now: this.input.now(),
       wall: this.input.wall(),
     };
@@ -439,18 +441,18 @@
   /** Ends when what was bound is durable, or surely is not. */
   private place(catalog: Catalog): Promise<unknown> {
     const view = this.view(catalog);
-    const asks = placementRequests(view);
-    const rooms = availableCapacity(view);
+    const requests = placementRequests(view);
+    const capacities = availableCapacity(view);
     const uses = teamUsage(this.shardState);
-    const packed = packAll(
-      asks,
-      rooms.filter((room) => room.live),
+    const packed = packRequests(
+      requests,
+      capacities.filter((capacity) => capacity.live),
       this.input.limits,
       uses,
     );
-    const bound = this.binder.bindAll(packed.puts);
-    this.preemptor.run(packed.left, rooms);
-    this.summaryBuilder.update(packed.left, rooms, uses, catalog);
+    const bound = this.binder.bindAll(packed.assignments);
+    this.preemptor.run(packed.left, capacities);
+    this.summaryBuilder.update(packed.left, capacities, uses, catalog);
     return bound;
   }
 
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -16,18 +16,18 @@
 } from '../fleet/records.js';
 import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import {
-  packAll,
+  packRequests,
   type PlacementRequest,
-  type Limit,
+  type TeamLimit,
   type AvailableCapacity,
-  type Usage,
+  type TeamUsage,
 } from './bin-packing.js';
 import type { ShardMachine } from './shard-model.js';
 import type { Objectives } from './urgency.js';
 
 /** A request with the number of its tasks that found no room. */
 export interface UnplacedRequest {
-  readonly ask: PlacementRequest;
+  readonly request: PlacementRequest;
   readonly count: number;
 }
 
@@ -53,7 +53,7 @@
  */
 const patience = (spec: JobSpec, objectives: ReadonlyMap<string, Objectives>): number => {
   if (spec.kind !== 'gang') return ARRAY_RESERVE_DELAY_MS;
-  const target = objectives.get(spec.klass)?.wait.at(-1);
+  const target = objectives.get(spec.jobClass)?.wait.at(-1);
   return target === undefined
     ? DEFAULT_RESERVE_DELAY_MS
     : Math.min(MAX_RESERVE_DELAY_MS, target * 1000 * RESERVE_DELAY_TARGET_FRACTION);
@@ -70,35 +70,39 @@
 /** What is still needed once the machines that are coming are counted: one entry a class, the most urgent first. */
 export const unmetDemand = (
   left: readonly UnplacedRequest[],
-  rooms: readonly AvailableCapacity[],
-  limits: ReadonlyMap<string, Limit>,
-  uses: Map<string, Usage>,
+  capacities: readonly AvailableCapacity[],
+  limits: ReadonlyMap<string, TeamLimit>,
+  uses: Map<string, TeamUsage>,
   catalog: Catalog,
   objectives: ReadonlyMap<string, Objectives>,
   wall: number,
 ): readonly UnmetDemand[] => {
-  const coming = packAll(
+  const coming = packRequests(
     // What was rented for this work must count for it before it may be used, or it is rented again; what was
     // rented for work that can use no spot must not be planned away for work that can.
-    left.map(({ ask, count }) => ({
-      ...ask,
-      waiting: ask.waiting.slice(-count),
-      ordinary: ask.urgency.rent,
+    left.map(({ request, count }) => ({
+      ...request,
+      waiting: request.waiting.slice(-count),
+      mayUseOnDemand: request.urgency.provision,
     })),
-    rooms.map((room) => (room.live || room.kept === 'always' ? room : { ...room, kept: 'no' as const })),
+    capacities.map((capacity) =>
+      capacity.live || capacity.withheldFromSpotWork === 'always'
+        ? capacity
+        : { ...capacity, withheldFromSpotWork: 'no' as const },
+    ),
     limits,
     uses,
   );
   const needs = new Map<string, Open>();
-  for (const { ask, count } of coming.left) {
-    const { spec } = ask;
-    const key = needClass(spec, ask.urgency.rent, catalog);
-    const waitedMs = wall - ask.at;
+  for (const { request, count } of coming.left) {
+    const { spec } = request;
+    const key = needClass(spec, request.urgency.provision, catalog);
+    const waitedMs = wall - request.at;
     // Of the others only those of which nothing has begun.
     const listed =
-      spec.kind === 'gang' || ask.waiting.length >= Math.min(spec.tasks, MAX_TASKS_PER_PLACEMENT_REQUEST);
+      spec.kind === 'gang' || request.waiting.length >= Math.min(spec.tasks, MAX_TASKS_PER_PLACEMENT_REQUEST);
     const gang = listed
-      ? [{ job: spec.id, tasks: count, waitedMs, patienceMs: patience(spec, objectives) }]
+      ? [{ job: spec.id, tasks: count, waitedMs, reserveAfterMs: patience(spec, objectives) }]
       : [];
     const known = needs.get(key);
     if (known) {
@@ -112,8 +116,12 @@
     if (needs.size >= MAX_DEMAND_CLASSES) continue;
     const room: Record<string, number> = {};
     if (spec.oneZone) {
-      for (const free of rooms) {
-        if (!placeAllowed(spec, free) || (free.empty && free.held && free.held.job !== ask.job)) continue;
+      for (const free of capacities) {
+        if (
+          !placeAllowed(spec, free) ||
+          (free.empty && free.reservedFor && free.reservedFor.job !== request.job)
+        )
+          continue;
         room[free.zone] = (room[free.zone] ?? 0) + howMany(spec, free.free, count);
       }
     }
@@ -126,11 +134,11 @@
       spot: spec.spot,
       gang: spec.kind === 'gang',
       oneZone: spec.oneZone,
-      urgent: ask.urgency.rent,
+      urgent: request.urgency.provision,
       priority: spec.priority,
       tasks: count,
       gangs: gang,
-      room,
+      zoneCapacity: room,
       waitedMs,
     });
   }
@@ -173,7 +181,7 @@
 };
 
 /** What peers that don't lead hear: whether there is a spare of some kind, nothing of needs. */
-export const briefly = (summary: ShardSummary): ShardSummary => {
+export const abridgedSummary = (summary: ShardSummary): ShardSummary => {
   const kinds = new Set<string>();
   const spares = summary.spares.filter((spare) => {
     const key = `${spare.type}|${spare.zone}|${spare.spot}`;
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -22,18 +22,18 @@
   for (const entry of raw ?? []) {
     const {
       kind,
-      class: klass,
+      class: jobClass,
       within_s: within,
     } = entry as { kind?: unknown; class?: unknown; within_s?: unknown };
     if (
-      typeof klass !== 'string' ||
+      typeof jobClass !== 'string' ||
       typeof within !== 'number' ||
       (kind !== RAW.wait && kind !== RAW.finished)
     )
       continue;
-    const known = classes.get(klass) ?? { wait: [], finished: [] };
+    const known = classes.get(jobClass) ?? { wait: [], finished: [] };
     known[kind].push(within);
-    classes.set(klass, known);
+    classes.set(jobClass, known);
   }
   for (const known of classes.values()) {
     known.wait.sort((a, b) => a - b);
@@ -54,7 +54,7 @@
   /** Taking an ordinary machine that is up now saves a target that waiting would miss. */
   readonly place: boolean;
   /** Renting an ordinary machine now still saves a target, and later won't; or spot is plainly not to be had. */
-  readonly rent: boolean;
+  readonly provision: boolean;
 }
 
 /**
@@ -74,10 +74,10 @@
     ...targets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
     ...(objectives?.wait ?? []).map((target) => target - waitedS - fetchS),
   ];
-  if (slacks.length === 0) return { place: long, rent: long };
+  if (slacks.length === 0) return { place: long, provision: long };
   return {
     place: slacks.some((slack) => slack >= 0 && slack < URGENT_PLACEMENT_SLACK_S),
-    rent: long || slacks.some((slack) => slack >= bootS && slack < bootS + URGENT_PROVISIONING_SLACK_S),
+    provision: long || slacks.some((slack) => slack >= bootS && slack < bootS + URGENT_PROVISIONING_SLACK_S),
   };
 };
 
@@ -85,7 +85,7 @@
  * Which of the start targets a waiting job can still meet: 0 all, 1 all but the tightest, and so on. Jobs that
  * can still meet one go before those that can't, unless these have waited many times as long.
  */
-export const tier = (objectives: Objectives | undefined, waitedS: number): number => {
+export const attainableObjective = (objectives: Objectives | undefined, waitedS: number): number => {
   const list = objectives?.wait ?? [];
   const last = list.at(-1);
   if (last === undefined) return 0;
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
 import type { JobSpec } from '../jobs/model.js';
-import type { Command, Report, ReportedTask } from '../workers/model.js';
+import type { Command, WorkerHeartbeat, ReportedTask } from '../workers/model.js';
 import { ShardState } from './shard-state.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { WorkerSessions } from './worker-sessions.js';
@@ -12,7 +12,7 @@
 const LEASE_S = 20;
 const spec: JobSpec = {
   id: 'job-1',
-  klass: 'k',
+  jobClass: 'k',
   team: 't',
   kind: 'gang',
   priority: 1,
@@ -46,7 +46,11 @@
 
 class Story {
   now = 1_000_000;
-  readonly shardState = new ShardState({ now: () => this.now, wall: () => this.now, poke: () => undefined });
+  readonly shardState = new ShardState({
+    now: () => this.now,
+    wall: () => this.now,
+    requestRound: () => undefined,
+  });
   readonly liveness = new MachineLiveness({
     bootBound: () => false,
     machines: this.shardState.machines,
@@ -64,11 +68,11 @@
     isCancelled: () => false,
     placing: () => true,
     lost: () => false,
-    poke: () => undefined,
+    requestRound: () => undefined,
     direct: () => new Promise(() => undefined),
   });
   readonly job = this.shardState.adoptJob(
-    { spec, at: 0, cancelled: false, cancelledAt: null, follows: [], parts: 0 },
+    { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     1,
   );
   readonly machines: readonly ShardMachine[];
@@ -80,7 +84,7 @@
   machine(id: string, since: number, spot = false): ShardMachine {
     return this.shardState.addMachine(
       id,
-      { shardId: 0, type: 'g', zone: 'x', spot, at: since, releasing: false, addr: '', session: 0 },
+      { shardId: 0, type: 'g', zone: 'x', spot, at: since, releasing: false, addr: '', agentEpoch: 0 },
       40,
       type,
     );
@@ -91,22 +95,22 @@
       this.shardState.apply(binding, { _tag: 'durable' });
     });
   }
-  report(id: string, seq: number, over: Partial<Report> = {}): boolean {
-    const report: Report = {
+  report(id: string, sequenceNumber: number, over: Partial<WorkerHeartbeat> = {}): boolean {
+    const heartbeat: WorkerHeartbeat = {
       machine: id,
       addr: 'a:1',
       type: 'g',
       zone: 'x',
       spot: false,
-      session: 1,
-      seq,
+      agentEpoch: 1,
+      sequenceNumber,
       token: 50,
       noticeS: null,
       tasks: [],
       ...over,
     };
-    if (this.sessions.onReport(report) === null) return false;
-    this.last = this.sessions.orders(report)?.commands ?? [];
+    if (this.sessions.onHeartbeat(heartbeat) === null) return false;
+    this.last = this.sessions.orders(heartbeat)?.commands ?? [];
     return true;
   }
   last: readonly Command[] = [];
@@ -126,9 +130,9 @@
     run: (story) => {
       story.bind();
       assert.ok(story.report('m-0', 7, { tasks: running }));
-      for (const seq of [7, 6, 1]) assert.equal(story.report('m-0', seq), false);
+      for (const sequenceNumber of [7, 6, 1]) assert.equal(story.report('m-0', sequenceNumber), false);
       assert.equal(story.at(0), 'running', 'absence in an old list is no evidence');
-      assert.ok(story.report('m-0', 1, { session: 2 }));
+      assert.ok(story.report('m-0', 1, { agentEpoch: 2 }));
       assert.equal(story.report('m-0', 9, { tasks: running }), false, 'nor is one of an earlier session');
       assert.equal(story.at(0), 'none');
     },
@@ -140,9 +144,9 @@
       assert.ok(story.report('m-0', 3, { token: 44 }));
       assert.equal(story.at(0), 'bound');
       assert.equal(story.machines[0]?.confirmedToken, 0, 'no work goes there yet');
-      assert.ok(story.report('m-0', 9, { token: 44, session: 2, tasks: [] }));
+      assert.ok(story.report('m-0', 9, { token: 44, agentEpoch: 2, tasks: [] }));
       assert.equal(story.at(0), 'bound', 'a session that the former holder may still command proves nothing');
-      assert.ok(story.report('m-0', 10, { session: 2, tasks: running }));
+      assert.ok(story.report('m-0', 10, { agentEpoch: 2, tasks: running }));
       assert.equal(story.at(0), 'running');
     },
   },
@@ -151,8 +155,8 @@
     run: (story) => {
       story.report('m-0', 1);
       story.bind();
-      for (let seq = 2; seq <= 4; seq += 1) {
-        story.report('m-0', seq);
+      for (let sequenceNumber = 2; sequenceNumber <= 4; sequenceNumber += 1) {
+        story.report('m-0', sequenceNumber);
         assert.deepEqual(
           story.last.map((command) => command._tag),
           ['run'],
@@ -175,7 +179,7 @@
       story.bind();
       story.report('m-0', 1, { tasks: running });
       story.now += 5_000;
-      story.report('m-0', 2, { session: 2 });
+      story.report('m-0', 2, { agentEpoch: 2 });
       assert.equal(story.at(0), 'none', 'its new session is the proof');
       assert.equal(story.machines[0]?.raiseToken, true);
     },
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -1,6 +1,6 @@
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
-import type { Command, Report } from '../workers/model.js';
+import type { Command, WorkerHeartbeat } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
 import { answer, readChanges } from '../workers/reconcile.js';
 import type { ShardState } from './shard-state.js';
@@ -21,11 +21,11 @@
   readonly isCancelled: (job: string) => boolean;
   readonly placing: () => boolean;
   readonly lost: () => boolean;
-  readonly poke: () => void;
+  readonly requestRound: () => void;
   readonly direct: (
     addr: string,
     token: number,
-    session: number,
+    agentEpoch: number,
     commands: readonly Command[],
   ) => Promise<DirectResult>;
 }
@@ -41,53 +41,56 @@
   }
 
   /** null: an older message than one already seen, a late copy, or one that knows a higher token than ours. */
-  onReport(report: Report): { readonly hurry: boolean } | null {
+  onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null {
     const { shardState } = this.input;
-    const machine = shardState.machines.get(report.machine);
+    const machine = shardState.machines.get(heartbeat.machine);
     if (!machine) return null;
     const token = this.token(machine);
-    if (report.token > token) return null;
-    if (report.session < machine.session || (report.session === machine.session && report.seq <= machine.seq))
+    if (heartbeat.token > token) return null;
+    if (
+      heartbeat.agentEpoch < machine.agentEpoch ||
+      (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequenceNumber <= machine.sequenceNumber)
+    )
       return null;
     const now = this.input.now();
-    const underToken = report.token === token;
+    const underToken = heartbeat.token === token;
     const answeredLately = machine.answeredAt !== null && now - machine.answeredAt < this.input.leaseMs;
-    const forgotUs = machine.session > 0 && report.session > machine.session && answeredLately;
+    const forgotUs = machine.agentEpoch > 0 && heartbeat.agentEpoch > machine.agentEpoch && answeredLately;
     const changes = this.input.loaded()
-      ? readChanges(machine, report, underToken, (key) => this.mayBeLate(machine, key, report.token))
+      ? readChanges(machine, heartbeat, underToken, (key) => this.mayBeLate(machine, key, heartbeat.token))
       : [];
-    this.noteSeen(machine, report);
+    this.noteSeen(machine, heartbeat);
     const wasConfirmed = machine.confirmedToken !== 0;
-    machine.session = report.session;
-    machine.seq = report.seq;
-    machine.addr = report.addr;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.sequenceNumber = heartbeat.sequenceNumber;
+    machine.addr = heartbeat.addr;
     machine.confirmedToken = underToken ? token : 0;
     machine.tookOurToken ||= underToken;
     machine.unconfirmedSince = underToken ? null : (machine.unconfirmedSince ?? now);
     machine.answeredAt = now;
-    machine.reported = report.tasks;
+    machine.reported = heartbeat.tasks;
     machine.free = null;
-    if (report.noticeS !== null && machine.noticeAt === null) {
+    if (heartbeat.noticeS !== null && machine.noticeAt === null) {
       machine.noticeAt = now;
-      log.info({ event: 'machine.notice', machine: machine.id, noticeS: report.noticeS });
+      log.info({ event: 'machine.notice', machine: machine.id, noticeS: heartbeat.noticeS });
     }
-    machine.noticeS = report.noticeS;
+    machine.noticeS = heartbeat.noticeS;
     const bound = machine.bound.size;
     for (const change of changes) shardState.apply(change.binding, change.event);
-    if (forgotUs) this.findDeaf(machine, 'its lease ran out although we answered');
-    else this.checkHeard(machine);
+    if (forgotUs) this.markUnreachable(machine, 'its lease ran out although we answered');
+    else this.detectUnheardRuns(machine);
     if (machine.noticeAt !== null) shardState.drain(machine);
-    if (machine.confirmedToken !== 0 && !wasConfirmed) this.input.poke();
+    if (machine.confirmedToken !== 0 && !wasConfirmed) this.input.requestRound();
     // Room came free, or the machine came: what is placed on it next can travel in this very answer.
     const hurry = this.input.placing() && (machine.bound.size < bound || (underToken && !wasConfirmed));
     return { hurry };
   }
 
   /** A `run` that went out with several answers and shows in no report after them was not heard. */
-  private checkHeard(machine: ShardMachine): void {
+  private detectUnheardRuns(machine: ShardMachine): void {
     for (const binding of machine.bound.values()) {
       if (binding.phase._tag === 'bound' && !binding.stop && binding.asked >= MAX_RUN_COMMAND_ATTEMPTS)
-        return this.findDeaf(machine, 'it starts nothing');
+        return this.markUnreachable(machine, 'it starts nothing');
     }
   }
 
@@ -95,7 +98,7 @@
    * Its reports come, and what we say does not arrive. Nothing more goes there until it has taken up a new token,
    * which shows that it hears; what was bound there and never seen goes elsewhere, once proven absent.
    */
-  private findDeaf(machine: ShardMachine, why: string): void {
+  private markUnreachable(machine: ShardMachine, why: string): void {
     log.info({ event: 'machine.deaf', machine: machine.id, why });
     machine.raiseToken = true;
     for (const binding of [...machine.bound.values()]) {
@@ -104,29 +107,30 @@
       if (job?.spec.kind === 'gang') this.input.shardState.breakGang(job);
       else this.input.shardState.stop(binding, 'broken', 0);
     }
-    this.input.poke();
+    this.input.requestRound();
   }
 
   /** May a direct `run` of this attempt still be carried out, as far as a worker with this token goes? */
   private mayBeLate(machine: ShardMachine, key: string, seenToken: number): boolean {
-    const token = machine.unsureRuns.get(key);
+    const token = machine.unacknowledgedRuns.get(key);
     if (token === undefined) return false;
     if (seenToken <= token) return true;
-    machine.unsureRuns.delete(key);
+    machine.unacknowledgedRuns.delete(key);
     return false;
   }
 
-  private noteSeen(machine: ShardMachine, report: Report): void {
-    for (const task of report.tasks) {
+  private noteSeen(machine: ShardMachine, heartbeat: WorkerHeartbeat): void {
+    for (const task of heartbeat.tasks) {
       const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
       const seen = binding?.seen;
       if (!binding) continue;
       if (
         seen &&
-        (seen.session > report.session || (seen.session === report.session && seen.seq >= report.seq))
+        (seen.agentEpoch > heartbeat.agentEpoch ||
+          (seen.agentEpoch === heartbeat.agentEpoch && seen.sequenceNumber >= heartbeat.sequenceNumber))
       )
         continue;
-      binding.seen = { session: report.session, seq: report.seq };
+      binding.seen = { agentEpoch: heartbeat.agentEpoch, sequenceNumber: heartbeat.sequenceNumber };
     }
   }
 
@@ -159,9 +163,11 @@
         attempt: binding.attempt,
         graceS: binding.stop?.graceS ?? 0,
       }));
-      void this.input.direct(machine.addr, this.token(machine), machine.session, commands).then((result) => {
-        if (result._tag === 'executed') this.onDirectReport(machine, result.report);
-      });
+      void this.input
+        .direct(machine.addr, this.token(machine), machine.agentEpoch, commands)
+        .then((result) => {
+          if (result._tag === 'executed') this.onDirectResponse(machine, result.heartbeat);
+        });
     }
   }
 
@@ -171,27 +177,27 @@
     for (const [machine, list] of this.byMachine(fresh)) {
       if (machine.answering > 0) continue;
       const token = this.token(machine);
-      for (const binding of list) machine.unsureRuns.set(keyOf(binding), token);
+      for (const binding of list) machine.unacknowledgedRuns.set(keyOf(binding), token);
       const commands = list.map((binding): Command => ({
         _tag: 'run',
         job: binding.job,
         index: binding.index,
         attempt: binding.attempt,
       }));
-      void this.input.direct(machine.addr, token, machine.session, commands).then((result) => {
+      void this.input.direct(machine.addr, token, machine.agentEpoch, commands).then((result) => {
         switch (result._tag) {
           case 'executed':
           case 'refused':
             for (const binding of list) {
               const key = keyOf(binding);
-              if (machine.unsureRuns.get(key) === token) machine.unsureRuns.delete(key);
+              if (machine.unacknowledgedRuns.get(key) === token) machine.unacknowledgedRuns.delete(key);
             }
-            if (result._tag === 'executed') this.onDirectReport(machine, result.report);
+            if (result._tag === 'executed') this.onDirectResponse(machine, result.heartbeat);
             return;
           case 'unsure':
             machine.raiseToken = true;
             log.info({ event: 'direct.unsure', machine: machine.id, tasks: list.length });
-            this.input.poke();
+            this.input.requestRound();
         }
       });
     }
@@ -201,57 +207,69 @@
    * What a direct answer shows is there is there. What it doesn't show proves nothing: the answer to a report
    * may be on its way at the same time.
    */
-  private onDirectReport(machine: ShardMachine, report: Report): void {
+  private onDirectResponse(machine: ShardMachine, heartbeat: WorkerHeartbeat): void {
     const { shardState } = this.input;
     if (this.input.lost() || !this.input.loaded() || shardState.machines.get(machine.id) !== machine) return;
-    if (report.session < machine.session) return;
-    for (const task of report.tasks) {
+    if (heartbeat.agentEpoch < machine.agentEpoch) return;
+    for (const task of heartbeat.tasks) {
       const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
       const seen = binding?.seen;
-      if (!binding || (seen && seen.session === report.session && seen.seq >= report.seq)) continue;
+      if (
+        !binding ||
+        (seen && seen.agentEpoch === heartbeat.agentEpoch && seen.sequenceNumber >= heartbeat.sequenceNumber)
+      )
+        continue;
       shardState.apply(binding, { _tag: 'reported', state: task.state });
     }
-    this.noteSeen(machine, report);
+    this.noteSeen(machine, heartbeat);
   }
 
   /** A machine that came from another share: its worker hears of the new token at once, not by asking around. */
-  greet(machine: ShardMachine, session: number): void {
+  greet(machine: ShardMachine, agentEpoch: number): void {
     const token = this.token(machine);
-    void this.input.direct(machine.addr, token, session, []).then((result) => {
+    void this.input.direct(machine.addr, token, agentEpoch, []).then((result) => {
       if (
         this.input.shardState.machines.get(machine.id) !== machine ||
         this.token(machine) !== token ||
         machine.confirmedToken !== 0
       )
         return;
-      if (result._tag !== 'executed' || result.report.token !== token || machine.answeredAt !== null) return;
-      machine.session = result.report.session;
-      machine.seq = result.report.seq;
+      if (result._tag !== 'executed' || result.heartbeat.token !== token || machine.answeredAt !== null)
+        return;
+      machine.agentEpoch = result.heartbeat.agentEpoch;
+      machine.sequenceNumber = result.heartbeat.sequenceNumber;
       machine.confirmedToken = token;
       machine.tookOurToken = true;
-      machine.reported = result.report.tasks;
+      machine.reported = result.heartbeat.tasks;
       machine.free = null;
       // Later than the last answer of any earlier holder that the worker can have accepted.
       machine.answeredAt = this.input.now();
-      this.input.poke();
+      this.input.requestRound();
     });
   }
 
   /** The commands that answer a machine's last report. */
-  orders(report: Report): { readonly token: number; readonly commands: readonly Command[] } | null {
-    const machine = this.input.shardState.machines.get(report.machine);
-    if (!machine || machine.seq !== report.seq || machine.session !== report.session) return null;
+  orders(
+    heartbeat: WorkerHeartbeat,
+  ): { readonly token: number; readonly commands: readonly Command[] } | null {
+    const machine = this.input.shardState.machines.get(heartbeat.machine);
+    if (
+      !machine ||
+      machine.sequenceNumber !== heartbeat.sequenceNumber ||
+      machine.agentEpoch !== heartbeat.agentEpoch
+    )
+      return null;
     const token = this.token(machine);
-    if (!this.input.loaded()) return { token, commands: this.stopsOfCancelled(report) };
+    if (!this.input.loaded()) return { token, commands: this.stopsOfCancelled(heartbeat) };
     const commands = answer(
       machine,
-      report,
-      report.token === token,
-      (key, job, index) => !this.mayBeLate(machine, key, report.token) && this.settled(key, job, index),
+      heartbeat,
+      heartbeat.token === token,
+      (key, job, index) => !this.mayBeLate(machine, key, heartbeat.token) && this.settled(key, job, index),
       this.input.now(),
     );
     if (commands.some((command) => command._tag === 'forget')) machine.forgetFrom = null;
-    else if (report.tasks.some((task) => task.state._tag === 'exited'))
+    else if (heartbeat.tasks.some((task) => task.state._tag === 'exited'))
       machine.forgetFrom ??= this.input.now();
     for (const command of commands) {
       if (command._tag !== 'run') continue;
@@ -262,8 +280,8 @@
   }
 
   /** The runs can't be read as long as the state service is away; what is cancelled must not go on for that. */
-  private stopsOfCancelled(report: Report): readonly Command[] {
-    return report.tasks
+  private stopsOfCancelled(heartbeat: WorkerHeartbeat): readonly Command[] {
+    return heartbeat.tasks
       .filter((task) => task.state._tag !== 'exited' && this.input.isCancelled(task.job))
       .map(({ job, index, attempt }) => ({ _tag: 'stop', job, index, attempt, graceS: 0 }));
   }
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -6,7 +6,7 @@
 import { mock } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import { decode, encode, WITHHELD, type Answer, type Reply } from '../http.js';
+import { decode, encode, WITHHELD, type CallOutcome, type ServerResponse } from '../http.js';
 import { compose } from '../controller/compose.js';
 import type { Controller } from '../controller/ports.js';
 import { ALL_FEATURES } from '../settings/features.js';
@@ -100,7 +100,7 @@
   for (let turn = 0; turn < TURNS; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-const recordReply = (reply: Reply): RecordedReply => ({
+const recordReply = (reply: ServerResponse): RecordedReply => ({
   status: reply.status,
   ...(reply.headers === undefined ? {} : { headers: reply.headers }),
   ...(reply.text === undefined ? { body: messageOf(reply.body ?? {}) } : { text: reply.text }),
@@ -128,14 +128,14 @@
   async seed(key: string, json: string, lease?: number): Promise<number> {
     const write = { write: key, data: JSON.parse(json) as unknown, ...(lease ? { permit: lease } : {}) };
     const answer = await this.state.handle('seed', 'POST', '/txn', { when: [], writes: [write] });
-    if (answer._tag !== 'answer' || answer.status !== 200) throw new Error(`not seeded: ${key}`);
+    if (answer._tag !== 'response' || answer.status !== 200) throw new Error(`not seeded: ${key}`);
     return (answer.body as { epoch: number }).epoch;
   }
 
   /** Claims that other controllers hold. */
   async seedClaims(claims: Readonly<Record<string, Node>>): Promise<void> {
     const granted = await this.state.handle('seed', 'POST', '/holds', { ttlMs: FOREIGN_LEASE_MS });
-    const { permit } = (granted as Answer & { _tag: 'answer' }).body as { permit: number };
+    const { permit } = (granted as CallOutcome & { _tag: 'response' }).body as { permit: number };
     for (const [claimName, node] of Object.entries(claims))
       await this.seed(`w/c/${claimName}`, `{"n":"${node}","i":"${node}.1"}`, permit);
   }
@@ -148,22 +148,22 @@
       wall: () => this.wallMs,
       processorMs: () => 0,
       incarnation: `${this.node}.1`,
-      callers: (target: { readonly host: string }) => ({
+      createHttpClient: (target: { readonly host: string }) => ({
         request: (
           method: string,
           path: string,
           body: unknown,
           _timeoutMs: number,
           maySend?: () => boolean,
-        ): Promise<Answer> => this.send(target.host, method, path, body, maySend),
+        ): Promise<CallOutcome> => this.send(target.host, method, path, body, maySend),
       }),
       workerClient: {
         send: (
-          ...[addr, token, session, commands]: SendArguments
-        ): Promise<{ _tag: 'refused'; report: null }> => {
-          const body = { ...(writeOrders(token, commands) as object), stint: session };
+          ...[addr, token, agentEpoch, commands]: SendArguments
+        ): Promise<{ _tag: 'refused'; heartbeat: null }> => {
+          const body = { ...(writeOrders(token, commands) as object), stint: agentEpoch };
           this.commands.push({ address: addr, body: messageOf(body) });
-          return Promise.resolve({ _tag: 'refused', report: null });
+          return Promise.resolve({ _tag: 'refused', heartbeat: null });
         },
       },
     };
@@ -185,7 +185,7 @@
     path: string,
     body: unknown,
     maySend?: () => boolean,
-  ): Promise<Answer> {
+  ): Promise<CallOutcome> {
     if (maySend && !maySend()) return WITHHELD;
     const bytes = body === undefined ? null : encode(body);
     const request: SentRequest = { to, method, path, bytes };
@@ -195,8 +195,8 @@
       return this.state.handle(this.node, method, path, bytes ? decode(bytes) : {});
     }
     const answer = await this.respond(request);
-    if (answer === null) return { _tag: 'silence', why: 'refused' };
-    return { _tag: 'answer', status: answer.status, body: decode(encode(answer.body)) };
+    if (answer === null) return { _tag: 'noResponse', why: 'refused' };
+    return { _tag: 'response', status: answer.status, body: decode(encode(answer.body)) };
   }
 
   /**
--- a/src/recorded-formats/http-bytes.ts
+++ b/src/recorded-formats/http-bytes.ts
@@ -1,6 +1,6 @@
 /** Whole HTTP messages as they stand on the wire: requests of the clients, and answers of the server. */
 import { createServer, connect, type AddressInfo, type Server, type Socket } from 'node:net';
-import { Client, encode, serve } from '../http.js';
+import { PooledHttpClient, encode, serve } from '../http.js';
 import { WorkerClient } from '../workers/worker-client.js';
 import { recordWith } from './deployment.js';
 import type { Recording } from './fixtures.js';
@@ -60,7 +60,7 @@
   const seen: Buffer[] = [];
   const server = await listening(seen);
   const { port } = server.address() as AddressInfo;
-  const client = new Client({ host: HOST, port }, 1);
+  const client = new PooledHttpClient({ host: HOST, port }, 1);
   const last = (): object => wire(seen.at(-1) ?? Buffer.alloc(0), port);
   const recording: Record<string, unknown> = {};
   await client.request('GET', '/store/w/level', undefined, TIMEOUT_MS);
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -3,7 +3,7 @@
  * follows a change of those names. What they are written as is compared with the fixtures, which never
  * follow.
  */
-import { tokenOf, type RemovalBook, type RentalBook } from '@dalegate/fencing';
+import { tokenOf, type TombstoneRecord, type ProvisioningRecord } from '@dalegate/fencing';
 import type { MachineRecord } from '../fleet/records.js';
 import type { FinalRecord, JobRecord, JobSpec, MachineType } from '../jobs/model.js';
 import type { RunRecord } from '../placement/run-records.js';
@@ -14,7 +14,7 @@
 /** A job with a different value in every field. */
 const JOB_SPEC: JobSpec = {
   id: 'job-000412',
-  klass: 'train',
+  jobClass: 'train',
   team: 'blue',
   kind: 'gang',
   priority: 2,
@@ -35,7 +35,14 @@
   deadlineS: 900,
 };
 
-const JOB: JobRecord = { spec: JOB_SPEC, at: AT, cancelled: false, cancelledAt: null, follows: [], parts: 0 };
+const JOB: JobRecord = {
+  spec: JOB_SPEC,
+  at: AT,
+  cancelled: false,
+  cancelledAt: null,
+  dependsOn: [],
+  parts: 0,
+};
 
 /** Jobs by what is recorded of them. */
 export const JOB_RECORDS: Readonly<Record<string, JobRecord>> = {
@@ -58,7 +65,7 @@
     ...JOB,
     cancelled: true,
     cancelledAt: AT + 40,
-    follows: ['job-000398', 'job-000405', 'job-1000000'],
+    dependsOn: ['job-000398', 'job-000405', 'job-1000000'],
   },
   'with followed jobs in parts': { ...JOB, parts: 2 },
 };
@@ -77,20 +84,20 @@
   at: AT,
   releasing: false,
   addr: '',
-  session: 0,
+  agentEpoch: 0,
 };
 
 /** Machine records by what is recorded of them. */
 export const MACHINE_RECORDS: Readonly<Record<string, MachineRecord>> = {
   'never heard': MACHINE,
-  heard: { ...MACHINE, spot: false, addr: '10.1.0.1:9000', session: 3 },
-  'with images': { ...MACHINE, addr: '10.1.0.1:9000', session: 3, images: ['img-1', 'img-2'] },
+  heard: { ...MACHINE, spot: false, addr: '10.1.0.1:9000', agentEpoch: 3 },
+  'with images': { ...MACHINE, addr: '10.1.0.1:9000', agentEpoch: 3, images: ['img-1', 'img-2'] },
   'to be released, without a reason': { ...MACHINE, releasing: true },
   'to be released': {
     ...MACHINE,
     releasing: true,
     addr: '10.1.0.1:9000',
-    session: 3,
+    agentEpoch: 3,
     images: ['img-1'],
     release: { reason: 'never came up', token: 41 },
   },
@@ -130,7 +137,7 @@
   zones: ['x', 'y'],
 }));
 
-const intent = (n: number): RentalBook['open'][number] => ({
+const intent = (n: number): ProvisioningRecord['open'][number] => ({
   name: `r-40-${n}`,
   machineType: 'g8',
   zone: 'x',
@@ -153,7 +160,7 @@
 export const TOKEN = tokenOf(40);
 
 /** Books of rental requests by what is recorded of them. */
-export const RENTAL_BOOKS: Readonly<Record<string, RentalBook>> = {
+export const RENTAL_BOOKS: Readonly<Record<string, ProvisioningRecord>> = {
   'with open requests': { token: TOKEN, open: [intent(1), intent(2)], settled: [], malformed: [] },
   'with every outcome': {
     token: TOKEN,
@@ -165,7 +172,7 @@
 };
 
 /** A book of removals with every reason. */
-export const REMOVAL_BOOK: RemovalBook = {
+export const REMOVAL_BOOK: TombstoneRecord = {
   marked: [
     { key: 'r/1/job-000412/0', revision: 12, reason: 'job over', token: tokenOf(40), at: AT },
     { key: 'r/1/job-000413/0+1', revision: 13, reason: 'part not named', token: tokenOf(41), at: AT + 1 },
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -1,7 +1,12 @@
 /** Stored values as the codecs write them, and as they are written again after they were read. */
-import { readBook, readRemovals, writeBook, writeRemovals } from '@dalegate/fencing';
+import {
+  readProvisioningRecord,
+  readTombstoneRecord,
+  writeProvisioningRecord,
+  writeTombstoneRecord,
+} from '@dalegate/fencing';
 import { readAcknowledgement, writeAcknowledgement } from '../cancellation/codec.js';
-import { returnUrgently } from '../duties/urgent-release.js';
+import { releaseUrgently } from '../duties/urgent-release.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/records.js';
 import {
@@ -71,28 +76,28 @@
   keys.summaryKey(2),
   keys.ordersKey(2),
   keys.markKey('2'),
-  keys.LEVEL_KEY,
+  keys.PROTOCOL_VERSION_KEY,
   keys.CATALOG_KEY,
   keys.catalogPartKey(4),
   keys.runsPrefix(2),
   keys.runKey(2, 'job-000412', 3),
   keys.runPartKey(2, 'job-000412', 3, 4),
-  keys.RENTALS_KEY,
-  keys.removalsKey(2),
+  keys.PROVISIONING_KEY,
+  keys.tombstonesKey(2),
   keys.finalKey('job-000412'),
 ];
 
 /** A holder's order to the leader while the state service answers nobody. */
 const orderToReturn = async (): Promise<Recording> => {
   const sent: Record<string, unknown> = {};
-  await returnUrgently(
+  await releaseUrgently(
     {
       shardId: 1,
       duty: leaderDuties(TOKEN, () => 0).leader('release'),
       me: 'n1',
       leaderNode: () => 'n0',
-      stateAge: () => ROOM,
-      returnHere: () => Promise.resolve(false),
+      msSinceStoreAnswered: () => ROOM,
+      releaseLocally: () => Promise.resolve(false),
       ask: (_node, path, body) => {
         Object.assign(sent, { path, body });
         return Promise.resolve(null);
@@ -122,8 +127,8 @@
   'list of followed jobs, in parts': splitIds(FOLLOWED, 12).map(packIds),
   'catalog in one value': storeCatalog(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
   'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
-  ...written('book of rental requests', RENTAL_BOOKS, (book) => writeBook(book, TOKEN, ROOM)),
-  'book of removals': writeRemovals(REMOVAL_BOOK, ROOM),
+  ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
+  'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
   'mark of a holder': writeAcknowledgement(ACKNOWLEDGEMENT),
   keys: keysOfState(),
   ...(await orderToReturn()),
@@ -164,8 +169,8 @@
     (stored as string[][]).map((part) => packIds(unpackIds(part))),
   'list of followed jobs': (stored) => packIds(unpackIds(stored as string[])),
   catalog: rereadCatalog,
-  'book of rental requests': (stored) => writeBook(readBook(stored), TOKEN, ROOM),
-  'book of removals': (stored) => writeRemovals(readRemovals(stored), ROOM),
+  'book of rental requests': (stored) => writeProvisioningRecord(readProvisioningRecord(stored), TOKEN, ROOM),
+  'book of removals': (stored) => writeTombstoneRecord(readTombstoneRecord(stored), ROOM),
   'mark of a holder': (stored) => writeAcknowledgement(readAcknowledgement(stored)),
 };
 
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -55,6 +55,7 @@
     'mesh',
   ],
   ordinary: ['area', 'head', 'heads', 'scatter', 'sweep', 'together'],
+  terms: ['agent epoch'],
   paths: ['/follow', '/hello', '/holds'],
 };
 
@@ -74,10 +75,7 @@
   'src/controller/start.ts': ['mesh', 'siblings'],
   'src/peers/network.ts': ['beat', 'sibling'],
   'src/peers/peer-requests.ts': ['heed'],
-  'src/placement/bin-packing.ts': ['gathering'],
-  'src/placement/placement-view.ts': ['gathering'],
   'src/settings/teams.ts': ['sibling', 'siblings'],
-  'src/workers/heartbeat-handler.ts': ['boss'],
   'src/workers/worker-client.ts': ['stint'],
 };
 
--- a/src/repository-checks/wire-words.ts
+++ b/src/repository-checks/wire-words.ts
@@ -16,6 +16,8 @@
   readonly distinct: readonly string[];
   /** Words of ordinary English too: found as the name of a property, or as a whole literal. */
   readonly ordinary: readonly string[];
+  /** The field's terms that contain a word of the wire; they are passed over. */
+  readonly terms: readonly string[];
   /** Paths of requests, found at the beginning of a literal. */
   readonly paths: readonly string[];
 }
@@ -29,7 +31,10 @@
     .join(' ')
     .toLowerCase();
 
-const contains = (name: string, word: string): boolean => ` ${partsOf(name)} `.includes(` ${word} `);
+const contains = (name: string, word: string, terms: readonly string[]): boolean => {
+  const parts = terms.reduce((rest, term) => rest.replaceAll(` ${term} `, ' '), ` ${partsOf(name)} `);
+  return parts.includes(` ${word} `);
+};
 
 const isPropertyName = (node: ts.Identifier): boolean =>
   (ts.isObjectLiteralElement(node.parent) || ts.isTypeElement(node.parent)) && node.parent.name === node;
@@ -40,17 +45,17 @@
 const isModuleName = (node: ts.Node): boolean =>
   ts.isImportDeclaration(node.parent) || ts.isExportDeclaration(node.parent);
 
-const wordsIn = (node: ts.Node, { distinct, ordinary, paths }: WireVocabulary): readonly string[] => {
+const wordsIn = (node: ts.Node, { distinct, ordinary, terms, paths }: WireVocabulary): readonly string[] => {
   if (ts.isIdentifier(node) || ts.isPrivateIdentifier(node)) {
     const whole = ts.isIdentifier(node) && isPropertyName(node) ? ordinary : [];
     return [
-      ...distinct.filter((word) => contains(node.text, word)),
+      ...distinct.filter((word) => contains(node.text, word, terms)),
       ...whole.filter((word) => partsOf(node.text) === word),
     ];
   }
   if (!isLiteral(node) || isModuleName(node)) return [];
   return [
-    ...distinct.filter((word) => contains(node.text, word)),
+    ...distinct.filter((word) => contains(node.text, word, terms)),
     ...ordinary.filter((word) => node.text === word),
     ...paths.filter(
       (path) => node.text === path || node.text.startsWith(`${path}/`) || node.text.startsWith(`${path}?`),
--- a/src/service.test.ts
+++ b/src/service.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import type { Answer } from './http.js';
+import type { CallOutcome } from './http.js';
 import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from './testing/cluster.js';
 import { Luck } from './testing/luck.js';
 import { World } from './testing/world.js';
@@ -172,13 +172,13 @@
       /** Users: submit until accepted, poll until done; one cancels. */
       const user = async (job: StandInJob, order: number): Promise<void> => {
         await new Promise((resolve) => setTimeout(resolve, 3_000 + order * 4_000));
-        const ask = (method: string, path: string, body?: unknown): Promise<Answer> =>
+        const ask = (method: string, path: string, body?: unknown): Promise<CallOutcome> =>
           world.call('user', NODES[world.luck.below(3)] ?? 'n0', method, path, body, 2_000);
         world.jobs.set(job.id, job);
         for (;;) {
           const answer = await ask('POST', '/v2/runs', job.body);
-          if (answer._tag === 'answer' && (answer.status === 201 || answer.status === 200)) break;
-          if (answer._tag === 'answer' && answer.status < 500)
+          if (answer._tag === 'response' && (answer.status === 201 || answer.status === 200)) break;
+          if (answer._tag === 'response' && answer.status < 500)
             world.broken.push(`refused ${job.id} ${answer.status}`);
           await new Promise((resolve) => setTimeout(resolve, 1_000));
         }
@@ -187,7 +187,7 @@
           await new Promise((resolve) => setTimeout(resolve, 6_000));
           for (;;) {
             const answer = await ask('POST', `/v2/runs/${job.id}/abort`);
-            if (answer._tag === 'answer' && answer.status === 200) {
+            if (answer._tag === 'response' && answer.status === 200) {
               if ((answer.body as { status: string }).status === 'withdrawn') job.cancelledAt = Date.now();
               break;
             }
@@ -196,8 +196,8 @@
         }
         for (;;) {
           const answer = await ask('GET', `/v2/runs/${job.id}`);
-          if (answer._tag === 'answer' && answer.status === 404) world.broken.push(`forgotten ${job.id}`);
-          if (answer._tag === 'answer' && answer.status === 200) {
+          if (answer._tag === 'response' && answer.status === 404) world.broken.push(`forgotten ${job.id}`);
+          if (answer._tag === 'response' && answer.status === 200) {
             const { status } = answer.body as { status: string };
             if (status === 'done' && !world.allDone(job)) world.broken.push(`not_done ${job.id}`);
             if (job.cancelledAt !== null && status !== 'withdrawn')
@@ -221,7 +221,7 @@
             let known = false;
             for (let tries = 0; tries < 5 && !known; tries += 1) {
               const answer = await world.call('user', node, 'GET', `/v2/runs/${job.id}`, undefined, 2_000);
-              known = answer._tag === 'answer' && answer.status === 200;
+              known = answer._tag === 'response' && answer.status === 200;
             }
             if (!known) world.broken.push(`forgotten ${job.id} at ${node}`);
           }
@@ -308,7 +308,7 @@
       const send = async (): Promise<void> => {
         for (;;) {
           const answer = await world.call('user', NODES[n % 3] ?? 'n0', 'POST', '/v2/runs', job.body, 2_000);
-          if (answer._tag === 'answer' && answer.status < 300) return;
+          if (answer._tag === 'response' && answer.status < 300) return;
           await new Promise((resolve) => setTimeout(resolve, 1_000));
         }
       };
@@ -410,8 +410,8 @@
         world.step();
       }
     };
-    const ask = async (method: string, path: string, body?: unknown): Promise<Answer> => {
-      let answer: Answer = { _tag: 'silence', why: 'not yet' };
+    const ask = async (method: string, path: string, body?: unknown): Promise<CallOutcome> => {
+      let answer: CallOutcome = { _tag: 'noResponse', why: 'not yet' };
       void world.call('user', 'n0', method, path, body, 2_000).then((said) => (answer = said));
       await pass(2_100);
       return answer;
@@ -423,13 +423,13 @@
       const job = jobOf(1, { heads: 100_000, owner: 'blue' }, 1_500);
       world.jobs.set(job.id, job);
       const accepted = await ask('POST', '/v2/runs', job.body);
-      assert.ok(accepted._tag === 'answer' && accepted.status === 201);
+      assert.ok(accepted._tag === 'response' && accepted.status === 201);
       await pass(20_000);
       assert.ok(world.starts.length > 20, 'tasks run');
       const touched = Math.ceil((world.starts.length + 16) / 128) + 1;
       assert.ok(world.state.keys('r/').length <= touched, `${world.state.keys('r/').length} run records`);
       const cancelled = await ask('POST', `/v2/runs/${job.id}/abort`);
-      assert.ok(cancelled._tag === 'answer' && cancelled.status === 200);
+      assert.ok(cancelled._tag === 'response' && cancelled.status === 200);
       job.cancelledAt = Date.now();
       await pass(12_000);
       assert.deepEqual(world.state.keys('r/'), []);
--- a/src/settings/limits.ts
+++ b/src/settings/limits.ts
@@ -9,7 +9,7 @@
 }
 
 /** The limits that hold now and after the announced change. */
-export const lasting = (state: Settings['facts']['state']): StateLimits => {
+export const effectiveLimits = (state: Settings['facts']['state']): StateLimits => {
   const next = state.next ?? {};
   return {
     rps: Math.min(state.rps, next.rps ?? state.rps),
--- a/src/settings/networks.test.ts
+++ b/src/settings/networks.test.ts
@@ -5,7 +5,12 @@
 
 const LIST = 'admin = ["10.20.0.0/16", "127.0.0.1/32",\n  "fd00:20::/32"]\n';
 
-const callers: readonly { name: string; file: string; from: string | undefined; allowed: boolean }[] = [
+const createHttpClient: readonly {
+  name: string;
+  file: string;
+  from: string | undefined;
+  allowed: boolean;
+}[] = [
   { name: 'nothing is named', file: '', from: '192.0.2.1', allowed: true },
   { name: 'within a network', file: LIST, from: '10.20.255.1', allowed: true },
   { name: 'just outside', file: LIST, from: '10.21.0.1', allowed: false },
@@ -18,7 +23,7 @@
   { name: 'an empty list shuts everybody out', file: 'admin = []', from: '127.0.0.1', allowed: false },
   { name: 'all of IPv4', file: 'admin = ["0.0.0.0/0"]', from: '192.0.2.1', allowed: true },
 ];
-for (const row of callers) {
+for (const row of createHttpClient) {
   test(`networks: ${row.name}`, () => {
     const checked = checkNetworks(row.file);
     assert.equal(checked._tag === 'ok' && checked.admin.allows(row.from), row.allowed);
--- a/src/testing/bodies.ts
+++ b/src/testing/bodies.ts
@@ -29,7 +29,7 @@
 /** A small service of one class, as it is known inside a controller; what a test is about goes over it. */
 export const jobSpec = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
   id,
-  klass: 'c',
+  jobClass: 'c',
   team: 'red',
   kind: 'service',
   priority: 3,
@@ -60,6 +60,6 @@
   at: 0,
   releasing: false,
   addr: '',
-  session: 0,
+  agentEpoch: 0,
   ...over,
 });
--- a/src/testing/cloud-stand-in.ts
+++ b/src/testing/cloud-stand-in.ts
@@ -1,5 +1,5 @@
 /** Stand-in for the cloud, written to the published protocol, that logs every request which may have an effect. */
-import type { Answer } from '../http.js';
+import type { CallOutcome } from '../http.js';
 import { reply } from './state-stand-in.js';
 
 /** A rental or release as it reached the cloud. */
@@ -54,10 +54,10 @@
   readonly machines = new Map<string, Machine>();
   /** Requests for anything, by node. */
   readonly requests: { readonly node: string; readonly path: string; readonly at: number }[] = [];
-  private readonly answered = new Map<string, Answer>();
+  private readonly answered = new Map<string, CallOutcome>();
   private sequence = 0;
 
-  handle(node: string, method: string, path: string, body: unknown): Answer {
+  handle(node: string, method: string, path: string, body: unknown): CallOutcome {
     const route = path.split('?', 1)[0] ?? path;
     const at = performance.now();
     this.requests.push({ node, path: `${method} ${route}`, at });
@@ -73,7 +73,7 @@
     this.machines.set(id, { id, type: 'g', zone: 'x', spot: false, from: performance.now() });
   }
 
-  private list(): Answer {
+  private list(): CallOutcome {
     const drovers = [...this.machines.values()].map(({ id, type, zone, spot, from }) => ({
       uid: id,
       addr: '127.0.0.1:9',
@@ -86,7 +86,7 @@
     return reply(200, { drovers, more: false });
   }
 
-  private rent(node: string, body: RentBody, at: number): Answer {
+  private rent(node: string, body: RentBody, at: number): CallOutcome {
     const before = this.answered.get(body.hire);
     const made = before
       ? []
@@ -102,7 +102,7 @@
     return answer;
   }
 
-  private release(node: string, { drovers }: { drovers: string[] }, at: number): Answer {
+  private release(node: string, { drovers }: { drovers: string[] }, at: number): CallOutcome {
     const ended = drovers.filter((id) => this.machines.delete(id));
     this.actions.push({ kind: 'release', node, name: null, machines: ended, at });
     return reply(200);
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,11 +1,11 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { Answer, Call, Reply } from '../http.js';
+import type { CallOutcome, ServerRequest, ServerResponse } from '../http.js';
 import { compose } from '../controller/compose.js';
 import type { Controller, Ports } from '../controller/ports.js';
 import { ALL_FEATURES } from '../settings/features.js';
 import type { Settings } from '../settings/schema.js';
-import { readReport } from '../workers/codec.js';
+import { readWorkerHeartbeat } from '../workers/codec.js';
 import type { StandInJob } from './worker-stand-in.js';
 import type { World } from './world.js';
 
@@ -57,13 +57,17 @@
   },
 });
 
-const callOf = (method: string, path: string, body: unknown): Call => ({
+const callOf = (method: string, path: string, body: unknown): ServerRequest => ({
   method,
   path,
   query: '',
   body: body === undefined ? { _tag: 'empty' } : { _tag: 'value', value: body },
 });
-const answerOf = (reply: Reply): Answer => ({ _tag: 'answer', status: reply.status, body: reply.body ?? {} });
+const answerOf = (reply: ServerResponse): CallOutcome => ({
+  _tag: 'response',
+  status: reply.status,
+  body: reply.body ?? {},
+});
 
 /** Three controllers that can be stopped, started and upgraded. */
 export class Cluster {
@@ -88,7 +92,7 @@
       wall: () => Date.now() + (this.timeOfDayOffsets.get(name) ?? 0),
       processorMs: () => 0,
       incarnation: `${name}.${this.incarnation}`,
-      callers: (target) => ({
+      createHttpClient: (target) => ({
         request: (method, path, body, timeoutMs) =>
           alive.yes
             ? this.world
@@ -97,7 +101,7 @@
             : never,
       }),
       workerClient: {
-        send: async (addr, token, session, commands) => {
+        send: async (addr, token, agentEpoch, commands) => {
           const calls = commands.map((command) => ({
             call: command._tag,
             head: `${command.job}/${command.index}`,
@@ -108,12 +112,14 @@
             addr.slice(0, addr.lastIndexOf(':')),
             'POST',
             '/commands',
-            { crook: token, stint: session, calls },
+            { crook: token, stint: agentEpoch, calls },
             1_500,
           );
-          if (answer._tag === 'silence') return { _tag: 'unsure' };
-          const report = readReport(answer.body);
-          return answer.status === 200 && report ? { _tag: 'executed', report } : { _tag: 'refused', report };
+          if (answer._tag === 'noResponse') return { _tag: 'unsure' };
+          const heartbeat = readWorkerHeartbeat(answer.body);
+          return answer.status === 200 && heartbeat
+            ? { _tag: 'executed', heartbeat }
+            : { _tag: 'refused', heartbeat };
         },
       },
     };
--- a/src/testing/day.ts
+++ b/src/testing/day.ts
@@ -1,5 +1,5 @@
 import { mock } from 'node:test';
-import type { Answer } from '../http.js';
+import type { CallOutcome } from '../http.js';
 import type { compose } from '../controller/compose.js';
 import { CANCEL_MS, Cluster, jobOf, LEASE_MS, NODES, REPORT_MS, STEP_MS, tick } from './cluster.js';
 import { Luck } from './luck.js';
@@ -92,7 +92,7 @@
     this.world.sever(node, on ? ['state', ...this.others(node).map((other) => `mesh-${other}`)] : []);
   }
 
-  private ask(method: string, path: string, body?: unknown): Promise<Answer> {
+  private ask(method: string, path: string, body?: unknown): Promise<CallOutcome> {
     return this.world.call('user', NODES[this.luck.below(3)] ?? 'n0', method, path, body, 2_000);
   }
   /** Asks one node something; what it answers is handed on with the time that it took (ms). */
@@ -105,7 +105,7 @@
   ): void {
     const from = Date.now();
     void this.world.call('user', node, method, path, body, 5_000).then((answer) => {
-      if (answer._tag === 'answer') then(answer.status, answer.body, Date.now() - from);
+      if (answer._tag === 'response') then(answer.status, answer.body, Date.now() - from);
     });
   }
   private sleep(ms: number): Promise<void> {
@@ -126,8 +126,8 @@
     return [...found];
   }
 
-  private noteState(job: StandInJob, answer: Answer): void {
-    if (answer._tag !== 'answer') return;
+  private noteState(job: StandInJob, answer: CallOutcome): void {
+    if (answer._tag !== 'response') return;
     if (answer.status === 404) this.world.broken.push(`forgotten ${job.id}: 404`);
     if (answer.status === 400 || answer.status === 422)
       this.world.broken.push(`forgotten ${job.id}: ${answer.status}`);
@@ -188,10 +188,10 @@
   }
 
   /** Nothing new is asked of an earlier version, which would take it and understand half of it. */
-  private submit(job: StandInJob): Promise<Answer> {
+  private submit(job: StandInJob): Promise<CallOutcome> {
     const nodes = NODES.filter((node) => job.follows === undefined || !this.cluster.versions.has(node));
     const node = nodes[this.luck.below(Math.max(1, nodes.length))];
-    if (node === undefined) return Promise.resolve({ _tag: 'silence', why: 'no node of this version' });
+    if (node === undefined) return Promise.resolve({ _tag: 'noResponse', why: 'no node of this version' });
     return this.world.call('user', node, 'POST', '/v2/runs', job.body, 2_000);
   }
 
@@ -202,8 +202,8 @@
     for (;;) {
       const answer = await this.submit(job);
       if (this.over) return;
-      if (answer._tag === 'answer' && (answer.status === 201 || answer.status === 200)) break;
-      if (answer._tag === 'answer' && answer.status < 500)
+      if (answer._tag === 'response' && (answer.status === 201 || answer.status === 200)) break;
+      if (answer._tag === 'response' && answer.status < 500)
         this.world.broken.push(`refused ${job.id} ${answer.status}`);
       await this.sleep(1_000);
     }
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -1,5 +1,5 @@
 import { tokenOf, type Permit } from '@dalegate/fencing';
-import { LEADER } from '../claims/claim-decisions.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { DutyRegistry } from '../duties/registry.js';
 
 /** The duties of a leader that never loses its claim, held under this revision; its lease may be in doubt for a while. */
@@ -10,22 +10,22 @@
 ): DutyRegistry => {
   const registry = new DutyRegistry({
     leases: {
-      claimNames: [LEADER],
+      claimNames: [LEADER_CLAIM],
       claim: () => ({ node: 'n0', incarnation: '1', version: revision }),
-      mine: () => revision,
-      entitled: () => (mayAct() ? revision : null),
+      ownRevision: () => revision,
+      actingRevision: () => (mayAct() ? revision : null),
     },
     wall,
     enforce: true,
   });
-  registry.onClaim(LEADER);
+  registry.onClaim(LEADER_CLAIM);
   return registry;
 };
 
 /** Leave for one effect, as long as `holds` says so. */
 export const permitWhile = (holds: () => boolean): Permit => ({
   duty: 'rent',
-  claim: LEADER,
+  claim: LEADER_CLAIM,
   token: tokenOf(1),
   mayProceed: holds,
   end: () => undefined,
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -73,7 +73,7 @@
     heartbeat: () => answer as never,
     leader: () => undefined,
     now: () => START_MS,
-    callers: () => ({ request: () => Promise.resolve({ _tag: 'silence', why: 'none' }) }),
+    createHttpClient: () => ({ request: () => Promise.resolve({ _tag: 'noResponse', why: 'none' }) }),
     answer: () => Promise.resolve(null),
   });
 };
--- a/src/testing/leader-scenario.ts
+++ b/src/testing/leader-scenario.ts
@@ -1,5 +1,5 @@
 import type { WireDuty } from '../duties/admin-codec.js';
-import { RENTALS_KEY } from '../kv-store/keys.js';
+import { PROVISIONING_KEY } from '../kv-store/keys.js';
 import { submission } from './bodies.js';
 import { findLateActions, type LateAction, type Tenure } from './late-actions.js';
 import { Loopback, type LoopbackOptions } from './loopback.js';
@@ -32,7 +32,7 @@
     deployment.state.onPut = (key, value, version) => {
       const at = performance.now();
       if (key === 'w/c/L') this.tenures.push({ node: (value as { n: string }).n, token: version, from: at });
-      if (key === RENTALS_KEY) this.intentWrites += 1;
+      if (key === PROVISIONING_KEY) this.intentWrites += 1;
       if (key.startsWith('w/m/') && (value as { r: boolean }).r) this.releaseAskedAt.set(key.slice(4), at);
     };
   }
@@ -54,7 +54,7 @@
     await this.deployment.until('a job to be accepted', async () => {
       for (const node of Loopback.nodes) {
         const answer = await this.deployment.ask(node, 'POST', '/v2/runs', wholeMachineJob(n));
-        if (answer._tag === 'answer' && answer.status < 300) return true;
+        if (answer._tag === 'response' && answer.status < 300) return true;
       }
       return false;
     });
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -3,13 +3,22 @@
  * submissions cost. `node target/testing/load.js [machines] [seconds] [controllers] [node flags for them...]` after a
  * build and a bundle; prints processor time, memory and calls a second. Figures are of the machine that runs it.
  */
+import { readRedirect } from '../workers/codec.js';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import * as http from 'node:http';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { MAX_BODY_BYTES } from '../constants/http.js';
-import { Client, decode, encode, parseTarget, serve, type Call, type Reply } from '../http.js';
+import {
+  PooledHttpClient,
+  decode,
+  encode,
+  parseTarget,
+  serve,
+  type ServerRequest,
+  type ServerResponse,
+} from '../http.js';
 import { CATALOG } from './cloud-stand-in.js';
 import { StateStandIn } from './state-stand-in.js';
 
@@ -119,10 +128,11 @@
               this.execute(decode(Buffer.concat(parts)) as Parameters<LoadWorker['execute']>[0]);
             else {
               count(`report ${res.statusCode}`);
-              const boss =
-                res.statusCode === 421 ? (decode(Buffer.concat(parts)) as { boss?: string }).boss : undefined;
+              const holderNode =
+                res.statusCode === 421 ? readRedirect(decode(Buffer.concat(parts))) : undefined;
               this.agents[this.target]?.destroy();
-              this.target = boss === undefined ? (this.target + 1) % NODES : Number(boss.slice(1));
+              this.target =
+                holderNode === undefined ? (this.target + 1) % NODES : Number(holderNode.slice(1));
             }
             resolve();
           });
@@ -150,7 +160,7 @@
   return new LoadWorker(`i-${String(n).padStart(6, '0')}`, n % 2 === 0);
 });
 
-const cloud = (call: Call): Reply => {
+const cloud = (call: ServerRequest): ServerResponse => {
   count(`cloud ${call.path}`);
   if (call.path === '/catalog') return { status: 200, body: CATALOG };
   if (call.path === '/machines' && call.method === 'GET')
@@ -224,7 +234,7 @@
         path,
         call.body._tag === 'value' ? call.body.value : {},
       );
-      return answer._tag === 'answer' ? answer : { status: 503 };
+      return answer._tag === 'response' ? answer : { status: 503 };
     },
     failed,
   );
@@ -292,7 +302,7 @@
   for (const worker of workers) void worker.live();
   const users = Array.from(
     { length: NODES },
-    (_, node) => new Client(parseTarget(`${HOST}:${apiPort(node)}`), 50),
+    (_, node) => new PooledHttpClient(parseTarget(`${HOST}:${apiPort(node)}`), 50),
   );
   let submitted = 0;
   const live = new Set<number>();
@@ -302,7 +312,7 @@
       const n = submitted;
       count('submit');
       void users[n % NODES]?.request('POST', '/v2/runs', submission(n), 5_000).then((answer) => {
-        if (answer._tag === 'answer' && answer.status < 300) live.add(n);
+        if (answer._tag === 'response' && answer.status < 300) live.add(n);
         else count('submit failed');
       });
     },
@@ -315,7 +325,7 @@
       void users[n % NODES]
         ?.request('GET', `/v2/runs/job-${String(n).padStart(6, '0')}`, undefined, 2_000)
         .then((answer) => {
-          const body = answer._tag === 'answer' ? (answer.body as { status?: string }) : {};
+          const body = answer._tag === 'response' ? (answer.body as { status?: string }) : {};
           if (body.status === 'done') live.delete(n);
         });
     }
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -9,7 +9,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { MAX_BODY_BYTES } from '../constants/http.js';
-import { Client, parseTarget, serve, type Answer, type Call, type Reply } from '../http.js';
+import {
+  PooledHttpClient,
+  parseTarget,
+  serve,
+  type CallOutcome,
+  type ServerRequest,
+  type ServerResponse,
+} from '../http.js';
 import { CloudStandIn } from './cloud-stand-in.js';
 import { StateStandIn } from './state-stand-in.js';
 
@@ -26,7 +33,7 @@
 export interface SeenRequest {
   readonly node: string;
   readonly service: Service;
-  readonly call: Call;
+  readonly call: ServerRequest;
 }
 
 /** Where a request stops: before the stand-in carries it out, or with its answer. */
@@ -108,22 +115,22 @@
     for (const node of Loopback.nodes) {
       for (const service of ['state', 'cloud'] as const) {
         const target = { host: HOST, port: this.portsOf(node)[service] };
-        const handle = (call: Call): Promise<Reply> => this.answer({ node, service, call });
+        const handle = (call: ServerRequest): Promise<ServerResponse> => this.answer({ node, service, call });
         const ignore = (): void => undefined;
         this.servers.push(await serve(target, { connections: 64 }, 16 * MAX_BODY_BYTES, handle, ignore));
       }
     }
   }
 
-  private async answer(request: SeenRequest): Promise<Reply> {
+  private async answer(request: SeenRequest): Promise<ServerResponse> {
     for (const refuses of this.refusals) if (refuses(request)) return { status: 503 };
     await this.wait(request, 'request');
     const answer = await this.carryOut(request);
     await this.wait(request, 'answer');
-    return answer._tag === 'answer' ? { status: answer.status, body: answer.body } : { status: 503 };
+    return answer._tag === 'response' ? { status: answer.status, body: answer.body } : { status: 503 };
   }
 
-  private carryOut({ node, service, call }: SeenRequest): Promise<Answer> {
+  private carryOut({ node, service, call }: SeenRequest): Promise<CallOutcome> {
     const path = call.query === '' ? call.path : `${call.path}?${call.query}`;
     const body = call.body._tag === 'value' ? call.body.value : {};
     return service === 'state'
@@ -230,8 +237,8 @@
     return `${HOST}:${this.portsOf(node).api}`;
   }
 
-  ask(node: string, method: string, path: string, body?: unknown): Promise<Answer> {
-    return new Client(parseTarget(this.address(node)), 1).request(method, path, body, 5_000);
+  ask(node: string, method: string, path: string, body?: unknown): Promise<CallOutcome> {
+    return new PooledHttpClient(parseTarget(this.address(node)), 1).request(method, path, body, 5_000);
   }
 
   /** Who leads, by the state service, with the fencing token. */
@@ -256,7 +263,7 @@
     for (const node of Loopback.nodes) {
       await this.until(`${node} ready`, async () => {
         const answer = await this.ask(node, 'GET', '/ready');
-        return answer._tag === 'answer' && answer.status === 200;
+        return answer._tag === 'response' && answer.status === 200;
       });
     }
     return this.until('a leader', () => this.leader());
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -5,29 +5,159 @@
 import { buildSync } from 'esbuild';
 import type { compose } from '../controller/compose.js';
 import type { Controller, Ports } from '../controller/ports.js';
+import type { MachineRecord } from '../fleet/records.js';
+import type { CallOutcome, HttpClient } from '../http.js';
+import type { FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
+import type { RunRecord } from '../placement/run-records.js';
+import type { WorkerHeartbeat } from '../workers/model.js';
+import type { DirectCommands, DirectResult } from '../workers/worker-client.js';
 
-/** What the tests use of the version that production runs. */
+/** What the tests use of the version that production runs, under the names of this version. */
 export interface Production {
   readonly compose: typeof compose;
-  readonly codec: typeof import('../jobs/codec.js');
-  readonly records: typeof import('../placement/run-records.js');
-  readonly machines: typeof import('../fleet/records.js');
-  readonly keys: typeof import('../kv-store/keys.js');
+  readonly codec: {
+    readonly readJobRecord: (data: unknown) => EarlierJobRecord;
+    readonly writeJobRecord: (record: JobRecord) => unknown;
+    readonly readFinalRecord: (data: unknown) => FinalRecord;
+    readonly writeFinalRecord: (record: FinalRecord) => unknown;
+  };
+  readonly records: {
+    readonly readRunRecord: (data: unknown, chunk: number) => RunRecord;
+    readonly writeRunRecord: (record: RunRecord, chunk: number) => unknown;
+  };
+  readonly machines: {
+    readonly readMachineRecord: (data: unknown) => MachineRecord;
+    readonly writeMachineRecord: (record: MachineRecord) => unknown;
+  };
+}
+
+/** What that version knows of a job. */
+type EarlierJobRecord = Omit<JobRecord, 'cancelledAt' | 'dependsOn' | 'parts'>;
+
+/** The names that that version gives the fields of a job's specification. */
+type EarlierSpec = Omit<JobSpec, 'jobClass'> & { readonly klass: string };
+type EarlierNamedJobRecord = Omit<EarlierJobRecord, 'spec'> & { readonly spec: EarlierSpec };
+
+/** The names that that version gives the fields of a machine's record. */
+type EarlierNamedMachineRecord = Omit<MachineRecord, 'shardId' | 'agentEpoch'> & {
+  readonly share: number;
+  readonly session: number;
+};
+
+/** The outcome of a request in that version. */
+type EarlierOutcome =
+  | { readonly _tag: 'answer'; readonly status: number; readonly body: unknown }
+  | { readonly _tag: 'silence'; readonly why: string };
+
+/** A client for one address in that version. */
+interface EarlierClient {
+  readonly request: (...call: Parameters<HttpClient['request']>) => Promise<EarlierOutcome>;
 }
 
+/** A worker's heartbeat in that version. */
+type EarlierHeartbeat = Omit<WorkerHeartbeat, 'agentEpoch' | 'sequenceNumber'> & {
+  readonly session: number;
+  readonly seq: number;
+};
+type EarlierDirectResult =
+  | { readonly _tag: 'executed'; readonly report: EarlierHeartbeat }
+  | { readonly _tag: 'refused'; readonly report: EarlierHeartbeat | null }
+  | { readonly _tag: 'unsure' };
+
+/** The ports of that version. */
+type EarlierPorts = Omit<Ports, 'workerClient' | 'createHttpClient'> & {
+  readonly callers: (...at: Parameters<Ports['createHttpClient']>) => EarlierClient;
+  readonly line: {
+    readonly send: (...commands: Parameters<DirectCommands['send']>) => Promise<EarlierDirectResult>;
+  };
+};
+
 /** The composition root of that version, whose ports and routes have other names. */
 type EarlierCompose = (
   settings: Parameters<typeof compose>[0],
-  ports: Omit<Ports, 'workerClient'> & { readonly line: Ports['workerClient'] },
+  ports: EarlierPorts,
 ) => Omit<Controller, 'peerRoute'> & { readonly mesh: Controller['peerRoute'] };
 
+/** The modules of that version. */
+interface EarlierModules {
+  readonly service: { readonly compose: EarlierCompose };
+  readonly codec: {
+    readonly readJobRecord: (data: unknown) => EarlierNamedJobRecord;
+    readonly writeJobRecord: (record: EarlierNamedJobRecord) => unknown;
+    readonly readFinalRecord: (data: unknown) => FinalRecord;
+    readonly writeFinalRecord: (record: FinalRecord) => unknown;
+  };
+  readonly records: Production['records'];
+  readonly machines: {
+    readonly readMachineRecord: (data: unknown) => EarlierNamedMachineRecord;
+    readonly writeMachineRecord: (record: EarlierNamedMachineRecord) => unknown;
+  };
+}
+
+const toEarlierOutcome = (outcome: CallOutcome): EarlierOutcome =>
+  outcome._tag === 'response' ? { ...outcome, _tag: 'answer' } : { ...outcome, _tag: 'silence' };
+
+const toEarlierHeartbeat = ({
+  agentEpoch,
+  sequenceNumber,
+  ...heartbeat
+}: WorkerHeartbeat): EarlierHeartbeat => ({
+  ...heartbeat,
+  session: agentEpoch,
+  seq: sequenceNumber,
+});
+
+const toEarlierResult = (result: DirectResult): EarlierDirectResult => {
+  switch (result._tag) {
+    case 'executed':
+      return { _tag: 'executed', report: toEarlierHeartbeat(result.heartbeat) };
+    case 'refused':
+      return {
+        _tag: 'refused',
+        report: result.heartbeat === null ? null : toEarlierHeartbeat(result.heartbeat),
+      };
+    case 'unsure':
+      return result;
+  }
+};
+
 const adaptCompose =
   (earlier: EarlierCompose): typeof compose =>
-  (settings, { workerClient, ...ports }) => {
-    const { mesh, ...controller } = earlier(settings, { ...ports, line: workerClient });
+  (settings, { workerClient, createHttpClient, ...ports }) => {
+    const { mesh, ...controller } = earlier(settings, {
+      ...ports,
+      callers: (...at) => {
+        const client = createHttpClient(...at);
+        return { request: async (...call) => toEarlierOutcome(await client.request(...call)) };
+      },
+      line: { send: async (...commands) => toEarlierResult(await workerClient.send(...commands)) },
+    });
     return { ...controller, peerRoute: mesh };
   };
 
+const adaptCodec = (earlier: EarlierModules['codec']): Production['codec'] => ({
+  readJobRecord: (data) => {
+    const { spec, ...record } = earlier.readJobRecord(data);
+    const { klass, ...rest } = spec;
+    return { ...record, spec: { ...rest, jobClass: klass } };
+  },
+  writeJobRecord: ({ spec, ...record }) => {
+    const { jobClass, ...rest } = spec;
+    return earlier.writeJobRecord({ ...record, spec: { ...rest, klass: jobClass } });
+  },
+  readFinalRecord: earlier.readFinalRecord,
+  writeFinalRecord: earlier.writeFinalRecord,
+});
+
+const adaptMachines = (earlier: EarlierModules['machines']): Production['machines'] => ({
+  readMachineRecord: (data) => {
+    const { share, session, ...record } = earlier.readMachineRecord(data);
+    return { ...record, shardId: share, agentEpoch: session };
+  },
+  writeMachineRecord: ({ shardId, agentEpoch, ...record }) =>
+    earlier.writeMachineRecord({ ...record, share: shardId, session: agentEpoch }),
+});
+
 /**
  * The sources of the version that `deploy/service.toml` names, built from the repository's history, so that tests meet
  * the earlier code itself.
@@ -46,7 +176,7 @@
       maxBuffer: 64 * 1024 * 1024,
     });
     execFileSync('tar', ['-x', '-C', base], { input: files });
-    const parts = ['service', 'jobs/codec', 'placement/records', 'fleet/records', 'store/keys'];
+    const parts = ['service', 'jobs/codec', 'placement/records', 'fleet/records'];
     buildSync({
       entryPoints: parts.map((part) => join(base, 'src', `${part}.ts`)),
       outdir: join(base, 'built'),
@@ -60,13 +190,12 @@
     });
     const load = (part: string): Promise<unknown> =>
       import(pathToFileURL(join(base, 'built', `${part}.js`)).href);
-    const [service, codec, records, machines, keys] = await Promise.all(parts.map(load));
+    const [service, codec, records, machines] = await Promise.all(parts.map(load));
     return {
-      compose: adaptCompose((service as { compose: EarlierCompose }).compose),
-      codec: codec as Production['codec'],
-      records: records as Production['records'],
-      machines: machines as Production['machines'],
-      keys: keys as Production['keys'],
+      compose: adaptCompose((service as EarlierModules['service']).compose),
+      codec: adaptCodec(codec as EarlierModules['codec']),
+      records: records as EarlierModules['records'],
+      machines: adaptMachines(machines as EarlierModules['machines']),
     };
   } finally {
     rmSync(base, { recursive: true, force: true });
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -14,7 +14,7 @@
 import { ShardState } from '../placement/shard-state.js';
 import { MachineLiveness } from '../placement/machine-liveness.js';
 import { unmetDemand, spareMachines } from '../placement/unmet-demand.js';
-import { packAll } from '../placement/bin-packing.js';
+import { packRequests } from '../placement/bin-packing.js';
 import { readRunRecord, runRecord, writeRunRecord } from '../placement/run-records.js';
 
 const SHARD_COUNT = 5;
@@ -39,7 +39,7 @@
 
 const specOf = (n: number, gang: boolean): JobSpec => ({
   id: `job-${n}`,
-  klass: gang ? 'gang' : 'array',
+  jobClass: gang ? 'gang' : 'array',
   team: 't',
   kind: gang ? 'gang' : 'array',
   priority: 1,
@@ -63,7 +63,7 @@
 /** One share with its machines full but for one in twenty, and a job waiting for every eight machines. */
 const shardOf = (machines: number) => {
   const now = 1_000_000;
-  const shardState = new ShardState({ now: () => now, wall: () => now, poke: () => undefined });
+  const shardState = new ShardState({ now: () => now, wall: () => now, requestRound: () => undefined });
   const liveness = new MachineLiveness({
     bootBound: () => false,
     machines: shardState.machines,
@@ -82,7 +82,7 @@
         at: now - 20_000,
         cancelled: false,
         cancelledAt: null,
-        follows: [],
+        dependsOn: [],
         parts: 0,
       },
       1,
@@ -99,7 +99,7 @@
       at: 0,
       releasing: false,
       addr: 'a:1',
-      session: 1,
+      agentEpoch: 1,
     };
     const machine = shardState.addMachine(
       `i-${m}`,
@@ -130,7 +130,7 @@
     scarceDemand: () => ({ cpus: 57, gpus: 8, memoryGb: 310 }),
     guarantees: new Map(),
     objectives: new Map(),
-    holds: [],
+    reservations: [],
     now,
     wall: now,
   };
@@ -138,16 +138,16 @@
 };
 
 const round = (view: ViewInput) => {
-  const asks = placementRequests(view);
-  const rooms = availableCapacity(view);
+  const requests = placementRequests(view);
+  const capacities = availableCapacity(view);
   const uses = teamUsage(view.shardState);
-  const packed = packAll(
-    asks,
-    rooms.filter((room) => room.live),
+  const packed = packRequests(
+    requests,
+    capacities.filter((capacity) => capacity.live),
     limits,
     uses,
   );
-  return { packed, rooms, uses };
+  return { packed, capacities, uses };
 };
 
 const median = (times: readonly number[]): number => [...times].sort((a, b) => a - b)[times.length >> 1] ?? 0;
@@ -163,8 +163,8 @@
 const rows = [100, 1_000, 2_000, 4_000, 6_000].map((all) => {
   const { shardState, view } = shardOf(all / SHARD_COUNT);
   const needs = () => {
-    const { packed, rooms, uses } = round(view);
-    return unmetDemand(packed.left, rooms, limits, uses, catalog, view.objectives, view.wall);
+    const { packed, capacities, uses } = round(view);
+    return unmetDemand(packed.left, capacities, limits, uses, catalog, view.objectives, view.wall);
   };
   const free = spareMachines(
     [...shardState.machines.values()].filter((machine) => machine.bound.size === 0),
@@ -191,7 +191,7 @@
         catalog,
         refused: () => true,
         machines: () => all / 6,
-        holds: [],
+        reservations: [],
         behind: new Set(),
         moving: [],
       }),
--- a/src/testing/state-stand-in.ts
+++ b/src/testing/state-stand-in.ts
@@ -1,10 +1,14 @@
 /** Stand-in for the state service, written to the published protocol: keys with revisions, leases, watches, transactions. */
-import type { Answer } from '../http.js';
+import type { CallOutcome } from '../http.js';
 
 /** A map as it comes from the wire. */
 export type WireRecord = Record<string, unknown>;
 /** An answer of a stand-in. */
-export const reply = (status: number, body: unknown = {}): Answer => ({ _tag: 'answer', status, body });
+export const reply = (status: number, body: unknown = {}): CallOutcome => ({
+  _tag: 'response',
+  status,
+  body,
+});
 /** What crosses the network is a copy. */
 export const copy = <T>(value: T): T => structuredClone(value);
 
@@ -55,13 +59,13 @@
     return [...this.data.keys()].filter((key) => key.startsWith(prefix)).sort();
   }
 
-  async handle(from: string, method: string, path: string, body: unknown): Promise<Answer> {
+  async handle(from: string, method: string, path: string, body: unknown): Promise<CallOutcome> {
     this.expire();
     const [route, query] = path.split('?', 2);
     const params = new URLSearchParams(query ?? '');
     if (route === '/follow') return this.follow(from, params);
     if (this.down || this.refused.has(from)) return reply(503);
-    if (route === '/txn') return this.txn(body as WireRecord);
+    if (route === '/txn') return this.compareAndSwap(body as WireRecord);
     if (route === '/holds') {
       this.lastLease += 1;
       const ttl = (body as { ttlMs: number }).ttlMs;
@@ -90,7 +94,7 @@
     return { path: key, data: entry?.value, brandMark: entry?.version };
   }
 
-  private txn(body: WireRecord): Answer {
+  private compareAndSwap(body: WireRecord): CallOutcome {
     const when = body['when'] as { path: string; brandMark: number }[];
     const writes = body['writes'] as (
       { write: string; data: unknown; permit?: number } | { remove: string }
@@ -131,7 +135,7 @@
     return reply(200, { epoch: this.epoch });
   }
 
-  private async follow(from: string, params: URLSearchParams): Promise<Answer> {
+  private async follow(from: string, params: URLSearchParams): Promise<CallOutcome> {
     const since = Number(params.get('since'));
     const until = Date.now() + Number(params.get('waitMs') ?? 0);
     const prefix = params.get('under') ?? '';
--- a/src/testing/submit.ts
+++ b/src/testing/submit.ts
@@ -3,7 +3,7 @@
  * look together with `load.ts`, whose stand-ins run the tasks. Prints each change; exits with 1 if it is not done in time.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { Client, parseTarget } from '../http.js';
+import { PooledHttpClient, parseTarget } from '../http.js';
 import { submission } from './bodies.js';
 
 const POLL_MS = 2_000;
@@ -13,12 +13,12 @@
 const TEAM = 't0';
 
 const main = async (address: string, tasks: number): Promise<number> => {
-  const client = new Client(parseTarget(address), 1);
+  const client = new PooledHttpClient(parseTarget(address), 1);
   const id = `job-${Date.now()}`;
   const body = submission({ uid: id, owner: TEAM, heads: tasks, accelerators: 1, expectedS: 20 });
   const accepted = await client.request('POST', '/v2/runs', body, ANSWER_MS);
   console.log(`POST /v2/runs ${id}:`, accepted);
-  if (accepted._tag !== 'answer' || accepted.status >= 300) return 1;
+  if (accepted._tag !== 'response' || accepted.status >= 300) return 1;
   let before = '';
   for (const begun = Date.now(); Date.now() - begun < GIVE_UP_MS;) {
     await sleep(POLL_MS);
@@ -26,7 +26,7 @@
     const now = JSON.stringify(answer);
     if (now !== before) console.log(`GET /v2/runs/${id}:`, answer);
     before = now;
-    if (answer._tag === 'answer' && (answer.body as { status?: string }).status === 'done') return 0;
+    if (answer._tag === 'response' && (answer.body as { status?: string }).status === 'done') return 0;
   }
   return 1;
 };
--- a/src/testing/worker-stand-in.ts
+++ b/src/testing/worker-stand-in.ts
@@ -1,5 +1,6 @@
 /** Stand-in for a machine and its worker, written to the published protocol: leases, tokens, tasks and gangs. */
 
+import { readRedirect } from '../workers/codec.js';
 import { type WireRecord } from './state-stand-in.js';
 import type { World } from './world.js';
 /** A job with what its user knows of it. */
@@ -36,8 +37,8 @@
 
 /** One machine with its worker. */
 export class WorkerStandIn {
-  session = 1;
-  seq = 0;
+  agentEpoch = 1;
+  sequenceNumber = 0;
   token = 0;
   dead = false;
   /** Cut from the controllers: nothing gets in or out. */
@@ -61,15 +62,15 @@
   ) {}
 
   report(): WireRecord {
-    this.seq += 1;
+    this.sequenceNumber += 1;
     return {
       drover: this.id,
       addr: `${this.id}:9000`,
       breed: 'g',
       paddock: this.zone,
       agistment: this.spot,
-      stint: this.session,
-      tally: this.seq,
+      stint: this.agentEpoch,
+      tally: this.sequenceNumber,
       crook: this.token,
       warningS: null,
       heads: [...this.tasks].map(([key, task]) => ({
@@ -131,7 +132,7 @@
   }
   expire(): void {
     if (!this.leaseOver) return;
-    this.session += 1;
+    this.agentEpoch += 1;
     this.tasks.clear();
     this.leaseFrom = Date.now();
   }
@@ -169,7 +170,7 @@
 
   async live(): Promise<void> {
     while (!this.dead) {
-      const session = this.session;
+      const agentEpoch = this.agentEpoch;
       const sentAt = Date.now();
       const answer = await this.world.call(
         this.id,
@@ -185,17 +186,15 @@
       // An answer that waited with a hung machine is dropped like any that took too long.
       if (Date.now() - sentAt > 4_000) continue;
       let pause = this.world.reportMs;
-      if (answer._tag === 'answer' && answer.status === 200) {
+      if (answer._tag === 'response' && answer.status === 200) {
         const body = answer.body as { crook: number; calls: WireRecord[] };
-        if (session === this.session && this.execute(body.crook, body.calls))
+        if (agentEpoch === this.agentEpoch && this.execute(body.crook, body.calls))
           this.leaseFrom = Math.max(this.leaseFrom, sentAt);
         if (body.calls.length > 0) pause = 500;
       } else {
-        const boss =
-          answer._tag === 'answer' && answer.status === 421
-            ? (answer.body as { boss?: string }).boss
-            : undefined;
-        const next = boss === undefined ? -1 : this.world.nodes.indexOf(boss);
+        const holderNode =
+          answer._tag === 'response' && answer.status === 421 ? readRedirect(answer.body) : undefined;
+        const next = holderNode === undefined ? -1 : this.world.nodes.indexOf(holderNode);
         pause = next >= 0 && next !== this.target ? 100 : 1_000;
         this.target = next >= 0 && next !== this.target ? next : (this.target + 1) % this.world.nodes.length;
       }
--- a/src/testing/world.ts
+++ b/src/testing/world.ts
@@ -2,7 +2,7 @@
  * The stand-ins together: cloud, network, machines and jobs around the controllers, on a virtual clock and from one seed.
  * Checks the rules that concern starts as it goes.
  */
-import type { Answer } from '../http.js';
+import type { CallOutcome } from '../http.js';
 
 import { Luck } from './luck.js';
 import { StateStandIn, copy, reply, type WireRecord } from './state-stand-in.js';
@@ -18,7 +18,7 @@
   private readonly hires = new Map<string, string[]>();
   private readonly handlers = new Map<
     string,
-    (method: string, path: string, body: unknown) => Promise<Answer>
+    (method: string, path: string, body: unknown) => Promise<CallOutcome>
   >();
   private created = 0;
   /** Probability that a message, or its answer, gets lost, or is held and delivered late. */
@@ -45,7 +45,7 @@
     readonly cancelMs: number,
   ) {}
 
-  attach(name: string, handler: (method: string, path: string, body: unknown) => Promise<Answer>): void {
+  attach(name: string, handler: (method: string, path: string, body: unknown) => Promise<CallOutcome>): void {
     this.handlers.set(name, handler);
   }
   /** From now on this end can't reach those, nor they it; an empty list mends all. */
@@ -90,14 +90,20 @@
     this.handlers.delete(name);
   }
 
-  private deliver(from: string, to: string, method: string, path: string, body: unknown): Promise<Answer> {
+  private deliver(
+    from: string,
+    to: string,
+    method: string,
+    path: string,
+    body: unknown,
+  ): Promise<CallOutcome> {
     const machine = this.machines.get(to);
     if (machine) {
       if (machine.dead || machine.cut || machine.deaf) return new Promise(() => undefined);
       if (machine.hung) return machine.awake().then(() => this.deliver(from, to, method, path, body));
       machine.expire();
       const raw = body as { crook: number; stint: number; calls: WireRecord[] };
-      const ok = raw.stint === machine.session && machine.execute(raw.crook, raw.calls);
+      const ok = raw.stint === machine.agentEpoch && machine.execute(raw.crook, raw.calls);
       return Promise.resolve(reply(ok ? 200 : 409, machine.report()));
     }
     const sender = this.machines.get(from);
@@ -105,7 +111,7 @@
     if (to === 'state') return this.state.handle(from, method, path, body);
     if (to === 'cloud') return Promise.resolve(this.cloud(method, path, body));
     return (
-      this.handlers.get(to)?.(method, path, body) ?? Promise.resolve({ _tag: 'silence', why: 'refused' })
+      this.handlers.get(to)?.(method, path, body) ?? Promise.resolve({ _tag: 'noResponse', why: 'refused' })
     );
   }
 
@@ -116,17 +122,17 @@
     path: string,
     body: unknown,
     timeoutMs: number,
-  ): Promise<Answer> {
+  ): Promise<CallOutcome> {
     const sent = copy(body);
-    if (this.isSevered(from, to)) return Promise.resolve({ _tag: 'silence', why: 'refused' });
+    if (this.isSevered(from, to)) return Promise.resolve({ _tag: 'noResponse', why: 'refused' });
     return new Promise((resolve) => {
-      setTimeout(() => resolve({ _tag: 'silence', why: 'timeout' }), timeoutMs);
+      setTimeout(() => resolve({ _tag: 'noResponse', why: 'timeout' }), timeoutMs);
       const again = this.luck.chance(this.copies)
         ? (this.copyAfter[this.luck.below(this.copyAfter.length)] ?? 1_000)
         : null;
       /** What was answered 503 or 429 was not carried out, and never will be: of the rest a copy may come. */
-      const repeat = (answer: Answer): void => {
-        const refused = answer._tag === 'answer' && (answer.status === 503 || answer.status === 429);
+      const repeat = (answer: CallOutcome): void => {
+        const refused = answer._tag === 'response' && (answer.status === 503 || answer.status === 429);
         if (again === null || (refused && to === 'state')) return;
         setTimeout(() => void this.deliver(from, to, method, path, copy(sent)), again);
       };
@@ -152,7 +158,7 @@
       setTimeout(() => {
         void this.deliver(from, to, method, path, sent).then((answer) => {
           repeat(answer);
-          if (path === '/hello' && answer._tag === 'answer' && answer.status === 200) this.checkSilence(to);
+          if (path === '/hello' && answer._tag === 'response' && answer.status === 200) this.checkSilence(to);
           if (this.luck.chance(this.loss) || this.machines.get(from)?.deaf) return;
           setTimeout(() => resolve(copy(answer)), 1 + this.luck.below(10));
         });
@@ -160,7 +166,7 @@
     });
   }
 
-  private cloud(method: string, path: string, body: unknown): Answer {
+  private cloud(method: string, path: string, body: unknown): CallOutcome {
     if (path === '/catalog') {
       return reply(200, {
         breeds: [
--- a/src/upgrade.test.ts
+++ b/src/upgrade.test.ts
@@ -16,7 +16,7 @@
 
 const spec: JobSpec = {
   id: 'job-000412',
-  klass: 'train',
+  jobClass: 'train',
   team: 'red',
   kind: 'gang',
   priority: 2,
@@ -36,7 +36,7 @@
   saveS: 4,
   deadlineS: 900,
 };
-const plain: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, follows: [], parts: 0 };
+const plain: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 
 const jobs: readonly { name: string; record: JobRecord; same: boolean }[] = [
   { name: 'a job', record: plain, same: true },
@@ -45,7 +45,7 @@
 ];
 for (const row of jobs) {
   test(`upgrade: the record of ${row.name} is read by both versions`, () => {
-    const { cancelledAt, follows, parts, ...earlier } = row.record;
+    const { cancelledAt, dependsOn: follows, parts, ...earlier } = row.record;
     assert.deepEqual([follows, parts], [[], 0], 'nothing that the earlier version can not know');
     const written = stored(writeJobRecord(row.record));
     assert.deepEqual(old.codec.readJobRecord(written), earlier);
@@ -77,7 +77,7 @@
     at: 5,
     releasing: true,
     addr: '10.1.0.1:9000',
-    session: 3,
+    agentEpoch: 3,
   };
   const final = { state: 'cancelled', at: 9, tasks: 3 } as const;
   assert.deepEqual(old.machines.readMachineRecord(stored(writeMachineRecord(machine))), machine);
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -1,5 +1,5 @@
 import { parseTaskName, taskName } from '../jobs/codec.js';
-import type { Command, ExitCause, Report, ReportedTask, TaskState } from './model.js';
+import type { Command, ExitCause, WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
 
 /**
  * The workers' wire words. Reports are by far the most frequent message: they are checked by hand, since a
@@ -81,7 +81,7 @@
 };
 
 /** Reads a worker's report; null: malformed. */
-export const readReport = (value: unknown): Report | null => {
+export const readWorkerHeartbeat = (value: unknown): WorkerHeartbeat | null => {
   if (!isHello(value)) return null;
   const hello = value;
   const tasks: ReportedTask[] = [];
@@ -95,8 +95,8 @@
     type: hello.breed,
     zone: hello.paddock,
     spot: hello.agistment,
-    session: hello.stint,
-    seq: hello.tally,
+    agentEpoch: hello.stint,
+    sequenceNumber: hello.tally,
     token: hello.crook,
     noticeS: hello.warningS ?? null,
     tasks,
@@ -121,3 +121,10 @@
   crook: token,
   calls: commands.map(writeCommand),
 });
+
+/** Sends a worker to the controller that answers for it; undefined: that one is not known. */
+export const writeRedirect = (holder: string | undefined): unknown =>
+  holder === undefined ? {} : { boss: holder };
+
+/** Reads where a worker is sent; undefined: nowhere. */
+export const readRedirect = (body: unknown): string | undefined => (body as { boss?: string }).boss;
--- a/src/workers/model.ts
+++ b/src/workers/model.ts
@@ -18,14 +18,14 @@
 }
 
 /** A worker's report. */
-export interface Report {
+export interface WorkerHeartbeat {
   readonly machine: string;
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
+  readonly agentEpoch: number;
+  readonly sequenceNumber: number;
   /** Highest token the worker has seen. */
   readonly token: number;
   readonly noticeS: number | null;
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -4,9 +4,9 @@
 import type { Binding, ShardMachine } from '../placement/shard-model.js';
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
-import type { Report, ReportedTask, TaskState } from './model.js';
+import type { WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
 import { answer, readChanges } from './reconcile.js';
-import { readReport } from './codec.js';
+import { readWorkerHeartbeat } from './codec.js';
 
 const bindingOf = (phase: Phase, over: Partial<Binding> = {}): Binding => ({
   job: 'job-1',
@@ -31,8 +31,8 @@
   releasing: false,
   cordoned: false,
   addr: 'a:1',
-  session: 1,
-  seq: 10,
+  agentEpoch: 1,
+  sequenceNumber: 10,
   confirmedToken: 9,
   tookOurToken: true,
   unconfirmedSince: null,
@@ -40,7 +40,7 @@
   answeredAt: 0,
   noticeAt: null,
   noticeS: null,
-  unsureRuns: new Map(),
+  unacknowledgedRuns: new Map(),
   raiseToken: false,
   answering: 0,
   reported: [],
@@ -53,14 +53,14 @@
   free: null,
 });
 const task = (state: TaskState, attempt = 3): ReportedTask => ({ job: 'job-1', index: 0, attempt, state });
-const reportOf = (tasks: readonly ReportedTask[], over: Partial<Report> = {}): Report => ({
+const reportOf = (tasks: readonly ReportedTask[], over: Partial<WorkerHeartbeat> = {}): WorkerHeartbeat => ({
   machine: 'i-1',
   addr: 'a:1',
   type: 'g',
   zone: 'x',
   spot: false,
-  session: 1,
-  seq: 11,
+  agentEpoch: 1,
+  sequenceNumber: 11,
   token: 9,
   noticeS: null,
   tasks,
@@ -71,8 +71,8 @@
   name: string;
   phase: Phase;
   stop?: boolean;
-  seenSeq?: number;
-  report: Report;
+  seenSequenceNumber?: number;
+  heartbeat: WorkerHeartbeat;
   late?: boolean;
   token?: boolean;
   heardUs?: boolean;
@@ -81,26 +81,26 @@
   {
     name: 'an exit is evidence',
     phase: { _tag: 'running' },
-    report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     to: 'gone',
   },
   {
     name: 'a newer report without a task that was there, under our token',
     phase: { _tag: 'running' },
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     to: 'gone',
   },
   {
     name: 'the same under an older token proves nothing: a command of an earlier holder may arrive',
     phase: { _tag: 'running' },
-    report: reportOf([], { token: 8 }),
+    heartbeat: reportOf([], { token: 8 }),
     token: false,
     to: 'running',
   },
   {
     name: 'a new session is evidence, once the worker has ever named a token of ours',
     phase: { _tag: 'running' },
-    report: reportOf([], { session: 2, seq: 1, token: 8 }),
+    heartbeat: reportOf([], { agentEpoch: 2, sequenceNumber: 1, token: 8 }),
     token: false,
     to: 'gone',
   },
@@ -108,56 +108,56 @@
     name: 'but not before: a direct run of an earlier holder may name that very session',
     phase: { _tag: 'running' },
     heardUs: false,
-    report: reportOf([], { session: 2, seq: 1, token: 8 }),
+    heartbeat: reportOf([], { agentEpoch: 2, sequenceNumber: 1, token: 8 }),
     token: false,
     to: 'running',
   },
   {
     name: 'a bound task that never showed in a session now over goes elsewhere: the machine may not hear us',
     phase: { _tag: 'bound' },
-    report: reportOf([], { session: 2, seq: 1 }),
+    heartbeat: reportOf([], { agentEpoch: 2, sequenceNumber: 1 }),
     late: true,
     to: 'gone',
   },
   {
     name: 'a bound task that is absent may not have arrived yet',
     phase: { _tag: 'bound' },
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     to: 'bound',
   },
   {
     name: 'a bound task to be stopped that is absent is gone',
     phase: { _tag: 'bound' },
     stop: true,
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     to: 'gone',
   },
   {
     name: 'but not while a direct run of it may still arrive',
     phase: { _tag: 'bound' },
     stop: true,
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     late: true,
     to: 'bound',
   },
   {
     name: 'a report overtaken by a direct answer proves nothing',
     phase: { _tag: 'running' },
-    seenSeq: 12,
-    report: reportOf([]),
+    seenSequenceNumber: 12,
+    heartbeat: reportOf([]),
     to: 'running',
   },
   {
     name: 'nothing is concluded about a bind that is not durable',
     phase: { _tag: 'binding' },
     stop: true,
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     to: 'binding',
   },
   {
     name: 'another attempt on the machine is not this one',
     phase: { _tag: 'bound' },
-    report: reportOf([task({ _tag: 'running' }, 2)]),
+    heartbeat: reportOf([task({ _tag: 'running' }, 2)]),
     to: 'bound',
   },
 ];
@@ -165,11 +165,14 @@
   test(`evidence: ${row.name}`, () => {
     const binding = bindingOf(row.phase, {
       stop: row.stop ? { reason: 'cancelled', graceS: 0, since: 0 } : null,
-      seen: row.seenSeq === undefined ? null : { session: 1, seq: row.seenSeq },
+      seen:
+        row.seenSequenceNumber === undefined
+          ? null
+          : { agentEpoch: 1, sequenceNumber: row.seenSequenceNumber },
     });
     const changes = readChanges(
       { ...machineOf(binding), tookOurToken: row.heardUs ?? true },
-      row.report,
+      row.heartbeat,
       row.token ?? true,
       () => row.late ?? false,
     );
@@ -181,7 +184,7 @@
 const answers: readonly {
   name: string;
   binding: Binding | null;
-  report: Report;
+  heartbeat: WorkerHeartbeat;
   settled?: boolean;
   token?: boolean;
   now?: number;
@@ -190,31 +193,31 @@
   {
     name: 'a durable bind that is not there yet is started',
     binding: bindingOf({ _tag: 'bound' }),
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     expect: ['run 3'],
   },
   {
     name: 'a bind that is not durable is not',
     binding: bindingOf({ _tag: 'binding' }),
-    report: reportOf([]),
+    heartbeat: reportOf([]),
     expect: [],
   },
   {
     name: 'a task that is not bound here is stopped',
     binding: null,
-    report: reportOf([task({ _tag: 'running' })]),
+    heartbeat: reportOf([task({ _tag: 'running' })]),
     expect: ['stop 3 0'],
   },
   {
     name: 'an older attempt is stopped beside the bound one',
     binding: bindingOf({ _tag: 'bound' }),
-    report: reportOf([task({ _tag: 'running' }, 2)]),
+    heartbeat: reportOf([task({ _tag: 'running' }, 2)]),
     expect: ['stop 2 0', 'run 3'],
   },
   {
     name: 'an exit that the state still binds is kept',
     binding: null,
-    report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     settled: false,
     now: 20_000,
     expect: [],
@@ -222,28 +225,28 @@
   {
     name: 'a settled exit is forgotten, after a while in which others may join it',
     binding: null,
-    report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     now: MAX_FORGET_DELAY_MS + 1_000,
     expect: ['forget 3'],
   },
   {
     name: 'not at once: each makes the worker report anew',
     binding: null,
-    report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     now: 2_000,
     expect: [],
   },
   {
     name: 'but with other commands',
     binding: bindingOf({ _tag: 'bound' }),
-    report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false }, 2)]),
+    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false }, 2)]),
     now: 2_000,
     expect: ['run 3', 'forget 2'],
   },
   {
     name: 'but only by the token in force',
     binding: null,
-    report: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     token: false,
     now: 20_000,
     expect: [],
@@ -251,14 +254,14 @@
   {
     name: 'a stop with grace is not repeated while the task saves',
     binding: bindingOf({ _tag: 'saving' }, { stop: { reason: 'draining', graceS: 5, since: 0 } }),
-    report: reportOf([task({ _tag: 'saving' })]),
+    heartbeat: reportOf([task({ _tag: 'saving' })]),
     now: 4_000,
     expect: [],
   },
   {
     name: 'a task that overstays its grace is ended',
     binding: bindingOf({ _tag: 'saving' }, { stop: { reason: 'draining', graceS: 5, since: 0 } }),
-    report: reportOf([task({ _tag: 'saving' })]),
+    heartbeat: reportOf([task({ _tag: 'saving' })]),
     now: 60_000,
     expect: ['stop 3 0'],
   },
@@ -267,7 +270,7 @@
   test(`answer: ${row.name}`, () => {
     const commands = answer(
       machineOf(row.binding),
-      row.report,
+      row.heartbeat,
       row.token ?? true,
       () => row.settled ?? true,
       row.now ?? 0,
@@ -304,5 +307,5 @@
 ];
 for (const row of reports) {
   test(`report: ${row.name}`, () =>
-    assert.deepEqual(readReport(row.value)?.tasks[0]?.state ?? null, row.expect));
+    assert.deepEqual(readWorkerHeartbeat(row.value)?.tasks[0]?.state ?? null, row.expect));
 }
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,7 +1,7 @@
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import { nextPhase, type Gone } from '../placement/attempt-phase.js';
-import type { Command, Report } from './model.js';
+import type { Command, WorkerHeartbeat } from './model.js';
 
 /** What one report means for the tasks bound to its machine. Pure: the caller applies the changes. */
 export interface Change {
@@ -19,24 +19,27 @@
  */
 export const readChanges = (
   machine: ShardMachine,
-  report: Report,
+  heartbeat: WorkerHeartbeat,
   underToken: boolean,
   late: (key: string) => boolean,
 ): readonly Change[] => {
   const changes: Change[] = [];
   // Commands of ours name the old session. Those of an earlier holder may not, until the worker has seen our token.
   const newSession =
-    machine.answeredAt !== null && report.session > machine.session && (underToken || machine.tookOurToken);
+    machine.answeredAt !== null &&
+    heartbeat.agentEpoch > machine.agentEpoch &&
+    (underToken || machine.tookOurToken);
   const reported = new Map(
-    report.tasks.map((task) => [bindingKey(task.job, task.index, task.attempt), task]),
+    heartbeat.tasks.map((task) => [bindingKey(task.job, task.index, task.attempt), task]),
   );
   for (const [key, binding] of machine.bound) {
     const task = reported.get(key);
     // A direct answer may have overtaken this report.
     const newer =
       binding.seen !== null &&
-      (binding.seen.session > report.session ||
-        (binding.seen.session === report.session && binding.seen.seq > report.seq));
+      (binding.seen.agentEpoch > heartbeat.agentEpoch ||
+        (binding.seen.agentEpoch === heartbeat.agentEpoch &&
+          binding.seen.sequenceNumber > heartbeat.sequenceNumber));
     if (newer) continue;
     if (task) changes.push({ binding, event: { _tag: 'reported', state: task.state } });
     else if (newSession || (underToken && !late(key))) {
@@ -67,7 +70,7 @@
  */
 export const answer = (
   machine: ShardMachine,
-  report: Report,
+  heartbeat: WorkerHeartbeat,
   underToken: boolean,
   settled: (key: string, job: string, index: number) => boolean,
   now: number,
@@ -75,7 +78,7 @@
   const commands: Command[] = [];
   const forgets: Command[] = [];
   const seen = new Set<string>();
-  for (const task of report.tasks) {
+  for (const task of heartbeat.tasks) {
     const key = bindingKey(task.job, task.index, task.attempt);
     seen.add(key);
     const name = { job: task.job, index: task.index, attempt: task.attempt };
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -1,20 +1,20 @@
 import * as http from 'node:http';
 import { DIRECT_COMMAND_TIMEOUT_MS } from '../constants/workers.js';
 import { decode, encode, oneWrite, parseTarget } from '../http.js';
-import { readReport, writeOrders } from './codec.js';
-import type { Command, Report } from './model.js';
+import { readWorkerHeartbeat, writeOrders } from './codec.js';
+import type { Command, WorkerHeartbeat } from './model.js';
 
 /** Commands sent straight to a worker, for the time until its next report. They may be carried out late. */
 export type DirectResult =
-  | { readonly _tag: 'executed'; readonly report: Report }
+  | { readonly _tag: 'executed'; readonly heartbeat: WorkerHeartbeat }
   /** Nothing was carried out, nor will be. */
-  | { readonly _tag: 'refused'; readonly report: Report | null }
+  | { readonly _tag: 'refused'; readonly heartbeat: WorkerHeartbeat | null }
   /** May have been carried out, or may be as long as token and session match. */
   | { readonly _tag: 'unsure' };
 
 /** Sends commands to the worker at an address. */
 export interface DirectCommands {
-  send(addr: string, token: number, session: number, commands: readonly Command[]): Promise<DirectResult>;
+  send(addr: string, token: number, agentEpoch: number, commands: readonly Command[]): Promise<DirectResult>;
 }
 
 /**
@@ -38,12 +38,12 @@
     }
   }
 
-  send(addr: string, token: number, session: number, commands: readonly Command[]): Promise<DirectResult> {
-    if (this.open >= this.sockets) return Promise.resolve({ _tag: 'refused', report: null });
+  send(addr: string, token: number, agentEpoch: number, commands: readonly Command[]): Promise<DirectResult> {
+    if (this.open >= this.sockets) return Promise.resolve({ _tag: 'refused', heartbeat: null });
     this.makeRoom();
     this.open += 1;
     return new Promise<DirectResult>((resolve) => {
-      const payload = encode({ ...(writeOrders(token, commands) as object), stint: session });
+      const payload = encode({ ...(writeOrders(token, commands) as object), stint: agentEpoch });
       const { host, port } = parseTarget(addr);
       let connected = false;
       const end = (result: DirectResult): void => {
@@ -65,28 +65,28 @@
           res.on('error', () => end({ _tag: 'unsure' }));
           res.on('aborted', () => end({ _tag: 'unsure' }));
           res.on('end', () => {
-            let report: Report | null = null;
+            let heartbeat: WorkerHeartbeat | null = null;
             try {
-              report = readReport(decode(Buffer.concat(parts)));
+              heartbeat = readWorkerHeartbeat(decode(Buffer.concat(parts)));
             } catch {
-              report = null;
+              heartbeat = null;
             }
-            if (res.statusCode === 200 && report) end({ _tag: 'executed', report });
-            else if (res.statusCode === 409 || res.statusCode === 400) end({ _tag: 'refused', report });
+            if (res.statusCode === 200 && heartbeat) end({ _tag: 'executed', heartbeat });
+            else if (res.statusCode === 409 || res.statusCode === 400) end({ _tag: 'refused', heartbeat });
             else end({ _tag: 'unsure' });
           });
         },
       );
       const timer = setTimeout(() => {
         // A connection that was never made never completes later, so nothing of it can arrive.
-        end(connected ? { _tag: 'unsure' } : { _tag: 'refused', report: null });
+        end(connected ? { _tag: 'unsure' } : { _tag: 'refused', heartbeat: null });
         req.destroy();
       }, DIRECT_COMMAND_TIMEOUT_MS);
       req.on('socket', (socket) => {
         if (!socket.connecting) connected = true;
         else socket.once('connect', () => (connected = true));
       });
-      req.on('error', () => end(connected ? { _tag: 'unsure' } : { _tag: 'refused', report: null }));
+      req.on('error', () => end(connected ? { _tag: 'unsure' } : { _tag: 'refused', heartbeat: null }));
       req.end(...oneWrite(payload));
     }).finally(() => {
       this.open -= 1;
