--- a/packages/fencing/src/audit.ts
+++ b/packages/fencing/src/audit.ts
@@ -1,7 +1,10 @@
 import type { DutyName } from './duties.js';
 import type { FencingToken } from './token.js';
 
-/** Periods of claims and refused effects that are kept for reading: a day of some changes an hour, in a few tens of KiB. */
+/**
+ * Periods of claims and refused effects that are kept for reading: a day of some changes an hour, in a few
+ * tens of KiB.
+ */
 const KEPT_PERIODS = 128;
 const KEPT_REFUSALS = 128;
 
--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -1,16 +1,24 @@
 /**
- * A clock for the right to act. The steady clock of a suspended host stands still while leases run out elsewhere; the
- * time of day goes on, but somebody may set it. Time counts as passed when either of the two says so: a suspension and a
- * jump forward both make a lease look older than it is, which costs at most the duty, and a jump back gives nothing.
+ * A clock for the right to act. The steady clock of a suspended host stands still while leases run out
+ * elsewhere; the time of day goes on, but somebody may set it. Time counts as passed when either of the two
+ * says so: a suspension and a jump forward both make a lease look older than it is, which costs at most the
+ * duty, and a jump back gives nothing.
  *
- * Evidence that something is *over* elsewhere (a worker's lease, say) must not use this clock: it may run ahead.
+ * Evidence that something is *over* elsewhere (a worker's lease, say) must not use this clock: it may run
+ * ahead.
  */
 
-/** ms: the anchor is renewed this often, so that drift between the two clocks never adds up to a difference that counts. */
+/**
+ * ms: the anchor is renewed this often, so that drift between the two clocks never adds up to a difference
+ * that counts.
+ */
 const ANCHOR_MS = 5_000;
 /** ms: two clocks are read one after the other, and a timer's turn may end in between. */
 const READING_SLACK_MS = 20;
-/** Clocks read as bounded by their error on both sides: an error of either sign may begin and end the interval. */
+/**
+ * Clocks read as bounded by their error on both sides: an error of either sign may begin and end the
+ * interval.
+ */
 const ERROR_SIDES = 2;
 
 /** What the clock reads. */
--- a/packages/fencing/src/duties.ts
+++ b/packages/fencing/src/duties.ts
@@ -1,6 +1,6 @@
 /**
- * The duties of a deployment, and every effect that each has outside its process. A duty hangs on a claim in the state
- * service; all duties on one claim share its holder and its fencing token.
+ * The duties of a deployment, and every effect that each has outside its process. A duty hangs on a claim in
+ * the state service; all duties on one claim share its holder and its fencing token.
  */
 
 /** How a late effect of a replaced holder is kept from doing harm. */
--- a/packages/fencing/src/duty.test.ts
+++ b/packages/fencing/src/duty.test.ts
@@ -88,7 +88,8 @@
   assert.equal(duty.begin('rental request'), null);
   right.token = tokenOf(5);
   assert.equal(duty.beginSettlement('settlement'), null);
-  // Guards against a duty that nobody settles again: after an outage machines were neither adopted nor returned.
+  // Guards against a duty that nobody settles again: after an outage machines were neither adopted nor
+  // returned.
   assert.ok(duty.begin('rental request'), 'held again under the same claim');
   right.token = tokenOf(9);
   duty.apply({ _tag: 'claimed', token: tokenOf(9) });
--- a/packages/fencing/src/duty.ts
+++ b/packages/fencing/src/duty.ts
@@ -8,7 +8,9 @@
   readonly name: DutyName;
   /** The claim in the state service that the duty hangs on. */
   readonly claim: string;
-  /** The token under which this process may act right now; null: it may not. Read from the clock at each call. */
+  /**
+   * The token under which this process may act right now; null: it may not. Read from the clock at each call.
+   */
   readonly right: () => FencingToken | null;
   readonly audit: DutyAudit;
   /** Refuses what has lost its right. When off, refusals are only counted: the behaviour before fencing. */
@@ -16,8 +18,8 @@
 }
 
 /**
- * Leave to carry out one effect. It is asked again immediately before bytes leave the process, after any wait, and for
- * each retry: between the decision and that moment the process may have stood still.
+ * Leave to carry out one effect. It is asked again immediately before bytes leave the process, after any
+ * wait, and for each retry: between the decision and that moment the process may have stood still.
  */
 export interface Permit {
   readonly duty: DutyName;
--- a/packages/fencing/src/garbage-collector.test.ts
+++ b/packages/fencing/src/garbage-collector.test.ts
@@ -132,7 +132,8 @@
 });
 
 test('removal: more left-over keys than one value can mark are removed in turns', async () => {
-  // Guards against a book that outgrew a value: marks were tried for ever, and what was due was never removed.
+  // Guards against a book that outgrew a value: marks were tried for ever, and what was due was never
+  // removed.
   const { value, world, garbageCollector } = setUp();
   const keys = Array.from({ length: 60 }, (_, n) => `r/0/job-${n}/1`);
   for (const key of keys) value.others.set(key, 40);
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -164,7 +164,9 @@
     }
   }
 
-  /** Keys whose revision changed since they were marked are not removed: one that still exists is marked anew. */
+  /**
+   * Keys whose revision changed since they were marked are not removed: one that still exists is marked anew.
+   */
   private async lookAgain(changed: ReadonlySet<string>, gone: readonly Tombstone[]): Promise<void> {
     const affected = gone.filter(({ key }) => changed.has(key));
     if (affected.length === 0) {
--- a/packages/fencing/src/history.test.ts
+++ b/packages/fencing/src/history.test.ts
@@ -41,7 +41,10 @@
   { weight: 1, arbitrary: fc.constant<Step>({ _tag: 'deliverWrites' }) },
 );
 
-/** A process rents, and stands still for about a lease somewhere on the way. Single steps alone seldom come to that. */
+/**
+ * A process rents, and stands still for about a lease somewhere on the way. Single steps alone seldom come to
+ * that.
+ */
 const pausedRental: fc.Arbitrary<readonly Step[]> = fc
   .record({
     process: anyProcess,
--- a/packages/fencing/src/provisioning-intent.ts
+++ b/packages/fencing/src/provisioning-intent.ts
@@ -1,13 +1,17 @@
 /**
- * Durable intents of rental requests. The cloud compares no tokens, but it knows requests by name: one that is repeated
- * gets the first one's answer and rents nothing. So a request is named in the state service before it is sent, and
- * whoever holds the duty next repeats it under the same name. From then on a late copy of it changes nothing.
+ * Durable intents of rental requests. The cloud compares no tokens, but it knows requests by name: one that
+ * is repeated gets the first one's answer and rents nothing. So a request is named in the state service
+ * before it is sent, and whoever holds the duty next repeats it under the same name. From then on a late copy
+ * of it changes nothing.
  */
 import { newestThatFit, storedBytes } from './stored-size.js';
 import { parseToken, type FencingToken } from './token.js';
 
-/** ms: a request older than this answers a need of the past. It is not repeated; should it still be carried out, its
- *  machines are adopted when they report or are listed. Longer than a change of holder takes, shorter than a boot. */
+/**
+ * ms: a request older than this answers a need of the past. It is not repeated; should it still be carried
+ * out, its machines are adopted when they report or are listed. Longer than a change of holder takes, shorter
+ * than a boot.
+ */
 export const INTENT_FRESH_MS = 30_000;
 /** Outcomes that are kept for reading. */
 const KEPT_OUTCOMES = 24;
@@ -56,12 +60,16 @@
 
 /** What a new holder does with a request that an earlier one left open. */
 export type Settlement =
-  /** Send it again under its name: either it was carried out, or it is now; a late copy then changes nothing. */
+  /**
+   * Send it again under its name: either it was carried out, or it is now; a late copy then changes nothing.
+   */
   | { readonly _tag: 'repeat'; readonly intent: ProvisioningIntent }
   /** Leave it: its machines, if any come, are adopted and returned when idle. */
   | { readonly _tag: 'abandon'; readonly intent: ProvisioningIntent };
 
-/** Decides about each open request. An intent from the future, by a clock that was set back, counts as fresh. */
+/**
+ * Decides about each open request. An intent from the future, by a clock that was set back, counts as fresh.
+ */
 export const settlementsFor = (book: ProvisioningRecord, now: number): readonly Settlement[] =>
   book.open.map((intent) => ({
     _tag: now - intent.at <= INTENT_FRESH_MS ? 'repeat' : 'abandon',
@@ -172,7 +180,10 @@
   ...(malformed.length > 0 ? { q: malformed } : {}),
 });
 
-/** Writes a book as it is stored, with as many outcomes as it has room for; null: its open requests alone are too many. */
+/**
+ * Writes a book as it is stored, with as many outcomes as it has room for; null: its open requests alone are
+ * too many.
+ */
 export const writeProvisioningRecord = (
   book: ProvisioningRecord,
   token: FencingToken,
--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -167,7 +167,8 @@
 });
 
 test('rental journal: where values are small old outcomes make way, and requests that do not fit wait', async () => {
-  // Guards against a book that outgrew a value of 2 KiB: every write was refused, and nothing was rented any more.
+  // Guards against a book that outgrew a value of 2 KiB: every write was refused, and nothing was rented any
+  // more.
   const value = new MemoryValue(token);
   const journal = await journalOn(value, token, 600);
   for (let n = 1; n <= 30; n += 1) {
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -12,7 +12,10 @@
 } from './provisioning-intent.js';
 import type { FencingToken } from './token.js';
 
-/** ms: outcomes wait this long for a write that is made anyway; until then a successor repeats the request in vain. */
+/**
+ * ms: outcomes wait this long for a write that is made anyway; until then a successor repeats the request in
+ * vain.
+ */
 const OUTCOME_DELAY_MS = 3_000;
 /** Times that a write without an answer is looked for. */
 const WRITE_TRIES = 4;
@@ -38,8 +41,9 @@
 }
 
 /**
- * The holder's side of the durable rental intents. Requests that are announced at the same time share one write, and
- * outcomes go along with the next one: a wave of rentals costs one change of the state service, not two a request.
+ * The holder's side of the durable rental intents. Requests that are announced at the same time share one
+ * write, and outcomes go along with the next one: a wave of rentals costs one change of the state service,
+ * not two a request.
  */
 export class ProvisioningJournal {
   private book: ProvisioningRecord = EMPTY_PROVISIONING_RECORD;
@@ -175,14 +179,18 @@
     return 'unavailable';
   }
 
-  /** Only the holder writes the value, so another revision is that of our own unanswered write, or of a successor. */
+  /**
+   * Only the holder writes the value, so another revision is that of our own unanswered write, or of a
+   * successor.
+   */
   private async adopted(stored: unknown): Promise<OpenOutcome> {
     const outcome = await this.input.value.read();
     if (outcome._tag === 'unavailable') return 'unavailable';
     this.revision = outcome.entry.revision;
     const same = JSON.stringify(outcome.entry.value) === JSON.stringify(stored);
     if (same) return 'announced';
-    // An earlier write of ours, given up without an answer, was applied late: what it announced was never sent.
+    // An earlier write of ours, given up without an answer, was applied late: what it announced was never
+    // sent.
     const late =
       outcome.entry.revision === 0 ? EMPTY_PROVISIONING_RECORD : readProvisioningRecord(outcome.entry.value);
     this.book = late;
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -1,7 +1,7 @@
 /**
- * A small world in which several processes compete for the duty of renting, driven step by step through a history of
- * pauses, suspensions, clock jumps, lost answers and delayed messages. The processes use the real duty, clock and journal;
- * the state service and the cloud are models.
+ * A small world in which several processes compete for the duty of renting, driven step by step through a
+ * history of pauses, suspensions, clock jumps, lost answers and delayed messages. The processes use the real
+ * duty, clock and journal; the state service and the cloud are models.
  */
 import { DutyAudit } from '../audit.js';
 import { SuspensionAwareClock } from '../clock.js';
--- a/packages/fencing/src/token.ts
+++ b/packages/fencing/src/token.ts
@@ -1,6 +1,6 @@
 /**
- * Fencing tokens. A token is the revision at which the state service recorded the present claim on a duty: it belongs to
- * one process, and each change of holder gives a higher one.
+ * Fencing tokens. A token is the revision at which the state service recorded the present claim on a duty: it
+ * belongs to one process, and each change of holder gives a higher one.
  */
 
 declare const fencingToken: unique symbol;
@@ -25,7 +25,9 @@
   return { _tag: 'token', token: value as FencingToken };
 };
 
-/** The revision of a claim as a token. Revisions come from the state service, so a malformed one is a defect. */
+/**
+ * The revision of a claim as a token. Revisions come from the state service, so a malformed one is a defect.
+ */
 export const tokenOf = (revision: number): FencingToken => {
   const parsed = parseToken(revision, 'revision');
   if (parsed._tag === 'invalid') throw new RangeError(parsed.reason);
--- a/packages/fencing/src/tombstones.ts
+++ b/packages/fencing/src/tombstones.ts
@@ -1,12 +1,14 @@
 /**
- * Removal of left-over state in two steps. A key is first marked, durably, with its revision, the reason and the token of
- * whoever marks it; a later pass looks again whether it is still left over, and removes it only at that very revision. What
- * was removed, by whom and why stays readable for a while.
+ * Removal of left-over state in two steps. A key is first marked, durably, with its revision, the reason and
+ * the token of whoever marks it; a later pass looks again whether it is still left over, and removes it only
+ * at that very revision. What was removed, by whom and why stays readable for a while.
  */
 import { newestThatFit, storedBytes } from './stored-size.js';
 import { parseToken, type FencingToken } from './token.js';
 
-/** ms between the mark and the removal: longer than a change of holder, so that a successor looks again too. */
+/**
+ * ms between the mark and the removal: longer than a change of holder, so that a successor looks again too.
+ */
 export const COLLECTION_DELAY_MS = 10_000;
 /** Removals that stay readable. */
 const KEPT_REMOVALS = 32;
--- a/src/badinput.test.ts
+++ b/src/badinput.test.ts
@@ -5,8 +5,9 @@
 import { Play, type Day } from './testing/day.js';
 
 /**
- * What is malformed, can never run or is not known gets its own answer at once, under full load, right after a takeover and
- * while the state service is away as at rest. A node that can't know says so with 503, also at once.
+ * What is malformed, can never run or is not known gets its own answer at once, under full load, right after
+ * a takeover and while the state service is away as at rest. A node that can't know says so with 503, also at
+ * once.
  */
 const body = (n: number, over: object): object => submission({ uid: `job-9${n}`, accelerators: 1, ...over });
 interface Row {
--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -1,6 +1,6 @@
 /**
- * When may a user be told that a job is cancelled? Only when whoever holds its share cannot fail to act on it in
- * time. Plain data in, plain data out; `docs/design.md` has the proof.
+ * When may a user be told that a job is cancelled? Only when whoever holds its share cannot fail to act on it
+ * in time. Plain data in, plain data out; `docs/design.md` has the proof.
  */
 
 /** The share's claim as read after the cancellation was durable. */
@@ -14,7 +14,9 @@
 export interface CancellationEvidence {
   /** Answered `/heed` for this very cancellation: it is in its book. */
   readonly acknowledged: { readonly claim: number } | null;
-  /** Its summary, which it makes only with its book loaded: it has seen all shared keys up to this revision. */
+  /**
+   * Its summary, which it makes only with its book loaded: it has seen all shared keys up to this revision.
+   */
   readonly summary: { readonly claim: number; readonly revision: number } | null;
   /** The same, through the state service. */
   readonly mark: { readonly claim: number; readonly revision: number } | null;
@@ -55,9 +57,9 @@
 };
 
 /**
- * ms, steady: until when a holder may answer its workers in an outage, without renewals. All that was told before
- * `freshAt` it knows. What it doesn't know was told later, and a worker that it answered last by then lets go of its
- * tasks a lease after that, which is still in time.
+ * ms, steady: until when a holder may answer its workers in an outage, without renewals. All that was told
+ * before `freshAt` it knows. What it doesn't know was told later, and a worker that it answered last by then
+ * lets go of its tasks a lease after that, which is still in time.
  */
 export const outageGraceUntil = (outage: {
   /** The state service is down as far as most nodes say. */
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -72,7 +72,9 @@
   return silent ? pause : PREFERRED_HOLDER_GRACE_MS + pause;
 };
 
-/** Free claims, and those of an earlier process of this node: a node runs one process, so that one is dead. */
+/**
+ * Free claims, and those of an earlier process of this node: a node runs one process, so that one is dead.
+ */
 const claimsToTake = (view: ClaimsView): readonly ClaimAction[] =>
   view.claimNames.flatMap((claimName): readonly ClaimAction[] => {
     const claim = view.claims.get(claimName);
@@ -95,7 +97,10 @@
       : [];
   });
 
-/** Teams stay divided among controllers: a node with several shares hands one to its steady, empty preferred node. */
+/**
+ * Teams stay divided among controllers: a node with several shares hands one to its steady, empty preferred
+ * node.
+ */
 const claimToHandBack = (view: ClaimsView): readonly ClaimAction[] => {
   if (heldBy(view, view.me.node) <= 1) return [];
   for (const claimName of view.claimNames) {
--- a/src/claims/lease-state.test.ts
+++ b/src/claims/lease-state.test.ts
@@ -50,7 +50,8 @@
     actsAt: 5_500,
     acts: true,
   },
-  // Somebody may have told a user of a cancellation that this node doesn't know: the workers' leases must still end in time.
+  // Somebody may have told a user of a cancellation that this node doesn't know: the workers' leases must
+  // still end in time.
   {
     name: 'an outage is ridden out no longer than unknown cancellations allow',
     from: holding(0),
@@ -143,7 +144,8 @@
     }),
     expect: ['take 1'],
   },
-  // The grace for a node that had just ended was a sixth of its workers' lease, in which no worker was answered.
+  // The grace for a node that had just ended was a sixth of its workers' lease, in which no worker was
+  // answered.
   {
     name: 'one whose node fell silent is not left to it',
     view: view({
--- a/src/claims/lease-state.ts
+++ b/src/claims/lease-state.ts
@@ -23,7 +23,10 @@
   | {
       readonly _tag: 'tick';
       readonly now: number;
-      /** Until when workers may be answered in an outage (ms, steady clock; `outageGraceUntil`); null: there is none. */
+      /**
+       * Until when workers may be answered in an outage (ms, steady clock; `outageGraceUntil`); null: there
+       * is none.
+       */
       readonly outageGraceUntil: number | null;
     };
 
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -25,7 +25,10 @@
   return word.up === 0 && (word.down + 1) * 2 > nodes;
 };
 
-/** ms, on the clock of the leases: until when this node may go on answering workers without renewals; null: it may not. */
+/**
+ * ms, on the clock of the leases: until when this node may go on answering workers without renewals; null: it
+ * may not.
+ */
 export const outageGrace = (input: OutageInput): number | null =>
   outageGraceUntil({
     confirmed: confirmed(input),
--- a/src/clocks.test.ts
+++ b/src/clocks.test.ts
@@ -3,8 +3,8 @@
 import { playDay, type Day, type Play } from './testing/day.js';
 
 /**
- * Somebody sets the time of day of one host. The protocol bounds it, so this is beyond what a deployment promises; it may
- * cost a duty for a moment, and must break no rule.
+ * Somebody sets the time of day of one host. The protocol bounds it, so this is beyond what a deployment
+ * promises; it may cost a duty for a moment, and must break no rule.
  */
 const HOUR_MS = 3_600_000;
 
--- a/src/fencing-queue.test.ts
+++ b/src/fencing-queue.test.ts
@@ -9,8 +9,9 @@
 const MOST_FREEZES = 3;
 
 /**
- * The leader decides to rent and waits for the cloud's rate; its renewals are refused from then on, so that its lease is
- * nearly over, and it is frozen. A successor leads before it wakes, and the cloud's rate lets the request pass at once.
+ * The leader decides to rent and waits for the cloud's rate; its renewals are refused from then on, so that
+ * its lease is nearly over, and it is frozen. A successor leads before it wakes, and the cloud's rate lets
+ * the request pass at once.
  */
 const frozenInQueue = async (features: string): Promise<readonly LateAction[]> => {
   // Calls per second, at which each call makes the next one wait for about four seconds.
@@ -50,8 +51,8 @@
   'fencing: taken out, the same freeze lets a late action land, and the checker sees it',
   { timeout: TIMEOUT_MS },
   async () => {
-    // The freeze has to fall between the decision and the moment at which the rate lets the request pass; on a machine
-    // that is busy enough it may miss that. One late action shows that the checker sees them.
+    // The freeze has to fall between the decision and the moment at which the rate lets the request pass; on
+    // a machine that is busy enough it may miss that. One late action shows that the checker sees them.
     let found: readonly LateAction[] = [];
     for (let freezes = 0; freezes < MOST_FREEZES && found.length === 0; freezes += 1)
       found = await frozenInQueue('fencing = false\n');
--- a/src/fencing.test.ts
+++ b/src/fencing.test.ts
@@ -6,8 +6,8 @@
 import type { LoopbackOptions, SeenRequest } from './testing/loopback.js';
 
 /**
- * Three real controllers on loopback. The leader is stopped by SIGSTOP in each window of renting and returning machines,
- * and resumed after its successor acted; the stand-ins' logs must show no late action.
+ * Three real controllers on loopback. The leader is stopped by SIGSTOP in each window of renting and
+ * returning machines, and resumed after its successor acted; the stand-ins' logs must show no late action.
  */
 const ON: LoopbackOptions = { features: 'fencing = true\n', cloudRps: 4 };
 const TIMEOUT_MS = 150_000;
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -67,7 +67,8 @@
   readonly record: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const permit = this.input.duty.begin('machine record');
     if (permit === null) return;
-    // Each unknown worker asks around once a second until it is recorded, so all that fit go at once; the rate is owed.
+    // Each unknown worker asks around once a second until it is recorded, so all that fit go at once; the
+    // rate is owed.
     const batch = this.input.queue.take(this.input.store.maxTransactionWrites);
     const fresh = batch.filter(([id]) => this.input.cache.get(machineKey(id)) === undefined);
     if (fresh.length > 0) {
--- a/src/fleet/boot-bound-types.test.ts
+++ b/src/fleet/boot-bound-types.test.ts
@@ -14,8 +14,8 @@
   seconds.map((within) => ({ kind: 'wait', class: 'c', within_s: within, shardId: 0.9 }));
 
 /**
- * Guards that idle machines are kept where a boot is always too late: a park of machines that was up at the start was
- * returned idle and rented again all day, without the images that it had had.
+ * Guards that idle machines are kept where a boot is always too late: a park of machines that was up at the
+ * start was returned idle and rented again all day, without the images that it had had.
  */
 const cases: readonly {
   readonly name: string;
--- a/src/fleet/boot-bound-types.ts
+++ b/src/fleet/boot-bound-types.ts
@@ -3,9 +3,10 @@
 import type { Objectives } from '../placement/urgency.js';
 
 /**
- * Machine types whose boot takes many times as long as the loosest start target of some class that runs on them. Only a
- * machine that is up already can serve such a class, so idle ones of the type are kept. Where target and boot are alike,
- * machines in use come free about as fast as a new one boots, and keeping idle ones costs more than it saves.
+ * Machine types whose boot takes many times as long as the loosest start target of some class that runs on
+ * them. Only a machine that is up already can serve such a class, so idle ones of the type are kept. Where
+ * target and boot are alike, machines in use come free about as fast as a new one boots, and keeping idle
+ * ones costs more than it saves.
  */
 export class BootBoundTypes {
   private readonly types = new Set<string>();
@@ -15,7 +16,9 @@
     private readonly objectives: ReadonlyMap<string, Objectives>,
   ) {}
 
-  /** Takes note of a job that was submitted. Work that may use spot machines is not kept ordinary ones for. */
+  /**
+   * Takes note of a job that was submitted. Work that may use spot machines is not kept ordinary ones for.
+   */
   note(spec: JobSpec): void {
     const catalog = this.catalog();
     const loosestS = this.objectives.get(spec.jobClass)?.wait.at(-1);
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -94,12 +94,16 @@
 const ids = (count: number): readonly string[] =>
   Array.from({ length: count }, (_, n) => `i-${String(n).padStart(6, '0')}`);
 
-/** Parks of today, and of 4,000 machines: neither may need more calls or changes than there are machines to name. */
+/**
+ * Parks of today, and of 4,000 machines: neither may need more calls or changes than there are machines to
+ * name.
+ */
 for (const machines of [MACHINES, 4_000]) {
   const seconds = (machines / CHANGES_A_SECOND) * 2;
 
   test(`leader: ${machines} machines lost together go back in as few calls as the cloud allows`, async () => {
-    // A handful a call, at two calls a second, took minutes in which replacements had to wait for the cloud's rate.
+    // A handful a call, at two calls a second, took minutes in which replacements had to wait for the cloud's
+    // rate.
     const { calls, state } = await withLeader(ids(machines), () => undefined, seconds + 10);
     assert.equal(calls.filter((path) => path === '/machines/release').length, Math.ceil(machines / 100));
     assert.deepEqual(state.keys('w/m/'), [], 'and their records are gone');
@@ -120,7 +124,8 @@
 }
 
 test('leader: after its lease was in doubt it returns machines again under the same claim', async () => {
-  // Guards against duties that stayed where they were after an outage: nothing was returned until the next leader.
+  // Guards against duties that stayed where they were after an outage: nothing was returned until the next
+  // leader.
   const doubtful = (): boolean => Date.now() > 3_000 && Date.now() < 6_000;
   const inDoubt: boolean[] = [];
   const { calls, state } = await withLeader(
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -49,7 +49,10 @@
   readonly wall: () => number;
 }
 
-/** Plans for all shares: rents, returns and adopts through its parts, orders moves, gathers machines for large gangs. */
+/**
+ * Plans for all shares: rents, returns and adopts through its parts, orders moves, gathers machines for large
+ * gangs.
+ */
 export class Leader {
   private readonly adopting = new AdoptionQueue();
   private readonly machines = new MachineIndex();
@@ -62,8 +65,10 @@
   /** What machines are being gathered for; the shares hear of it with the heartbeats. */
   reservations: readonly Reservation[] = [];
   private plannedAt = 0;
-  /** Moves ordered lately, with the time (ms): until the new share's summary shows them they are neither here nor
-   *  there, and what they were gathered for would be given up for another zone. */
+  /**
+   * Moves ordered lately, with the time (ms): until the new share's summary shows them they are neither here
+   * nor there, and what they were gathered for would be given up for another zone.
+   */
   private readonly moving = new Map<string, { readonly move: PendingTransfer; readonly at: number }>();
 
   constructor(private readonly input: LeaderInput) {
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * What the leader asks about all machines together, kept up with each change of a record: with thousands of machines a
- * walk over all of them several times a second would take much of a small core.
+ * What the leader asks about all machines together, kept up with each change of a record: with thousands of
+ * machines a walk over all of them several times a second would take much of a small core.
  */
 export class MachineIndex {
   private readonly records = new Map<string, MachineRecord>();
--- a/src/fleet/records.ts
+++ b/src/fleet/records.ts
@@ -4,7 +4,9 @@
   readonly token: number;
 }
 
-/** The durable record of a machine: which share it belongs to. Its revision takes part in the worker's token. */
+/**
+ * The durable record of a machine: which share it belongs to. Its revision takes part in the worker's token.
+ */
 export interface MachineRecord {
   readonly shardId: number;
   readonly type: string;
@@ -82,8 +84,8 @@
 }
 
 /**
- * Free machines of one zone are gathered for a gang that found no zone with room: whatever comes free there, in
- * whichever share, goes to the gang's share and is left alone by work of its priority and below.
+ * Free machines of one zone are gathered for a gang that found no zone with room: whatever comes free there,
+ * in whichever share, goes to the gang's share and is left alone by work of its priority and below.
  */
 export interface Reservation {
   readonly shardId: number;
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -44,8 +44,9 @@
   }
 
   /**
-   * Returns machines that their holder asks to be rid of while nothing can be written. Their records go the usual way
-   * later, and are released once more then, which changes nothing. Only who surely leads may say that they are gone.
+   * Returns machines that their holder asks to be rid of while nothing can be written. Their records go the
+   * usual way later, and are released once more then, which changes nothing. Only who surely leads may say
+   * that they are gone.
    */
   async releaseNow(machines: readonly string[]): Promise<boolean> {
     if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
@@ -61,7 +62,10 @@
     }
   }
 
-  /** Returns the machines whose records ask for it: that record is the durable intent, which no holder contradicts. */
+  /**
+   * Returns the machines whose records ask for it: that record is the durable intent, which no holder
+   * contradicts.
+   */
   readonly releaseRequested: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     // As many as one call takes: the cloud's rate is the scarcest, and replacements need it too.
     const ids = [...this.input.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
@@ -94,7 +98,9 @@
     });
   }
 
-  /** Records of machines that are gone; what is not deleted now is released once more, which changes nothing. */
+  /**
+   * Records of machines that are gone; what is not deleted now is released once more, which changes nothing.
+   */
   private forget(permit: Permit, gone: readonly StoredEntry[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       for (let tries = 0; tries < RECORD_DELETION_ATTEMPTS; tries += 1) {
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -30,7 +30,10 @@
   shardIds: [0, 1],
 };
 
-/** What becomes of a request on its way: `lost` never arrives, `unanswered` is carried out and its answer lost. */
+/**
+ * What becomes of a request on its way: `lost` never arrives, `unanswered` is carried out and its answer
+ * lost.
+ */
 type Fate = 'answered' | 'lost' | 'unanswered' | 'no capacity' | 'trouble';
 
 /** A renter against the stand-ins, with the fate of each of its requests drawn up beforehand. */
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -120,7 +120,10 @@
     });
   }
 
-  /** Without an answer the same request is sent again under its name: that rents nothing more, and tells what came of it. */
+  /**
+   * Without an answer the same request is sent again under its name: that rents nothing more, and tells what
+   * came of it.
+   */
   private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
       const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
--- a/src/fleet/scaling-plan.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -316,8 +316,8 @@
   });
 }
 
-// As much was asked for as the bucket holds, and users and renewals never left it full: finished tasks, releases and
-// arrays were refused for minutes, and machines stood idle beside waiting work.
+// As much was asked for as the bucket holds, and users and renewals never left it full: finished tasks,
+// releases and arrays were refused for minutes, and machines stood idle beside waiting work.
 test('budget: a batch as large as the bucket passes beside steady small calls, and is paid for', () => {
   let now = 0;
   const budget = new RateLimiter(12, 0.35, 2_000, () => now);
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -27,8 +27,10 @@
   readonly machines: (type: string, zone: string, spot: boolean) => number;
   /** Those of the last round. */
   readonly reservations: readonly Reservation[];
-  /** Shares whose summary does not know yet of machines that were rented for it: nothing more is done for them,
-   *  but what is being gathered goes on. */
+  /**
+   * Shares whose summary does not know yet of machines that were rented for it: nothing more is done for
+   * them, but what is being gathered goes on.
+   */
   readonly behind: ReadonlySet<number>;
   /** Machines that were lately ordered to a share whose summary does not show them yet. */
   readonly moving: readonly PendingTransfer[];
@@ -154,7 +156,10 @@
   readonly steps: Step[] = [];
   readonly reservations: Reservation[] = [];
   private readonly pools: readonly Pool[];
-  /** Hundreds of gangs of few needs wait on the roughest days: what depends on the need alone is worked out once. */
+  /**
+   * Hundreds of gangs of few needs wait on the roughest days: what depends on the need alone is worked out
+   * once.
+   */
   private readonly offered = new Map<UnmetDemand, readonly Offer[]>();
   private readonly reached = new Map<UnmetDemand, Map<string, number>>();
   constructor(private readonly input: PlanInput) {
@@ -188,7 +193,10 @@
     return room;
   }
 
-  /** Counts on free machines that other shares have without naming them: they are named, and move, in the next rounds. */
+  /**
+   * Counts on free machines that other shares have without naming them: they are named, and move, in the next
+   * rounds.
+   */
   private countUnlisted(pool: Pool, fits: number, shardId: number, missing: number): number {
     let left = missing;
     for (const [holder, count] of pool.unlisted) {
@@ -368,7 +376,8 @@
         }
       }
     }
-    // Gangs that machines are being gathered for keep their place, or two would take them from each other in turn.
+    // Gangs that machines are being gathered for keep their place, or two would take them from each other in
+    // turn.
     const holding = (gang: WaitingGang | null): number =>
       Number(gang !== null && this.input.reservations.some((reservation) => reservation.job === gang.job));
     wanted.sort(
--- a/src/fleet/scarce-types.ts
+++ b/src/fleet/scarce-types.ts
@@ -1,6 +1,9 @@
 import { fitsIn, fittingTypes, type Catalog, type Demand, type JobSpec } from '../jobs/model.js';
 
-/** Machine types without an alternative for some job seen since this process began; jobs on spot machines don't count. */
+/**
+ * Machine types without an alternative for some job seen since this process began; jobs on spot machines
+ * don't count.
+ */
 export class ScarceTypes {
   /** The most that one task of such jobs takes, by type. */
   private readonly types = new Map<string, Demand>();
--- a/src/http.test.ts
+++ b/src/http.test.ts
@@ -4,7 +4,10 @@
 import { PooledHttpClient, decode, encode, parseTarget, serve, WITHHELD } from './http.js';
 import { MAX_SINGLE_WRITE_BYTES } from './constants/http.js';
 
-/** Sockets on loopback: what a node does at its limit of connections, and that bodies arrive as they were sent. */
+/**
+ * Sockets on loopback: what a node does at its limit of connections, and that bodies arrive as they were
+ * sent.
+ */
 const portOf = (server: http.Server): number => (server.address() as { port: number }).port;
 const failed = (error: unknown): void => assert.fail(String(error));
 
@@ -22,7 +25,8 @@
   });
 
 test('http: a node left for all workers keeps room for users, health checks and siblings', async () => {
-  // Guards against a node whose sockets are all taken by workers that came over from others: users were refused.
+  // Guards against a node whose sockets are all taken by workers that came over from others: users were
+  // refused.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
     { connections: 20, crowd: (path) => path === '/hello' },
@@ -51,7 +55,8 @@
 });
 
 test('http: a connection whose far end fell silent is closed', async () => {
-  // Guards against machines that died or were cut off: their connections never close and added up to the limit.
+  // Guards against machines that died or were cut off: their connections never close and added up to the
+  // limit.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
     { connections: 5, idleMs: 100 },
@@ -99,7 +104,8 @@
 });
 
 test('http: a request that loses its right while it waits for a connection is never sent', async () => {
-  // Guards against a process that stood still: requests queue inside the agent, long after the right was asked for.
+  // Guards against a process that stood still: requests queue inside the agent, long after the right was
+  // asked for.
   const seen: string[] = [];
   let answerFirst = (): void => undefined;
   const server = await serve(
--- a/src/http.ts
+++ b/src/http.ts
@@ -21,8 +21,8 @@
 export const encode = (value: unknown): Buffer => packr.pack(value);
 
 /**
- * A body as Node sends it together with the head in one write: as text of one byte a character. Given as bytes, head and
- * body are corked and gathered, which costs more than the copy of a small body.
+ * A body as Node sends it together with the head in one write: as text of one byte a character. Given as
+ * bytes, head and body are corked and gathered, which costs more than the copy of a small body.
  */
 export const oneWrite = (payload: Buffer): [string | Buffer, BufferEncoding] =>
   payload.length <= MAX_SINGLE_WRITE_BYTES ? [payload.toString('latin1'), 'latin1'] : [payload, 'latin1'];
@@ -33,7 +33,10 @@
 /** The outcome of a request. */
 export type CallOutcome =
   | { readonly _tag: 'response'; readonly status: number; readonly body: unknown }
-  /** Nothing is known about what became of the request, unless `sent` is false: then no byte of it left the process. */
+  /**
+   * Nothing is known about what became of the request, unless `sent` is false: then no byte of it left the
+   * process.
+   */
   | { readonly _tag: 'noResponse'; readonly why: string; readonly sent?: false };
 
 /** Host and port of a server. */
@@ -55,7 +58,10 @@
     path: string,
     body: unknown,
     timeoutMs: number,
-    /** Asked when a connection is there, immediately before the first byte leaves; false: the request is withheld. */
+    /**
+     * Asked when a connection is there, immediately before the first byte leaves; false: the request is
+     * withheld.
+     */
     maySend?: () => boolean,
   ): Promise<CallOutcome>;
 }
@@ -150,7 +156,8 @@
         send();
         return;
       }
-      // Requests queue for connections inside the agent: nothing is handed over before the right is asked for.
+      // Requests queue for connections inside the agent: nothing is handed over before the right is asked
+      // for.
       whenConnected(req, () => {
         if (over) return;
         if (maySend()) {
@@ -212,8 +219,10 @@
 /** What one listening address may hold open. */
 export interface ConnectionLimits {
   readonly connections: number;
-  /** Calls whose callers are so many that they must not keep connections once most are in use: the next call makes a
-   *  new one, while all others find room. */
+  /**
+   * Calls whose callers are so many that they must not keep connections once most are in use: the next call
+   * makes a new one, while all others find room.
+   */
   readonly crowd?: (path: string) => boolean;
   /** ms after which an unused connection is closed; as the constant says unless given. */
   readonly idleMs?: number;
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -174,7 +174,10 @@
     }
   }
 
-  /** A job that follows others, none of whose tasks runs: is one of those cancelled, so is this one, durably, before it is said. */
+  /**
+   * A job that follows others, none of whose tasks runs: is one of those cancelled, so is this one, durably,
+   * before it is said.
+   */
   private waiting(id: string, known: Known & { readonly _tag: 'active' }): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const { record, version } = known;
@@ -191,7 +194,10 @@
     });
   }
 
-  /** Makes a cancellation durable; what it then says is what is known then. Null: the record has changed meanwhile. */
+  /**
+   * Makes a cancellation durable; what it then says is what is known then. Null: the record has changed
+   * meanwhile.
+   */
   private callOff(id: string, before: JobRecord, version: number): Effect.Effect<ServerResponse | null> {
     return Effect.gen({ self: this }, function* () {
       const record = { ...before, cancelled: true, cancelledAt: this.input.wall() };
--- a/src/jobs/codec.ts
+++ b/src/jobs/codec.ts
@@ -140,8 +140,9 @@
 const DROPPED_TEXT = '';
 
 /**
- * The record of a cancelled job within `bytes`. A job that was accepted under larger limits may not fit as it is; only
- * placement reads its class, image, machine types and zone, and a cancelled job is never placed again.
+ * The record of a cancelled job within `bytes`. A job that was accepted under larger limits may not fit as it
+ * is; only placement reads its class, image, machine types and zone, and a cancelled job is never placed
+ * again.
  */
 export const writeCancelledRecord = (job: JobRecord, bytes: number): unknown => {
   const whole = writeJobRecord(job);
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -108,7 +108,8 @@
     status: 200,
     says: 'pending',
   },
-  // Said of an old copy, a job could be called waiting long after its user was told that one before it is cancelled.
+  // Said of an old copy, a job could be called waiting long after its user was told that one before it is
+  // cancelled.
   {
     name: 'a poll while this node sees nothing new',
     stored: { 'w/j/job-9': waits },
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -39,7 +39,10 @@
   readonly cancelled: boolean;
   /** ms since the epoch, when it was cancelled; null: not, or by a node that did not say. */
   readonly cancelledAt: number | null;
-  /** Jobs that have to be done before a task of this one starts; without those that stand in parts of their own. */
+  /**
+   * Jobs that have to be done before a task of this one starts; without those that stand in parts of their
+   * own.
+   */
   readonly dependsOn: readonly string[];
   /** How many such parts there are: a record of a long list would outgrow a value. */
   readonly parts: number;
--- a/src/kv-store/limits.test.ts
+++ b/src/kv-store/limits.test.ts
@@ -273,7 +273,8 @@
     ),
     withheldFromSpotWork: false,
   },
-  // Such a job could run, and its cancellation was answered 503 for ever: the state service refused the record.
+  // Such a job could run, and its cancellation was answered 503 for ever: the state service refused the
+  // record.
   {
     name: 'texts that an earlier version took, each character six when written',
     record: cancelled('\u0001'.repeat(256), null),
--- a/src/kv-store/linearizable-reads.ts
+++ b/src/kv-store/linearizable-reads.ts
@@ -11,8 +11,8 @@
 export type Freshness = 'same' | 'changed' | 'failed';
 
 /**
- * Fresh reads for many users at the price of one request: a transaction without writes compares what this node's
- * copy shows with what the state service holds, for all keys asked about in the same moment.
+ * Fresh reads for many users at the price of one request: a transaction without writes compares what this
+ * node's copy shows with what the state service holds, for all keys asked about in the same moment.
  */
 export class LinearizableReads {
   private readonly batcher: Batcher<{ key: string; version: number }, Freshness>;
--- a/src/kv-store/rate-limiter.ts
+++ b/src/kv-store/rate-limiter.ts
@@ -87,8 +87,9 @@
   }
 
   /**
-   * What must be there for a call to pass. Of a batch only a part: the rest is owed, and what comes after waits for
-   * it. Were the whole asked for, a batch as large as the bucket would need it full, which others never leave it.
+   * What must be there for a call to pass. Of a batch only a part: the rest is owed, and what comes after
+   * waits for it. Were the whole asked for, a batch as large as the bucket would need it full, which others
+   * never leave it.
    */
   private need(count: number, rank: RequestPriority): number {
     return Math.min(count, this.rate * BATCH_ADMISSION_FRACTION, this.rate - this.floor(rank));
--- a/src/kv-store/watch-cache.ts
+++ b/src/kv-store/watch-cache.ts
@@ -80,7 +80,8 @@
         }
         for (const event of result.events) this.apply(event);
         this.revision = Math.max(this.revision, result.revision);
-        // An answer tells all that happened before its question was sent; it may have been under way for long.
+        // An answer tells all that happened before its question was sent; it may have been under way for
+        // long.
         this.confirmedAt = askedAt;
         // Each change would otherwise cost every node one more request; together they fit in a few.
         yield* Effect.sleep(this.store.watchGapMs);
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -12,9 +12,10 @@
 import { settingsOf } from './testing/cluster.js';
 
 /**
- * Recorded fixtures of what earlier versions store and send: 79bc3b2, the last without pipelines, and 55b30b1, the first
- * released with them. Records and messages outlive the code that wrote them, so a change of names in the code must not
- * change a byte here. A layout that has to change gets a new fixture beside the old one, never in its place.
+ * Recorded fixtures of what earlier versions store and send: 79bc3b2, the last without pipelines, and
+ * 55b30b1, the first released with them. Records and messages outlive the code that wrote them, so a change
+ * of names in the code must not change a byte here. A layout that has to change gets a new fixture beside the
+ * old one, never in its place.
  */
 const spec: JobSpec = {
   id: 'job-000412',
--- a/src/meetings.test.ts
+++ b/src/meetings.test.ts
@@ -38,7 +38,8 @@
 };
 
 const rows: readonly (Day & { readonly name: string })[] = [
-  // The holder never saw the cancellation, and rode out the outage that followed, answering its workers all the while.
+  // The holder never saw the cancellation, and rode out the outage that followed, answering its workers all
+  // the while.
   ...[21, 22, 23].map((seed) => ({
     name: `the state refuses the holder alone, jobs are cancelled elsewhere, then it is out for all (seed ${seed})`,
     seed,
@@ -54,7 +55,8 @@
   })),
   ...[71, 72, 73, 74].map(drawnGap),
 
-  // 1. Slow state, then refused alone, then out for all: answers about cancellations wait for their holder, nothing is told too early.
+  // 1. Slow state, then refused alone, then out for all: answers about cancellations wait for their holder,
+  //    nothing is told too early.
   {
     name: 'a slow state, then the holder refused, then an outage, while users cancel and ask',
     seed: 31,
@@ -70,7 +72,8 @@
       [98, (day) => day.world.state.refused.clear()],
     ],
   },
-  // 2. A report that a former holder never got arrives at the new one, which has acted: it proves nothing by its silence.
+  // 2. A report that a former holder never got arrives at the new one, which has acted: it proves nothing by
+  //    its silence.
   {
     name: 'reports held back until a new holder has acted, then delivered there',
     seed: 32,
@@ -97,7 +100,8 @@
       [100, (day) => (day.world.lateWrites = 0)],
     ],
   },
-  // 4. A direct command that hung with its machine is carried out when that resumes, under the same token and session.
+  // 4. A direct command that hung with its machine is carried out when that resumes, under the same token and
+  //    session.
   {
     name: 'commands held up with their machines, which then go on',
     seed: 34,
@@ -152,7 +156,8 @@
     runS: [15, 60],
     troubles: [...at(30, 'mute', 1), ...at(45, 'mute', 7), [50, (day) => day.cancelRunning(2)]],
   },
-  // 10. The final record and the cancellation are conditional on the same key: one of them comes first, for everybody.
+  // 10. The final record and the cancellation are conditional on the same key: one of them comes first, for
+  //     everybody.
   {
     name: 'each job is cancelled at the very end of its last task, or asked about',
     seed: 40,
@@ -173,7 +178,8 @@
       [92, (day) => day.cancelRunning(3)],
     ],
   },
-  // 12. A new holder knows of bindings only from the records; machines that don't hear it are no proof of anything.
+  // 12. A new holder knows of bindings only from the records; machines that don't hear it are no proof of
+  //     anything.
   {
     name: 'a holder ends while machines with long tasks are cut off or do not hear',
     seed: 42,
@@ -186,7 +192,8 @@
       [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
     ],
   },
-  // 13. A copy from before is acknowledged neither by the holder that saw newer ones nor by one that saw none.
+  // 13. A copy from before is acknowledged neither by the holder that saw newer ones nor by one that saw
+  //     none.
   {
     name: 'old reports after newer ones, from earlier sessions and attempts, across takeovers',
     seed: 43,
@@ -200,7 +207,8 @@
       [110, (day) => (day.world.lateReports = 0)],
     ],
   },
-  // 14. An exit is forgotten on its machine only once its record says so, so a new holder finds one or the other.
+  // 14. An exit is forgotten on its machine only once its record says so, so a new holder finds one or the
+  //     other.
   {
     name: 'tasks of one job end far apart, with changes of holder between',
     seed: 44,
@@ -255,7 +263,8 @@
       ...at(61, 'crashBusiest', 6),
     ],
   },
-  // 18. Inside the zone the controller falls silent with its claim; what was held back comes when all has changed.
+  // 18. Inside the zone the controller falls silent with its claim; what was held back comes when all has
+  //     changed.
   {
     name: 'a zone with workers and a controller is cut off for longer than a lease, its messages come late',
     seed: 48,
@@ -277,7 +286,8 @@
     ],
   },
 
-  // Pipelines: nothing starts before what it follows is done, and nothing outlives what is cancelled before it.
+  // Pipelines: nothing starts before what it follows is done, and nothing outlives what is cancelled before
+  // it.
   {
     name: 'pipelines across shares, holders end between the stages',
     seed: 81,
--- a/src/pipelines/codec.ts
+++ b/src/pipelines/codec.ts
@@ -22,7 +22,10 @@
   });
 };
 
-/** The number that such a text of digits to the base 36 stands for; `BigInt` reads no base but 2, 8, 10 and 16. */
+/**
+ * The number that such a text of digits to the base 36 stands for; `BigInt` reads no base but 2, 8, 10
+ * and 16.
+ */
 const fromBase36 = (text: string): bigint => {
   let value = 0n;
   for (const digit of text) value = value * 36n + BigInt(parseInt(digit, 36));
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -1,8 +1,9 @@
 import type { Priority } from '../jobs/model.js';
 
 /**
- * Which jobs wait for which, kept as an index over all jobs that are not over. A job names only jobs that were accepted
- * before it and never changes what it names, so there are no cycles; still every walk here visits a job once.
+ * Which jobs wait for which, kept as an index over all jobs that are not over. A job names only jobs that
+ * were accepted before it and never changes what it names, so there are no cycles; still every walk here
+ * visits a job once.
  */
 export interface Member {
   readonly id: string;
@@ -18,7 +19,9 @@
 export type Readiness =
   /** Some are not known to be done. */
   | { readonly _tag: 'waiting' }
-  /** All have their durable final record `done`, the last since then (ms since the epoch; 0: it follows none). */
+  /**
+   * All have their durable final record `done`, the last since then (ms since the epoch; 0: it follows none).
+   */
   | { readonly _tag: 'ready'; readonly since: number }
   /** One is cancelled: it never runs. */
   | { readonly _tag: 'doomed' };
--- a/src/pipelines/pipelines.ts
+++ b/src/pipelines/pipelines.ts
@@ -25,8 +25,8 @@
   final.state === 'done' ? { _tag: 'done', at: final.at } : { _tag: 'cancelled' };
 
 /**
- * This node's view of all pipelines, from the shared keys and from final records. That a job is done is taken only
- * from its durable final record, so nothing that comes late can start a job too early.
+ * This node's view of all pipelines, from the shared keys and from final records. That a job is done is taken
+ * only from its durable final record, so nothing that comes late can start a job too early.
  */
 export class Pipelines {
   private readonly index = new PipelineIndex(STAGE_TRANSITION_MS);
@@ -103,7 +103,9 @@
     this.tell(this.index.settle(id, outcomeOf(final)));
   }
 
-  /** Reads what became of the jobs that this one follows, for a user who asks. False: it could not be read. */
+  /**
+   * Reads what became of the jobs that this one follows, for a user who asks. False: it could not be read.
+   */
   resolve(id: string): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       // Also those before the ones that still wait themselves: their holders may not have heard yet.
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -15,7 +15,9 @@
   readonly images: ReadonlySet<string>;
   /** False: still booting, or not heard from yet; counts for planning, takes no tasks. */
   readonly live: boolean;
-  /** Held back from spot-capable work: the last idle ones while that can wait, those of scarce types always. */
+  /**
+   * Held back from spot-capable work: the last idle ones while that can wait, those of scarce types always.
+   */
   readonly withheldFromSpotWork: 'no' | 'reserve' | 'always';
   /** Being gathered for this job: work of its priority and below leaves it alone. */
   readonly reservedFor: { readonly job: string; readonly priority: number } | null;
@@ -132,8 +134,8 @@
 };
 
 /**
- * How far work with alternatives may go on machines that are kept for work without: beside that work, or over all
- * that is free where it finds no room otherwise.
+ * How far work with alternatives may go on machines that are kept for work without: beside that work, or over
+ * all that is free where it finds no room otherwise.
  */
 type Reach = 'beside' | 'all';
 
@@ -192,8 +194,8 @@
 };
 
 /**
- * What is gathered for another job is left alone: machines that are empty by all, and those in use by work that has
- * spot machines to go to, or they would be filled again and again and never be empty.
+ * What is gathered for another job is left alone: machines that are empty by all, and those in use by work
+ * that has spot machines to go to, or they would be filled again and again and never be empty.
  */
 const reservedForAnother = (request: PlacementRequest, capacity: AvailableCapacity): boolean =>
   capacity.reservedFor !== null &&
@@ -326,7 +328,11 @@
 const dueAt = (request: PlacementRequest): number =>
   request.spec.deadlineS === null ? Number.MAX_SAFE_INTEGER : request.at + request.spec.deadlineS * 1000;
 
-/** Most important first; then what machines are gathered for; then work that has no spot machines to go to; then work within its team's guarantee; then by targets; then the shortest; then by deadline; then the oldest. */
+/**
+ * Most important first; then what machines are gathered for; then work that has no spot machines to go to;
+ * then work within its team's guarantee; then by targets; then the shortest; then by deadline; then the
+ * oldest.
+ */
 export const order = (requests: readonly PlacementRequest[]): readonly PlacementRequest[] =>
   [...requests].sort(
     (a, b) =>
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -100,7 +100,10 @@
     });
   }
 
-  /** Left-over keys, under the claim alone. They cost nothing but room, so a failure is simply tried again later. */
+  /**
+   * Left-over keys, under the claim alone. They cost nothing but room, so a failure is simply tried again
+   * later.
+   */
   async remove(keys: readonly string[]): Promise<boolean> {
     const result = await Effect.runPromise(
       this.input.store.compareAndSwap(
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -33,7 +33,9 @@
     return 2 + parts;
   }
 
-  /** Final records of jobs in one transaction. Returns those that are durable, with runs left to clear away. */
+  /**
+   * Final records of jobs in one transaction. Returns those that are durable, with runs left to clear away.
+   */
   async finish(jobs: readonly { readonly job: ShardJob; readonly state: FinalState }[]): Promise<Finished> {
     const first = jobs[0];
     if (!first) return { done: [], orphanedKeys: [] };
@@ -58,8 +60,8 @@
     const result = await this.input.transactions.commit(
       jobs.flatMap(({ job }) => [
         { key: jobKey(job.spec.id), version: job.version },
-        // Only the holder writes it, so it tells whether an unanswered copy was applied; a user's late cancellation
-        // changes the job's record too, and would pass for it.
+        // Only the holder writes it, so it tells whether an unanswered copy was applied; a user's late
+        // cancellation changes the job's record too, and would pass for it.
         { key: finalKey(job.spec.id), version: 0 },
       ]),
       writes,
@@ -85,7 +87,8 @@
   /** Everything that is stored of a job beside its record. */
   private keysOf(job: ShardJob): readonly OrphanedKey[] {
     const runs = [...job.chunks].flatMap(([number, chunk]): readonly OrphanedKey[] => {
-      // The parts of a run are written together with its record. One that was never written has no revision yet.
+      // The parts of a run are written together with its record. One that was never written has no revision
+      // yet.
       const revision = chunk.version === 0 ? null : chunk.version;
       const parts = Array.from({ length: chunk.parts }, (_, part) =>
         runPartKey(this.input.shardId, job.spec.id, number, part),
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -16,7 +16,9 @@
 const training: Partial<JobSpec> = { kind: 'gang', tasks: 1, cpus: 86, gpus: 8, memoryGb: 610 };
 const small: Partial<JobSpec> = { kind: 'service', tasks: 1, cpus: 4, gpus: 0, memoryGb: 9 };
 
-/** Guards the gangs that need a whole GPU machine: whatever is put beside one must leave room for the next. */
+/**
+ * Guards the gangs that need a whole GPU machine: whatever is put beside one must leave room for the next.
+ */
 const cases: readonly {
   readonly name: string;
   readonly running: readonly Partial<JobSpec>[];
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -72,7 +72,10 @@
       );
   }
 
-  /** While the state service can't be written, the leader is asked directly; twice is no harm, nor is too early. */
+  /**
+   * While the state service can't be written, the leader is asked directly; twice is no harm, nor is too
+   * early.
+   */
   private releaseNow(machines: readonly string[]): void {
     const now = this.input.now();
     if (machines.length === 0 || now - this.returnAskedAt < URGENT_RETURN_INTERVAL_MS) return;
@@ -92,7 +95,9 @@
     });
   }
 
-  /** Free for another share: nothing on it but exits that are settled, which any holder may have forgotten. */
+  /**
+   * Free for another share: nothing on it but exits that are settled, which any holder may have forgotten.
+   */
   movable(machine: ShardMachine): boolean {
     return (
       !machine.releasing &&
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -18,7 +18,10 @@
   zones: ['x'],
 };
 
-/** An idle machine is kept for as long as a boot would cost more than it saves; guards against renting it anew at once. */
+/**
+ * An idle machine is kept for as long as a boot would cost more than it saves; guards against renting it anew
+ * at once.
+ */
 const cases: readonly {
   readonly name: string;
   readonly bootBound: boolean;
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -22,8 +22,10 @@
 import type { Catalog } from '../jobs/model.js';
 import type { ShardJob, ShardMachine } from './shard-model.js';
 
-/** What may be said of a share's machines from when they reported. Pure but for the clocks handed in, which walks over all
- *  machines read once. */
+/**
+ * What may be said of a share's machines from when they reported. Pure but for the clocks handed in, which
+ * walks over all machines read once.
+ */
 export interface MachineLivenessInput {
   readonly machines: ReadonlyMap<string, ShardMachine>;
   readonly catalog: () => Catalog | null;
@@ -56,7 +58,10 @@
   readonly deafMs: number;
   readonly rebuildMs: number;
   private readonly spotSilentMs: number;
-  /** ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the cloud. */
+  /**
+   * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
+   * cloud.
+   */
   readonly returnMs: number;
   /** The full lease, with drift, that this holder must see pass after its last answer. */
   readonly leaseMs: number;
@@ -137,8 +142,9 @@
   }
 
   /**
-   * Machines on which a task of a cancelled job is still not proven gone, late enough that only the cloud can end it in
-   * time: one that hangs may come back within its lease, and each new holder would wait for that lease anew.
+   * Machines on which a task of a cancelled job is still not proven gone, late enough that only the cloud can
+   * end it in time: one that hangs may come back within its lease, and each new holder would wait for that
+   * lease anew.
    */
   overdue(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
     const wall = this.input.wall();
@@ -153,7 +159,10 @@
     return [...late];
   }
 
-  /** ms: how long an idle machine is kept; `rank` counts the machines of its kind that have been idle for longer. */
+  /**
+   * ms: how long an idle machine is kept; `rank` counts the machines of its kind that have been idle for
+   * longer.
+   */
   private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
       !machine.spot && this.input.bootBound(machine.type)
@@ -210,8 +219,8 @@
       return this.silent(machine, now) && !this.booting(machine) ? 'never came up' : null;
     if (this.silent(machine, now)) return 'silent';
     /*
-     * A spot machine that stopped reporting was most likely taken back without notice. Releasing it is proof that
-     * its tasks are gone, long before its lease would be; if it was only cut off, little is lost.
+     * A spot machine that stopped reporting was most likely taken back without notice. Releasing it is proof
+     * that its tasks are gone, long before its lease would be; if it was only cut off, little is lost.
      */
     const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilentMs;
     if (spotSilent && hearing.hears && hearing.settledIn) return 'spot silent';
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -37,13 +37,19 @@
   readonly valueBytes: number;
 }
 
-/** Writes the records of a share's machines: moved to another share, to be released, or renewed for a higher token. */
+/**
+ * Writes the records of a share's machines: moved to another share, to be released, or renewed for a higher
+ * token.
+ */
 export class MachineRecordWriter {
   constructor(private readonly input: MachineRecordWriterInput) {}
 
-  /** Machine records in one transaction. From its start nothing is placed on them, also while the end is open. */
+  /**
+   * Machine records in one transaction. From its start nothing is placed on them, also while the end is open.
+   */
   async assign(assignments: readonly MachineAssignment[], rank: RequestPriority): Promise<boolean> {
-    // No holder takes back a release intent: a late release request must not meet a machine that is in use again.
+    // No holder takes back a release intent: a late release request must not meet a machine that is in use
+    // again.
     const machines = assignments.filter(
       ({ machine, release }) => release !== undefined || !machine.releasing,
     );
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -23,12 +23,18 @@
 import { bindingKey, isFinished, type Free, type ShardJob, type ShardMachine } from './shard-model.js';
 import { attainableObjective, urgency, type Objectives } from './urgency.js';
 
-/** What waits and where there is room, read from the shareState for one round. Changes nothing but the cached room. */
+/**
+ * What waits and where there is room, read from the shareState for one round. Changes nothing but the cached
+ * room.
+ */
 export interface ViewInput {
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
   readonly catalog: Catalog;
-  /** The most that one task takes of work that can't do without ordinary machines of this type; null: there is none. */
+  /**
+   * The most that one task takes of work that can't do without ordinary machines of this type; null: there is
+   * none.
+   */
   readonly scarceDemand: (type: string) => Demand | null;
   readonly guarantees: ReadonlyMap<string, TeamUsage>;
   readonly objectives: ReadonlyMap<string, Objectives>;
@@ -82,8 +88,9 @@
 };
 
 /**
- * Room beside the work that can't do without this type: what is over once as many of its largest tasks as the machine
- * holds have their room. Only where such work runs already: an empty machine stays free to move to another share.
+ * Room beside the work that can't do without this type: what is over once as many of its largest tasks as the
+ * machine holds have their room. Only where such work runs already: an empty machine stays free to move to
+ * another share.
  */
 const leftoverOf = (machine: ShardMachine, free: Free, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.dependent) return NOTHING;
--- a/src/placement/preemption.test.ts
+++ b/src/placement/preemption.test.ts
@@ -142,7 +142,8 @@
 }
 
 test('evict: the next job finds what the first one cleared and took', () => {
-  // One job a second was made room for; after the loss of a zone the last of thirty services waited half a minute.
+  // One job a second was made room for; after the loss of a zone the last of thirty services waited half a
+  // minute.
   const half = spec({ kind: 'service', oneZone: false, gpus: 4 });
   const machines = [machine('a', 'x', [group('j1', 1, 8)]), machine('b', 'x', [group('j2', 1, 8)])];
   const evicted: string[][] = [];
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -3,8 +3,8 @@
 import { howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
- * The last resort: whole groups of lower priority make room. A group is a gang with all its tasks wherever they
- * are, or what one array or service has on one machine, since those tasks are independent.
+ * The last resort: whole groups of lower priority make room. A group is a gang with all its tasks wherever
+ * they are, or what one array or service has on one machine, since those tasks are independent.
  */
 export interface Group {
   readonly job: string;
@@ -73,7 +73,9 @@
   return { machine, victims, fits: howMany(spec, free, spec.tasks) };
 };
 
-/** Lower goes first: the highest priority that a plan costs, then the number of its groups, then their size. */
+/**
+ * Lower goes first: the highest priority that a plan costs, then the number of its groups, then their size.
+ */
 const costOf = (plan: Plan): readonly number[] => [
   Math.max(-1, ...plan.victims.map((victim) => victim.priority)),
   plan.victims.length,
@@ -208,7 +210,10 @@
   );
   const zones = spec.oneZone ? [...new Set(usable.map((machine) => machine.zone))].sort() : [null];
   let best: Choice | null = null;
-  /** It would fit without an eviction, in room that earlier jobs of this search had cleared, or that is kept for others. */
+  /**
+   * It would fit without an eviction, in room that earlier jobs of this search had cleared, or that is kept
+   * for others.
+   */
   let fitting: Choice | null = null;
   for (const zone of zones) {
     const choice = chooseAmong(
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -30,8 +30,9 @@
 
   /**
    * Whole groups of lower priority go when nothing else helps: no room here, no free machine in another share
-   * that would do, and nothing already on its way out. All jobs that need it are decided together, the most important first,
-   * each only if it can start for it: after the loss of a zone, dozens of services wait for room at once.
+   * that would do, and nothing already on its way out. All jobs that need it are decided together, the most
+   * important first, each only if it can start for it: after the loss of a zone, dozens of services wait for
+   * room at once.
    */
   run(left: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
     const now = this.input.now();
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -89,7 +89,8 @@
     steps: ['cancelled record seen', 'round', 'deletion seen', 'round'],
     transactions: 1,
   },
-  // The late event brought the job back for ever: every round tried its final record again, at two changes a try.
+  // The late event brought the job back for ever: every round tried its final record again, at two changes a
+  // try.
   {
     name: 'told directly and finished before the watch shows the cancellation',
     steps: ['acknowledge', 'round', 'cancelled record seen', 'deletion seen', 'round', 'round'],
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -23,7 +23,10 @@
   readonly settled: (job: string, final: FinalRecord) => void;
 }
 
-/** Writes what changed in a share to the state service, in batches: finished tasks, final records, left-over keys. */
+/**
+ * Writes what changed in a share to the state service, in batches: finished tasks, final records, left-over
+ * keys.
+ */
 export class RecordFlusher {
   private flushing = false;
   private flushedAt = 0;
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -4,7 +4,10 @@
   ROUND_AVERAGE_WEIGHT,
 } from '../constants/placement.js';
 
-/** ms of rest that a round of so much processor time earns: its node has a part of a core, and rounds a part of that. */
+/**
+ * ms of rest that a round of so much processor time earns: its node has a part of a core, and rounds a part
+ * of that.
+ */
 export const restMs = (processorMs: number, coreShare: number): number =>
   Math.max(
     MIN_PLACEMENT_ROUND_PAUSE_MS,
@@ -12,9 +15,9 @@
   );
 
 /**
- * How long placement rests between rounds. It goes by the processor time of the last rounds, averaged: a single round during
- * which the engine collected garbage, or which stood still because the node had used up its part of a core, would else
- * earn a rest of many seconds, in which nothing is placed.
+ * How long placement rests between rounds. It goes by the processor time of the last rounds, averaged: a
+ * single round during which the engine collected garbage, or which stood still because the node had used up
+ * its part of a core, would else earn a rest of many seconds, in which nothing is placed.
  */
 export class RoundPacer {
   /** ms; null: no round yet. */
--- a/src/placement/run-records.ts
+++ b/src/placement/run-records.ts
@@ -68,8 +68,9 @@
 };
 
 /**
- * A run within values of so many bytes. As it always was where that fits, or where a node of an earlier version may
- * have to read it; else with rows for tasks side by side, and the rest in parts that are written in the same transaction.
+ * A run within values of so many bytes. As it always was where that fits, or where a node of an earlier
+ * version may have to read it; else with rows for tasks side by side, and the rest in parts that are written
+ * in the same transaction.
  */
 export const storeRun = (record: RunRecord, chunk: number, bytes: number, maySplit: boolean): StoredRun => {
   const plain = writeRunRecord(record, chunk) as { d: string; b: Row[]; n: number };
@@ -93,8 +94,9 @@
 };
 
 /**
- * A gang whose bind doesn't fit in one transaction is prepared: all runs but the first are written beforehand and count
- * for nothing until the first, written last, names their attempt as valid. That one write binds the gang.
+ * A gang whose bind doesn't fit in one transaction is prepared: all runs but the first are written beforehand
+ * and count for nothing until the first, written last, names their attempt as valid. That one write binds the
+ * gang.
  */
 export const prepared = (stored: StoredRun): StoredRun => ({
   ...stored,
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -145,11 +145,15 @@
     return changes <= this.input.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
   }
 
-  /** Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was prepared. */
+  /**
+   * Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was
+   * prepared.
+   */
   async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
     if (!first || first.chunk !== 0 || this.fitOneTransaction(writes)) return this.commitRuns(writes, rank);
-    // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the upgrade.
+    // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the
+    // upgrade.
     if (!this.input.maySplit()) return false;
     // Nothing else writes its runs in between.
     job.writing += 1;
@@ -182,8 +186,10 @@
     return false;
   }
 
-  /** A run's record with its parts, and parts of the last one that are no more. All change together, so the record's
-   *  revision guards them. */
+  /**
+   * A run's record with its parts, and parts of the last one that are no more. All change together, so the
+   * record's revision guards them.
+   */
   private changes(write: RunWrite, before: number): readonly Write[] {
     const { job, chunk, stored } = write;
     const partKey = (part: number): string => runPartKey(this.input.shardId, job.spec.id, chunk, part);
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -43,13 +43,17 @@
 
 /** A job of the share, with its tasks. */
 export interface ShardJob {
-  /** As placement is to treat it: with the priority and the deadline that it has for the jobs that need it. */
+  /**
+   * As placement is to treat it: with the priority and the deadline that it has for the jobs that need it.
+   */
   spec: JobSpec;
   /** As its user submitted it. */
   readonly own: JobSpec;
   /** ms since the epoch. */
   readonly submittedAt: number;
-  /** ms since the epoch: from when its waiting counts, which is when the last job that it follows was done. */
+  /**
+   * ms since the epoch: from when its waiting counts, which is when the last job that it follows was done.
+   */
   at: number;
   /** Parts in which the list of jobs that it follows stands, beside its record. */
   readonly parts: number;
@@ -100,7 +104,10 @@
   readonly since: number;
   /** Asked to be released; nothing is placed on it. */
   releasing: boolean;
-  /** Its return was asked for without a durable intent, which follows: nothing is placed on it, nor is it moved. */
+  /**
+   * Its return was asked for without a durable intent, which follows: nothing is placed on it, nor is it
+   * moved.
+   */
   cordoned: boolean;
   addr: string;
   agentEpoch: number;
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -147,9 +147,9 @@
   }
 
   /**
-   * Forgets a job whose record is gone. A holder that is told of a cancellation directly may finish the job before its
-   * watch shows the cancelled record; that older event then brings the job back, and its final record could never be
-   * written again.
+   * Forgets a job whose record is gone. A holder that is told of a cancellation directly may finish the job
+   * before its watch shows the cancelled record; that older event then brings the job back, and its final
+   * record could never be written again.
    */
   dropIfOver(job: ShardJob): void {
     if (!job.recordGone || job.finishing || job.bindings.size > 0) return;
@@ -179,7 +179,10 @@
     this.input.requestRound();
   }
 
-  /** A cancellation that is durable at this revision, told by another node: the shared keys may show it much later. */
+  /**
+   * A cancellation that is durable at this revision, told by another node: the shared keys may show it much
+   * later.
+   */
   acknowledge(id: string, version: number): void {
     const job = this.jobs.get(id);
     if (!job) {
@@ -223,7 +226,8 @@
   stop(binding: Binding, reason: Stop['reason'], graceS: number): void {
     if (binding.stop && binding.stop.graceS <= graceS) return;
     binding.stop = { reason, graceS, since: this.input.now() };
-    // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it with its report.
+    // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it
+    // with its report.
     if (onMachine(binding.phase) && reason !== 'finished') this.stops.add(binding);
     this.input.requestRound();
   }
@@ -303,7 +307,9 @@
     if (job.spec.kind === 'gang' && !isFinished(job)) this.breakGang(job);
   }
 
-  /** A failure counts against the machine until the same job fails elsewhere too, and then against the job. */
+  /**
+   * A failure counts against the machine until the same job fails elsewhere too, and then against the job.
+   */
   private onError(binding: Binding, job: ShardJob, machine: ShardMachine | undefined): void {
     const now = this.input.now();
     job.errors += 1;
--- a/src/placement/shard.test.ts
+++ b/src/placement/shard.test.ts
@@ -33,7 +33,8 @@
 }
 
 test('rounds: a single dear one does not stop placement, and its cost is still paid for', () => {
-  // A collection of garbage within a round earned a rest of nine seconds, in which services waited to be placed.
+  // A collection of garbage within a round earned a rest of nine seconds, in which services waited to be
+  // placed.
   const pacer = new RoundPacer(0.136);
   const usual = 5;
   for (let k = 0; k < 50; k += 1) pacer.restAfter(usual);
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -45,7 +45,10 @@
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly catalog: () => Catalog | null;
-  /** The most that one task takes of the jobs, of any share, that may not use spot machines and fit no other type. */
+  /**
+   * The most that one task takes of the jobs, of any share, that may not use spot machines and fit no other
+   * type.
+   */
   readonly scarceDemand: (type: string) => Demand | null;
   /** Some class misses every start target if a machine of this type has to be booted for it. */
   readonly bootBound: (type: string) => boolean;
@@ -254,7 +257,10 @@
     if (job && effectivePriority) this.shardState.stand(id, this.input.readiness(id), effectivePriority);
   }
 
-  /** Another node is about to tell a user of this cancellation. True: from now on every answer to a worker says so. */
+  /**
+   * Another node is about to tell a user of this cancellation. True: from now on every answer to a worker
+   * says so.
+   */
   acknowledge(id: string, version: number): boolean {
     if (this.stage === 'lost') return false;
     this.shardState.acknowledge(id, version);
@@ -313,7 +319,7 @@
     }
   });
 
-  // ---- workers ---------------------------------------------------------------------------------------------
+  // ---- workers --------------------------------------------------------------------------------------------
 
   onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null {
     return this.sessions.onHeartbeat(heartbeat);
@@ -328,7 +334,7 @@
     return this.liveness.hearing(this.liveness.deafMs);
   }
 
-  // ---- rounds ----------------------------------------------------------------------------------------------
+  // ---- rounds ---------------------------------------------------------------------------------------------
 
   requestRound(): void {
     this.roundRequested = true;
@@ -406,14 +412,14 @@
     this.flusher.flush();
   }
 
-  // ---- machines ----------------------------------------------------------------------------------------------
+  // ---- machines -------------------------------------------------------------------------------------------
 
   /** Moves free machines to other shares, on the leader's order. */
   transferMachines(moves: readonly MachineTransfer[]): Promise<boolean> {
     return this.lifecycle.transferMachines(moves);
   }
 
-  // ---- durable changes ---------------------------------------------------------------------------------------
+  // ---- durable changes ------------------------------------------------------------------------------------
 
   markLost(): void {
     if (this.stage === 'lost') return;
@@ -422,7 +428,7 @@
     this.requestRound();
   }
 
-  // ---- placement -----------------------------------------------------------------------------------------------
+  // ---- placement ------------------------------------------------------------------------------------------
 
   private view(catalog: Catalog): ViewInput {
     return {
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -32,8 +32,8 @@
 }
 
 /**
- * Demands that every type of machine holds equally often are one class to the planner: jobs whose amounts differ a
- * little each would otherwise be as many needs, each with machines of its own.
+ * Demands that every type of machine holds equally often are one class to the planner: jobs whose amounts
+ * differ a little each would otherwise be as many needs, each with machines of its own.
  */
 const needClass = (spec: JobSpec, urgent: boolean, catalog: Catalog): string =>
   [
@@ -48,8 +48,8 @@
   ].join('|');
 
 /**
- * How long a job waits before machines are gathered for it: a gang that no zone has room for, half of its class's
- * loosest start target; an array longer, since any machine that comes free will do for a start.
+ * How long a job waits before machines are gathered for it: a gang that no zone has room for, half of its
+ * class's loosest start target; an array longer, since any machine that comes free will do for a start.
  */
 const patience = (spec: JobSpec, objectives: ReadonlyMap<string, Objectives>): number => {
   if (spec.kind !== 'gang') return ARRAY_RESERVE_DELAY_MS;
@@ -67,7 +67,10 @@
   memoryGb: number;
 }
 
-/** What is still needed once the machines that are coming are counted: one entry a class, the most urgent first. */
+/**
+ * What is still needed once the machines that are coming are counted: one entry a class, the most urgent
+ * first.
+ */
 export const unmetDemand = (
   left: readonly UnplacedRequest[],
   capacities: readonly AvailableCapacity[],
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -53,7 +53,9 @@
 export interface Urgency {
   /** Taking an ordinary machine that is up now saves a target that waiting would miss. */
   readonly place: boolean;
-  /** Renting an ordinary machine now still saves a target, and later won't; or spot is plainly not to be had. */
+  /**
+   * Renting an ordinary machine now still saves a target, and later won't; or spot is plainly not to be had.
+   */
   readonly provision: boolean;
 }
 
@@ -82,8 +84,8 @@
 };
 
 /**
- * Which of the start targets a waiting job can still meet: 0 all, 1 all but the tightest, and so on. Jobs that
- * can still meet one go before those that can't, unless these have waited many times as long.
+ * Which of the start targets a waiting job can still meet: 0 all, 1 all but the tightest, and so on. Jobs
+ * that can still meet one go before those that can't, unless these have waited many times as long.
  */
 export const attainableObjective = (objectives: Objectives | undefined, waitedS: number): number => {
   const list = objectives?.wait ?? [];
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -8,7 +8,9 @@
 import { WorkerSessions } from './worker-sessions.js';
 import type { ShardMachine } from './shard-model.js';
 
-/** What reports are taken for, in which order, and what is concluded from silence: a table of short stories. */
+/**
+ * What reports are taken for, in which order, and what is concluded from silence: a table of short stories.
+ */
 const LEASE_S = 20;
 const spec: JobSpec = {
   id: 'job-1',
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -40,7 +40,9 @@
     return Math.max(this.input.claim, machine.version);
   }
 
-  /** null: an older message than one already seen, a late copy, or one that knows a higher token than ours. */
+  /**
+   * null: an older message than one already seen, a late copy, or one that knows a higher token than ours.
+   */
   onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null {
     const { shardState } = this.input;
     const machine = shardState.machines.get(heartbeat.machine);
@@ -95,8 +97,8 @@
   }
 
   /**
-   * Its reports come, and what we say does not arrive. Nothing more goes there until it has taken up a new token,
-   * which shows that it hears; what was bound there and never seen goes elsewhere, once proven absent.
+   * Its reports come, and what we say does not arrive. Nothing more goes there until it has taken up a new
+   * token, which shows that it hears; what was bound there and never seen goes elsewhere, once proven absent.
    */
   private markUnreachable(machine: ShardMachine, why: string): void {
     log.info({ event: 'machine.deaf', machine: machine.id, why });
@@ -148,7 +150,8 @@
 
   /**
    * Stops go out directly too: all members of a gang must hear of an orderly stop within the time that its
-   * tasks wait for each other, and reports alone may take as long. A late copy stops only what is to stop anyway.
+   * tasks wait for each other, and reports alone may take as long. A late copy stops only what is to stop
+   * anyway.
    */
   sendStops(): void {
     const { stops } = this.input.shardState;
@@ -224,7 +227,9 @@
     this.noteSeen(machine, heartbeat);
   }
 
-  /** A machine that came from another share: its worker hears of the new token at once, not by asking around. */
+  /**
+   * A machine that came from another share: its worker hears of the new token at once, not by asking around.
+   */
   greet(machine: ShardMachine, agentEpoch: number): void {
     const token = this.token(machine);
     void this.input.direct(machine.addr, token, agentEpoch, []).then((result) => {
@@ -279,7 +284,9 @@
     return { token, commands };
   }
 
-  /** The runs can't be read as long as the state service is away; what is cancelled must not go on for that. */
+  /**
+   * The runs can't be read as long as the state service is away; what is cancelled must not go on for that.
+   */
   private stopsOfCancelled(heartbeat: WorkerHeartbeat): readonly Command[] {
     return heartbeat.tasks
       .filter((task) => task.state._tag !== 'exited' && this.input.isCancelled(task.job))
--- a/src/service.test.ts
+++ b/src/service.test.ts
@@ -6,7 +6,9 @@
 import { World } from './testing/world.js';
 import type { StandInJob } from './testing/worker-stand-in.js';
 
-/** The service's main path, end to end, against our stand-ins: loss, delay, restarts; one seed, virtual time. */
+/**
+ * The service's main path, end to end, against our stand-ins: loss, delay, restarts; one seed, virtual time.
+ */
 const LIMITS = new Map([
   ['red', 24],
   ['blue', 16],
@@ -214,7 +216,9 @@
       };
       jobs.forEach((job, order) => void user(job, order));
 
-      /** Once all troubles are over, a job about which no question is answered for 75 s counts as forgotten. */
+      /**
+       * Once all troubles are over, a job about which no question is answered for 75 s counts as forgotten.
+       */
       const askAll = async (): Promise<void> => {
         for (const node of NODES) {
           for (const job of jobs.filter((other) => other.accepted)) {
--- a/src/settings/features.ts
+++ b/src/settings/features.ts
@@ -1,6 +1,9 @@
 import { parse } from 'smol-toml';
 
-/** Subsystems that an operator switches on or off in `deploy/features.toml`; each is off unless it is named there. */
+/**
+ * Subsystems that an operator switches on or off in `deploy/features.toml`; each is off unless it is named
+ * there.
+ */
 export interface Features {
   /** Fenced single duties (`docs/fencing.md`). */
   readonly fencing: boolean;
--- a/src/settings/limits.ts
+++ b/src/settings/limits.ts
@@ -1,6 +1,8 @@
 import type { Settings } from './schema.js';
 
-/** The state service's limits that the service keeps within: the smaller of those of now and those to come. */
+/**
+ * The state service's limits that the service keeps within: the smaller of those of now and those to come.
+ */
 export interface StateLimits {
   readonly rps: number;
   readonly write_rps: number;
--- a/src/settings/networks.ts
+++ b/src/settings/networks.ts
@@ -51,7 +51,10 @@
   return prefix > 0 && base.toNormalizedString() !== address.toNormalizedString();
 };
 
-/** Reads a network file: `admin` lists the networks, IPv4 and IPv6, from which the administration API may be used. */
+/**
+ * Reads a network file: `admin` lists the networks, IPv4 and IPv6, from which the administration API may be
+ * used.
+ */
 export const checkNetworks = (text: string): CheckedNetworks => {
   let raw: Record<string, unknown>;
   try {
--- a/src/testing/cloud-stand-in.ts
+++ b/src/testing/cloud-stand-in.ts
@@ -1,4 +1,7 @@
-/** Stand-in for the cloud, written to the published protocol, that logs every request which may have an effect. */
+/**
+ * Stand-in for the cloud, written to the published protocol, that logs every request which may have an
+ * effect.
+ */
 import type { CallOutcome } from '../http.js';
 import { reply } from './state-stand-in.js';
 
--- a/src/testing/day.ts
+++ b/src/testing/day.ts
@@ -87,7 +87,9 @@
       .sort((a, b) => b.tasks.size - a.tasks.size)
       .map((machine) => machine.id);
   }
-  /** Cuts a node from the state service and the other nodes, not from workers and users; mends with `false`. */
+  /**
+   * Cuts a node from the state service and the other nodes, not from workers and users; mends with `false`.
+   */
   isolate(node: string, on: boolean): void {
     this.world.sever(node, on ? ['state', ...this.others(node).map((other) => `mesh-${other}`)] : []);
   }
@@ -239,7 +241,10 @@
     }
   }
 
-  /** A pipeline: one job, two that follow it, a gang of the other team that follows both, and an urgent one at the end. */
+  /**
+   * A pipeline: one job, two that follow it, a gang of the other team that follows both, and an urgent one at
+   * the end.
+   */
   private pipeline(n: number): readonly StandInJob[] {
     const stage = (k: number, over: Partial<Record<string, unknown>>, follows: readonly StandInJob[]) => ({
       ...jobOf(
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -2,7 +2,10 @@
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { DutyRegistry } from '../duties/registry.js';
 
-/** The duties of a leader that never loses its claim, held under this revision; its lease may be in doubt for a while. */
+/**
+ * The duties of a leader that never loses its claim, held under this revision; its lease may be in doubt for
+ * a while.
+ */
 export const leaderDuties = (
   revision: number,
   wall: () => number,
--- a/src/testing/late-actions.ts
+++ b/src/testing/late-actions.ts
@@ -15,8 +15,9 @@
 }
 
 /**
- * Looks through the stand-ins' logs for late actions: effects of a node at a time when the state service showed another
- * as the leader. A rental is charged to the token in its name; a release is harmless where a record asked for it.
+ * Looks through the stand-ins' logs for late actions: effects of a node at a time when the state service
+ * showed another as the leader. A rental is charged to the token in its name; a release is harmless where a
+ * record asked for it.
  */
 export const findLateActions = (
   actions: readonly CloudAction[],
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -1,7 +1,8 @@
 /**
- * Controllers as real processes on loopback (one, holding every share, unless told otherwise) against our stand-ins: what reports, polls and
- * submissions cost. `node target/testing/load.js [machines] [seconds] [controllers] [node flags for them...]` after a
- * build and a bundle; prints processor time, memory and calls a second. Figures are of the machine that runs it.
+ * Controllers as real processes on loopback (one, holding every share, unless told otherwise) against our
+ * stand-ins: what reports, polls and submissions cost.
+ * `node target/testing/load.js [machines] [seconds] [controllers] [node flags for them...]` after a build and
+ * a bundle; prints processor time, memory and calls a second. Figures are of the machine that runs it.
  */
 import { readRedirect } from '../workers/codec.js';
 import { spawn } from 'node:child_process';
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -1,6 +1,7 @@
 /**
- * Three controllers as real processes on loopback, against stand-ins for the state service and the cloud that log what
- * takes effect and can hold requests or their answers. Processes can be stopped, resumed, killed and started again.
+ * Three controllers as real processes on loopback, against stand-ins for the state service and the cloud that
+ * log what takes effect and can hold requests or their answers. Processes can be stopped, resumed, killed and
+ * started again.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -159,8 +159,8 @@
 });
 
 /**
- * The sources of the version that `deploy/service.toml` names, built from the repository's history, so that tests meet
- * the earlier code itself.
+ * The sources of the version that `deploy/service.toml` names, built from the repository's history, so that
+ * tests meet the earlier code itself.
  */
 export const buildProduction = async (): Promise<Production> => {
   const root = process.cwd();
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -1,6 +1,7 @@
 /**
- * What decisions cost as machines and jobs grow, on the machine that runs this: `node target/testing/scale.js`.
- * Prints milliseconds of one placement round, one summary for the leader, one plan of the leader's and one takeover.
+ * What decisions cost as machines and jobs grow, on the machine that runs this:
+ * `node target/testing/scale.js`. Prints milliseconds of one placement round, one summary for the leader, one
+ * plan of the leader's and one takeover.
  */
 import { planSteps } from '../fleet/scaling-plan.js';
 import type { ShardSummary } from '../fleet/records.js';
--- a/src/testing/state-stand-in.ts
+++ b/src/testing/state-stand-in.ts
@@ -1,4 +1,7 @@
-/** Stand-in for the state service, written to the published protocol: keys with revisions, leases, watches, transactions. */
+/**
+ * Stand-in for the state service, written to the published protocol: keys with revisions, leases, watches,
+ * transactions.
+ */
 import type { CallOutcome } from '../http.js';
 
 /** A map as it comes from the wire. */
--- a/src/testing/submit.ts
+++ b/src/testing/submit.ts
@@ -1,6 +1,7 @@
 /**
- * Submits one job to a controller and follows it to its end: `node target/testing/submit.js ADDRESS [TASKS]`. Meant for a first
- * look together with `load.ts`, whose stand-ins run the tasks. Prints each change; exits with 1 if it is not done in time.
+ * Submits one job to a controller and follows it to its end: `node target/testing/submit.js ADDRESS [TASKS]`.
+ * Meant for a first look together with `load.ts`, whose stand-ins run the tasks. Prints each change; exits
+ * with 1 if it is not done in time.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { PooledHttpClient, parseTarget } from '../http.js';
--- a/src/testing/takeover.ts
+++ b/src/testing/takeover.ts
@@ -1,7 +1,8 @@
 /**
- * What a change of the leader costs: three controllers on loopback, the leader stopped by SIGSTOP with a rental under way, again
- * and again. `node target/testing/takeover.js [times] [on|off]` after a build and a bundle; prints how long it takes until
- * another leads, may rent, and has settled what was left open. Figures are of the machine that runs it.
+ * What a change of the leader costs: three controllers on loopback, the leader stopped by SIGSTOP with a
+ * rental under way, again and again. `node target/testing/takeover.js [times] [on|off]` after a build and a
+ * bundle; prints how long it takes until another leads, may rent, and has settled what was left open. Figures
+ * are of the machine that runs it.
  */
 import { LeaderScenario } from './leader-scenario.js';
 
--- a/src/testing/worker-stand-in.ts
+++ b/src/testing/worker-stand-in.ts
@@ -1,4 +1,6 @@
-/** Stand-in for a machine and its worker, written to the published protocol: leases, tokens, tasks and gangs. */
+/**
+ * Stand-in for a machine and its worker, written to the published protocol: leases, tokens, tasks and gangs.
+ */
 
 import { readRedirect } from '../workers/codec.js';
 import { type WireRecord } from './state-stand-in.js';
--- a/src/testing/world.ts
+++ b/src/testing/world.ts
@@ -1,6 +1,6 @@
 /**
- * The stand-ins together: cloud, network, machines and jobs around the controllers, on a virtual clock and from one seed.
- * Checks the rules that concern starts as it goes.
+ * The stand-ins together: cloud, network, machines and jobs around the controllers, on a virtual clock and
+ * from one seed. Checks the rules that concern starts as it goes.
  */
 import type { CallOutcome } from '../http.js';
 
@@ -29,7 +29,9 @@
   lateReports = 0;
   /** ms: the state service takes up to this long for an answer. */
   stateSlowMs = 0;
-  /** Probability that a message that was carried out is delivered once more, after one of these times (ms). */
+  /**
+   * Probability that a message that was carried out is delivered once more, after one of these times (ms).
+   */
   copies = 0;
   copyAfter: readonly number[] = [1_000];
   /** Machines that the cloud has in each zone. */
@@ -68,7 +70,9 @@
     );
   }
   private readonly holds = new Map<string, { others: readonly string[]; queue: (() => void)[] }>();
-  /** From now on what this end and those say to each other waits; an empty list delivers all of it, in order. */
+  /**
+   * From now on what this end and those say to each other waits; an empty list delivers all of it, in order.
+   */
   hold(name: string, others: readonly string[]): void {
     const before = this.holds.get(name);
     if (others.length > 0) {
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -11,11 +11,10 @@
 
 /**
  * `late`: a direct `run` of this attempt may still arrive, since the worker has not seen a token above the
- * one that it carried; then absence proves nothing.
- * `underToken`: the worker has said that it saw our current token, so nothing of an earlier holder can
- * still reach it. Apart from direct ones, commands travel in answers to reports, and a worker that sends a new
- * report has or dropped the answer to the one before: so a task missing from a newer report is not there, and no `run` of
- * it is under way.
+ * one that it carried; then absence proves nothing. `underToken`: the worker has said that it saw our current
+ * token, so nothing of an earlier holder can still reach it. Apart from direct ones, commands travel in
+ * answers to reports, and a worker that sends a new report has or dropped the answer to the one before: so a
+ * task missing from a newer report is not there, and no `run` of it is under way.
  */
 export const readChanges = (
   machine: ShardMachine,
@@ -24,7 +23,8 @@
   late: (key: string) => boolean,
 ): readonly Change[] => {
   const changes: Change[] = [];
-  // Commands of ours name the old session. Those of an earlier holder may not, until the worker has seen our token.
+  // Commands of ours name the old session. Those of an earlier holder may not, until the worker has seen our
+  // token.
   const newSession =
     machine.answeredAt !== null &&
     heartbeat.agentEpoch > machine.agentEpoch &&
