--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -1,5 +1,8 @@
+/**
+ * Earlier versions of the controller, built from the repository's history, under the names of this version.
+ */
 import { execFileSync } from 'node:child_process';
-import { mkdirSync, readFileSync, rmSync } from 'node:fs';
+import { existsSync, mkdirSync, readFileSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
 import { pathToFileURL } from 'node:url';
 import { buildSync } from 'esbuild';
@@ -64,14 +67,25 @@
   | { readonly _tag: 'refused'; readonly report: EarlierHeartbeat | null }
   | { readonly _tag: 'unsure' };
 
+/** Sends commands to workers in that version. */
+interface EarlierCommands {
+  readonly send: (...commands: Parameters<DirectCommands['send']>) => Promise<EarlierDirectResult>;
+}
+
 /** The ports of that version. */
 type EarlierPorts = Omit<Ports, 'workerClient' | 'createHttpClient'> & {
   readonly callers: (...at: Parameters<Ports['createHttpClient']>) => EarlierClient;
-  readonly line: {
-    readonly send: (...commands: Parameters<DirectCommands['send']>) => Promise<EarlierDirectResult>;
-  };
+  readonly line: EarlierCommands;
 };
 
+/** The composition root of ba59fc1, the last version before the renaming. */
+type ComposeBeforeRenaming = (
+  settings: Parameters<typeof compose>[0],
+  ports: Omit<EarlierPorts, 'line'> & { readonly workerClient: EarlierCommands },
+  features: Parameters<typeof compose>[2],
+  adminAccess: Parameters<typeof compose>[3],
+) => Controller;
+
 /** The composition root of that version, whose ports and routes have other names. */
 type EarlierCompose = (
   settings: Parameters<typeof compose>[0],
@@ -121,20 +135,38 @@
   }
 };
 
+const adaptClients =
+  (createHttpClient: Ports['createHttpClient']): EarlierPorts['callers'] =>
+  (...at) => {
+    const client = createHttpClient(...at);
+    return { request: async (...call) => toEarlierOutcome(await client.request(...call)) };
+  };
+
+const adaptCommands = (workerClient: DirectCommands): EarlierCommands => ({
+  send: async (...commands) => toEarlierResult(await workerClient.send(...commands)),
+});
+
 const adaptCompose =
   (earlier: EarlierCompose): typeof compose =>
   (settings, { workerClient, createHttpClient, ...ports }) => {
     const { mesh, ...controller } = earlier(settings, {
       ...ports,
-      callers: (...at) => {
-        const client = createHttpClient(...at);
-        return { request: async (...call) => toEarlierOutcome(await client.request(...call)) };
-      },
-      line: { send: async (...commands) => toEarlierResult(await workerClient.send(...commands)) },
+      callers: adaptClients(createHttpClient),
+      line: adaptCommands(workerClient),
     });
     return { ...controller, peerRoute: mesh };
   };
 
+const adaptComposeBeforeRenaming =
+  (earlier: ComposeBeforeRenaming): typeof compose =>
+  (settings, { workerClient, createHttpClient, ...ports }, features, adminAccess) =>
+    earlier(
+      settings,
+      { ...ports, callers: adaptClients(createHttpClient), workerClient: adaptCommands(workerClient) },
+      features,
+      adminAccess,
+    );
+
 const adaptCodec = (earlier: EarlierModules['codec']): Production['codec'] => ({
   readJobRecord: (data) => {
     const { spec, ...record } = earlier.readJobRecord(data);
@@ -159,24 +191,19 @@
 });
 
 /**
- * The sources of the version that `deploy/service.toml` names, built from the repository's history, so that
- * tests meet the earlier code itself.
+ * Builds modules of an earlier version from the repository's history, so that tests meet the earlier code
+ * itself.
  */
-export const buildProduction = async (): Promise<Production> => {
-  const root = process.cwd();
-  const commit = /^production = "([0-9a-f]{40})"$/m.exec(
-    readFileSync(join(root, 'deploy/service.toml'), 'utf8'),
-  )?.[1];
-  if (commit === undefined) throw new Error('deploy/service.toml names no production');
-  const base = join(root, 'target', `production-${process.pid}`);
+const buildModules = async (commit: string, parts: readonly string[]): Promise<readonly unknown[]> => {
+  const base = join(process.cwd(), 'target', `${commit.slice(0, 7)}-${process.pid}`);
   rmSync(base, { recursive: true, force: true });
   mkdirSync(base, { recursive: true });
   try {
-    const files = execFileSync('git', ['archive', '--format=tar', commit, 'src'], {
-      maxBuffer: 64 * 1024 * 1024,
+    const files = execFileSync('git', ['archive', '--format=tar', commit], {
+      maxBuffer: 256 * 1024 * 1024,
     });
-    execFileSync('tar', ['-x', '-C', base], { input: files });
-    const parts = ['service', 'jobs/codec', 'placement/records', 'fleet/records'];
+    execFileSync('tar', ['-x', '-C', base, '--exclude=journal'], { input: files });
+    const fencing = join(base, 'packages/fencing/src/index.ts');
     buildSync({
       entryPoints: parts.map((part) => join(base, 'src', `${part}.ts`)),
       outdir: join(base, 'built'),
@@ -186,18 +213,37 @@
       platform: 'node',
       format: 'esm',
       packages: 'external',
+      // Its own package, not the present one.
+      ...(existsSync(fencing) ? { alias: { '@dalegate/fencing': fencing } } : {}),
       logLevel: 'error',
     });
     const load = (part: string): Promise<unknown> =>
       import(pathToFileURL(join(base, 'built', `${part}.js`)).href);
-    const [service, codec, records, machines] = await Promise.all(parts.map(load));
-    return {
-      compose: adaptCompose((service as EarlierModules['service']).compose),
-      codec: adaptCodec(codec as EarlierModules['codec']),
-      records: records as EarlierModules['records'],
-      machines: adaptMachines(machines as EarlierModules['machines']),
-    };
+    return await Promise.all(parts.map(load));
   } finally {
     rmSync(base, { recursive: true, force: true });
   }
 };
+
+/** The version that `deploy/service.toml` names. */
+export const buildProduction = async (): Promise<Production> => {
+  const commit = /^production = "([0-9a-f]{40})"$/m.exec(readFileSync('deploy/service.toml', 'utf8'))?.[1];
+  if (commit === undefined) throw new Error('deploy/service.toml names no production');
+  const parts = ['service', 'jobs/codec', 'placement/records', 'fleet/records'];
+  const [service, codec, records, machines] = await buildModules(commit, parts);
+  return {
+    compose: adaptCompose((service as EarlierModules['service']).compose),
+    codec: adaptCodec(codec as EarlierModules['codec']),
+    records: records as EarlierModules['records'],
+    machines: adaptMachines(machines as EarlierModules['machines']),
+  };
+};
+
+/** The last version before the renaming. */
+const BEFORE_RENAMING = 'ba59fc128496ca63be7e7e6e5964ffc3103d5a8c';
+
+/** The composition root of the last version before the renaming. */
+export const buildBeforeRenaming = async (): Promise<typeof compose> => {
+  const [service] = await buildModules(BEFORE_RENAMING, ['service']);
+  return adaptComposeBeforeRenaming((service as { compose: ComposeBeforeRenaming }).compose);
+};
--- a/src/upgrade.test.ts
+++ b/src/upgrade.test.ts
@@ -5,12 +5,15 @@
 import type { JobRecord, JobSpec } from './jobs/model.js';
 import { readRunRecord, storeRun, type RunRecord } from './placement/run-records.js';
 import { playDay, type Day, type Play } from './testing/day.js';
-import { buildProduction, type Production } from './testing/production.js';
+import { buildBeforeRenaming, buildProduction, type Production } from './testing/production.js';
 
 /** The version in production and this one side by side: on each other's records, and on the same day. */
 let old: Production;
+/** The last version before the renaming, whose code has other names for what both send and store. */
+let beforeRenaming: Production['compose'];
 before(async () => {
   old = await buildProduction();
+  beforeRenaming = await buildBeforeRenaming();
 });
 const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
@@ -146,7 +149,24 @@
     ],
   },
 ];
-for (const row of rows)
+for (const row of rows) {
   test(`upgrade: ${row.name}`, { timeout: 240_000 }, async () =>
     assert.deepEqual(await playDay({ ...row, production: old.compose }), []),
   );
+  test(`upgrade from ba59fc1: ${row.name}`, { timeout: 240_000 }, async () =>
+    assert.deepEqual(await playDay({ ...row, production: beforeRenaming }), []),
+  );
+}
+
+/** Without this, an earlier version that its adapter keeps from working would pass as one that is idle. */
+const versions: readonly (readonly [name: string, compose: () => Production['compose']])[] = [
+  ['the version in production', () => old.compose],
+  ['ba59fc1', () => beforeRenaming],
+];
+for (const [name, compose] of versions)
+  test(`upgrade: ${name} by itself serves a day among the stand-ins`, { timeout: 240_000 }, async () =>
+    assert.deepEqual(
+      await playDay({ seed: 64, jobs: 10, runS: [10, 40], troubles: [], production: compose() }),
+      [],
+    ),
+  );
