--- a/packages/fencing/src/audit.ts
+++ b/packages/fencing/src/audit.ts
@@ -1,12 +1,18 @@
-import type { DutyName } from './duties.js';
-import type { FencingToken } from './token.js';
-
 /**
- * Periods of claims and refused effects that are kept for reading: a day of some changes an hour, in a few
- * tens of KiB.
+ * The audit of a process's duties: who held which claim from when to when, and which effects were refused.
+ *
+ * State: {@link DutyAudit} owns bounded lists of both, for the administration API; nothing is decided by
+ * them. `Duty` and the checks of received orders record refusals, and whoever follows the claims in the
+ * state service records holders. Each entry also goes to the listener that the audit was made with, which
+ * logs it.
  */
-const KEPT_PERIODS = 128;
-const KEPT_REFUSALS = 128;
+import type { DutyName } from './duty-definitions.js';
+import type { FencingToken } from './token.js';
+
+/** Ended periods of all claims that stay listed. */
+const MAX_ENDED_PERIODS = 128;
+/** Refused effects that stay listed. */
+const MAX_REFUSALS = 128;
 
 /** For how long somebody held a claim, as seen in the state service. */
 export interface HoldingPeriod {
@@ -16,13 +22,15 @@
   readonly process: string;
   /** ms since the epoch, when this process saw it. */
   readonly from: number;
+  /** ms since the epoch; null: the period has not ended. */
   readonly to: number | null;
+  /** Why it ended; null: it has not. */
   readonly ended: string | null;
 }
 
 /** Why an effect was refused. */
 export type RefusalReason =
-  /** The lease behind the claim may be over. */
+  /** The lease behind the claim may have expired. */
   | 'lease in doubt'
   /** Another process holds the claim, or nobody. */
   | 'claim lost'
@@ -31,7 +39,7 @@
   /** An order of another process carried a token below the highest seen. */
   | 'stale order';
 
-/** An effect that was not carried out because its token, or the right behind it, was no longer good. */
+/** An effect that was not carried out because its token, or the lease behind it, was no longer valid. */
 export interface Refusal {
   readonly duty: DutyName;
   readonly claim: string;
@@ -42,66 +50,73 @@
   readonly at: number;
 }
 
-/** Something that the audit tells a log. */
+/** An entry of the audit, as its listener receives it. */
 export type AuditEvent =
   | { readonly _tag: 'holderChanged'; readonly period: HoldingPeriod }
   | { readonly _tag: 'holderEnded'; readonly period: HoldingPeriod }
   | { readonly _tag: 'refused'; readonly refusal: Refusal };
 
-const keepLast = <T>(list: T[], most: number): void => {
-  if (list.length > most) list.splice(0, list.length - most);
+const dropOldest = (list: unknown[], maxLength: number): void => {
+  if (list.length > maxLength) list.splice(0, list.length - maxLength);
 };
 
 /** A bounded record of who held which claim, why it ended, and which late effects were refused. */
 export class DutyAudit {
-  private readonly ended: HoldingPeriod[] = [];
-  private readonly present = new Map<string, HoldingPeriod>();
+  private readonly endedPeriods: HoldingPeriod[] = [];
+  private readonly currentPeriods = new Map<string, HoldingPeriod>();
   private readonly refusals: Refusal[] = [];
-  /** All refusals since the start, also those that are no longer listed. */
-  refusalCount = 0;
+  private refusedSinceStart = 0;
 
   constructor(
     /** ms since the epoch. */
     private readonly timeOfDay: () => number,
-    private readonly tell: (event: AuditEvent) => void = () => undefined,
+    private readonly onEvent: (event: AuditEvent) => void = () => undefined,
   ) {}
 
-  /** The state service shows a claim with this holder. */
-  holder(claim: string, token: FencingToken, node: string, process: string): void {
-    const known = this.present.get(claim);
+  /** All refusals since the start, also those that are no longer listed. */
+  get refusalCount(): number {
+    return this.refusedSinceStart;
+  }
+
+  /** The state service shows a claim with this holder; nothing changes if it is known already. */
+  recordHolder(claim: string, token: FencingToken, node: string, process: string): void {
+    const known = this.currentPeriods.get(claim);
     if (known?.token === token) return;
-    if (known) this.end(claim, 'taken over');
+    if (known) this.recordEnd(claim, 'taken over');
     const period = { claim, token, node, process, from: this.timeOfDay(), to: null, ended: null };
-    this.present.set(claim, period);
-    this.tell({ _tag: 'holderChanged', period });
+    this.currentPeriods.set(claim, period);
+    this.onEvent({ _tag: 'holderChanged', period });
   }
 
   /** The claim has no holder any more, or another one. */
-  end(claim: string, reason: string): void {
-    const known = this.present.get(claim);
+  recordEnd(claim: string, reason: string): void {
+    const known = this.currentPeriods.get(claim);
     if (!known) return;
-    this.present.delete(claim);
+    this.currentPeriods.delete(claim);
     const period = { ...known, to: this.timeOfDay(), ended: reason };
-    this.ended.push(period);
-    keepLast(this.ended, KEPT_PERIODS);
-    this.tell({ _tag: 'holderEnded', period });
+    this.endedPeriods.push(period);
+    dropOldest(this.endedPeriods, MAX_ENDED_PERIODS);
+    this.onEvent({ _tag: 'holderEnded', period });
   }
 
-  refuse(refusal: Omit<Refusal, 'at'>): void {
+  /** An effect was refused just now. */
+  recordRefusal(refusal: Omit<Refusal, 'at'>): void {
     const entry = { ...refusal, at: this.timeOfDay() };
-    this.refusalCount += 1;
+    this.refusedSinceStart += 1;
     this.refusals.push(entry);
-    keepLast(this.refusals, KEPT_REFUSALS);
-    this.tell({ _tag: 'refused', refusal: entry });
+    dropOldest(this.refusals, MAX_REFUSALS);
+    this.onEvent({ _tag: 'refused', refusal: entry });
   }
 
-  /** Who holds what now, and who did before, the latest last. */
-  periods(claim: string): readonly HoldingPeriod[] {
-    const now = this.present.get(claim);
-    return [...this.ended.filter((period) => period.claim === claim), ...(now ? [now] : [])];
+  /** Who holds the claim now, and who did before, the latest last. */
+  listPeriods(claim: string): readonly HoldingPeriod[] {
+    const current = this.currentPeriods.get(claim);
+    const ended = this.endedPeriods.filter((period) => period.claim === claim);
+    return current === undefined ? ended : [...ended, current];
   }
 
-  refused(duty?: DutyName): readonly Refusal[] {
+  /** The last refused effects, of one duty or of all, the latest last. */
+  listRefusals(duty?: DutyName): readonly Refusal[] {
     return this.refusals.filter((refusal) => duty === undefined || refusal.duty === duty);
   }
 }
--- a/packages/fencing/src/clock.test.ts
+++ b/packages/fencing/src/clock.test.ts
@@ -1,3 +1,4 @@
+/** The clock counts the time for which its host stood still, and never runs behind the steady clock. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SuspensionAwareClock } from './clock.js';
--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -1,11 +1,13 @@
 /**
- * A clock for the right to act. The steady clock of a suspended host stands still while leases run out
- * elsewhere; the time of day goes on, but somebody may set it. Time counts as passed when either of the two
- * says so: a suspension and a jump forward both make a lease look older than it is, which costs at most the
- * duty, and a jump back gives nothing.
+ * A clock that tells whether a lease may still be relied on. The steady clock of a suspended host stands
+ * still while leases expire elsewhere; the time of day goes on, but somebody may set it. Time counts as
+ * passed when either of the two says so: a suspension and a jump forward both make a lease look older than
+ * it is, which costs at most the duty, and a jump back gives nothing.
  *
  * Evidence that something is *over* elsewhere (a worker's lease, say) must not use this clock: it may run
  * ahead.
+ *
+ * State: each clock owns its anchor (a reading of both sources) and the time that it has added.
  */
 
 /**
@@ -35,7 +37,8 @@
 export class SuspensionAwareClock {
   private anchorSteady: number;
   private anchorTimeOfDay: number;
-  private added = 0;
+  /** ms: suspensions and jumps forward so far. */
+  private addedMs = 0;
   /** ms: differences up to this much are clock error, not suspension. */
   readonly toleranceMs: number;
 
@@ -53,18 +56,18 @@
   readonly now = (): number => {
     const steady = this.sources.steady();
     const timeOfDay = this.sources.timeOfDay();
-    const gap = timeOfDay - this.anchorTimeOfDay - (steady - this.anchorSteady);
-    if (gap > this.toleranceMs) {
-      this.added += gap;
-      this.anchor(steady, timeOfDay);
-      this.onGap(gap);
-    } else if (gap < -this.toleranceMs || steady - this.anchorSteady >= ANCHOR_MS) {
-      this.anchor(steady, timeOfDay);
+    const gapMs = timeOfDay - this.anchorTimeOfDay - (steady - this.anchorSteady);
+    if (gapMs > this.toleranceMs) {
+      this.addedMs += gapMs;
+      this.setAnchor(steady, timeOfDay);
+      this.onGap(gapMs);
+    } else if (gapMs < -this.toleranceMs || steady - this.anchorSteady >= ANCHOR_MS) {
+      this.setAnchor(steady, timeOfDay);
     }
-    return steady + this.added;
+    return steady + this.addedMs;
   };
 
-  private anchor(steady: number, timeOfDay: number): void {
+  private setAnchor(steady: number, timeOfDay: number): void {
     this.anchorSteady = steady;
     this.anchorTimeOfDay = timeOfDay;
   }
--- a/packages/fencing/src/duties.ts
+++ b/packages/fencing/src/duty-definitions.ts
@@ -1,6 +1,9 @@
 /**
  * The duties of a deployment, and every effect that each has outside its process. A duty hangs on a claim in
  * the state service; all duties on one claim share its holder and its fencing token.
+ *
+ * The names of duties and effects and the texts on late effects appear in answers of the administration API
+ * and in logs as they stand here. Pure data.
  */
 
 /** How a late effect of a replaced holder is kept from doing harm. */
@@ -20,12 +23,11 @@
   readonly late: string;
 }
 
-/** Which claim a duty hangs on: that of the leader, or that of each share. */
-export type ClaimKind = 'leader' | 'share';
+/** Which claim a duty hangs on: that of the leader, or that of each shard. */
+export type ClaimKind = 'leader' | 'shard';
 
 /** A duty. */
 export interface DutyDefinition {
-  readonly name: DutyName;
   readonly claim: ClaimKind;
   readonly effects: readonly EffectDefinition[];
 }
@@ -43,9 +45,9 @@
 /** The name of a duty of the leader. */
 export type LeaderDutyName = (typeof LEADER_DUTIES)[number];
 
-/** Duties that hang on the claim of each share. */
+/** Duties that hang on the claim of each shard. */
 export const SHARD_DUTIES = ['reclaim', 'clean-up', 'preempt'] as const;
-/** The name of a duty of the holder of a share. */
+/** The name of a duty of the holder of a shard. */
 export type ShardDutyName = (typeof SHARD_DUTIES)[number];
 
 /** Names of all duties. */
@@ -60,9 +62,8 @@
 });
 
 /** All duties with their effects. */
-export const DUTIES: readonly DutyDefinition[] = [
-  {
-    name: 'rent',
+export const DUTY_DEFINITIONS: Readonly<Record<DutyName, DutyDefinition>> = {
+  rent: {
     claim: 'leader',
     effects: [
       conditional('rental intent'),
@@ -74,8 +75,7 @@
       conditional('machine record'),
     ],
   },
-  {
-    name: 'release',
+  release: {
     claim: 'leader',
     effects: [
       {
@@ -86,9 +86,8 @@
       conditional('removal of machine records'),
     ],
   },
-  { name: 'adopt', claim: 'leader', effects: [conditional('machine record')] },
-  {
-    name: 'move',
+  adopt: { claim: 'leader', effects: [conditional('machine record')] },
+  move: {
     claim: 'leader',
     effects: [
       {
@@ -98,8 +97,7 @@
       },
     ],
   },
-  {
-    name: 'reserve',
+  reserve: {
     claim: 'leader',
     effects: [
       {
@@ -109,11 +107,10 @@
       },
     ],
   },
-  { name: 'catalog', claim: 'leader', effects: [conditional('catalog')] },
-  { name: 'protocol-level', claim: 'leader', effects: [conditional('agreed protocol level')] },
-  {
-    name: 'reclaim',
-    claim: 'share',
+  catalog: { claim: 'leader', effects: [conditional('catalog')] },
+  'protocol-level': { claim: 'leader', effects: [conditional('agreed protocol level')] },
+  reclaim: {
+    claim: 'shard',
     effects: [
       conditional('release intent in the machine record'),
       {
@@ -123,14 +120,12 @@
       },
     ],
   },
-  {
-    name: 'clean-up',
-    claim: 'share',
+  'clean-up': {
+    claim: 'shard',
     effects: [conditional('mark for removal'), conditional('removal under the revision of each key')],
   },
-  {
-    name: 'preempt',
-    claim: 'share',
+  preempt: {
+    claim: 'shard',
     effects: [
       {
         name: 'stop command',
@@ -139,13 +134,6 @@
       },
     ],
   },
-];
-
-/** The definition of a duty. */
-export const dutyDefinition = (name: DutyName): DutyDefinition => {
-  const found = DUTIES.find((duty) => duty.name === name);
-  if (!found) throw new Error(`no duty ${name}`);
-  return found;
 };
 
 /** Reads a duty's name; null: there is none of that name. */
--- a/packages/fencing/src/duty-state.test.ts
+++ b/packages/fencing/src/duty-state.test.ts
@@ -1,3 +1,4 @@
+/** The transitions of a duty's state, one row each. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nextDutyState, type DutyEvent, type DutyState } from './duty-state.js';
@@ -50,11 +51,11 @@
     name: 'the lease is in doubt: nothing begins',
     from: { _tag: 'held', token: first, open: 1 },
     event: { _tag: 'suspended' },
-    to: { _tag: 'draining', token: first, open: 1, before: 'held' },
+    to: { _tag: 'draining', token: first, open: 1, resumeAs: 'held' },
   },
   {
     name: 'renewed after all: held again, since nobody else can have acted under the same claim',
-    from: { _tag: 'draining', token: first, open: 1, before: 'held' },
+    from: { _tag: 'draining', token: first, open: 1, resumeAs: 'held' },
     event: { _tag: 'restored' },
     to: { _tag: 'held', token: first, open: 1 },
   },
@@ -62,19 +63,19 @@
     name: 'in doubt before everything was settled: that is still to be done',
     from: { _tag: 'acquiring', token: first, open },
     event: { _tag: 'suspended' },
-    to: { _tag: 'draining', token: first, open, before: 'acquiring' },
+    to: { _tag: 'draining', token: first, open, resumeAs: 'acquiring' },
   },
   {
     name: 'and is, once the lease is renewed',
-    from: { _tag: 'draining', token: first, open, before: 'acquiring' },
+    from: { _tag: 'draining', token: first, open, resumeAs: 'acquiring' },
     event: { _tag: 'restored' },
     to: { _tag: 'acquiring', token: first, open },
   },
   {
     name: 'settled while the lease is in doubt does not count',
-    from: { _tag: 'draining', token: first, open, before: 'acquiring' },
+    from: { _tag: 'draining', token: first, open, resumeAs: 'acquiring' },
     event: { _tag: 'settled', token: first },
-    to: { _tag: 'draining', token: first, open, before: 'acquiring' },
+    to: { _tag: 'draining', token: first, open, resumeAs: 'acquiring' },
   },
   {
     name: 'a duty that is held is not restored',
@@ -84,7 +85,7 @@
   },
   {
     name: 'the claim is gone while calls are under way',
-    from: { _tag: 'draining', token: first, open: 1, before: 'held' },
+    from: { _tag: 'draining', token: first, open: 1, resumeAs: 'held' },
     event: { _tag: 'released' },
     to: { _tag: 'lost', token: first, open: 1 },
   },
--- a/packages/fencing/src/duty-state.ts
+++ b/packages/fencing/src/duty-state.ts
@@ -1,20 +1,27 @@
+/**
+ * The state machine of one duty in one process: its states, the events that change them, and the one
+ * transition function, {@link nextDutyState}. Pure; `Duty` holds the state.
+ */
 import type { FencingToken } from './token.js';
 
 /** The state of one duty in one process. */
 export type DutyState =
   /** This process does not hold the duty, and nothing that it began is under way. */
   | { readonly _tag: 'idle' }
-  /** The claim is this process's; what an earlier holder left open is being settled first. */
+  /**
+   * The claim is this process's; what an earlier holder left open is being settled first. `open`: effects
+   * that are under way, here and below.
+   */
   | { readonly _tag: 'acquiring'; readonly token: FencingToken; readonly open: number }
   /** The one current holder. */
   | { readonly _tag: 'held'; readonly token: FencingToken; readonly open: number }
-  /** The right to act is in doubt: nothing begins, what is under way comes to its end. */
+  /** The lease may have expired: nothing begins, what is under way comes to its end. */
   | {
       readonly _tag: 'draining';
       readonly token: FencingToken;
       readonly open: number;
-      /** What it was before, and is again once the lease is renewed under the same claim. */
-      readonly before: 'acquiring' | 'held';
+      /** The state that the duty returns to once the lease is renewed under the same claim. */
+      readonly resumeAs: 'acquiring' | 'held';
     }
   /** The claim is gone; calls of this process may still be under way. */
   | { readonly _tag: 'lost'; readonly token: FencingToken; readonly open: number };
@@ -25,7 +32,7 @@
   | { readonly _tag: 'claimed'; readonly token: FencingToken }
   /** Everything that earlier holders left open has been settled under this token. */
   | { readonly _tag: 'settled'; readonly token: FencingToken }
-  /** The lease behind the claim may be over. */
+  /** The lease behind the claim may have expired. */
   | { readonly _tag: 'suspended' }
   /** The lease was renewed after all, and the claim is still the same. */
   | { readonly _tag: 'restored' }
@@ -34,7 +41,7 @@
   | { readonly _tag: 'effectBegun'; readonly token: FencingToken }
   | { readonly _tag: 'effectEnded'; readonly token: FencingToken };
 
-/** The token that this process last held the duty under. */
+/** The token that this process last held the duty under; null: it is idle. */
 export const tokenOfState = (state: DutyState): FencingToken | null =>
   state._tag === 'idle' ? null : state.token;
 
@@ -60,11 +67,13 @@
       return state._tag === 'acquiring' && state.token === event.token ? { ...state, _tag: 'held' } : state;
     case 'suspended':
       return state._tag === 'acquiring' || state._tag === 'held'
-        ? { ...state, _tag: 'draining', before: state._tag }
+        ? { ...state, _tag: 'draining', resumeAs: state._tag }
         : state;
     case 'restored':
       // Nobody else acted meanwhile, since the claim is the same: what was settled still is.
-      return state._tag === 'draining' ? { _tag: state.before, token: state.token, open: state.open } : state;
+      return state._tag === 'draining'
+        ? { _tag: state.resumeAs, token: state.token, open: state.open }
+        : state;
     case 'released':
       if (state._tag === 'idle') return state;
       return state.open === 0 ? { _tag: 'idle' } : { _tag: 'lost', token: state.token, open: state.open };
--- a/packages/fencing/src/duty.test.ts
+++ b/packages/fencing/src/duty.test.ts
@@ -1,17 +1,24 @@
+/** Permits are refused once the claim or the lease behind them is in doubt; tokens, receivers, audit. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyAudit, type RefusalReason } from './audit.js';
 import { Duty } from './duty.js';
 import { parseToken, TokenRegister, tokenOf, type FencingToken } from './token.js';
 
-/** A duty that is held under token 5, with the right to act in the test's hands. */
-const heldDuty = (enforce = true) => {
+/** A duty that is held under token 5, with its lease in the test's hands. */
+const heldDuty = (enforceFencing = true) => {
   const audit = new DutyAudit(() => 1_000);
-  const right: { token: FencingToken | null } = { token: tokenOf(5) };
-  const duty = new Duty({ name: 'rent', claim: 'L', right: () => right.token, audit, enforce });
+  const lease: { token: FencingToken | null } = { token: tokenOf(5) };
+  const duty = new Duty({
+    name: 'rent',
+    claim: 'L',
+    actingToken: () => lease.token,
+    audit,
+    enforceFencing,
+  });
   duty.apply({ _tag: 'claimed', token: tokenOf(5) });
   duty.apply({ _tag: 'settled', token: tokenOf(5) });
-  return { audit, right, duty };
+  return { audit, lease, duty };
 };
 
 const rows: readonly {
@@ -23,14 +30,14 @@
   { name: 'nothing happened', happens: () => undefined, proceeds: true },
   {
     name: 'the lease ran out while the effect waited',
-    happens: ({ right }) => (right.token = null),
+    happens: ({ lease }) => (lease.token = null),
     proceeds: false,
     reason: 'lease in doubt',
   },
   {
     name: 'another process took the claim',
-    happens: ({ right, duty }) => {
-      right.token = null;
+    happens: ({ lease, duty }) => {
+      lease.token = null;
       duty.apply({ _tag: 'released' });
     },
     proceeds: false,
@@ -38,9 +45,9 @@
   },
   {
     name: 'lost and regained by the same process: its old call is still an old one',
-    happens: ({ right, duty }) => {
+    happens: ({ lease, duty }) => {
       duty.apply({ _tag: 'released' });
-      right.token = tokenOf(9);
+      lease.token = tokenOf(9);
       duty.apply({ _tag: 'claimed', token: tokenOf(9) });
       duty.apply({ _tag: 'settled', token: tokenOf(9) });
     },
@@ -49,10 +56,10 @@
   },
   {
     name: 'in doubt for a moment, and renewed under the same claim',
-    happens: ({ right, duty }) => {
-      right.token = null;
+    happens: ({ lease, duty }) => {
+      lease.token = null;
       duty.refresh();
-      right.token = tokenOf(5);
+      lease.token = tokenOf(5);
     },
     proceeds: true,
   },
@@ -65,7 +72,7 @@
     row.happens(held);
     assert.equal(permit.mayProceed(), row.proceeds);
     assert.deepEqual(
-      held.audit.refused().map(({ reason, token, effect }) => ({ reason, token, effect })),
+      held.audit.listRefusals().map(({ reason, token, effect }) => ({ reason, token, effect })),
       row.reason === undefined ? [] : [{ reason: row.reason, token: 5, effect: 'rental request' }],
     );
     permit.end();
@@ -73,25 +80,25 @@
   });
 }
 
-test('permit: where fencing is off a lost right is counted, and the effect goes out as before', () => {
-  const { duty, right, audit } = heldDuty(false);
+test('permit: where fencing is off a late effect is counted, and the effect goes out as before', () => {
+  const { duty, lease, audit } = heldDuty(false);
   const permit = duty.begin('rental request');
-  right.token = null;
+  lease.token = null;
   assert.equal(permit?.mayProceed(), true);
   assert.equal(audit.refusalCount, 1);
 });
 
 test('duty: only the current holder begins, and only an acquiring one settles', () => {
-  const { duty, right } = heldDuty();
+  const { duty, lease } = heldDuty();
   assert.equal(duty.beginSettlement('settlement'), null);
-  right.token = null;
+  lease.token = null;
   assert.equal(duty.begin('rental request'), null);
-  right.token = tokenOf(5);
+  lease.token = tokenOf(5);
   assert.equal(duty.beginSettlement('settlement'), null);
   // Guards against a duty that nobody settles again: after an outage machines were neither adopted nor
   // returned.
   assert.ok(duty.begin('rental request'), 'held again under the same claim');
-  right.token = tokenOf(9);
+  lease.token = tokenOf(9);
   duty.apply({ _tag: 'claimed', token: tokenOf(9) });
   assert.equal(duty.begin('rental request'), null, 'what was left open is settled first');
   assert.ok(duty.beginSettlement('settlement'));
@@ -128,19 +135,19 @@
 test('audit: bounded, and says who held what until when', () => {
   let now = 0;
   const audit = new DutyAudit(() => now);
-  audit.holder('L', tokenOf(1), 'a', 'a1');
-  audit.holder('L', tokenOf(1), 'a', 'a1');
+  audit.recordHolder('L', tokenOf(1), 'a', 'a1');
+  audit.recordHolder('L', tokenOf(1), 'a', 'a1');
   now = 50;
-  audit.holder('L', tokenOf(2), 'b', 'b1');
+  audit.recordHolder('L', tokenOf(2), 'b', 'b1');
   now = 70;
-  audit.end('L', 'lease ended');
+  audit.recordEnd('L', 'lease ended');
   assert.deepEqual(
-    audit.periods('L').map(({ node, from, to, ended }) => ({ node, from, to, ended })),
+    audit.listPeriods('L').map(({ node, from, to, ended }) => ({ node, from, to, ended })),
     [
       { node: 'a', from: 0, to: 50, ended: 'taken over' },
       { node: 'b', from: 50, to: 70, ended: 'lease ended' },
     ],
   );
-  for (let token = 3; token < 1_000; token += 1) audit.holder('L', tokenOf(token), 'a', 'a1');
-  assert.ok(audit.periods('L').length < 200);
+  for (let token = 3; token < 1_000; token += 1) audit.recordHolder('L', tokenOf(token), 'a', 'a1');
+  assert.ok(audit.listPeriods('L').length < 200);
 });
--- a/packages/fencing/src/duty.ts
+++ b/packages/fencing/src/duty.ts
@@ -1,33 +1,40 @@
+/**
+ * A duty in one process, and the permits that its effects need.
+ *
+ * State: a {@link Duty} owns its {@link DutyState}, which only `nextDutyState` changes. Whoever follows the
+ * claims in the state service applies events to it; whoever carries out effects asks it for permits.
+ */
 import type { DutyAudit, RefusalReason } from './audit.js';
-import type { DutyName } from './duties.js';
+import type { DutyName } from './duty-definitions.js';
 import { nextDutyState, tokenOfState, type DutyEvent, type DutyState } from './duty-state.js';
 import type { FencingToken } from './token.js';
 
 /** What a duty needs of its process. */
-export interface DutyInput {
+export interface DutyDependencies {
   readonly name: DutyName;
   /** The claim in the state service that the duty hangs on. */
   readonly claim: string;
   /**
-   * The token under which this process may act right now; null: it may not. Read from the clock at each call.
+   * The token under which this process may act right now; null: it may not, because the claim is not its own
+   * or the lease may have expired. Read from the clock at each call.
    */
-  readonly right: () => FencingToken | null;
+  readonly actingToken: () => FencingToken | null;
   readonly audit: DutyAudit;
-  /** Refuses what has lost its right. When off, refusals are only counted: the behaviour before fencing. */
-  readonly enforce: boolean;
+  /** Refuses late effects. When off they go out all the same, and are only recorded in the audit. */
+  readonly enforceFencing: boolean;
 }
 
 /**
- * Leave to carry out one effect. It is asked again immediately before bytes leave the process, after any
- * wait, and for each retry: between the decision and that moment the process may have stood still.
+ * Permission to carry out one effect. It is asked again immediately before bytes leave the process, after
+ * any wait, and for each retry: between the decision and that moment the process may have stood still.
  */
 export interface Permit {
   readonly duty: DutyName;
   readonly claim: string;
   readonly token: FencingToken;
-  /** May the effect be carried out at this very moment? */
+  /** May the effect be carried out at this very moment? A no is recorded in the audit. */
   readonly mayProceed: () => boolean;
-  /** The effect has its answer, or is given up. */
+  /** The effect has its answer, or is given up. Further calls change nothing. */
   readonly end: () => void;
 }
 
@@ -35,13 +42,13 @@
 export class Duty {
   private current: DutyState = { _tag: 'idle' };
 
-  constructor(private readonly input: DutyInput) {}
+  constructor(private readonly dependencies: DutyDependencies) {}
 
   get name(): DutyName {
-    return this.input.name;
+    return this.dependencies.name;
   }
   get claim(): string {
-    return this.input.claim;
+    return this.dependencies.claim;
   }
   get state(): DutyState {
     return this.current;
@@ -51,32 +58,32 @@
     this.current = nextDutyState(this.current, event);
   }
 
-  /** Compares with what the lease says now. */
+  /** Suspends or restores the duty by what the lease says now. */
   refresh(): void {
     const token = tokenOfState(this.current);
-    const hasRight = token !== null && this.input.right() === token;
-    if (this.current._tag === 'draining' && hasRight) this.apply({ _tag: 'restored' });
-    else if (!hasRight) this.apply({ _tag: 'suspended' });
+    const mayAct = token !== null && this.dependencies.actingToken() === token;
+    if (!mayAct) this.apply({ _tag: 'suspended' });
+    else if (this.current._tag === 'draining') this.apply({ _tag: 'restored' });
   }
 
-  /** Leave for an effect of the current holder; null: this process is not that now. */
+  /** A permit for an effect of the current holder; null: this process is not the holder now. */
   begin(effect: string): Permit | null {
     this.refresh();
-    return this.current._tag === 'held' ? this.permit(effect, this.current.token) : null;
+    return this.current._tag === 'held' ? this.createPermit(effect, this.current.token) : null;
   }
 
-  /** Leave for an effect that settles what an earlier holder left open. */
+  /** A permit for settling what an earlier holder left open; null: there is nothing to settle now. */
   beginSettlement(effect: string): Permit | null {
     this.refresh();
-    return this.current._tag === 'acquiring' ? this.permit(effect, this.current.token) : null;
+    return this.current._tag === 'acquiring' ? this.createPermit(effect, this.current.token) : null;
   }
 
-  private permit(effect: string, token: FencingToken): Permit {
+  private createPermit(effect: string, token: FencingToken): Permit {
     this.apply({ _tag: 'effectBegun', token });
     let ended = false;
     return {
-      duty: this.input.name,
-      claim: this.input.claim,
+      duty: this.name,
+      claim: this.claim,
       token,
       mayProceed: () => this.mayProceed(effect, token),
       end: () => {
@@ -89,22 +96,20 @@
 
   private mayProceed(effect: string, token: FencingToken): boolean {
     this.refresh();
-    const { _tag } = this.current;
-    const holds = (_tag === 'held' || _tag === 'acquiring') && tokenOfState(this.current) === token;
-    if (holds) return true;
-    this.input.audit.refuse({
-      duty: this.input.name,
-      claim: this.input.claim,
-      effect,
-      token,
-      reason: this.refusalReason(token),
-    });
-    return !this.input.enforce;
+    if (this.isCurrentTenure(token)) return true;
+    const reason = this.refusalReason(token);
+    this.dependencies.audit.recordRefusal({ duty: this.name, claim: this.claim, effect, token, reason });
+    return !this.dependencies.enforceFencing;
+  }
+
+  private isCurrentTenure(token: FencingToken): boolean {
+    const state = this.current;
+    return (state._tag === 'held' || state._tag === 'acquiring') && state.token === token;
   }
 
   private refusalReason(token: FencingToken): RefusalReason {
-    const held = tokenOfState(this.current);
-    if (held !== null && held > token) return 'later token held';
+    const currentToken = tokenOfState(this.current);
+    if (currentToken !== null && currentToken > token) return 'later token held';
     return this.current._tag === 'draining' ? 'lease in doubt' : 'claim lost';
   }
 }
--- a/packages/fencing/src/fenced-value.ts
+++ b/packages/fencing/src/fenced-value.ts
@@ -1,3 +1,7 @@
+/**
+ * The port through which this package reads and writes a value in the state service that only the holder of
+ * a claim may write. The application implements it over its key-value store.
+ */
 import type { FencingToken } from './token.js';
 
 /** A value of the state service with its revision; revision 0: there is none yet. */
@@ -18,12 +22,12 @@
   | { readonly _tag: 'claimLost' }
   /** The value, or something removed with it, has another revision. */
   | { readonly _tag: 'changed'; readonly keys: readonly string[] }
-  /** Surely not carried out. */
+  /** Certainly not carried out. */
   | { readonly _tag: 'notCarriedOut'; readonly reason: string }
-  /** Carried out, or may be later, or neither. */
+  /** No answer: it was carried out, or may be later, or never. */
   | { readonly _tag: 'unanswered'; readonly reason: string };
 
-/** A key that is removed together with a write, at the revision that was looked at. */
+/** A key that is removed together with a write, at the revision that was read. */
 export interface Removal {
   readonly key: string;
   readonly revision: number;
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -1,24 +1,31 @@
+/**
+ * The garbage collector of one shard: puts tombstones on orphaned keys, and removes the keys in a later
+ * pass.
+ *
+ * State: {@link GarbageCollector} owns its copy of the shard's tombstone record, the record's revision, and
+ * the orphaned keys that have no tombstone yet. The holder of the shard enqueues keys and calls `step`
+ * whenever `hasWork`; a failed step changes nothing and is tried again by a later one, or by a successor.
+ */
+import type { Permit } from './duty.js';
 import type { FencedValue } from './fenced-value.js';
+import type { FencingToken } from './token.js';
+import { readTombstoneRecord, tombstonesThatFit, writeTombstoneRecord } from './tombstone-record-codec.js';
 import {
+  COLLECTION_DELAY_MS,
   dueTombstones,
   EMPTY_TOMBSTONE_RECORD,
-  readTombstoneRecord,
-  COLLECTION_DELAY_MS,
-  tombstonesThatFit,
-  withTombstones,
   withCollected,
   withoutTombstones,
-  writeTombstoneRecord,
+  withTombstones,
+  type OrphanReason,
   type Tombstone,
   type TombstoneRecord,
-  type OrphanReason,
 } from './tombstones.js';
-import type { Permit } from './duty.js';
-import type { FencingToken } from './token.js';
 
-/** A key that seems to be left over; revision null: not known, it has to be read. */
+/** A key that seems to be orphaned. */
 export interface OrphanedKey {
   readonly key: string;
+  /** 0: the key does not exist; null: not known, it has to be read. */
   readonly revision: number | null;
   readonly reason: OrphanReason;
 }
@@ -29,156 +36,174 @@
   | { readonly _tag: 'absent' }
   | { readonly _tag: 'unavailable' };
 
-/** What the remover needs of its share. */
+/** What the garbage collector needs of its shard. */
 export interface GarbageCollectorDependencies {
   readonly value: FencedValue;
-  /** Leave for one step; null: this process does not hold the duty now. */
-  readonly begin: () => Permit | null;
+  /** A permit for one step; null: this process does not hold the duty now. */
+  readonly beginStep: () => Permit | null;
   readonly revisionOf: (key: string) => Promise<RevisionOutcome>;
-  /** Looked at again just before the removal: does the key belong to something after all? */
+  /** Asked just before the removal: does the key belong to something after all? */
   readonly inUse: (key: string) => boolean;
   /** Keys that one transaction may remove at the present rate. */
-  readonly batch: () => number;
+  readonly batchSize: () => number;
   /** bytes: the largest value that may be stored. */
   readonly maxBytes: number;
   /** ms since the epoch. */
   readonly timeOfDay: () => number;
-  readonly removed: (keys: readonly Tombstone[]) => void;
+  /** Called after a removal, with the tombstones of the keys. */
+  readonly onCollected: (collected: readonly Tombstone[]) => void;
 }
 
-/** Marks and removes the left-over keys of one share, under one token. */
+/** Marks and removes the orphaned keys of one shard, under one token. */
 export class GarbageCollector {
-  private book: TombstoneRecord = EMPTY_TOMBSTONE_RECORD;
+  private record: TombstoneRecord = EMPTY_TOMBSTONE_RECORD;
   private revision = 0;
+  /** The record has been read, and no write since is without an answer. */
   private loaded = false;
-  private readonly found: OrphanedKey[] = [];
-  /** ms since the epoch: until then there is no room for more marks. */
+  private readonly unmarked: OrphanedKey[] = [];
+  /** ms since the epoch: until then there is no room for more tombstones. */
   private fullUntil = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly input: GarbageCollectorDependencies) {}
+  constructor(private readonly dependencies: GarbageCollectorDependencies) {}
 
-  /** Has these keys marked, and removed some time. */
-  discard(keys: readonly OrphanedKey[]): void {
-    this.found.push(...keys);
+  /** Has these keys marked, and removed after {@link COLLECTION_DELAY_MS} at the earliest. */
+  enqueue(keys: readonly OrphanedKey[]): void {
+    this.unmarked.push(...keys);
   }
 
-  /** Is there anything to do now? */
-  get due(): boolean {
+  /** Is there anything for `step` to do now? */
+  get hasWork(): boolean {
     if (!this.loaded) return true;
-    if (this.found.length > 0 && this.input.timeOfDay() >= this.fullUntil) return true;
+    if (this.unmarked.length > 0 && this.dependencies.timeOfDay() >= this.fullUntil) return true;
     return this.collectableTombstones().length > 0;
   }
 
-  private collectableTombstones(): readonly Tombstone[] {
-    return dueTombstones(this.book, this.input.timeOfDay(), this.input.batch());
-  }
-
-  /** One step: reads the book, marks a batch or removes one. */
+  /** One step: reads the record, marks a batch of keys or removes one. */
   async step(): Promise<void> {
-    const permit = this.input.begin();
+    const permit = this.dependencies.beginStep();
     if (permit === null) return;
     try {
       if (!this.loaded) await this.load();
-      // What is due goes first: it makes room for more marks.
-      else if (this.collectableTombstones().length > 0) await this.removeDue(permit.token);
-      else if (this.found.length > 0) await this.mark(permit.token);
+      // Removals go first: they make room for more tombstones.
+      else if (this.collectableTombstones().length > 0) await this.removeBatch(permit.token);
+      else if (this.unmarked.length > 0) await this.markBatch(permit.token);
     } finally {
       permit.end();
     }
   }
 
+  private collectableTombstones(): readonly Tombstone[] {
+    return dueTombstones(this.record, this.dependencies.timeOfDay(), this.dependencies.batchSize());
+  }
+
   private async load(): Promise<void> {
-    const outcome = await this.input.value.read();
+    const outcome = await this.dependencies.value.read();
     if (outcome._tag === 'unavailable') return;
-    this.revision = outcome.entry.revision;
-    this.book = this.revision === 0 ? EMPTY_TOMBSTONE_RECORD : readTombstoneRecord(outcome.entry.value);
+    const { value, revision } = outcome.entry;
+    this.revision = revision;
+    this.record = revision === 0 ? EMPTY_TOMBSTONE_RECORD : readTombstoneRecord(value);
     this.loaded = true;
   }
 
-  private async mark(token: FencingToken): Promise<void> {
-    const batch = this.found.splice(0, this.input.batch());
-    const marked: Tombstone[] = [];
-    for (const orphan of batch) {
-      const revision = await this.revisionOf(orphan);
-      if (revision === null) this.found.push(orphan);
-      else if (revision > 0)
-        marked.push({
-          key: orphan.key,
-          revision,
-          reason: orphan.reason,
-          token,
-          at: this.input.timeOfDay(),
-        });
+  private async markBatch(token: FencingToken): Promise<void> {
+    const batch = this.unmarked.splice(0, this.dependencies.batchSize());
+    const tombstones = await this.createTombstones(batch, token);
+    const fitting = tombstonesThatFit(this.record, tombstones, this.dependencies.maxBytes);
+    if (fitting.length < tombstones.length)
+      this.fullUntil = this.dependencies.timeOfDay() + COLLECTION_DELAY_MS;
+    const next = withTombstones(this.record, fitting);
+    const written = fitting.length > 0 && (await this.write(next, [], token));
+    const remaining = written ? tombstones.slice(fitting.length) : tombstones;
+    this.enqueue(remaining.map(({ key, revision, reason }) => ({ key, revision, reason })));
+  }
+
+  /** Tombstones for the keys that exist; those whose revision could not be read are enqueued again. */
+  private async createTombstones(
+    orphans: readonly OrphanedKey[],
+    token: FencingToken,
+  ): Promise<readonly Tombstone[]> {
+    const tombstones: Tombstone[] = [];
+    for (const orphan of orphans) {
+      const outcome = await this.revisionOf(orphan);
+      if (outcome._tag === 'unavailable') this.unmarked.push(orphan);
+      if (outcome._tag !== 'revision') continue;
+      tombstones.push({
+        key: orphan.key,
+        revision: outcome.revision,
+        reason: orphan.reason,
+        token,
+        at: this.dependencies.timeOfDay(),
+      });
     }
-    const fit = tombstonesThatFit(this.book, marked, this.input.maxBytes);
-    if (fit.length < marked.length) this.fullUntil = this.input.timeOfDay() + COLLECTION_DELAY_MS;
-    const written = fit.length > 0 && (await this.write(withTombstones(this.book, fit), [], token));
-    const waiting = written ? marked.slice(fit.length) : marked;
-    this.found.push(...waiting.map(({ key, revision, reason }) => ({ key, revision, reason })));
+    return tombstones;
   }
 
-  /** 0: it is gone already; null: it could not be read. */
-  private async revisionOf(orphan: OrphanedKey): Promise<number | null> {
-    if (orphan.revision !== null) return orphan.revision;
-    const outcome = await this.input.revisionOf(orphan.key);
-    if (outcome._tag === 'unavailable') return null;
-    return outcome._tag === 'absent' ? 0 : outcome.revision;
+  private async revisionOf({ key, revision }: OrphanedKey): Promise<RevisionOutcome> {
+    if (revision === null) return this.dependencies.revisionOf(key);
+    return revision === 0 ? { _tag: 'absent' } : { _tag: 'revision', revision };
   }
 
-  private async removeDue(token: FencingToken): Promise<void> {
-    const now = this.input.timeOfDay();
+  private async removeBatch(token: FencingToken): Promise<void> {
+    const now = this.dependencies.timeOfDay();
     const due = this.collectableTombstones();
-    const again = new Set(due.filter(({ key }) => this.input.inUse(key)).map(({ key }) => key));
-    const gone = due.filter(({ key }) => !again.has(key));
-    const next = withCollected(withoutTombstones(this.book, again), gone, token, now);
-    if (await this.write(next, gone, token)) this.input.removed(gone);
+    const inUse = new Set(due.map(({ key }) => key).filter((key) => this.dependencies.inUse(key)));
+    const collected = due.filter(({ key }) => !inUse.has(key));
+    const next = withCollected(withoutTombstones(this.record, inUse), collected, token, now);
+    if (await this.write(next, collected, token)) this.dependencies.onCollected(collected);
   }
 
-  /** True: written. Else it is tried again later, by whoever holds the duty then. */
+  /**
+   * Writes the record and removes keys in the same transaction. False: not written; it is tried again later,
+   * by whoever holds the duty then.
+   */
   private async write(
     next: TombstoneRecord,
-    gone: readonly Tombstone[],
+    collected: readonly Tombstone[],
     token: FencingToken,
   ): Promise<boolean> {
-    const outcome = await this.input.value.write(
-      writeTombstoneRecord(next, this.input.maxBytes),
+    const outcome = await this.dependencies.value.write(
+      writeTombstoneRecord(next, this.dependencies.maxBytes),
       this.revision,
       token,
-      gone.map(({ key, revision }) => ({ key, revision })),
+      collected.map(({ key, revision }) => ({ key, revision })),
     );
     switch (outcome._tag) {
       case 'written':
         this.revision = outcome.revision;
-        this.book = next;
+        this.record = next;
         return true;
       case 'changed':
-        await this.lookAgain(new Set(outcome.keys), gone);
+        await this.resolveConflict(new Set(outcome.keys), collected);
         return false;
       case 'claimLost':
       case 'notCarriedOut':
         return false;
       case 'unanswered':
-        // Carried out or not: the book says, since it changes with every write.
+        // Carried out or not: the record says, since it changes with every write.
         this.loaded = false;
         return false;
     }
   }
 
   /**
-   * Keys whose revision changed since they were marked are not removed: one that still exists is marked anew.
+   * The write met another revision: of the record, which is then read anew, or of keys to be removed. These
+   * stay; one that still exists, and is not in use, is marked anew.
    */
-  private async lookAgain(changed: ReadonlySet<string>, gone: readonly Tombstone[]): Promise<void> {
-    const affected = gone.filter(({ key }) => changed.has(key));
-    if (affected.length === 0) {
+  private async resolveConflict(
+    conflicting: ReadonlySet<string>,
+    collected: readonly Tombstone[],
+  ): Promise<void> {
+    const changed = collected.filter(({ key }) => conflicting.has(key));
+    if (changed.length === 0) {
       this.loaded = false;
       return;
     }
-    this.book = withoutTombstones(this.book, new Set(affected.map(({ key }) => key)));
-    for (const { key, reason } of affected) {
-      const outcome = await this.input.revisionOf(key);
+    this.record = withoutTombstones(this.record, new Set(changed.map(({ key }) => key)));
+    for (const { key, reason } of changed) {
+      const outcome = await this.dependencies.revisionOf(key);
       if (outcome._tag === 'absent') continue;
       const revision = outcome._tag === 'revision' ? outcome.revision : null;
-      if (!this.input.inUse(key)) this.found.push({ key, revision, reason });
+      if (!this.dependencies.inUse(key)) this.enqueue([{ key, revision, reason }]);
     }
   }
 }
--- a/packages/fencing/src/history.test.ts
+++ b/packages/fencing/src/history.test.ts
@@ -1,124 +1,131 @@
+/**
+ * Histories of pauses, suspensions, clock jumps, lost and late messages: no late effect of a replaced
+ * holder lands.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
-import { HistoryWorld, type Step } from './testing/history.js';
+import { HistorySimulation, type HistoryStep } from './testing/history.js';
 
-/** Histories in CI; `FENCING_HISTORIES` plays more by hand, from a seed of its own (`FENCING_SEED`). */
-const HISTORIES = Number(process.env['FENCING_HISTORIES'] ?? 400);
-const SEED = Number(process.env['FENCING_SEED'] ?? 20_261_202);
+/** Histories in CI; `FENCING_HISTORIES` runs more by hand, from a seed of its own (`FENCING_SEED`). */
+const HISTORIES = Number(process.env.FENCING_HISTORIES ?? 400);
+const SEED = Number(process.env.FENCING_SEED ?? 20_261_202);
 const PROCESSES = 3;
 const HOUR_MS = 3_600_000;
-/** Steps of a shrunk history that a person still reads at a glance: two paused rentals at most. */
+/** Steps of a shrunk history that a person still reads at a glance: two paused requests at most. */
 const READABLE_STEPS = 20;
 
 const anyProcess = fc.nat({ max: PROCESSES - 1 });
-const advanceBy = (ms: number): Step => ({ _tag: 'advance', ms });
+const advanceBy = (ms: number): HistoryStep => ({ _tag: 'advance', ms });
 
-const single: fc.Arbitrary<Step> = fc.oneof(
+const single: fc.Arbitrary<HistoryStep> = fc.oneof(
   { weight: 6, arbitrary: fc.integer({ min: 1, max: 4_000 }).map(advanceBy) },
-  { weight: 6, arbitrary: anyProcess.map((process): Step => ({ _tag: 'rent', process })) },
-  { weight: 1, arbitrary: anyProcess.map((process): Step => ({ _tag: 'stop', process })) },
-  { weight: 1, arbitrary: anyProcess.map((process): Step => ({ _tag: 'suspend', process })) },
-  { weight: 3, arbitrary: anyProcess.map((process): Step => ({ _tag: 'resume', process })) },
+  { weight: 6, arbitrary: anyProcess.map((process): HistoryStep => ({ _tag: 'provision', process })) },
+  { weight: 1, arbitrary: anyProcess.map((process): HistoryStep => ({ _tag: 'stop', process })) },
+  { weight: 1, arbitrary: anyProcess.map((process): HistoryStep => ({ _tag: 'suspend', process })) },
+  { weight: 3, arbitrary: anyProcess.map((process): HistoryStep => ({ _tag: 'resume', process })) },
   {
     weight: 1,
     arbitrary: fc
       .tuple(anyProcess, fc.integer({ min: -HOUR_MS, max: HOUR_MS }))
-      .map(([process, ms]): Step => ({ _tag: 'setTime', process, ms })),
+      .map(([process, ms]): HistoryStep => ({ _tag: 'setTime', process, ms })),
   },
   {
     weight: 3,
     arbitrary: fc
       .tuple(fc.nat({ max: 9 }), fc.boolean())
-      .map(([index, again]): Step => ({ _tag: 'deliver', index, again })),
+      .map(([index, again]): HistoryStep => ({ _tag: 'deliver', index, again })),
   },
   {
     weight: 1,
     arbitrary: fc
       .constantFrom('answer lost' as const, 'late' as const, 'refused' as const)
-      .map((how): Step => ({ _tag: 'nextWrite', how })),
+      .map((how): HistoryStep => ({ _tag: 'nextWrite', how })),
   },
-  { weight: 1, arbitrary: fc.constant<Step>({ _tag: 'deliverWrites' }) },
+  { weight: 1, arbitrary: fc.constant<HistoryStep>({ _tag: 'deliverWrites' }) },
 );
 
 /**
- * A process rents, and stands still for about a lease somewhere on the way. Single steps alone seldom come to
- * that.
+ * A process sends a request, and stands still for about a lease somewhere on the way. Single steps alone
+ * seldom come to that.
  */
-const pausedRental: fc.Arbitrary<readonly Step[]> = fc
+const pausedRequest: fc.Arbitrary<readonly HistoryStep[]> = fc
   .record({
     process: anyProcess,
-    halt: fc.constantFrom('stop' as const, 'suspend' as const),
+    how: fc.constantFrom('stop' as const, 'suspend' as const),
     stepsBefore: fc.nat({ max: 2 }),
     pauses: fc.array(fc.integer({ min: 500, max: 4_000 }), { minLength: 1, maxLength: 5 }),
   })
-  .map(({ process, halt, stepsBefore, pauses }): readonly Step[] => [
+  .map(({ process, how, stepsBefore, pauses }): readonly HistoryStep[] => [
     advanceBy(1),
     advanceBy(1),
-    { _tag: 'rent', process },
+    { _tag: 'provision', process },
     ...Array.from({ length: stepsBefore }, () => advanceBy(1)),
-    { _tag: halt, process },
+    { _tag: how, process },
     ...pauses.map(advanceBy),
     { _tag: 'resume', process },
   ]);
 
-const history: fc.Arbitrary<readonly Step[]> = fc
+const history: fc.Arbitrary<readonly HistoryStep[]> = fc
   .array(
     fc.oneof(
-      { weight: 3, arbitrary: single.map((step): readonly Step[] => [step]) },
-      { weight: 1, arbitrary: pausedRental },
+      { weight: 3, arbitrary: single.map((step): readonly HistoryStep[] => [step]) },
+      { weight: 1, arbitrary: pausedRequest },
     ),
     { minLength: 4, maxLength: 30 },
   )
   .map((parts) => parts.flat());
 
-const play = async (steps: readonly Step[], enforce: boolean): Promise<HistoryWorld> => {
-  const world = new HistoryWorld(PROCESSES, enforce);
-  await world.play(steps);
-  return world;
+const runHistory = async (
+  steps: readonly HistoryStep[],
+  enforceFencing: boolean,
+): Promise<HistorySimulation> => {
+  const simulation = new HistorySimulation(PROCESSES, enforceFencing);
+  await simulation.run(steps);
+  return simulation;
 };
 
 test(`histories: ${HISTORIES} drawn ones, no late action lands`, async () => {
   let refused = 0;
   await fc.assert(
     fc.asyncProperty(history, async (steps) => {
-      const world = await play(steps, true);
-      refused += world.audit.refusalCount;
-      assert.deepEqual(world.violations, []);
+      const simulation = await runHistory(steps, true);
+      refused += simulation.audit.refusalCount;
+      assert.deepEqual(simulation.violations, []);
     }),
     { seed: SEED, numRuns: HISTORIES },
   );
   // Histories in which nothing had to be refused would show nothing.
   assert.ok(refused > 0, 'some late actions were refused');
-  if (process.env['FENCING_HISTORIES'] !== undefined)
+  if (process.env.FENCING_HISTORIES !== undefined)
     console.log(`${HISTORIES} histories from seed ${SEED}: ${refused} late actions refused, none landed`);
 });
 
 test('histories: with fencing taken out the checker finds a late action, and shrinks it to a few steps', async () => {
   const found = await fc.check(
-    fc.asyncProperty(history, async (steps) => (await play(steps, false)).violations.length === 0),
+    fc.asyncProperty(history, async (steps) => (await runHistory(steps, false)).violations.length === 0),
     { seed: SEED, numRuns: HISTORIES },
   );
   assert.ok(found.failed, 'the checker would not notice a missing fence');
   const [steps] = found.counterexample ?? [[]];
   assert.ok(steps.length <= READABLE_STEPS, JSON.stringify(steps));
-  const { violations } = await play(steps, false);
+  const { violations } = await runHistory(steps, false);
   assert.equal(violations[0]?.rule, 'late send');
-  assert.deepEqual((await play(steps, true)).violations, [], 'and fencing is what prevents it');
+  assert.deepEqual((await runHistory(steps, true)).violations, [], 'and fencing is what prevents it');
 });
 
 /** The first process holds the duty; a successor is there after the pause. */
-const held: readonly Step[] = [advanceBy(1), advanceBy(1), advanceBy(1)];
-const pause: readonly Step[] = [advanceBy(4_000), advanceBy(1_200), advanceBy(10), advanceBy(10)];
-const woken: readonly Step[] = [{ _tag: 'resume', process: 0 }, advanceBy(10), advanceBy(10)];
-const provision: Step = { _tag: 'rent', process: 0 };
-const stop: Step = { _tag: 'stop', process: 0 };
-const suspend: Step = { _tag: 'suspend', process: 0 };
-const arrives: Step = { _tag: 'deliver', index: 0, again: false };
+const held: readonly HistoryStep[] = [advanceBy(1), advanceBy(1), advanceBy(1)];
+const pause: readonly HistoryStep[] = [advanceBy(4_000), advanceBy(1_200), advanceBy(10), advanceBy(10)];
+const woken: readonly HistoryStep[] = [{ _tag: 'resume', process: 0 }, advanceBy(10), advanceBy(10)];
+const provision: HistoryStep = { _tag: 'provision', process: 0 };
+const stop: HistoryStep = { _tag: 'stop', process: 0 };
+const suspend: HistoryStep = { _tag: 'suspend', process: 0 };
+const arrives: HistoryStep = { _tag: 'deliver', index: 0, again: false };
 
 const scripted: readonly {
   name: string;
-  steps: readonly Step[];
+  steps: readonly HistoryStep[];
   /** Without fencing the same history breaks a rule. */
   needsFencing: boolean;
 }[] = [
@@ -172,7 +179,7 @@
       advanceBy(1),
       stop,
       ...pause,
-      { _tag: 'rent', process: 1 },
+      { _tag: 'provision', process: 1 },
       advanceBy(1),
       { _tag: 'stop', process: 1 },
       ...pause,
@@ -218,7 +225,11 @@
 ];
 for (const row of scripted) {
   test(`history: ${row.name}`, async () => {
-    assert.deepEqual((await play(row.steps, true)).violations, []);
-    assert.equal((await play(row.steps, false)).violations.length > 0, row.needsFencing, 'without fencing');
+    assert.deepEqual((await runHistory(row.steps, true)).violations, []);
+    assert.equal(
+      (await runHistory(row.steps, false)).violations.length > 0,
+      row.needsFencing,
+      'without fencing',
+    );
   });
 }
--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -1,13 +1,13 @@
+/** Provisioning requests are durable before they are sent, and a successor finds those that are left open. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  INTENT_FRESH_MS,
-  readProvisioningRecord,
+  INTENT_REPEAT_WINDOW_MS,
   settlementsFor,
-  writeProvisioningRecord,
   EMPTY_PROVISIONING_RECORD,
   type ProvisioningIntent,
-} from './provisioning-intent.js';
+} from './provisioning-record.js';
+import { readProvisioningRecord, writeProvisioningRecord } from './provisioning-record-codec.js';
 import { ProvisioningJournal } from './provisioning-journal.js';
 import type { WriteOutcome } from './fenced-value.js';
 import { storedBytes } from './stored-size.js';
@@ -15,7 +15,8 @@
 import { tokenOf } from './token.js';
 
 const token = tokenOf(5);
-const ROOMY = 16 * 1024;
+/** bytes: room for every record of these tests. */
+const MAX_BYTES = 16 * 1024;
 const intent = (name: string, at = 0): ProvisioningIntent => ({
   name,
   machineType: 'g8',
@@ -28,7 +29,7 @@
 const journalOn = async (
   value: MemoryValue,
   under = token,
-  maxBytes = ROOMY,
+  maxBytes = MAX_BYTES,
 ): Promise<ProvisioningJournal> => {
   const journal = new ProvisioningJournal({
     value,
@@ -52,11 +53,11 @@
   { name: 'refused: nothing may be sent', next: 'refused', outcome: 'unavailable', durable: [] },
 ];
 for (const row of opened) {
-  test(`rental journal: ${row.name}`, async () => {
+  test(`provisioning journal: ${row.name}`, async () => {
     const value = new MemoryValue(token);
     const journal = await journalOn(value);
-    value.next = row.next;
-    assert.equal(await journal.open(intent('r-5-1')), row.outcome);
+    value.nextWrite = row.next;
+    assert.equal(await journal.announce(intent('r-5-1')), row.outcome);
     assert.deepEqual(stored(value), row.durable);
     assert.deepEqual(
       value.deliverLate().map(({ _tag }) => _tag),
@@ -66,30 +67,31 @@
   });
 }
 
-test('rental journal: requests of one turn share a write, and outcomes go along with the next', async () => {
+test('provisioning journal: requests of one turn share a write, and outcomes go along with the next', async () => {
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
-  await Promise.all(['r-5-1', 'r-5-2', 'r-5-3'].map((name) => journal.open(intent(name))));
+  await Promise.all(['r-5-1', 'r-5-2', 'r-5-3'].map((name) => journal.announce(intent(name))));
   assert.equal(value.writes, 1);
-  journal.close('r-5-1', 'rented', 2);
-  journal.close('r-5-2', 'no capacity');
-  await journal.open(intent('r-5-4'));
+  journal.recordOutcome('r-5-1', 'rented', 2);
+  journal.recordOutcome('r-5-2', 'no capacity');
+  await journal.announce(intent('r-5-4'));
   assert.equal(value.writes, 2);
   assert.deepEqual(stored(value), ['r-5-3', 'r-5-4']);
   await settle();
   assert.equal(value.writes, 2, 'nothing is left to say');
 });
 
-test('rental journal: a replaced holder announces nothing', async () => {
+test('provisioning journal: a replaced holder announces nothing', async () => {
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
   value.claim = tokenOf(9);
-  assert.equal(await journal.open(intent('r-5-1')), 'claim lost');
+  assert.equal(await journal.announce(intent('r-5-1')), 'claim lost');
   assert.deepEqual(stored(value), []);
 });
 
-test('rental journal: what was given up without an answer and applied late is taken back', async () => {
-  // Its request was never sent; a successor that found it open would rent machines that nobody asked for.
+test('provisioning journal: what was given up without an answer and applied late is taken back', async () => {
+  // Its request was never sent; a successor that found it open would provision machines that nobody asked
+  // for.
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
   const write = value.write;
@@ -97,25 +99,25 @@
   Object.assign(value, {
     write: (...args: Parameters<typeof write>) => {
       tries += 1;
-      if (tries <= 4) value.next = 'late';
+      if (tries <= 4) value.nextWrite = 'late';
       return write(...args);
     },
   });
-  assert.equal(await journal.open(intent('r-5-1')), 'unavailable');
+  assert.equal(await journal.announce(intent('r-5-1')), 'unavailable');
   assert.equal(value.deliverLate()[0]?._tag, 'written');
-  assert.equal(await journal.open(intent('r-5-2')), 'unavailable', 'the condition failed: read anew');
-  assert.equal(await journal.open(intent('r-5-3')), 'announced');
+  assert.equal(await journal.announce(intent('r-5-2')), 'unavailable', 'the condition failed: read anew');
+  assert.equal(await journal.announce(intent('r-5-3')), 'announced');
   assert.deepEqual(stored(value), ['r-5-3']);
 });
 
-test('rental journal: a successor finds what was left open, fresh or not', async () => {
+test('provisioning journal: a successor repeats a recent request that was left open, and abandons an older one', async () => {
   const value = new MemoryValue(token);
-  await (await journalOn(value)).open(intent('r-5-1', 0));
+  await (await journalOn(value)).announce(intent('r-5-1', 0));
   value.claim = tokenOf(9);
   const successor = await journalOn(value, tokenOf(9));
   const ages: readonly { now: number; how: string }[] = [
-    { now: INTENT_FRESH_MS, how: 'repeat' },
-    { now: INTENT_FRESH_MS + 1, how: 'abandon' },
+    { now: INTENT_REPEAT_WINDOW_MS, how: 'repeat' },
+    { now: INTENT_REPEAT_WINDOW_MS + 1, how: 'abandon' },
     // Its holder's clock was ahead.
     { now: -60_000, how: 'repeat' },
   ];
@@ -140,40 +142,40 @@
   { name: 'a share that is no number', value: { t: 1, o: [{ ...good, s: ['0'] }] }, open: 0, aside: 1 },
 ];
 for (const row of malformed) {
-  test(`rental intents, malformed: ${row.name}`, () => {
-    const book = readProvisioningRecord(row.value);
-    assert.equal(book.open.length, row.open);
-    assert.equal(book.malformed.length, row.aside, 'kept aside, never acted on');
+  test(`provisioning record, malformed: ${row.name}`, () => {
+    const record = readProvisioningRecord(row.value);
+    assert.equal(record.open.length, row.open);
+    assert.equal(record.malformed.length, row.aside, 'kept aside, never acted on');
     assert.equal(
-      readProvisioningRecord(writeProvisioningRecord(book, token, ROOMY)).malformed.length,
+      readProvisioningRecord(writeProvisioningRecord(record, token, MAX_BYTES)).malformed.length,
       row.aside,
       'and still there',
     );
   });
 }
 
-test('rental intents: written and read back, with as many outcomes as are kept', () => {
-  const settledRentals = Array.from({ length: 24 }, (_, n) => ({
+test('provisioning record: written and read back, with as many outcomes as are kept', () => {
+  const settled = Array.from({ length: 24 }, (_, n) => ({
     name: `r-1-${n}`,
     outcome: 'rented' as const,
     machines: 1,
     at: n,
   }));
-  const book = { ...EMPTY_PROVISIONING_RECORD, token, open: [intent('r-5-1')], settled: settledRentals };
+  const record = { ...EMPTY_PROVISIONING_RECORD, token, open: [intent('r-5-1')], settled };
   assert.deepEqual(
-    readProvisioningRecord(JSON.parse(JSON.stringify(writeProvisioningRecord(book, token, ROOMY)))),
-    book,
+    readProvisioningRecord(JSON.parse(JSON.stringify(writeProvisioningRecord(record, token, MAX_BYTES)))),
+    record,
   );
 });
 
-test('rental journal: where values are small old outcomes make way, and requests that do not fit wait', async () => {
-  // Guards against a book that outgrew a value of 2 KiB: every write was refused, and nothing was rented any
+test('provisioning journal: where values are small old outcomes make way, and requests that do not fit wait', async () => {
+  // A record that outgrew its value would be refused at every write, and nothing would be provisioned any
   // more.
   const value = new MemoryValue(token);
   const journal = await journalOn(value, token, 600);
   for (let n = 1; n <= 30; n += 1) {
-    assert.equal(await journal.open(intent(`r-5-${n}`)), 'announced');
-    journal.close(`r-5-${n}`, 'rented', 2);
+    assert.equal(await journal.announce(intent(`r-5-${n}`)), 'announced');
+    journal.recordOutcome(`r-5-${n}`, 'rented', 2);
   }
   assert.ok(storedBytes(value.entry.value) <= 600);
   assert.equal(
@@ -182,7 +184,7 @@
     'the newest are kept',
   );
   const outcomes = await Promise.all(
-    Array.from({ length: 12 }, (_, n) => journal.open(intent(`r-5-${100 + n}`))),
+    Array.from({ length: 12 }, (_, n) => journal.announce(intent(`r-5-${100 + n}`))),
   );
   const announced = outcomes.filter((outcome) => outcome === 'announced').length;
   assert.ok(announced > 0 && announced < 12, outcomes.join());
@@ -190,20 +192,20 @@
   assert.ok(storedBytes(value.entry.value) <= 600);
 });
 
-test('rental journal: a request that is announced while outcomes fail to be written is not left waiting', async () => {
-  // Guards against an announcement that nobody took up: its kind of machine was not rented any more.
+test('provisioning journal: a request that is announced while outcomes fail to be written is not left waiting', async () => {
+  // An announcement that no write takes up would keep its kind of machine from being provisioned.
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
-  await journal.open(intent('r-5-1'));
+  await journal.announce(intent('r-5-1'));
   const write = value.write;
   let refuse = (): void => undefined;
-  const refused: Promise<WriteOutcome> = new Promise((resolve) => {
+  const refused = new Promise<WriteOutcome>((resolve) => {
     refuse = () => resolve({ _tag: 'notCarriedOut', reason: 'status 503' });
   });
   Object.assign(value, { write: () => refused });
-  journal.close('r-5-1', 'rented', 1);
+  journal.recordOutcome('r-5-1', 'rented', 1);
   await settle();
-  const second = journal.open(intent('r-5-2'));
+  const second = journal.announce(intent('r-5-2'));
   Object.assign(value, { write });
   refuse();
   assert.equal(await Promise.race([second, settle().then(() => 'left waiting')]), 'announced');
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -1,15 +1,25 @@
+/**
+ * The journal of provisioning requests: makes each one durable before it is sent, and notes its outcome.
+ *
+ * State: {@link ProvisioningJournal} owns the holder's copy of the record, its revision in the state
+ * service, and what waits for the next write. Scale out announces requests and records outcomes; a new
+ * leader loads the record first and settles what was left open.
+ */
 import type { FencedValue } from './fenced-value.js';
+import {
+  readProvisioningEntry,
+  writeProvisioningRecord,
+  type StoredProvisioningRecord,
+} from './provisioning-record-codec.js';
 import {
   EMPTY_PROVISIONING_RECORD,
-  readProvisioningRecord,
   withOpened,
   withSettled,
-  writeProvisioningRecord,
-  type ProvisioningRecord,
   type ProvisioningIntent,
   type ProvisioningOutcome,
+  type ProvisioningRecord,
   type SettledProvisioning,
-} from './provisioning-intent.js';
+} from './provisioning-record.js';
 import type { FencingToken } from './token.js';
 
 /**
@@ -17,9 +27,9 @@
  * vain.
  */
 const OUTCOME_DELAY_MS = 3_000;
-/** Times that a write without an answer is looked for. */
-const WRITE_TRIES = 4;
-/** ms: pause before looking for a write without an answer. */
+/** Attempts of a write that gets no answer. */
+const WRITE_ATTEMPTS = 4;
+/** ms: pause before the next attempt of a write without an answer. */
 const RETRY_MS = 300;
 
 /** What the journal needs of its process. */
@@ -32,136 +42,145 @@
   readonly sleep: (ms: number) => Promise<void>;
 }
 
-/** Whether requests may be sent. */
-export type OpenOutcome = 'announced' | 'claim lost' | 'unavailable';
+/** Whether a request may be sent; logged in these words. */
+export type AnnouncementOutcome =
+  /** It is durable: send it. */
+  | 'announced'
+  /** Another process holds the duty, or the record has not been loaded in this tenure. */
+  | 'claim lost'
+  /** It is not durable now: the state service does not answer or refuses, or the record is full. */
+  | 'unavailable';
 
 interface Announcement {
   readonly intent: ProvisioningIntent;
-  readonly settle: (outcome: OpenOutcome) => void;
+  readonly settle: (outcome: AnnouncementOutcome) => void;
 }
 
 /**
- * The holder's side of the durable rental intents. Requests that are announced at the same time share one
- * write, and outcomes go along with the next one: a wave of rentals costs one change of the state service,
- * not two a request.
+ * The holder's side of the durable intents. Requests that are announced at the same time share one write,
+ * and outcomes go along with the next one: a wave of requests costs one change of the state service, not
+ * two a request.
  */
 export class ProvisioningJournal {
-  private book: ProvisioningRecord = EMPTY_PROVISIONING_RECORD;
+  private record: ProvisioningRecord = EMPTY_PROVISIONING_RECORD;
   private revision = 0;
   private token: FencingToken | null = null;
-  private announcements: Announcement[] = [];
-  private outcomes: SettledProvisioning[] = [];
-  /** Requests of this tenure that are not over. */
-  private readonly live = new Set<string>();
+  private readonly pendingAnnouncements: Announcement[] = [];
+  private pendingOutcomes: SettledProvisioning[] = [];
+  /** Names of requests of this tenure that are not over. */
+  private readonly liveNames = new Set<string>();
   private writing = false;
-  private outcomeTimer = false;
-  /** Writes made, for measuring what the intents cost. */
-  writes = 0;
+  private delayedWriteSet = false;
 
-  constructor(private readonly input: ProvisioningJournalDependencies) {}
+  constructor(private readonly dependencies: ProvisioningJournalDependencies) {}
 
   /** The open requests and the last outcomes, as this process knows them. */
   get current(): ProvisioningRecord {
-    return this.book;
+    return this.record;
   }
 
   /** Reads what earlier holders left, at the beginning of a tenure; null: it could not be read. */
   async load(token: FencingToken): Promise<ProvisioningRecord | null> {
-    const outcome = await this.input.value.read();
+    const outcome = await this.dependencies.value.read();
     if (outcome._tag === 'unavailable') return null;
-    const { value, revision } = outcome.entry;
-    this.book = revision === 0 ? EMPTY_PROVISIONING_RECORD : readProvisioningRecord(value);
-    this.revision = revision;
+    this.record = readProvisioningEntry(outcome.entry);
+    this.revision = outcome.entry.revision;
     this.token = token;
-    this.outcomes = [];
-    this.live.clear();
-    for (const intent of this.book.open) this.live.add(intent.name);
-    return this.book;
+    this.pendingOutcomes = [];
+    this.liveNames.clear();
+    for (const intent of this.record.open) this.liveNames.add(intent.name);
+    return this.record;
   }
 
   /** Makes a request durable before it is sent. */
-  open(intent: ProvisioningIntent): Promise<OpenOutcome> {
+  announce(intent: ProvisioningIntent): Promise<AnnouncementOutcome> {
     return new Promise((resolve) => {
-      this.live.add(intent.name);
-      this.announcements.push({
+      this.liveNames.add(intent.name);
+      this.pendingAnnouncements.push({
         intent,
         settle: (outcome) => {
-          if (outcome !== 'announced') this.live.delete(intent.name);
+          if (outcome !== 'announced') this.liveNames.delete(intent.name);
           resolve(outcome);
         },
       });
-      void this.flush();
+      void this.writePending();
     });
   }
 
-  /** A request is over. */
-  close(name: string, outcome: ProvisioningOutcome, machines = 0): void {
-    this.live.delete(name);
-    this.outcomes.push({ name, outcome, machines, at: this.input.timeOfDay() });
-    this.flushLater();
+  /** A request is over; the outcome is written with the next announcement, or after a delay. */
+  recordOutcome(name: string, outcome: ProvisioningOutcome, machines = 0): void {
+    this.liveNames.delete(name);
+    this.pendingOutcomes.push({ name, outcome, machines, at: this.dependencies.timeOfDay() });
+    this.writePendingLater();
   }
 
-  private flushLater(): void {
-    if (this.outcomeTimer) return;
-    this.outcomeTimer = true;
-    void this.input.sleep(OUTCOME_DELAY_MS).then(() => {
-      this.outcomeTimer = false;
-      void this.flush();
+  private writePendingLater(): void {
+    if (this.delayedWriteSet) return;
+    this.delayedWriteSet = true;
+    void this.dependencies.sleep(OUTCOME_DELAY_MS).then(() => {
+      this.delayedWriteSet = false;
+      void this.writePending();
     });
   }
 
-  private async flush(): Promise<void> {
+  /** Writes what is pending, one write at a time, until nothing is or the state service is unavailable. */
+  private async writePending(): Promise<void> {
     if (this.writing) return;
     this.writing = true;
     // What is announced in the same turn goes along.
     await Promise.resolve();
-    while (this.announcements.length + this.outcomes.length > 0) {
-      const announced = this.announcements.splice(0);
-      const outcomes = this.outcomes.splice(0);
-      const result = await this.commit(announced, outcomes);
-      for (const { settle } of announced) settle(result);
-      // A lost claim makes them the successor's to settle; else they wait for the next write.
-      if (result === 'unavailable') this.outcomes.unshift(...outcomes);
+    while (this.pendingAnnouncements.length + this.pendingOutcomes.length > 0) {
+      const announcements = this.pendingAnnouncements.splice(0);
+      const outcomes = this.pendingOutcomes.splice(0);
+      const result = await this.writeBatch(announcements, outcomes);
+      for (const { settle } of announcements) settle(result);
+      // After a lost claim the outcomes are the successor's to settle; else they wait for the next write.
+      if (result === 'unavailable') this.pendingOutcomes.unshift(...outcomes);
       // Whoever announced something meanwhile waits for its own write.
-      if (result === 'unavailable' && this.announcements.length === 0) break;
+      if (result === 'unavailable' && this.pendingAnnouncements.length === 0) break;
     }
-    if (this.outcomes.length > 0) this.flushLater();
+    if (this.pendingOutcomes.length > 0) this.writePendingLater();
     this.writing = false;
   }
 
-  private async commit(
-    announced: readonly Announcement[],
+  private async writeBatch(
+    announcements: readonly Announcement[],
     outcomes: readonly SettledProvisioning[],
-  ): Promise<OpenOutcome> {
+  ): Promise<AnnouncementOutcome> {
     const token = this.token;
     if (token === null) return 'claim lost';
     const next = withOpened(
-      withSettled(this.book, outcomes),
-      announced.map(({ intent }) => intent),
+      withSettled(this.record, outcomes),
+      announcements.map(({ intent }) => intent),
     );
-    const stored = writeProvisioningRecord(next, token, this.input.maxBytes);
-    if (stored === null) return this.commitFewer(announced, outcomes);
-    const result = await this.writeSurely(stored, token);
-    if (result === 'announced' && this.token === token) this.book = next;
+    const stored = writeProvisioningRecord(next, token, this.dependencies.maxBytes);
+    if (stored === null) return this.writeSmallerBatch(announcements, outcomes);
+    const result = await this.writeWithRetries(stored, token);
+    if (result === 'announced' && this.token === token) this.record = next;
     return result;
   }
 
-  /** Not all requests fit in one value: the last one waits until others are over. */
-  private commitFewer(
-    announced: readonly Announcement[],
+  /** Not all requests fit in one value: the last one has to wait until others are over. */
+  private writeSmallerBatch(
+    announcements: readonly Announcement[],
     outcomes: readonly SettledProvisioning[],
-  ): Promise<OpenOutcome> {
-    announced.at(-1)?.settle('unavailable');
-    return announced.length === 0
+  ): Promise<AnnouncementOutcome> {
+    announcements.at(-1)?.settle('unavailable');
+    return announcements.length === 0
       ? Promise.resolve('unavailable')
-      : this.commit(announced.slice(0, -1), outcomes);
+      : this.writeBatch(announcements.slice(0, -1), outcomes);
   }
 
-  /** Without an answer the write may still be applied later; its condition then tells whether it was. */
-  private async writeSurely(stored: unknown, token: FencingToken): Promise<OpenOutcome> {
-    for (let tries = 0; tries < WRITE_TRIES; tries += 1) {
-      this.writes += 1;
-      const outcome = await this.input.value.write(stored, this.revision, token);
+  /**
+   * Without an answer a write may still be applied later. It is repeated on the same condition, which then
+   * tells whether it was.
+   */
+  private async writeWithRetries(
+    stored: StoredProvisioningRecord,
+    token: FencingToken,
+  ): Promise<AnnouncementOutcome> {
+    for (let attempt = 0; attempt < WRITE_ATTEMPTS; attempt += 1) {
+      const outcome = await this.dependencies.value.write(stored, this.revision, token);
       switch (outcome._tag) {
         case 'written':
           this.revision = outcome.revision;
@@ -169,35 +188,36 @@
         case 'claimLost':
           return 'claim lost';
         case 'changed':
-          return this.adopted(stored);
+          return this.resolveConflict(stored);
         case 'notCarriedOut':
           return 'unavailable';
         case 'unanswered':
-          await this.input.sleep(RETRY_MS);
+          await this.dependencies.sleep(RETRY_MS);
       }
     }
     return 'unavailable';
   }
 
   /**
-   * Only the holder writes the value, so another revision is that of our own unanswered write, or of a
-   * successor.
+   * The value has another revision. Only the holder writes it, so that is the revision of an unanswered
+   * write of this process, or of a successor.
    */
-  private async adopted(stored: unknown): Promise<OpenOutcome> {
-    const outcome = await this.input.value.read();
+  private async resolveConflict(stored: StoredProvisioningRecord): Promise<AnnouncementOutcome> {
+    const outcome = await this.dependencies.value.read();
     if (outcome._tag === 'unavailable') return 'unavailable';
     this.revision = outcome.entry.revision;
-    const same = JSON.stringify(outcome.entry.value) === JSON.stringify(stored);
-    if (same) return 'announced';
-    // An earlier write of ours, given up without an answer, was applied late: what it announced was never
-    // sent.
-    const late =
-      outcome.entry.revision === 0 ? EMPTY_PROVISIONING_RECORD : readProvisioningRecord(outcome.entry.value);
-    this.book = late;
-    const at = this.input.timeOfDay();
-    for (const { name } of late.open) {
-      if (!this.live.has(name)) this.outcomes.push({ name, outcome: 'withheld', machines: 0, at });
-    }
+    if (JSON.stringify(outcome.entry.value) === JSON.stringify(stored)) return 'announced';
+    this.record = readProvisioningEntry(outcome.entry);
+    this.withdrawUnsent();
     return 'unavailable';
   }
+
+  /** A write that was given up without an answer was applied late: the requests in it were never sent. */
+  private withdrawUnsent(): void {
+    const at = this.dependencies.timeOfDay();
+    for (const { name } of this.record.open) {
+      if (this.liveNames.has(name)) continue;
+      this.pendingOutcomes.push({ name, outcome: 'withheld', machines: 0, at });
+    }
+  }
 }
--- a/packages/fencing/src/testing/memory-value.ts
+++ b/packages/fencing/src/testing/memory-value.ts
@@ -1,7 +1,13 @@
+/**
+ * A fenced value in memory: the tests' stand-in for the state service.
+ *
+ * State: a {@link MemoryValue} owns the value, the keys beside it and delayed writes. A test sets the
+ * claim, the keys, and how the next write goes.
+ */
 import type { FencedValue, ReadOutcome, Removal, VersionedValue, WriteOutcome } from '../fenced-value.js';
 import type { FencingToken } from '../token.js';
 
-/** How the stand-in treats the next write. */
+/** How the next write goes. */
 export type NextWrite =
   | 'normal'
   /** Carried out, and the answer is lost. */
@@ -11,14 +17,17 @@
   /** Answered 503. */
   | 'refused';
 
-/** A fenced value in memory, with other keys beside it: a stand-in for the state service in tests. */
+/** A fenced value in memory, with other keys beside it. */
 export class MemoryValue implements FencedValue {
+  /** The stored value. */
   entry: VersionedValue = { value: null, revision: 0 };
-  readonly others = new Map<string, number>();
+  /** Revisions of the keys beside it. */
+  readonly otherKeys = new Map<string, number>();
   claim: FencingToken;
-  next: NextWrite = 'normal';
+  nextWrite: NextWrite = 'normal';
+  /** Writes that were applied. */
   writes = 0;
-  private epoch = 100;
+  private lastRevision = 100;
   private readonly delayed: (() => WriteOutcome)[] = [];
 
   constructor(claim: FencingToken) {
@@ -36,8 +45,8 @@
   ): Promise<WriteOutcome> => {
     const stored = structuredClone(value);
     const apply = (): WriteOutcome => this.apply(stored, revision, token, removals);
-    const how = this.next;
-    this.next = 'normal';
+    const how = this.nextWrite;
+    this.nextWrite = 'normal';
     switch (how) {
       case 'normal':
         return Promise.resolve(apply());
@@ -52,7 +61,7 @@
     }
   };
 
-  /** Applies writes that were held up. */
+  /** Applies delayed writes. */
   deliverLate(): readonly WriteOutcome[] {
     return this.delayed.splice(0).map((apply) => apply());
   }
@@ -64,13 +73,13 @@
     removals: readonly Removal[],
   ): WriteOutcome {
     if (token !== this.claim) return { _tag: 'claimLost' };
-    const keys = removals.filter(({ key, revision: seen }) => (this.others.get(key) ?? 0) !== seen);
-    if (this.entry.revision !== revision || keys.length > 0)
-      return { _tag: 'changed', keys: keys.map(({ key }) => key) };
+    const changed = removals.filter((removal) => (this.otherKeys.get(removal.key) ?? 0) !== removal.revision);
+    if (this.entry.revision !== revision || changed.length > 0)
+      return { _tag: 'changed', keys: changed.map(({ key }) => key) };
     this.writes += 1;
-    this.epoch += 1;
-    this.entry = { value, revision: this.epoch };
-    for (const { key } of removals) this.others.delete(key);
-    return { _tag: 'written', revision: this.epoch };
+    this.lastRevision += 1;
+    this.entry = { value, revision: this.lastRevision };
+    for (const { key } of removals) this.otherKeys.delete(key);
+    return { _tag: 'written', revision: this.lastRevision };
   }
 }
--- a/packages/fencing/src/token.ts
+++ b/packages/fencing/src/token.ts
@@ -1,6 +1,8 @@
 /**
- * Fencing tokens. A token is the revision at which the state service recorded the present claim on a duty: it
- * belongs to one process, and each change of holder gives a higher one.
+ * Fencing tokens. A token is the revision at which the state service recorded the present claim on a duty:
+ * it belongs to one process, and each change of holder gives a higher one.
+ *
+ * State: a {@link TokenRegister} owns the highest token seen for each claim.
  */
 
 declare const fencingToken: unique symbol;
@@ -26,7 +28,8 @@
 };
 
 /**
- * The revision of a claim as a token. Revisions come from the state service, so a malformed one is a defect.
+ * The revision of a claim as a token. Revisions come from the state service, so a malformed one is a defect:
+ * throws a RangeError.
  */
 export const tokenOf = (revision: number): FencingToken => {
   const parsed = parseToken(revision, 'revision');
--- a/packages/fencing/src/tombstones.ts
+++ b/packages/fencing/src/tombstones.ts
@@ -1,19 +1,21 @@
 /**
- * Removal of left-over state in two steps. A key is first marked, durably, with its revision, the reason and
- * the token of whoever marks it; a later pass looks again whether it is still left over, and removes it only
- * at that very revision. What was removed, by whom and why stays readable for a while.
+ * Garbage collection of orphaned keys in two steps. A key first gets a tombstone, durably, with its
+ * revision, the reason and the token of whoever marks it; a later pass checks again whether it is still
+ * orphaned, and removes it only at that very revision. What was removed, by whom and why stays readable for
+ * a while.
+ *
+ * Pure; `GarbageCollector` holds the record of one shard, the codec beside this module has its stored form.
  */
-import { newestThatFit, storedBytes } from './stored-size.js';
-import { parseToken, type FencingToken } from './token.js';
+import type { FencingToken } from './token.js';
 
 /**
- * ms between the mark and the removal: longer than a change of holder, so that a successor looks again too.
+ * ms between the mark and the removal: longer than a change of holder, so that a successor checks again too.
  */
 export const COLLECTION_DELAY_MS = 10_000;
-/** Removals that stay readable. */
-const KEPT_REMOVALS = 32;
+/** Removals that stay in the record. */
+const MAX_COLLECTED = 32;
 
-/** Why a key is left over. */
+/** Why a key is orphaned; logged in these words. */
 export type OrphanReason =
   /** The job that it belongs to is over. */
   | 'job over'
@@ -25,6 +27,7 @@
 /** A key marked for removal. */
 export interface Tombstone {
   readonly key: string;
+  /** The revision of the key when it was marked. */
   readonly revision: number;
   readonly reason: OrphanReason;
   readonly token: FencingToken;
@@ -38,131 +41,53 @@
   readonly reason: OrphanReason;
   readonly markedUnder: FencingToken;
   readonly removedUnder: FencingToken;
+  /** ms since the epoch. */
   readonly at: number;
 }
 
-/** What the state service holds for one share. */
+/** What the state service holds for one shard. */
 export interface TombstoneRecord {
   readonly marked: readonly Tombstone[];
+  /** The oldest first. */
   readonly removed: readonly CollectedKey[];
 }
 
-/** A book without entries. */
+/** A record without entries. */
 export const EMPTY_TOMBSTONE_RECORD: TombstoneRecord = { marked: [], removed: [] };
 
-/** Marks keys; one that is marked already stays as it is. */
-export const withTombstones = (book: TombstoneRecord, keys: readonly Tombstone[]): TombstoneRecord => {
-  const known = new Set(book.marked.map((marked) => marked.key));
-  return { ...book, marked: [...book.marked, ...keys.filter(({ key }) => !known.has(key))] };
+/** The record with these tombstones; a key that has one already keeps it. */
+export const withTombstones = (
+  record: TombstoneRecord,
+  tombstones: readonly Tombstone[],
+): TombstoneRecord => {
+  const known = new Set(record.marked.map(({ key }) => key));
+  return { ...record, marked: [...record.marked, ...tombstones.filter(({ key }) => !known.has(key))] };
 };
 
-/** Marked keys that are due for the second look. */
-export const dueTombstones = (book: TombstoneRecord, now: number, most: number): readonly Tombstone[] =>
-  book.marked.filter((marked) => Math.abs(now - marked.at) >= COLLECTION_DELAY_MS).slice(0, most);
+/** Tombstones that are old enough at `now` (ms since the epoch), `limit` at most. */
+export const dueTombstones = (record: TombstoneRecord, now: number, limit: number): readonly Tombstone[] =>
+  record.marked.filter(({ at }) => Math.abs(now - at) >= COLLECTION_DELAY_MS).slice(0, limit);
 
-/** Takes keys out of the marked ones without removing them: they changed, or belong to something again. */
-export const withoutTombstones = (book: TombstoneRecord, keys: ReadonlySet<string>): TombstoneRecord => ({
-  ...book,
-  marked: book.marked.filter(({ key }) => !keys.has(key)),
+/** The record without the tombstones of keys that are not removed: they changed, or are in use again. */
+export const withoutTombstones = (record: TombstoneRecord, keys: ReadonlySet<string>): TombstoneRecord => ({
+  ...record,
+  marked: record.marked.filter(({ key }) => !keys.has(key)),
 });
 
-/** Notes that keys were removed. */
+/** The record after these keys were removed under a token at `now` (ms since the epoch). */
 export const withCollected = (
-  book: TombstoneRecord,
-  keys: readonly Tombstone[],
+  record: TombstoneRecord,
+  collected: readonly Tombstone[],
   token: FencingToken,
   now: number,
 ): TombstoneRecord => {
-  const rest = withoutTombstones(book, new Set(keys.map(({ key }) => key)));
-  const removed = keys.map((marked): CollectedKey => ({
-    key: marked.key,
-    reason: marked.reason,
-    markedUnder: marked.token,
+  const rest = withoutTombstones(record, new Set(collected.map(({ key }) => key)));
+  const removed = collected.map((tombstone): CollectedKey => ({
+    key: tombstone.key,
+    reason: tombstone.reason,
+    markedUnder: tombstone.token,
     removedUnder: token,
     at: now,
   }));
-  return { ...rest, removed: [...rest.removed, ...removed].slice(-KEPT_REMOVALS) };
-};
-
-const REASONS: readonly OrphanReason[] = ['job over', 'belongs to no job', 'part not named'];
-
-interface StoredMarked {
-  k: string;
-  v: number;
-  r: number;
-  t: number;
-  a: number;
-}
-interface StoredRemoved {
-  k: string;
-  r: number;
-  t: number;
-  u: number;
-  a: number;
-}
-
-const readMarked = (raw: unknown): Tombstone[] => {
-  if (typeof raw !== 'object' || raw === null) return [];
-  const { k, v, r, t, a } = raw as Partial<StoredMarked>;
-  const token = parseToken(t, 't');
-  const reason = REASONS[r ?? -1];
-  if (typeof k !== 'string' || !Number.isSafeInteger(v) || reason === undefined) return [];
-  if (token._tag === 'invalid' || typeof a !== 'number') return [];
-  return [{ key: k, revision: v as number, reason, token: token.token, at: a }];
-};
-
-const readRemoved = (raw: unknown): CollectedKey[] => {
-  if (typeof raw !== 'object' || raw === null) return [];
-  const { k, r, t, u, a } = raw as Partial<StoredRemoved>;
-  const markedUnder = parseToken(t, 't');
-  const removedUnder = parseToken(u, 'u');
-  const reason = REASONS[r ?? -1];
-  if (typeof k !== 'string' || reason === undefined || typeof a !== 'number') return [];
-  if (markedUnder._tag === 'invalid' || removedUnder._tag === 'invalid') return [];
-  return [{ key: k, reason, markedUnder: markedUnder.token, removedUnder: removedUnder.token, at: a }];
-};
-
-/** Reads a stored book; malformed entries are left out, so what they name stays where it is. */
-export const readTombstoneRecord = (value: unknown): TombstoneRecord => {
-  if (typeof value !== 'object' || value === null) return EMPTY_TOMBSTONE_RECORD;
-  const { m, d } = value as { m?: unknown; d?: unknown };
-  return {
-    marked: Array.isArray(m) ? (m as unknown[]).flatMap(readMarked) : [],
-    removed: Array.isArray(d) ? (d as unknown[]).flatMap(readRemoved) : [],
-  };
-};
-
-const encodeTombstoneRecord = (marked: readonly Tombstone[], removed: readonly CollectedKey[]): unknown => ({
-  m: marked.map(({ key, revision, reason, token, at }): StoredMarked => ({
-    k: key,
-    v: revision,
-    r: REASONS.indexOf(reason),
-    t: token,
-    a: at,
-  })),
-  d: removed.map(({ key, reason, markedUnder, removedUnder, at }): StoredRemoved => ({
-    k: key,
-    r: REASONS.indexOf(reason),
-    t: markedUnder,
-    u: removedUnder,
-    a: at,
-  })),
-});
-
-/** Writes a book as it is stored, with as many past removals as it has room for. */
-export const writeTombstoneRecord = (book: TombstoneRecord, maxBytes: number): unknown => {
-  const store = (removed: readonly CollectedKey[]): unknown => encodeTombstoneRecord(book.marked, removed);
-  return store(newestThatFit(book.removed, maxBytes, store));
-};
-
-/** How many of these keys there is room to mark. */
-export const tombstonesThatFit = (
-  book: TombstoneRecord,
-  keys: readonly Tombstone[],
-  maxBytes: number,
-): readonly Tombstone[] => {
-  let fit = keys;
-  while (fit.length > 0 && storedBytes(encodeTombstoneRecord([...book.marked, ...fit], [])) > maxBytes)
-    fit = fit.slice(0, -1);
-  return fit;
+  return { ...rest, removed: [...rest.removed, ...removed].slice(-MAX_COLLECTED) };
 };
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -52,7 +52,7 @@
     access: adminAccess,
     ready: () => context.state.cache.ready,
     releaseIntents: () => leadership.leader.releaseIntents,
-    rentals: coordination.duties.loadProvisioningRecord,
+    loadProvisioningRecord: coordination.duties.loadProvisioningRecord,
   });
 
 /** Creates the route of the API address. */
@@ -91,7 +91,7 @@
   { leader, transfers }: Leadership,
 ): PeerRequests =>
   new PeerRequests({
-    gate: duties.gate,
+    gate: duties.orderVerifier,
     move: (from, moves) => transfers.carryOut(from, moves),
     releaseNow: (machines) => leader.releaseNow(machines),
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -59,8 +59,8 @@
       onSummary: (from) => note(`relay: summary of ${from}`),
       onOrders: (to) => note(`relay: orders for ${to}`),
     },
-    gate: { seen: (claimName, revision) => note(`gate: ${claimName} at ${revision}`) },
-    registry: { onClaim: (claimName) => note(`registry: ${claimName}`) },
+    gate: { noteClaim: (claimName, revision) => note(`gate: ${claimName} at ${revision}`) },
+    registry: { claimChanged: (claimName) => note(`registry: ${claimName}`) },
     shards: {
       followClaim: (claimName) => note(`shards: ${claimName}`),
       forEach: (action) => shards.forEach(action),
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -3,8 +3,8 @@
  * by the watch cache's listener, in the order of the changes.
  */
 import type { DurableAcknowledgements } from '../cancellation/durable-acknowledgement.js';
-import type { OrderGate } from '../duties/order-gate.js';
-import type { DutyRegistry } from '../duties/registry.js';
+import type { OrderVerifier } from '../duties/order-verifier.js';
+import type { DutyRegistry } from '../duties/duty-registry.js';
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import { readJobRecord } from '../jobs/codec.js';
@@ -23,8 +23,8 @@
 export interface ChangeSubscribers {
   readonly cache: Pick<WatchCache, 'get'>;
   readonly relay: Pick<KeyValueStoreRelay, 'onSummary' | 'onOrders'>;
-  readonly gate: Pick<OrderGate, 'seen'>;
-  readonly registry: Pick<DutyRegistry, 'onClaim'>;
+  readonly gate: Pick<OrderVerifier, 'noteClaim'>;
+  readonly registry: Pick<DutyRegistry, 'claimChanged'>;
   readonly shards: {
     followClaim(claimName: string): void;
     forEach(action: (shard: ShardListener) => void): void;
@@ -72,8 +72,8 @@
   /** The duties come first: a shard that is taken begins with them. */
   private onClaim({ claimName, revision }: ChangeOf<'claimChanged'>): void {
     const { gate, registry, shards } = this.subscribers;
-    if (revision !== null) gate.seen(claimName, revision);
-    registry.onClaim(claimName);
+    if (revision !== null) gate.noteClaim(claimName, revision);
+    registry.claimChanged(claimName);
     shards.followClaim(claimName);
   }
 
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -56,7 +56,7 @@
   const dispatcher = new ChangeDispatcher({
     cache,
     relay: leadership.relay,
-    gate: coordination.duties.gate,
+    gate: coordination.duties.orderVerifier,
     registry: coordination.duties.registry,
     shards: sharding.shards,
     scarceTypes: sharding.scarceTypes,
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -76,8 +76,8 @@
     leases,
     store: state.store,
     valueBytes: deployment.valueBytes,
-    wall: clocks.wall,
-    enforce: context.features.fencing,
+    timeOfDay: clocks.wall,
+    enforceFencing: context.features.fencing,
     tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
   const mayLead = (): boolean => leases.actingRevision(LEADER_CLAIM) !== null;
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -1,6 +1,6 @@
 /** Builds what one shard needs of the rest of the controller. No state; called when a shard is taken. */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
-import { releaseUrgently } from '../duties/urgent-release.js';
+import { releaseWithoutIntent } from '../duties/release-without-intent.js';
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
@@ -40,7 +40,7 @@
         ? context.ports.workerClient.send(addr, token, agentEpoch, commands)
         : Promise.resolve({ _tag: 'refused', heartbeat: null }),
     releaseNow: (machines) =>
-      releaseUrgently(
+      releaseWithoutIntent(
         {
           shardId: shardId,
           duty: duties.registry.shard(shardId, 'reclaim'),
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -1,7 +1,7 @@
 import {
-  dutyDefinition,
-  parseDutyName,
+  DUTY_DEFINITIONS,
   DUTY_NAMES,
+  parseDutyName,
   type Duty,
   type DutyName,
   type DutyState,
@@ -13,10 +13,10 @@
 import type { ServerRequest, ServerResponse } from '../http.js';
 import type { AdminAccess } from '../settings/networks.js';
 import { writeDuties, writeDutiesOverview } from './admin-codec.js';
-import type { DutyRegistry } from './registry.js';
+import type { DutyRegistry } from './duty-registry.js';
 
 /** What the endpoint needs of its controller. */
-export interface DutiesApiInput {
+export interface DutiesApiDependencies {
   readonly node: string;
   readonly registry: DutyRegistry;
   readonly access: AdminAccess;
@@ -24,7 +24,7 @@
   readonly ready: () => boolean;
   readonly releaseIntents: () => readonly ReleaseIntentView[];
   /** Open rental requests, as the state service holds them; null: it does not answer. */
-  readonly rentals: () => Promise<ProvisioningRecord | null>;
+  readonly loadProvisioningRecord: () => Promise<ProvisioningRecord | null>;
 }
 
 /** One duty on one claim, as an operator reads it. */
@@ -68,7 +68,7 @@
 
 /** Reads duties, holders and open intents; changes nothing. */
 export class DutiesApi {
-  constructor(private readonly input: DutiesApiInput) {}
+  constructor(private readonly input: DutiesApiDependencies) {}
 
   async handle(call: ServerRequest, path: readonly string[]): Promise<ServerResponse> {
     if (!this.input.access.allows(call.remoteAddress))
@@ -87,7 +87,7 @@
 
   private async overview(): Promise<DutiesView> {
     const { registry } = this.input;
-    const rentals = await this.input.rentals();
+    const rentals = await this.input.loadProvisioningRecord();
     return {
       node: this.input.node,
       duties: registry.all().map((duty) => this.view(duty)),
@@ -101,7 +101,7 @@
 
   private view(duty: Duty): DutyView {
     const { audit } = this.input.registry;
-    const periods = audit.periods(duty.claim);
+    const periods = audit.listPeriods(duty.claim);
     return {
       duty: duty.name,
       claim: duty.claim,
@@ -109,8 +109,8 @@
       open: duty.state._tag === 'idle' ? 0 : duty.state.open,
       holder: periods.find((period) => period.to === null) ?? null,
       history: periods.filter((period) => period.to !== null),
-      effects: dutyDefinition(duty.name).effects,
-      refused: audit.refused(duty.name).filter((refusal) => refusal.claim === duty.claim),
+      effects: DUTY_DEFINITIONS[duty.name].effects,
+      refused: audit.listRefusals(duty.name).filter((refusal) => refusal.claim === duty.claim),
     };
   }
 }
--- a/src/duties/compose.ts
+++ b/src/duties/compose.ts
@@ -9,11 +9,11 @@
 import type { KeyValueStore } from '../kv-store/client.js';
 import { PROVISIONING_KEY } from '../kv-store/keys.js';
 import { fencedValue } from './fenced-store.js';
-import { OrderGate } from './order-gate.js';
-import { DutyRegistry, type DutyRegistryInput } from './registry.js';
+import { OrderVerifier } from './order-verifier.js';
+import { DutyRegistry, type DutyRegistryDependencies } from './duty-registry.js';
 
 /** What the duties need of their controller. */
-export interface DutiesInput extends DutyRegistryInput {
+export interface DutiesDependencies extends DutyRegistryDependencies {
   readonly store: KeyValueStore;
   /** bytes: the largest value that the state service takes, now and later. */
   readonly valueBytes: number;
@@ -24,7 +24,7 @@
 /** The duties of one controller, with what guards them. */
 export interface Duties {
   readonly registry: DutyRegistry;
-  readonly gate: OrderGate;
+  readonly orderVerifier: OrderVerifier;
   /** Null where fencing is off: requests are sent without being announced. */
   readonly journal: ProvisioningJournal | null;
   /** Open rental requests, as the state service holds them; null: it does not answer. */
@@ -37,14 +37,14 @@
   });
 
 /** Composes the duties of one controller. */
-export const composeDuties = (input: DutiesInput): Duties => {
-  const { store, wall, enforce, tokensRequired } = input;
+export const composeDuties = (input: DutiesDependencies): Duties => {
+  const { store, timeOfDay: wall, enforceFencing: enforce, tokensRequired } = input;
   const registry = new DutyRegistry(input);
   const maxBytes = input.valueBytes * VALUE_FILL_FRACTION;
   const rentals = fencedValue(store, PROVISIONING_KEY, LEADER_CLAIM, 'user');
   return {
     registry,
-    gate: new OrderGate({ audit: registry.audit, tokensRequired, enforce }),
+    orderVerifier: new OrderVerifier({ audit: registry.audit, tokensRequired, enforceFencing: enforce }),
     journal: enforce ? new ProvisioningJournal({ value: rentals, maxBytes, timeOfDay: wall, sleep }) : null,
     loadProvisioningRecord: async () => {
       const outcome = await rentals.read();
--- a/src/duties/duties.test.ts
+++ b/src/duties/duties.test.ts
@@ -9,10 +9,10 @@
 import type { ServerRequest, ServerResponse } from '../http.js';
 import { PeerRequests } from '../peers/peer-requests.js';
 import { leaderDuties } from '../testing/duties.js';
-import { releaseUrgently } from './urgent-release.js';
+import { releaseWithoutIntent } from './release-without-intent.js';
 import { DutiesApi } from './admin-api.js';
 import type { WireDutiesOverview } from './admin-codec.js';
-import { OrderGate } from './order-gate.js';
+import { OrderVerifier } from './order-verifier.js';
 
 const HELD_UNDER = 40;
 
@@ -34,7 +34,8 @@
     access: { allows: (address) => address === '127.0.0.1' },
     ready: () => row.ready ?? true,
     releaseIntents: () => [{ machine: 'i-1', shardId: 2, reason: 'idle', token: 7 }],
-    rentals: () => Promise.resolve(row.rentals === undefined ? EMPTY_PROVISIONING_RECORD : row.rentals),
+    loadProvisioningRecord: () =>
+      Promise.resolve(row.rentals === undefined ? EMPTY_PROVISIONING_RECORD : row.rentals),
   });
   const call: ServerRequest = {
     method: row.method ?? 'GET',
@@ -159,12 +160,12 @@
 for (const row of orders) {
   test(`order: ${row.name}`, async () => {
     const audit = new DutyAudit(() => 0);
-    const gate = new OrderGate({
+    const gate = new OrderVerifier({
       audit,
       tokensRequired: () => row.required ?? false,
-      enforce: row.enforce ?? true,
+      enforceFencing: row.enforce ?? true,
     });
-    gate.seen('L', HELD_UNDER);
+    gate.noteClaim('L', HELD_UNDER);
     let carriedOut = 0;
     const requests = new PeerRequests({
       gate,
@@ -184,8 +185,12 @@
 }
 
 test('order: a return asked for by a replaced holder of a share is refused, for that share alone', async () => {
-  const gate = new OrderGate({ audit: new DutyAudit(() => 0), tokensRequired: () => true, enforce: true });
-  gate.seen('1', HELD_UNDER);
+  const gate = new OrderVerifier({
+    audit: new DutyAudit(() => 0),
+    tokensRequired: () => true,
+    enforceFencing: true,
+  });
+  gate.noteClaim('1', HELD_UNDER);
   const requests = new PeerRequests({
     gate,
     move: () => Promise.resolve(true),
@@ -222,7 +227,7 @@
 for (const row of returns) {
   test(`urgent return: ${row.name}`, async () => {
     const orders: unknown[] = [];
-    const returned = await releaseUrgently(
+    const returned = await releaseWithoutIntent(
       {
         shardId: 2,
         duty: leaderDuties(HELD_UNDER, () => 0).leader('release'),
--- a/src/duties/registry.ts
+++ b/src/duties/duty-registry.ts
@@ -18,12 +18,12 @@
 const SETTLED_BY_LEADER: ReadonlySet<DutyName> = new Set(['rent']);
 
 /** What the registry needs of its controller. */
-export interface DutyRegistryInput {
+export interface DutyRegistryDependencies {
   readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'ownRevision' | 'actingRevision'>;
   /** ms since the epoch. */
-  readonly wall: () => number;
+  readonly timeOfDay: () => number;
   /** Refuses effects that lost their right; else they are only counted. */
-  readonly enforce: boolean;
+  readonly enforceFencing: boolean;
 }
 
 const logAudit = (event: AuditEvent): void => {
@@ -44,8 +44,8 @@
   readonly audit: DutyAudit;
   private readonly duties = new Map<string, Duty>();
 
-  constructor(private readonly input: DutyRegistryInput) {
-    this.audit = new DutyAudit(input.wall, logAudit);
+  constructor(private readonly input: DutyRegistryDependencies) {
+    this.audit = new DutyAudit(input.timeOfDay, logAudit);
     for (const claimName of input.leases.claimNames) {
       for (const name of claimName === LEADER_CLAIM ? LEADER_DUTIES : SHARD_DUTIES) this.add(claimName, name);
     }
@@ -55,14 +55,14 @@
     const duty = new Duty({
       name,
       claim: claimName,
-      right: () => this.right(claimName),
+      actingToken: () => this.actingToken(claimName),
       audit: this.audit,
-      enforce: this.input.enforce,
+      enforceFencing: this.input.enforceFencing,
     });
     this.duties.set(`${claimName}/${name}`, duty);
   }
 
-  private right(claimName: string): FencingToken | null {
+  private actingToken(claimName: string): FencingToken | null {
     const revision = this.input.leases.actingRevision(claimName);
     return revision === null ? null : tokenOf(revision);
   }
@@ -89,10 +89,10 @@
   }
 
   /** The claim on a slot changed in this node's copy of the shared keys. */
-  onClaim(claimName: string): void {
+  claimChanged(claimName: string): void {
     const claim = this.input.leases.claim(claimName);
-    if (claim) this.audit.holder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
-    else this.audit.end(claimName, 'lease ended');
+    if (claim) this.audit.recordHolder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
+    else this.audit.recordEnd(claimName, 'lease ended');
     const ownRevision = this.input.leases.ownRevision(claimName);
     for (const duty of this.duties.values()) {
       if (duty.claim !== claimName) continue;
--- a/src/duties/order-gate.ts
+++ b/src/duties/order-verifier.ts
@@ -9,32 +9,32 @@
   | { readonly _tag: 'stale'; readonly current: number };
 
 /** What the gate needs of its controller. */
-export interface OrderGateInput {
+export interface OrderVerifierDependencies {
   readonly audit: DutyAudit;
   /** Every controller sends tokens with its orders, so one without is malformed. */
   readonly tokensRequired: () => boolean;
-  readonly enforce: boolean;
+  readonly enforceFencing: boolean;
 }
 
 /** Checks the fencing tokens of orders that controllers send each other. */
-export class OrderGate {
+export class OrderVerifier {
   private readonly register = new TokenRegister();
 
-  constructor(private readonly input: OrderGateInput) {}
+  constructor(private readonly input: OrderVerifierDependencies) {}
 
   /** The state service shows this revision of a claim. */
-  seen(claim: string, revision: number): void {
+  noteClaim(claim: string, revision: number): void {
     this.register.note(claim, tokenOf(revision));
   }
 
-  check(duty: DutyName, claim: string, effect: string, raw: unknown): OrderVerdict {
-    if (!this.input.enforce || (raw === undefined && !this.input.tokensRequired()))
+  verify(duty: DutyName, claim: string, effect: string, raw: unknown): OrderVerdict {
+    if (!this.input.enforceFencing || (raw === undefined && !this.input.tokensRequired()))
       return { _tag: 'accepted' };
     const parsed = parseToken(raw, 'token');
     if (parsed._tag === 'invalid') return { _tag: 'malformed', field: parsed.field, reason: parsed.reason };
     const verdict = this.register.check(claim, parsed.token);
     if (verdict._tag === 'accepted') return verdict;
-    this.input.audit.refuse({ duty, claim, effect, token: parsed.token, reason: 'stale order' });
+    this.input.audit.recordRefusal({ duty, claim, effect, token: parsed.token, reason: 'stale order' });
     return { _tag: 'stale', current: verdict.current };
   }
 }
--- a/src/duties/urgent-release.ts
+++ b/src/duties/release-without-intent.ts
@@ -4,7 +4,7 @@
 import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
 
 /** What an urgent return needs of its controller. */
-export interface UrgentReleaseDependencies {
+export interface ReleaseWithoutIntentDependencies {
   readonly shardId: number;
   readonly duty: Duty;
   readonly me: string;
@@ -21,8 +21,8 @@
  * come first. Where it answers, the machine's record is the way: it tells a later leader too. True: they are
  * gone.
  */
-export const releaseUrgently = async (
-  input: UrgentReleaseDependencies,
+export const releaseWithoutIntent = async (
+  input: ReleaseWithoutIntentDependencies,
   machines: readonly string[],
 ): Promise<boolean> => {
   if (
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -7,7 +7,7 @@
 } from '../constants/fleet.js';
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
 import type { ReleaseIntentView } from '../duties/admin-api.js';
-import type { DutyRegistry } from '../duties/registry.js';
+import type { DutyRegistry } from '../duties/duty-registry.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -107,7 +107,7 @@
       const { journal } = this.input;
       const kind = kindKey(intent.machineType, intent.zone, intent.spot);
       if (journal) {
-        const announced = yield* Effect.promise(() => journal.open(intent));
+        const announced = yield* Effect.promise(() => journal.announce(intent));
         if (announced !== 'announced') {
           log.info({ event: 'machine.rent_not_announced', name: intent.name, why: announced });
           return;
@@ -116,7 +116,7 @@
       const result = yield* this.request(permit, intent);
       this.noteCapacity(kind, intent, result);
       if (result._tag === 'rented') yield* this.record(permit, intent, result.machines);
-      journal?.close(intent.name, OUTCOMES[result._tag], machinesOf(result).length);
+      journal?.recordOutcome(intent.name, OUTCOMES[result._tag], machinesOf(result).length);
     });
   }
 
@@ -206,7 +206,7 @@
         const outcome = yield* this.settleOne(permit, settlement);
         // Not ours to settle any more: whoever is the holder now does it.
         if (outcome === 'withheld') return false;
-        journal.close(settlement.intent.name, outcome);
+        journal.recordOutcome(settlement.intent.name, outcome);
       }
       return true;
     });
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -1,7 +1,7 @@
 import type { Cancellation } from '../cancellation/acknowledgement.js';
 import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
-import type { OrderGate, OrderVerdict } from '../duties/order-gate.js';
+import type { OrderVerifier, OrderVerdict } from '../duties/order-verifier.js';
 import type { MachineTransfer } from '../fleet/records.js';
 import type { ServerResponse } from '../http.js';
 import {
@@ -16,7 +16,7 @@
 
 /** What is asked of this controller by others. */
 export interface PeerRequestsInput {
-  readonly gate: OrderGate;
+  readonly gate: OrderVerifier;
   readonly move: (from: number, moves: readonly MachineTransfer[]) => Promise<boolean>;
   readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
   readonly acknowledge: (cancellation: Cancellation) => boolean;
@@ -61,7 +61,7 @@
   private async move(body: unknown): Promise<ServerResponse> {
     const token = readOrderToken(body);
     const refused = refusal(
-      this.input.gate.check('move', LEADER_CLAIM, 'order to the holder of a share', token),
+      this.input.gate.verify('move', LEADER_CLAIM, 'order to the holder of a share', token),
     );
     if (refused) return refused;
     const { from, moves } = readMoveOrder(body);
@@ -73,7 +73,7 @@
     const { machines, shardId } = readReturnOrder(body);
     const claim = shardId === undefined ? '' : String(shardId);
     const refused = refusal(
-      this.input.gate.check('reclaim', claim, 'order to return machines at once', token),
+      this.input.gate.verify('reclaim', claim, 'order to return machines at once', token),
     );
     return refused ?? { status: 200, body: writeReturnAnswer(await this.input.releaseNow(machines)) };
   }
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -62,10 +62,10 @@
     const { store, shardId, duty } = input;
     this.garbageCollector = new GarbageCollector({
       value: fencedValue(store, tombstonesKey(shardId), String(shardId), 'work'),
-      begin: () => duty.begin('removal of left-over state'),
+      beginStep: () => duty.begin('removal of left-over state'),
       inUse: (key) => this.inUse(key),
       // The book of removals is one more change.
-      batch: () => Math.max(1, store.batchWrites - 1),
+      batchSize: () => Math.max(1, store.batchWrites - 1),
       maxBytes: input.valueBytes * VALUE_FILL_FRACTION,
       timeOfDay: input.wall,
       revisionOf: async (key) => {
@@ -79,7 +79,7 @@
             return { _tag: 'unavailable' };
         }
       },
-      removed: (keys) => this.logRemoved(keys),
+      onCollected: (keys) => this.logRemoved(keys),
     });
   }
 
@@ -100,11 +100,11 @@
   }
 
   discard(keys: readonly OrphanedKey[]): void {
-    this.garbageCollector.discard(keys);
+    this.garbageCollector.enqueue(keys);
   }
 
   get due(): boolean {
-    return this.garbageCollector.due;
+    return this.garbageCollector.hasWork;
   }
 
   step(): Promise<void> {
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -6,7 +6,7 @@
   writeTombstoneRecord,
 } from '@dalegate/fencing';
 import { readAcknowledgement, writeAcknowledgement } from '../cancellation/codec.js';
-import { releaseUrgently } from '../duties/urgent-release.js';
+import { releaseWithoutIntent } from '../duties/release-without-intent.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/records.js';
 import {
@@ -90,7 +90,7 @@
 /** A holder's order to the leader while the state service answers nobody. */
 const orderToReturn = async (): Promise<Recording> => {
   const sent: Record<string, unknown> = {};
-  await releaseUrgently(
+  await releaseWithoutIntent(
     {
       shardId: 1,
       duty: leaderDuties(TOKEN, () => 0).leader('release'),
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -1,6 +1,6 @@
 import { tokenOf, type Permit } from '@dalegate/fencing';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
-import { DutyRegistry } from '../duties/registry.js';
+import { DutyRegistry } from '../duties/duty-registry.js';
 
 /**
  * The duties of a leader that never loses its claim, held under this revision; its lease may be in doubt for
@@ -18,10 +18,10 @@
       ownRevision: () => revision,
       actingRevision: () => (mayAct() ? revision : null),
     },
-    wall,
-    enforce: true,
+    timeOfDay: wall,
+    enforceFencing: true,
   });
-  registry.onClaim(LEADER_CLAIM);
+  registry.claimChanged(LEADER_CLAIM);
   return registry;
 };
 
