--- a/packages/fencing/src/duty.test.ts
+++ b/packages/fencing/src/duty.test.ts
@@ -1,9 +1,9 @@
-/** Permits are refused once the claim or the lease behind them is in doubt; tokens, receivers, audit. */
+/** A duty gives permits to its current holder only, and refuses effects once claim or lease are in doubt. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyAudit, type RefusalReason } from './audit.js';
 import { Duty } from './duty.js';
-import { parseToken, TokenRegister, tokenOf, type FencingToken } from './token.js';
+import { tokenOf, type FencingToken } from './token.js';
 
 /** A duty that is held under token 5, with its lease in the test's hands. */
 const heldDuty = (enforceFencing = true) => {
@@ -103,51 +103,3 @@
   assert.equal(duty.begin('rental request'), null, 'what was left open is settled first');
   assert.ok(duty.beginSettlement('settlement'));
 });
-
-const tokens: readonly { name: string; value: unknown; valid: boolean }[] = [
-  { name: 'a revision', value: 7, valid: true },
-  { name: 'the largest', value: Number.MAX_SAFE_INTEGER, valid: true },
-  { name: 'none', value: undefined, valid: false },
-  { name: 'text', value: '7', valid: false },
-  { name: 'a fraction', value: 7.5, valid: false },
-  { name: 'zero', value: 0, valid: false },
-  { name: 'negative', value: -1, valid: false },
-  { name: 'out of range', value: 2 ** 60, valid: false },
-];
-for (const row of tokens) {
-  test(`token: ${row.name}`, () => {
-    const parsed = parseToken(row.value, 'token');
-    assert.equal(parsed._tag, row.valid ? 'token' : 'invalid');
-    if (parsed._tag === 'invalid') assert.match(parsed.reason, /^token must be an integer from 1 to/);
-  });
-}
-
-test('register: a receiver refuses below the highest token seen, for each claim by itself', () => {
-  const register = new TokenRegister();
-  assert.deepEqual(register.check('L', tokenOf(5)), { _tag: 'accepted' });
-  assert.deepEqual(register.check('L', tokenOf(5)), { _tag: 'accepted' }, 'the same holder again');
-  register.note('L', tokenOf(9));
-  assert.deepEqual(register.check('L', tokenOf(5)), { _tag: 'stale', current: 9 });
-  assert.deepEqual(register.check('0', tokenOf(2)), { _tag: 'accepted' });
-  assert.equal(register.current('L'), 9);
-});
-
-test('audit: bounded, and says who held what until when', () => {
-  let now = 0;
-  const audit = new DutyAudit(() => now);
-  audit.recordHolder('L', tokenOf(1), 'a', 'a1');
-  audit.recordHolder('L', tokenOf(1), 'a', 'a1');
-  now = 50;
-  audit.recordHolder('L', tokenOf(2), 'b', 'b1');
-  now = 70;
-  audit.recordEnd('L', 'lease ended');
-  assert.deepEqual(
-    audit.listPeriods('L').map(({ node, from, to, ended }) => ({ node, from, to, ended })),
-    [
-      { node: 'a', from: 0, to: 50, ended: 'taken over' },
-      { node: 'b', from: 50, to: 70, ended: 'lease ended' },
-    ],
-  );
-  for (let token = 3; token < 1_000; token += 1) audit.recordHolder('L', tokenOf(token), 'a', 'a1');
-  assert.ok(audit.listPeriods('L').length < 200);
-});
--- a/packages/fencing/src/garbage-collector.test.ts
+++ b/packages/fencing/src/garbage-collector.test.ts
@@ -122,17 +122,6 @@
   assert.equal(readTombstoneRecord(value.entry.value).removed.length, 1);
 });
 
-test('garbage collection: malformed marks name nothing that would be removed', () => {
-  const good = { k: KEY, v: 3, r: 0, t: 5, a: 0 };
-  const record = readTombstoneRecord({
-    m: [good, { ...good, v: 'x' }, { ...good, t: 0 }, { ...good, r: 9 }, null],
-    d: 7,
-  });
-  assert.equal(record.marked.length, 1);
-  assert.deepEqual(record.removed, []);
-  assert.deepEqual(readTombstoneRecord('x').marked, []);
-});
-
 test('garbage collection: more orphaned keys than one value can mark are removed in turns', async () => {
   // A record that outgrew its value would be refused for ever, and what is due would never be removed.
   const { value, world, garbageCollector } = setUpCollector();
--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -1,30 +1,18 @@
 /** Provisioning requests are durable before they are sent, and a successor finds those that are left open. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  INTENT_REPEAT_WINDOW_MS,
-  settlementsFor,
-  EMPTY_PROVISIONING_RECORD,
-  type ProvisioningIntent,
-} from './provisioning-record.js';
-import { readProvisioningRecord, writeProvisioningRecord } from './provisioning-record-codec.js';
+import { INTENT_REPEAT_WINDOW_MS, settlementsFor } from './provisioning-record.js';
+import { readProvisioningRecord } from './provisioning-record-codec.js';
 import { ProvisioningJournal } from './provisioning-journal.js';
 import type { WriteOutcome } from './fenced-value.js';
 import { storedBytes } from './stored-size.js';
 import { MemoryValue, type NextWrite } from './testing/memory-value.js';
+import { provisioningIntent } from './testing/provisioning-intent.js';
 import { tokenOf } from './token.js';
 
 const token = tokenOf(5);
 /** bytes: room for every record of these tests. */
 const MAX_BYTES = 16 * 1024;
-const intent = (name: string, at = 0): ProvisioningIntent => ({
-  name,
-  machineType: 'g8',
-  zone: 'a',
-  spot: true,
-  shardIds: [0, 2],
-  at,
-});
 
 const journalOn = async (
   value: MemoryValue,
@@ -57,7 +45,7 @@
     const value = new MemoryValue(token);
     const journal = await journalOn(value);
     value.nextWrite = row.next;
-    assert.equal(await journal.announce(intent('r-5-1')), row.outcome);
+    assert.equal(await journal.announce(provisioningIntent('r-5-1')), row.outcome);
     assert.deepEqual(stored(value), row.durable);
     assert.deepEqual(
       value.deliverLate().map(({ _tag }) => _tag),
@@ -70,11 +58,11 @@
 test('provisioning journal: requests of one turn share a write, and outcomes go along with the next', async () => {
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
-  await Promise.all(['r-5-1', 'r-5-2', 'r-5-3'].map((name) => journal.announce(intent(name))));
+  await Promise.all(['r-5-1', 'r-5-2', 'r-5-3'].map((name) => journal.announce(provisioningIntent(name))));
   assert.equal(value.writes, 1);
   journal.recordOutcome('r-5-1', 'rented', 2);
   journal.recordOutcome('r-5-2', 'no capacity');
-  await journal.announce(intent('r-5-4'));
+  await journal.announce(provisioningIntent('r-5-4'));
   assert.equal(value.writes, 2);
   assert.deepEqual(stored(value), ['r-5-3', 'r-5-4']);
   await settle();
@@ -85,7 +73,7 @@
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
   value.claim = tokenOf(9);
-  assert.equal(await journal.announce(intent('r-5-1')), 'claim lost');
+  assert.equal(await journal.announce(provisioningIntent('r-5-1')), 'claim lost');
   assert.deepEqual(stored(value), []);
 });
 
@@ -103,16 +91,20 @@
       return write(...args);
     },
   });
-  assert.equal(await journal.announce(intent('r-5-1')), 'unavailable');
+  assert.equal(await journal.announce(provisioningIntent('r-5-1')), 'unavailable');
   assert.equal(value.deliverLate()[0]?._tag, 'written');
-  assert.equal(await journal.announce(intent('r-5-2')), 'unavailable', 'the condition failed: read anew');
-  assert.equal(await journal.announce(intent('r-5-3')), 'announced');
+  assert.equal(
+    await journal.announce(provisioningIntent('r-5-2')),
+    'unavailable',
+    'the condition failed: read anew',
+  );
+  assert.equal(await journal.announce(provisioningIntent('r-5-3')), 'announced');
   assert.deepEqual(stored(value), ['r-5-3']);
 });
 
 test('provisioning journal: a successor repeats a recent request that was left open, and abandons an older one', async () => {
   const value = new MemoryValue(token);
-  await (await journalOn(value)).announce(intent('r-5-1', 0));
+  await (await journalOn(value)).announce(provisioningIntent('r-5-1', 0));
   value.claim = tokenOf(9);
   const successor = await journalOn(value, tokenOf(9));
   const ages: readonly { now: number; how: string }[] = [
@@ -128,53 +120,13 @@
     );
 });
 
-const good = { n: 'r-1-1', b: 'g8', z: 'a', p: false, s: [0], a: 1 };
-const malformed: readonly { name: string; value: unknown; open: number; aside: number }[] = [
-  { name: 'no map', value: 'x', open: 0, aside: 1 },
-  { name: 'no token', value: { o: [good] }, open: 0, aside: 1 },
-  { name: 'a token that is no integer', value: { t: 1.5, o: [good] }, open: 0, aside: 1 },
-  {
-    name: 'entries without names or counts',
-    value: { t: 1, o: [good, { ...good, n: '' }, { ...good, s: [] }, 3] },
-    open: 1,
-    aside: 3,
-  },
-  { name: 'a share that is no number', value: { t: 1, o: [{ ...good, s: ['0'] }] }, open: 0, aside: 1 },
-];
-for (const row of malformed) {
-  test(`provisioning record, malformed: ${row.name}`, () => {
-    const record = readProvisioningRecord(row.value);
-    assert.equal(record.open.length, row.open);
-    assert.equal(record.malformed.length, row.aside, 'kept aside, never acted on');
-    assert.equal(
-      readProvisioningRecord(writeProvisioningRecord(record, token, MAX_BYTES)).malformed.length,
-      row.aside,
-      'and still there',
-    );
-  });
-}
-
-test('provisioning record: written and read back, with as many outcomes as are kept', () => {
-  const settled = Array.from({ length: 24 }, (_, n) => ({
-    name: `r-1-${n}`,
-    outcome: 'rented' as const,
-    machines: 1,
-    at: n,
-  }));
-  const record = { ...EMPTY_PROVISIONING_RECORD, token, open: [intent('r-5-1')], settled };
-  assert.deepEqual(
-    readProvisioningRecord(JSON.parse(JSON.stringify(writeProvisioningRecord(record, token, MAX_BYTES)))),
-    record,
-  );
-});
-
 test('provisioning journal: where values are small old outcomes make way, and requests that do not fit wait', async () => {
   // A record that outgrew its value would be refused at every write, and nothing would be provisioned any
   // more.
   const value = new MemoryValue(token);
   const journal = await journalOn(value, token, 600);
   for (let n = 1; n <= 30; n += 1) {
-    assert.equal(await journal.announce(intent(`r-5-${n}`)), 'announced');
+    assert.equal(await journal.announce(provisioningIntent(`r-5-${n}`)), 'announced');
     journal.recordOutcome(`r-5-${n}`, 'rented', 2);
   }
   assert.ok(storedBytes(value.entry.value) <= 600);
@@ -184,7 +136,7 @@
     'the newest are kept',
   );
   const outcomes = await Promise.all(
-    Array.from({ length: 12 }, (_, n) => journal.announce(intent(`r-5-${100 + n}`))),
+    Array.from({ length: 12 }, (_, n) => journal.announce(provisioningIntent(`r-5-${100 + n}`))),
   );
   const announced = outcomes.filter((outcome) => outcome === 'announced').length;
   assert.ok(announced > 0 && announced < 12, outcomes.join());
@@ -196,7 +148,7 @@
   // An announcement that no write takes up would keep its kind of machine from being provisioned.
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
-  await journal.announce(intent('r-5-1'));
+  await journal.announce(provisioningIntent('r-5-1'));
   const write = value.write;
   let refuse = (): void => undefined;
   const refused = new Promise<WriteOutcome>((resolve) => {
@@ -205,7 +157,7 @@
   Object.assign(value, { write: () => refused });
   journal.recordOutcome('r-5-1', 'rented', 1);
   await settle();
-  const second = journal.announce(intent('r-5-2'));
+  const second = journal.announce(provisioningIntent('r-5-2'));
   Object.assign(value, { write });
   refuse();
   assert.equal(await Promise.race([second, settle().then(() => 'left waiting')]), 'announced');
--- /dev/null
+++ b/packages/fencing/src/testing/provisioning-intent.ts
@@ -0,0 +1,12 @@
+/** Provisioning intents for tests. */
+import type { ProvisioningIntent } from '../provisioning-record.js';
+
+/** An intent of this name, announced at a time (ms since the epoch). */
+export const provisioningIntent = (name: string, at = 0): ProvisioningIntent => ({
+  name,
+  machineType: 'g8',
+  zone: 'a',
+  spot: true,
+  shardIds: [0, 2],
+  at,
+});
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -44,11 +44,11 @@
         {
           shardId: shardId,
           duty: duties.registry.shard(shardId, 'reclaim'),
-          me: context.deployment.me.node,
+          ownNode: context.deployment.me.node,
           leaderNode,
           msSinceStoreAnswered: context.state.ageMs,
           releaseLocally: (own) => leadership().leader.releaseNow(own),
-          ask: (node, path, body, timeoutMs) => peers.ask(node, path, body, timeoutMs),
+          sendRequest: (node, path, body, timeoutMs) => peers.ask(node, path, body, timeoutMs),
         },
         machines,
       ),
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -1,18 +1,12 @@
-import {
-  DUTY_DEFINITIONS,
-  DUTY_NAMES,
-  parseDutyName,
-  type Duty,
-  type DutyName,
-  type DutyState,
-  type EffectDefinition,
-  type HoldingPeriod,
-  type Refusal,
-  type ProvisioningRecord,
-} from '@dalegate/fencing';
+/**
+ * `GET /admin/v1/duties` and `GET /admin/v1/duties/NAME`: who holds which duty, open intents, refused
+ * effects. Only reads. The controller's router calls it with the path below `/admin/v1/duties`.
+ */
+import { DUTY_NAMES, parseDutyName, type DutyName, type ProvisioningRecord } from '@dalegate/fencing';
 import type { ServerRequest, ServerResponse } from '../http.js';
 import type { AdminAccess } from '../settings/networks.js';
 import { writeDuties, writeDutiesOverview } from './admin-codec.js';
+import { reportDuty, type DutiesReport, type DutyReport, type ReleaseIntent } from './duties-report.js';
 import type { DutyRegistry } from './duty-registry.js';
 
 /** What the endpoint needs of its controller. */
@@ -20,47 +14,14 @@
   readonly node: string;
   readonly registry: DutyRegistry;
   readonly access: AdminAccess;
-  /** This node has read the claims. */
+  /** This controller has read the claims. */
   readonly ready: () => boolean;
-  readonly releaseIntents: () => readonly ReleaseIntentView[];
-  /** Open rental requests, as the state service holds them; null: it does not answer. */
+  readonly releaseIntents: () => readonly ReleaseIntent[];
+  /** Provisioning requests, as the state service holds them; null: it does not answer. */
   readonly loadProvisioningRecord: () => Promise<ProvisioningRecord | null>;
 }
 
-/** One duty on one claim, as an operator reads it. */
-export interface DutyView {
-  readonly duty: DutyName;
-  readonly claim: string;
-  readonly state: DutyState['_tag'];
-  /** Effects of this process that are under way. */
-  readonly open: number;
-  readonly holder: HoldingPeriod | null;
-  readonly history: readonly HoldingPeriod[];
-  readonly effects: readonly EffectDefinition[];
-  readonly refused: readonly Refusal[];
-}
-
-/** A machine that the holder of its share wants released, which is a durable intent. */
-export interface ReleaseIntentView {
-  readonly machine: string;
-  readonly shardId: number;
-  /** Null: written by a version that gives no reasons. */
-  readonly reason: string | null;
-  readonly token: number | null;
-}
-
-/** All duties of one controller with its open intents, as an operator reads them. */
-export interface DutiesView {
-  readonly node: string;
-  readonly duties: readonly DutyView[];
-  readonly openRentals: ProvisioningRecord['open'] | null;
-  readonly settledRentals: ProvisioningRecord['settled'] | null;
-  readonly malformedIntents: ProvisioningRecord['malformed'] | null;
-  readonly releaseIntents: readonly ReleaseIntentView[];
-  readonly refusedSinceStart: number;
-}
-
-const json = (status: number, body: unknown): ServerResponse => ({
+const jsonResponse = (status: number, body: unknown): ServerResponse => ({
   status,
   text: `${JSON.stringify(body)}\n`,
   headers: { 'content-type': 'application/json' },
@@ -68,49 +29,49 @@
 
 /** Reads duties, holders and open intents; changes nothing. */
 export class DutiesApi {
-  constructor(private readonly input: DutiesApiDependencies) {}
+  constructor(private readonly dependencies: DutiesApiDependencies) {}
 
-  async handle(call: ServerRequest, path: readonly string[]): Promise<ServerResponse> {
-    if (!this.input.access.allows(call.remoteAddress))
-      return json(403, { error: 'the administration API is not open to this address' });
-    if (call.method !== 'GET') return { ...json(405, { error: 'read only' }), headers: { allow: 'GET' } };
-    if (!this.input.ready()) return json(503, { error: 'this controller has not read the claims yet' });
+  /** Answers a request; `path` is split at its slashes, and empty for all duties. */
+  async handle(request: ServerRequest, path: readonly string[]): Promise<ServerResponse> {
+    const refused = this.refuse(request);
+    if (refused !== null) return refused;
     const [name, ...rest] = path;
-    if (name === undefined) return json(200, writeDutiesOverview(await this.overview()));
+    if (name === undefined) return jsonResponse(200, writeDutiesOverview(await this.reportAll()));
     const duty = rest.length === 0 ? parseDutyName(name) : null;
     if (duty === null)
-      return json(404, { error: `no duty is called "${path.join('/')}"`, duties: DUTY_NAMES });
-    const named = this.input.registry.all().filter((entry) => entry.name === duty);
-    const views = named.map((entry) => this.view(entry));
-    return json(200, writeDuties(this.input.node, views));
+      return jsonResponse(404, { error: `no duty is called "${path.join('/')}"`, duties: DUTY_NAMES });
+    return jsonResponse(200, writeDuties(this.dependencies.node, this.reportDuties(duty)));
+  }
+
+  /** Null: the request may be answered. */
+  private refuse(request: ServerRequest): ServerResponse | null {
+    if (!this.dependencies.access.allows(request.remoteAddress))
+      return jsonResponse(403, { error: 'the administration API is not open to this address' });
+    if (request.method !== 'GET')
+      return { ...jsonResponse(405, { error: 'read only' }), headers: { allow: 'GET' } };
+    if (!this.dependencies.ready())
+      return jsonResponse(503, { error: 'this controller has not read the claims yet' });
+    return null;
   }
 
-  private async overview(): Promise<DutiesView> {
-    const { registry } = this.input;
-    const rentals = await this.input.loadProvisioningRecord();
+  private async reportAll(): Promise<DutiesReport> {
+    const { node, registry } = this.dependencies;
+    const provisioning = await this.dependencies.loadProvisioningRecord();
     return {
-      node: this.input.node,
-      duties: registry.all().map((duty) => this.view(duty)),
-      openRentals: rentals?.open ?? null,
-      settledRentals: rentals?.settled ?? null,
-      malformedIntents: rentals?.malformed ?? null,
-      releaseIntents: this.input.releaseIntents(),
+      node,
+      duties: this.reportDuties(),
+      provisioning,
+      releaseIntents: this.dependencies.releaseIntents(),
       refusedSinceStart: registry.audit.refusalCount,
     };
   }
 
-  private view(duty: Duty): DutyView {
-    const { audit } = this.input.registry;
-    const periods = audit.listPeriods(duty.claim);
-    return {
-      duty: duty.name,
-      claim: duty.claim,
-      state: duty.state._tag,
-      open: duty.state._tag === 'idle' ? 0 : duty.state.open,
-      holder: periods.find((period) => period.to === null) ?? null,
-      history: periods.filter((period) => period.to !== null),
-      effects: DUTY_DEFINITIONS[duty.name].effects,
-      refused: audit.listRefusals(duty.name).filter((refusal) => refusal.claim === duty.claim),
-    };
+  /** One duty on all its claims, or all duties. */
+  private reportDuties(name?: DutyName): readonly DutyReport[] {
+    const { registry } = this.dependencies;
+    return registry
+      .list()
+      .filter((duty) => name === undefined || duty.name === name)
+      .map((duty) => reportDuty(duty, registry.audit));
   }
 }
--- a/src/duties/admin-codec.test.ts
+++ b/src/duties/admin-codec.test.ts
@@ -1,11 +1,11 @@
+/** The administration API's answers with their exact texts, which must not change with names in the code. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { tokenOf } from '@dalegate/fencing';
 import { readDuties, writeDuties, writeDutiesOverview } from './admin-codec.js';
-import type { DutiesView, DutyView } from './admin-api.js';
+import type { DutiesReport, DutyReport } from './duties-report.js';
 
-/** The administration API's answers with their exact texts, which must not change with names in the code. */
-const duty: DutyView = {
+const duty: DutyReport = {
   duty: 'move',
   claim: 'L',
   state: 'held',
@@ -49,7 +49,7 @@
   '"effects":[{"name":"order to the holder of a share","fence":"receiver","late":"refused"}],' +
   '"refused":[{"duty":"move","claim":"L","effect":"order to the holder of a share","token":7,' +
   '"reason":"stale order","at":6}]}';
-const idle: DutyView = {
+const idle: DutyReport = {
   ...duty,
   state: 'idle',
   open: 0,
@@ -61,12 +61,14 @@
 const IDLE =
   '{"duty":"move","claim":"L","state":"idle","open":0,"holder":null,"history":[],"effects":[],"refused":[]}';
 
-const overview: DutiesView = {
+const overview: DutiesReport = {
   node: 'n0',
   duties: [duty],
-  openRentals: [{ name: 'r-40-1', machineType: 'g8', zone: 'a', spot: true, shardIds: [0, 1], at: 2 }],
-  settledRentals: [{ name: 'r-39-1', outcome: 'no capacity', machines: 0, at: 3 }],
-  malformedIntents: [{ n: 5 }],
+  provisioning: {
+    open: [{ name: 'r-40-1', machineType: 'g8', zone: 'a', spot: true, shardIds: [0, 1], at: 2 }],
+    settled: [{ name: 'r-39-1', outcome: 'no capacity', machines: 0, at: 3 }],
+    malformed: [{ n: 5 }],
+  },
   releaseIntents: [
     { machine: 'i-9', shardId: 1, reason: 'idle', token: 12 },
     { machine: 'i-8', shardId: 0, reason: null, token: null },
@@ -80,12 +82,10 @@
   '"malformedIntents":[{"n":5}],' +
   '"releaseIntents":[{"machine":"i-9","share":1,"reason":"idle","token":12},' +
   '{"machine":"i-8","share":0,"reason":null,"token":null}],"refusedSinceStart":4}';
-const unanswered: DutiesView = {
+const unanswered: DutiesReport = {
   ...overview,
   duties: [],
-  openRentals: null,
-  settledRentals: null,
-  malformedIntents: null,
+  provisioning: null,
   releaseIntents: [],
 };
 const UNANSWERED =
@@ -113,7 +113,7 @@
   });
 }
 
-const states: readonly DutyView['state'][] = ['idle', 'acquiring', 'held', 'draining', 'lost'];
+const states: readonly DutyReport['state'][] = ['idle', 'acquiring', 'held', 'draining', 'lost'];
 for (const state of states) {
   test(`duties codec: the state "${state}" is told by that word`, () =>
     assert.equal(writeDuties('n0', [{ ...duty, state }]).duties[0]?.state, state));
--- a/src/duties/admin-codec.ts
+++ b/src/duties/admin-codec.ts
@@ -1,3 +1,7 @@
+/**
+ * The answers of the administration API, which the command line reads and operators' programs too: the names
+ * of the fields and their order are fixed.
+ */
 import type {
   DutyState,
   EffectDefinition,
@@ -6,12 +10,7 @@
   ProvisioningIntent,
   SettledProvisioning,
 } from '@dalegate/fencing';
-import type { DutiesView, DutyView, ReleaseIntentView } from './admin-api.js';
-
-/**
- * The answers of the administration API, which the command line reads and operators' programs too: the names
- * of the fields and their order are fixed.
- */
+import type { DutiesReport, DutyReport, ReleaseIntent } from './duties-report.js';
 
 /** For how long somebody held a claim. */
 export interface WireHoldingPeriod {
@@ -57,8 +56,8 @@
   readonly refused: readonly WireRefusal[];
 }
 
-/** A rental request that was announced and has no outcome yet. */
-export interface WireRentalIntent {
+/** A provisioning request that was announced and has no outcome yet. */
+export interface WireOpenRequest {
   readonly name: string;
   readonly machineType: string;
   readonly zone: string;
@@ -68,8 +67,8 @@
   readonly at: number;
 }
 
-/** A rental request that is over. */
-export interface WireSettledRental {
+/** A provisioning request that is over. */
+export interface WireSettledRequest {
   readonly name: string;
   readonly outcome: string;
   readonly machines: number;
@@ -94,8 +93,8 @@
 /** The answer to `GET /admin/v1/duties`. */
 export interface WireDutiesOverview extends WireDuties {
   /** Null, as the two that follow: the state service does not answer. */
-  readonly openRentals: readonly WireRentalIntent[] | null;
-  readonly settledRentals: readonly WireSettledRental[] | null;
+  readonly openRentals: readonly WireOpenRequest[] | null;
+  readonly settledRentals: readonly WireSettledRequest[] | null;
   /** As they are stored. */
   readonly malformedIntents: readonly unknown[] | null;
   readonly releaseIntents: readonly WireReleaseIntent[];
@@ -135,7 +134,7 @@
   at: refusal.at,
 });
 
-const writeRentalIntent = (intent: ProvisioningIntent): WireRentalIntent => ({
+const writeOpenRequest = (intent: ProvisioningIntent): WireOpenRequest => ({
   name: intent.name,
   machineType: intent.machineType,
   zone: intent.zone,
@@ -144,46 +143,46 @@
   at: intent.at,
 });
 
-const writeSettledRental = (rental: SettledProvisioning): WireSettledRental => ({
-  name: rental.name,
-  outcome: rental.outcome,
-  machines: rental.machines,
-  at: rental.at,
+const writeSettledRequest = (request: SettledProvisioning): WireSettledRequest => ({
+  name: request.name,
+  outcome: request.outcome,
+  machines: request.machines,
+  at: request.at,
 });
 
-const writeReleaseIntent = (intent: ReleaseIntentView): WireReleaseIntent => ({
+const writeReleaseIntent = (intent: ReleaseIntent): WireReleaseIntent => ({
   machine: intent.machine,
   share: intent.shardId,
   reason: intent.reason,
   token: intent.token,
 });
 
-const writeDuty = (view: DutyView): WireDuty => ({
-  duty: view.duty,
-  claim: view.claim,
-  state: STATES[view.state],
-  open: view.open,
-  holder: view.holder === null ? null : writeHoldingPeriod(view.holder),
-  history: view.history.map(writeHoldingPeriod),
-  effects: view.effects.map(writeEffect),
-  refused: view.refused.map(writeRefusal),
+const writeDuty = (report: DutyReport): WireDuty => ({
+  duty: report.duty,
+  claim: report.claim,
+  state: STATES[report.state],
+  open: report.open,
+  holder: report.holder === null ? null : writeHoldingPeriod(report.holder),
+  history: report.history.map(writeHoldingPeriod),
+  effects: report.effects.map(writeEffect),
+  refused: report.refused.map(writeRefusal),
 });
 
 /** Writes the answer about one duty. */
-export const writeDuties = (node: string, duties: readonly DutyView[]): WireDuties => ({
+export const writeDuties = (node: string, duties: readonly DutyReport[]): WireDuties => ({
   node,
   duties: duties.map(writeDuty),
 });
 
 /** Writes the answer about all duties. */
-export const writeDutiesOverview = (view: DutiesView): WireDutiesOverview => ({
-  node: view.node,
-  duties: view.duties.map(writeDuty),
-  openRentals: view.openRentals?.map(writeRentalIntent) ?? null,
-  settledRentals: view.settledRentals?.map(writeSettledRental) ?? null,
-  malformedIntents: view.malformedIntents,
-  releaseIntents: view.releaseIntents.map(writeReleaseIntent),
-  refusedSinceStart: view.refusedSinceStart,
+export const writeDutiesOverview = (report: DutiesReport): WireDutiesOverview => ({
+  node: report.node,
+  duties: report.duties.map(writeDuty),
+  openRentals: report.provisioning?.open.map(writeOpenRequest) ?? null,
+  settledRentals: report.provisioning?.settled.map(writeSettledRequest) ?? null,
+  malformedIntents: report.provisioning?.malformed ?? null,
+  releaseIntents: report.releaseIntents.map(writeReleaseIntent),
+  refusedSinceStart: report.refusedSinceStart,
 });
 
 /** Reads either answer: that about one duty lacks the rest. Throws if the text is not JSON. */
--- a/src/duties/compose.ts
+++ b/src/duties/compose.ts
@@ -1,16 +1,12 @@
-import {
-  EMPTY_PROVISIONING_RECORD,
-  readProvisioningRecord,
-  ProvisioningJournal,
-  type ProvisioningRecord,
-} from '@dalegate/fencing';
+/** Builds what a controller needs for its duties; the composition of the controller calls it once. */
+import { ProvisioningJournal, readProvisioningEntry, type ProvisioningRecord } from '@dalegate/fencing';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { PROVISIONING_KEY } from '../kv-store/keys.js';
+import { DutyRegistry, type DutyRegistryDependencies } from './duty-registry.js';
 import { fencedValue } from './fenced-store.js';
 import { OrderVerifier } from './order-verifier.js';
-import { DutyRegistry, type DutyRegistryDependencies } from './duty-registry.js';
 
 /** What the duties need of their controller. */
 export interface DutiesDependencies extends DutyRegistryDependencies {
@@ -27,7 +23,7 @@
   readonly orderVerifier: OrderVerifier;
   /** Null where fencing is off: requests are sent without being announced. */
   readonly journal: ProvisioningJournal | null;
-  /** Open rental requests, as the state service holds them; null: it does not answer. */
+  /** Provisioning requests, as the state service holds them; null: it does not answer. */
   readonly loadProvisioningRecord: () => Promise<ProvisioningRecord | null>;
 }
 
@@ -37,21 +33,18 @@
   });
 
 /** Composes the duties of one controller. */
-export const composeDuties = (input: DutiesDependencies): Duties => {
-  const { store, timeOfDay: wall, enforceFencing: enforce, tokensRequired } = input;
-  const registry = new DutyRegistry(input);
-  const maxBytes = input.valueBytes * VALUE_FILL_FRACTION;
-  const rentals = fencedValue(store, PROVISIONING_KEY, LEADER_CLAIM, 'user');
+export const composeDuties = (dependencies: DutiesDependencies): Duties => {
+  const { store, timeOfDay, enforceFencing, tokensRequired } = dependencies;
+  const registry = new DutyRegistry(dependencies);
+  const value = fencedValue(store, PROVISIONING_KEY, LEADER_CLAIM, 'user');
+  const maxBytes = dependencies.valueBytes * VALUE_FILL_FRACTION;
   return {
     registry,
-    orderVerifier: new OrderVerifier({ audit: registry.audit, tokensRequired, enforceFencing: enforce }),
-    journal: enforce ? new ProvisioningJournal({ value: rentals, maxBytes, timeOfDay: wall, sleep }) : null,
+    orderVerifier: new OrderVerifier({ audit: registry.audit, tokensRequired, enforceFencing }),
+    journal: enforceFencing ? new ProvisioningJournal({ value, maxBytes, timeOfDay, sleep }) : null,
     loadProvisioningRecord: async () => {
-      const outcome = await rentals.read();
-      if (outcome._tag === 'unavailable') return null;
-      return outcome.entry.revision === 0
-        ? EMPTY_PROVISIONING_RECORD
-        : readProvisioningRecord(outcome.entry.value);
+      const outcome = await value.read();
+      return outcome._tag === 'unavailable' ? null : readProvisioningEntry(outcome.entry);
     },
   };
 };
--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -1,3 +1,10 @@
+/**
+ * The duties of one controller, for the leader's claim and for each shard's.
+ *
+ * State: {@link DutyRegistry} owns every `Duty` and the audit. The change dispatcher tells it of each claim
+ * that changed in the cache, and a shard that it is loaded; subsystems take their duty from it at
+ * composition.
+ */
 import {
   Duty,
   DutyAudit,
@@ -15,101 +22,114 @@
 import { log } from '../log.js';
 
 /** Duties of the leader that have to settle what an earlier holder left open before they act. */
-const SETTLED_BY_LEADER: ReadonlySet<DutyName> = new Set(['rent']);
+const LEADER_DUTIES_WITH_SETTLEMENT: ReadonlySet<DutyName> = new Set(['rent']);
 
 /** What the registry needs of its controller. */
 export interface DutyRegistryDependencies {
   readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'ownRevision' | 'actingRevision'>;
   /** ms since the epoch. */
   readonly timeOfDay: () => number;
-  /** Refuses effects that lost their right; else they are only counted. */
+  /** Refuses late effects; else they are only recorded in the audit. */
   readonly enforceFencing: boolean;
 }
 
+type DutiesByName<Name extends DutyName> = Readonly<Record<Name, Duty>>;
+
 const logAudit = (event: AuditEvent): void => {
   switch (event._tag) {
     case 'holderChanged':
-      log.info({ event: 'duty.holder', ...event.period });
+      log.info({ event: 'duty.holder_changed', ...event.period });
       return;
     case 'holderEnded':
       log.info({ event: 'duty.holder_ended', ...event.period });
       return;
     case 'refused':
-      log.info({ event: 'duty.refused', ...event.refusal });
+      log.info({ event: 'duty.effect_refused', ...event.refusal });
   }
 };
 
 /** All duties of this controller, kept in step with the claims that the state service shows. */
 export class DutyRegistry {
   readonly audit: DutyAudit;
-  private readonly duties = new Map<string, Duty>();
+  private readonly leaderDuties: DutiesByName<LeaderDutyName>;
+  private readonly shardDuties: ReadonlyMap<string, DutiesByName<ShardDutyName>>;
 
-  constructor(private readonly input: DutyRegistryDependencies) {
-    this.audit = new DutyAudit(input.timeOfDay, logAudit);
-    for (const claimName of input.leases.claimNames) {
-      for (const name of claimName === LEADER_CLAIM ? LEADER_DUTIES : SHARD_DUTIES) this.add(claimName, name);
-    }
+  constructor(private readonly dependencies: DutyRegistryDependencies) {
+    this.audit = new DutyAudit(dependencies.timeOfDay, logAudit);
+    this.leaderDuties = this.createDuties(LEADER_CLAIM, LEADER_DUTIES);
+    const shardClaims = dependencies.leases.claimNames.filter((claimName) => claimName !== LEADER_CLAIM);
+    this.shardDuties = new Map(
+      shardClaims.map((claimName) => [claimName, this.createDuties(claimName, SHARD_DUTIES)]),
+    );
+  }
+
+  private createDuties<Name extends DutyName>(claimName: string, names: readonly Name[]): DutiesByName<Name> {
+    const duties = names.map((name) => [name, this.createDuty(claimName, name)] as const);
+    return Object.fromEntries(duties) as Record<Name, Duty>;
   }
 
-  private add(claimName: string, name: DutyName): void {
-    const duty = new Duty({
+  private createDuty(claimName: string, name: DutyName): Duty {
+    return new Duty({
       name,
       claim: claimName,
       actingToken: () => this.actingToken(claimName),
       audit: this.audit,
-      enforceFencing: this.input.enforceFencing,
+      enforceFencing: this.dependencies.enforceFencing,
     });
-    this.duties.set(`${claimName}/${name}`, duty);
   }
 
   private actingToken(claimName: string): FencingToken | null {
-    const revision = this.input.leases.actingRevision(claimName);
+    const revision = this.dependencies.leases.actingRevision(claimName);
     return revision === null ? null : tokenOf(revision);
   }
 
-  private duty(claimName: string, name: DutyName): Duty {
-    const found = this.duties.get(`${claimName}/${name}`);
-    if (!found) throw new Error(`no duty ${name} on claim ${claimName}`);
-    return found;
-  }
-
   /** A duty of the leader. */
   leader(name: LeaderDutyName): Duty {
-    return this.duty(LEADER_CLAIM, name);
+    return this.leaderDuties[name];
   }
 
-  /** A duty of the holder of a share. */
+  /** A duty of the holder of a shard. Throws a RangeError if the deployment has no such shard. */
   shard(shardId: number, name: ShardDutyName): Duty {
-    return this.duty(String(shardId), name);
+    const duties = this.shardDuties.get(String(shardId));
+    if (duties === undefined) throw new RangeError(`no duty ${name} on claim ${shardId}`);
+    return duties[name];
+  }
+
+  /** All duties in the order of their claims, for an operator. */
+  list(): readonly Duty[] {
+    return this.dependencies.leases.claimNames.flatMap((claimName) => this.dutiesOf(claimName));
   }
 
-  /** All duties, for an operator. */
-  all(): readonly Duty[] {
-    return [...this.duties.values()];
+  private dutiesOf(claimName: string): readonly Duty[] {
+    if (claimName === LEADER_CLAIM) return Object.values(this.leaderDuties);
+    return Object.values(this.shardDuties.get(claimName) ?? {});
   }
 
-  /** The claim on a slot changed in this node's copy of the shared keys. */
+  /** A claim changed in this controller's copy of the shared keys. */
   claimChanged(claimName: string): void {
-    const claim = this.input.leases.claim(claimName);
+    this.auditHolder(claimName);
+    const ownRevision = this.dependencies.leases.ownRevision(claimName);
+    for (const duty of this.dutiesOf(claimName)) {
+      if (ownRevision === null) duty.apply({ _tag: 'released' });
+      else this.applyClaim(duty, tokenOf(ownRevision));
+    }
+  }
+
+  private auditHolder(claimName: string): void {
+    const claim = this.dependencies.leases.claim(claimName);
     if (claim) this.audit.recordHolder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
     else this.audit.recordEnd(claimName, 'lease ended');
-    const ownRevision = this.input.leases.ownRevision(claimName);
-    for (const duty of this.duties.values()) {
-      if (duty.claim !== claimName) continue;
-      if (ownRevision === null) {
-        duty.apply({ _tag: 'released' });
-        continue;
-      }
-      const token = tokenOf(ownRevision);
-      duty.apply({ _tag: 'claimed', token });
-      if (claimName === LEADER_CLAIM && !SETTLED_BY_LEADER.has(duty.name))
-        duty.apply({ _tag: 'settled', token });
-    }
   }
 
-  /** The share's state is rebuilt: its duties begin. */
-  shardLoaded(shardId: number, claim: number): void {
-    const token = tokenOf(claim);
+  private applyClaim(duty: Duty, token: FencingToken): void {
+    duty.apply({ _tag: 'claimed', token });
+    if (duty.claim === LEADER_CLAIM && !LEADER_DUTIES_WITH_SETTLEMENT.has(duty.name))
+      duty.apply({ _tag: 'settled', token });
+  }
+
+  /** The shard's state has been rebuilt under the claim of this revision: its duties begin. */
+  shardLoaded(shardId: number, claimRevision: number): void {
+    const token = tokenOf(claimRevision);
     for (const name of SHARD_DUTIES) this.shard(shardId, name).apply({ _tag: 'settled', token });
   }
 }
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -1,3 +1,7 @@
+/**
+ * Writes to the key-value store under a claim: transactions of a duty, and the values that only the holder
+ * of a claim may write (the port `FencedValue` of the fencing package). Without state.
+ */
 import type { FencedValue, FencingToken, Permit, ReadOutcome, WriteOutcome } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
@@ -8,14 +12,17 @@
 export const fencedTransaction = (
   store: KeyValueStore,
   permit: Pick<Permit, 'claim' | 'token'>,
-  when: readonly Condition[],
+  conditions: readonly Condition[],
   writes: readonly Write[],
-  rank: RequestPriority,
+  priority: RequestPriority,
 ): Effect.Effect<TransactionResult> =>
-  store.compareAndSwap([{ key: claimKey(permit.claim), version: permit.token }, ...when], writes, rank);
+  store.compareAndSwap(
+    [{ key: claimKey(permit.claim), version: permit.token }, ...conditions],
+    writes,
+    priority,
+  );
 
-/** What became of a write of a value that only the holder of a claim may write. */
-const readWriteOutcome = (result: TransactionResult, claim: string): WriteOutcome => {
+const writeOutcomeOf = (result: TransactionResult, claim: string): WriteOutcome => {
   switch (result._tag) {
     case 'committed':
       return { _tag: 'written', revision: result.revision };
@@ -32,12 +39,12 @@
   }
 };
 
-/** One key of the state service, written under a claim only. */
+/** One key of the key-value store that is written under a claim only; reads have a user's priority. */
 export const fencedValue = (
   store: KeyValueStore,
   key: string,
   claim: string,
-  rank: RequestPriority,
+  priority: RequestPriority,
 ): FencedValue => ({
   read: async (): Promise<ReadOutcome> => {
     const result = await Effect.runPromise(store.get(key, 'user'));
@@ -51,7 +58,7 @@
     }
   },
   write: async (value, revision, token: FencingToken, removals = []): Promise<WriteOutcome> => {
-    const when = [
+    const conditions = [
       { key, version: revision },
       ...removals.map((removal) => ({ key: removal.key, version: removal.revision })),
     ];
@@ -59,7 +66,9 @@
       { _tag: 'put', key, value },
       ...removals.map((removal): Write => ({ _tag: 'delete', key: removal.key })),
     ];
-    const result = await Effect.runPromise(fencedTransaction(store, { claim, token }, when, writes, rank));
-    return readWriteOutcome(result, claim);
+    const result = await Effect.runPromise(
+      fencedTransaction(store, { claim, token }, conditions, writes, priority),
+    );
+    return writeOutcomeOf(result, claim);
   },
 });
--- /dev/null
+++ b/src/duties/order-verifier.test.ts
@@ -0,0 +1,89 @@
+/** Orders of replaced controllers are refused, and those of present ones carried out. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { DutyAudit } from '@dalegate/fencing';
+import { PeerRequests } from '../peers/peer-requests.js';
+import { OrderVerifier } from './order-verifier.js';
+
+/** The revision of the leader's claim. */
+const HELD_UNDER = 40;
+
+/** Peer requests that carry out every order that the verifier accepts. */
+const peerRequestsWith = (gate: OrderVerifier, onMove: () => void = () => undefined): PeerRequests =>
+  new PeerRequests({
+    gate,
+    move: () => {
+      onMove();
+      return Promise.resolve(true);
+    },
+    releaseNow: () => Promise.resolve(true),
+    acknowledge: () => true,
+  });
+
+interface OrderCase {
+  readonly name: string;
+  readonly token?: unknown;
+  readonly required?: boolean;
+  readonly enforceFencing?: boolean;
+  readonly status: number;
+  readonly body: object;
+}
+const moved = { moved: true };
+const orders: readonly OrderCase[] = [
+  { name: 'of the present leader', token: HELD_UNDER, status: 200, body: moved },
+  { name: 'of a later leader than is known here', token: HELD_UNDER + 1, status: 200, body: moved },
+  {
+    name: 'of a replaced leader: refused with the current token',
+    token: HELD_UNDER - 1,
+    status: 409,
+    body: { error: 'a later holder is known', token: HELD_UNDER },
+  },
+  { name: 'of an earlier version, while one is about', status: 200, body: moved },
+  {
+    name: 'without a token, where every version sends one',
+    required: true,
+    status: 400,
+    body: { error: `token must be an integer from 1 to ${Number.MAX_SAFE_INTEGER}`, field: 'token' },
+  },
+  {
+    name: 'with a token that is no integer',
+    token: '40',
+    status: 400,
+    body: { error: `token must be an integer from 1 to ${Number.MAX_SAFE_INTEGER}`, field: 'token' },
+  },
+  { name: 'where fencing is off', token: 1, enforceFencing: false, status: 200, body: moved },
+];
+for (const row of orders) {
+  test(`order: ${row.name}`, async () => {
+    const audit = new DutyAudit(() => 0);
+    const orderVerifier = new OrderVerifier({
+      audit,
+      tokensRequired: () => row.required ?? false,
+      enforceFencing: row.enforceFencing ?? true,
+    });
+    orderVerifier.noteClaim('L', HELD_UNDER);
+    let carriedOut = 0;
+    const requests = peerRequestsWith(orderVerifier, () => (carriedOut += 1));
+    const order = { from: 0, moves: [], ...(row.token === undefined ? {} : { token: row.token }) };
+    const reply = await requests.answer('/move', order);
+    assert.deepEqual({ status: reply?.status, body: reply?.body }, { status: row.status, body: row.body });
+    assert.equal(carriedOut, row.status === 200 ? 1 : 0);
+    assert.equal(audit.refusalCount, row.status === 409 ? 1 : 0);
+  });
+}
+
+test('order: a return asked for by a replaced holder of a share is refused, for that share alone', async () => {
+  const orderVerifier = new OrderVerifier({
+    audit: new DutyAudit(() => 0),
+    tokensRequired: () => true,
+    enforceFencing: true,
+  });
+  orderVerifier.noteClaim('1', HELD_UNDER);
+  const requests = peerRequestsWith(orderVerifier);
+  const statusOf = async (shardId: number, token: number): Promise<number | undefined> =>
+    (await requests.answer('/return', { machines: ['i-1'], share: shardId, token }))?.status;
+  assert.equal(await statusOf(1, HELD_UNDER - 1), 409);
+  assert.equal(await statusOf(1, HELD_UNDER), 200);
+  assert.equal(await statusOf(2, 1), 200);
+  assert.equal(await requests.answer('/nothing', {}), null);
+});
--- a/src/duties/order-verifier.ts
+++ b/src/duties/order-verifier.ts
@@ -1,3 +1,10 @@
+/**
+ * The check of fencing tokens in orders that controllers send each other.
+ *
+ * State: {@link OrderVerifier} owns the highest token seen for each claim. The change dispatcher notes each
+ * claim that the state service shows; the endpoint for peer requests verifies an order before it is carried
+ * out.
+ */
 import { parseToken, TokenRegister, tokenOf, type DutyAudit, type DutyName } from '@dalegate/fencing';
 
 /** Whether an order of another controller is carried out. */
@@ -8,33 +15,41 @@
   /** The sender was replaced: 409 with the current holder's token. */
   | { readonly _tag: 'stale'; readonly current: number };
 
-/** What the gate needs of its controller. */
+/** What the verifier needs of its controller. */
 export interface OrderVerifierDependencies {
   readonly audit: DutyAudit;
   /** Every controller sends tokens with its orders, so one without is malformed. */
   readonly tokensRequired: () => boolean;
+  /** When off, every order is accepted. */
   readonly enforceFencing: boolean;
 }
 
-/** Checks the fencing tokens of orders that controllers send each other. */
+/** Accepts orders of current holders, and refuses those of replaced ones. */
 export class OrderVerifier {
-  private readonly register = new TokenRegister();
+  private readonly highestTokens = new TokenRegister();
 
-  constructor(private readonly input: OrderVerifierDependencies) {}
+  constructor(private readonly dependencies: OrderVerifierDependencies) {}
 
   /** The state service shows this revision of a claim. */
   noteClaim(claim: string, revision: number): void {
-    this.register.note(claim, tokenOf(revision));
+    this.highestTokens.note(claim, tokenOf(revision));
   }
 
-  verify(duty: DutyName, claim: string, effect: string, raw: unknown): OrderVerdict {
-    if (!this.input.enforceFencing || (raw === undefined && !this.input.tokensRequired()))
-      return { _tag: 'accepted' };
-    const parsed = parseToken(raw, 'token');
+  /** Verifies an order for one effect of a duty by its token as received; a refusal goes into the audit. */
+  verify(duty: DutyName, claim: string, effect: string, rawToken: unknown): OrderVerdict {
+    if (!this.dependencies.enforceFencing) return { _tag: 'accepted' };
+    if (rawToken === undefined && !this.dependencies.tokensRequired()) return { _tag: 'accepted' };
+    const parsed = parseToken(rawToken, 'token');
     if (parsed._tag === 'invalid') return { _tag: 'malformed', field: parsed.field, reason: parsed.reason };
-    const verdict = this.register.check(claim, parsed.token);
-    if (verdict._tag === 'accepted') return verdict;
-    this.input.audit.recordRefusal({ duty, claim, effect, token: parsed.token, reason: 'stale order' });
-    return { _tag: 'stale', current: verdict.current };
+    const check = this.highestTokens.check(claim, parsed.token);
+    if (check._tag === 'accepted') return check;
+    this.dependencies.audit.recordRefusal({
+      duty,
+      claim,
+      effect,
+      token: parsed.token,
+      reason: 'stale order',
+    });
+    return { _tag: 'stale', current: check.current };
   }
 }
--- a/src/duties/release-without-intent.ts
+++ b/src/duties/release-without-intent.ts
@@ -1,42 +1,49 @@
+/**
+ * The release of machines while the state service can't be written, so that no durable intent can come
+ * first: the holder of a shard orders the leader to release them at once. The shard calls it for machines
+ * with cancelled tasks. Without state.
+ */
 import type { Duty } from '@dalegate/fencing';
 import { CLOUD_REQUEST_TIMEOUT_MS, MAX_MACHINES_PER_RELEASE_REQUEST } from '../constants/fleet.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
 
-/** What an urgent return needs of its controller. */
+/** What a release without intent needs of its controller. */
 export interface ReleaseWithoutIntentDependencies {
   readonly shardId: number;
   readonly duty: Duty;
-  readonly me: string;
+  /** The name of this controller. */
+  readonly ownNode: string;
+  /** The name of the controller that leads; undefined: nobody does. */
   readonly leaderNode: () => string | undefined;
-  /** ms since the state service last answered this node. */
+  /** ms since the state service last answered this controller. */
   readonly msSinceStoreAnswered: () => number;
-  /** Returns machines as the leader that this node is. */
+  /** Releases machines as the leader that this controller is. True: they are gone. */
   readonly releaseLocally: (machines: readonly string[]) => Promise<boolean>;
-  readonly ask: (node: string, path: string, body: unknown, timeoutMs: number) => Promise<unknown>;
+  /** Sends a request to another controller; null: no usable answer. */
+  readonly sendRequest: (node: string, path: string, body: unknown, timeoutMs: number) => Promise<unknown>;
 }
 
 /**
- * Has machines returned to the cloud while the state service can't be written, so that no durable intent can
- * come first. Where it answers, the machine's record is the way: it tells a later leader too. True: they are
- * gone.
+ * Has machines released at once if the state service does not answer. Where it answers, the machine's
+ * record is the way: it tells a later leader too. True: they are gone.
  */
 export const releaseWithoutIntent = async (
-  input: ReleaseWithoutIntentDependencies,
+  dependencies: ReleaseWithoutIntentDependencies,
   machines: readonly string[],
 ): Promise<boolean> => {
-  if (
-    machines.length > MAX_MACHINES_PER_RELEASE_REQUEST ||
-    input.msSinceStoreAnswered() < HEARTBEAT_FRESHNESS_MS
-  )
-    return false;
-  const to = input.leaderNode();
-  const permit = to === undefined ? null : input.duty.begin('order to return machines at once');
-  if (to === undefined || permit === null) return false;
+  if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
+  if (dependencies.msSinceStoreAnswered() < HEARTBEAT_FRESHNESS_MS) return false;
+  const leader = dependencies.leaderNode();
+  if (leader === undefined) return false;
+  const permit = dependencies.duty.begin('order to return machines at once');
+  if (permit === null) return false;
   try {
-    if (to === input.me) return await input.releaseLocally(machines);
-    const order = writeReturnOrder({ machines, shardId: input.shardId }, permit.token);
-    return readReturnAnswer(await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS));
+    if (leader === dependencies.ownNode) return await dependencies.releaseLocally(machines);
+    const order = writeReturnOrder({ machines, shardId: dependencies.shardId }, permit.token);
+    return readReturnAnswer(
+      await dependencies.sendRequest(leader, '/return', order, CLOUD_REQUEST_TIMEOUT_MS),
+    );
   } finally {
     permit.end();
   }
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -6,7 +6,7 @@
   MOVE_CONFIRMATION_TIMEOUT_MS,
 } from '../constants/fleet.js';
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
-import type { ReleaseIntentView } from '../duties/admin-api.js';
+import type { ReleaseIntent } from '../duties/duties-report.js';
 import type { DutyRegistry } from '../duties/duty-registry.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
@@ -128,8 +128,8 @@
   }
 
   /** Machines whose records ask for their release. */
-  get releaseIntents(): readonly ReleaseIntentView[] {
-    return [...this.machines.releasing].map((machine): ReleaseIntentView => {
+  get releaseIntents(): readonly ReleaseIntent[] {
+    return [...this.machines.releasing].map((machine): ReleaseIntent => {
       const record = this.machines.get(machine);
       return {
         machine,
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -94,11 +94,11 @@
     {
       shardId: 1,
       duty: leaderDuties(TOKEN, () => 0).leader('release'),
-      me: 'n1',
+      ownNode: 'n1',
       leaderNode: () => 'n0',
       msSinceStoreAnswered: () => ROOM,
       releaseLocally: () => Promise.resolve(false),
-      ask: (_node, path, body) => {
+      sendRequest: (_node, path, body) => {
         Object.assign(sent, { path, body });
         return Promise.resolve(null);
       },
