--- a/src/cli/cli.test.ts
+++ b/src/cli/cli.test.ts
@@ -1,3 +1,4 @@
+/** The command line's texts and exit codes, as the bundle gives them. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -8,12 +9,12 @@
 import { after, before, test } from 'node:test';
 import type { WireDutiesOverview } from '../duties/admin-codec.js';
 
-interface Outcome {
+interface ProgramResult {
   readonly code: number | null;
   readonly out: string;
   readonly err: string;
 }
-const run = (args: readonly string[]): Promise<Outcome> =>
+const runProgram = (args: readonly string[]): Promise<ProgramResult> =>
   new Promise((resolve) => {
     const child = spawn(process.execPath, ['target/app/main.js', ...args], { stdio: 'pipe' });
     let out = '';
@@ -23,7 +24,7 @@
     child.on('exit', (code) => resolve({ code, out, err }));
   });
 
-const view: WireDutiesOverview = {
+const answer: WireDutiesOverview = {
   node: 'n0',
   duties: [
     {
@@ -54,7 +55,7 @@
   server = createServer((request, response) => {
     const known = request.url === '/admin/v1/duties';
     response.writeHead(known ? 200 : 404);
-    response.end(JSON.stringify(known ? view : { error: 'no duty is called "x"' }));
+    response.end(JSON.stringify(known ? answer : { error: 'no duty is called "x"' }));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   node = `127.0.0.1:${(server.address() as AddressInfo).port}`;
@@ -107,10 +108,16 @@
     code: 1,
     err: /127\.0\.0\.1:9 does not answer.*try another node/,
   },
+  {
+    name: 'a node with a port that does not exist',
+    args: () => ['duties', '--node', '127.0.0.1:99999'],
+    code: 1,
+    err: /127\.0\.0\.1:99999 does not answer.*65536.*try another node/,
+  },
 ];
 for (const row of rows) {
   test(`command line: ${row.name}`, async () => {
-    const { code, out, err } = await run(row.args());
+    const { code, out, err } = await runProgram(row.args());
     assert.equal(code, row.code, err);
     if (row.out) assert.match(out, row.out);
     if (row.err) assert.match(err, row.err);
@@ -122,7 +129,7 @@
   const networks = join(directory, 'networks.toml');
   writeFileSync(settings, JSON.stringify(SETTINGS));
   writeFileSync(networks, 'admin = [\n  "10.0.0.0/40",\n]\n');
-  const { code, err } = await run(['--config', settings, '--networks', networks]);
+  const { code, err } = await runProgram(['--config', settings, '--networks', networks]);
   assert.equal(code, 2);
   assert.equal(err, 'networks: line 2: "10.0.0.0/40" is not a network in CIDR form\n');
 });
@@ -130,7 +137,7 @@
 test('command line: an unknown feature stops the start, with its name and those that exist', async () => {
   const settings = join(directory, 'settings.json');
   writeFileSync(settings, JSON.stringify(SETTINGS));
-  const { code, err } = await run(['--config', settings, '--features', join(directory, 'bad.toml')]);
+  const { code, err } = await runProgram(['--config', settings, '--features', join(directory, 'bad.toml')]);
   assert.equal(code, 2);
   assert.equal(err, 'features: no feature is called "fences"; there is: fencing\n');
 });
