--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -9,6 +9,7 @@
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { claimKey, markKey } from '../kv-store/keys.js';
+import { PEER_PATHS } from '../peers/request-codec.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readAcknowledgement, readAcknowledgeReply, writeAcknowledgeRequest } from './codec.js';
 import { assessEvidence, type FreshClaim } from './evidence.js';
@@ -49,7 +50,7 @@
         MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
         async (list) =>
           readAcknowledgeReply(
-            await this.input.ask(node, '/heed', writeAcknowledgeRequest(list)),
+            await this.input.ask(node, PEER_PATHS.acknowledge, writeAcknowledgeRequest(list)),
             list.length,
           ),
       );
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -3,7 +3,7 @@
 import { CLOCK_DRIFT_FRACTION } from '../constants/leases.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { ACKNOWLEDGEMENT_PROTOCOL_VERSION } from '../constants/protocol.js';
-import type { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import type { ProtocolVersion } from '../peers/protocol-version.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 
@@ -12,7 +12,7 @@
   readonly nodes: number;
   /** ms since the state service last answered this node. */
   readonly msSinceStoreAnswered: () => number;
-  readonly peers: Pick<PeerNetwork, 'storeReachability' | 'allDown'>;
+  readonly peers: Pick<PeerView, 'storeReachability' | 'storeDownForAll'>;
   readonly protocolVersion: Pick<ProtocolVersion, 'agreed'>;
   readonly cache: Pick<WatchCache, 'confirmedAt'>;
   readonly workers: { readonly cancel_s: number; readonly lease_s: number };
@@ -32,7 +32,8 @@
 export const outageGrace = (input: OutageInput): number | null =>
   outageGraceUntil({
     confirmed: confirmed(input),
-    nobodyTells: input.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && input.peers.allDown(),
+    nobodyTells:
+      input.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && input.peers.storeDownForAll(),
     confirmedAt: input.cache.confirmedAt,
     cancelMs: input.workers.cancel_s * 1000 * (1 - CLOCK_DRIFT_FRACTION),
     leaseMs: input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION),
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -36,7 +36,7 @@
     limits: deployment.limits,
     counts: (job, team) => {
       const shardId = deployment.shardOf(team);
-      return sharding.shards.actingShard(shardId)?.counts(job) ?? peers.counts(shardId, job);
+      return sharding.shards.actingShard(shardId)?.counts(job) ?? peers.taskCounts(shardId, job);
     },
     wall: clocks.wall,
   });
@@ -92,7 +92,7 @@
 ): PeerRequests =>
   new PeerRequests({
     gate: duties.gate,
-    move: (from, moves) => transfers.carryOut(from, moves),
+    transferMachines: (from, moves) => transfers.carryOut(from, moves),
     releaseNow: (machines) => leader.releaseNow(machines),
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
   });
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -19,7 +19,7 @@
 /** Creates the acknowledgement of cancellations of one controller. */
 export const createCancellations = (
   { deployment, state }: ControllerContext,
-  { peers, protocolVersion }: Coordination,
+  { peers, peerNetwork, protocolVersion }: Coordination,
   shards: HeldShards,
 ): Cancellations => ({
   acknowledgement: new CancellationAcknowledgement({
@@ -28,17 +28,17 @@
     fresh: state.linearizableReads,
     cache: state.cache,
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
-    ask: (node, path, body) => peers.ask(node, path, body),
+    ask: (node, path, body) => peerNetwork.request(node, path, body),
     summaries: () => peers.summaries(),
     understands: (node) =>
       node === deployment.me.node ||
       protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION ||
-      peers.understands(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
+      peers.supportsVersion(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
   }),
   durableAcknowledgements: new DurableAcknowledgements({
     store: state.store,
     cache: state.cache,
     held: () => shards.loaded(),
-    allHeard: () => peers.allHeard(),
+    allHeard: () => peers.allConnected(),
   }),
 });
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -1,6 +1,6 @@
 /** The composition root of a controller: builds the subsystems and connects them. Decides nothing itself. */
 import type * as Effect from 'effect/Effect';
-import { distributeRates } from '../peers/rate-sharing.js';
+import { divideStoreRates } from '../peers/rate-division.js';
 import { NO_FEATURES, type Features } from '../settings/features.js';
 import { ANYONE, type AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
@@ -72,14 +72,14 @@
 const createRun = (subsystems: Subsystems): Effect.Effect<unknown> => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
   const { store, cache } = context.state;
-  const { leases, peers, protocolVersion } = coordination;
+  const { leases, peers, peerNetwork, protocolVersion } = coordination;
   return superviseAll({
     cache: cache.run,
     leases: leases.run,
-    peers: peers.run,
+    peers: peerNetwork.run,
     leader: leadership.leader.run,
     relay: leadership.relay.run,
-    rates: distributeRates(store, () => peers.demands()),
+    rates: divideStoreRates(store, () => peers.storeDemands()),
     protocolVersion: protocolVersion.run,
     pipelines: sharding.pipelines.run,
     acknowledgements: cancellations.durableAcknowledgements.run,
@@ -98,7 +98,7 @@
   followChanges(subsystems);
   return {
     route: createApi(subsystems, adminAccess),
-    peerRoute: (call) => coordination.peers.handle(call),
+    peerRoute: (call) => coordination.peerNetwork.handle(call),
     run: createRun(subsystems),
     stop: () => sharding.shards.stop(),
   };
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -11,6 +11,7 @@
 import type { ServerResponse } from '../http.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import { ProtocolVersion } from '../peers/protocol-version.js';
 import type { ControllerContext } from './context.js';
 
@@ -26,7 +27,9 @@
 
 /** Coordination among the controllers. */
 export interface Coordination {
-  readonly peers: PeerNetwork;
+  readonly peerNetwork: PeerNetwork;
+  /** What the heartbeats of the peers say. */
+  readonly peers: PeerView;
   readonly protocolVersion: ProtocolVersion;
   readonly leases: LeaseManager;
   readonly duties: Duties;
@@ -40,26 +43,27 @@
 export const createCoordination = (context: ControllerContext, input: CoordinationInput): Coordination => {
   const { settings, deployment, clocks, state } = context;
   const leaderNode = (): string | undefined => leases.claim(LEADER_CLAIM)?.node;
-  const peers = new PeerNetwork({
+  const peerNetwork = new PeerNetwork({
     me: deployment.me.node,
-    peers: settings.siblings,
+    peers: settings.siblings.map(({ host_name: node, endpoint }) => ({ node, endpoint })),
     now: clocks.lease,
     createHttpClient: context.ports.createHttpClient,
     leader: leaderNode,
     heartbeat: input.heartbeat,
     answer: input.answer,
   });
+  const peers = peerNetwork.view;
   const protocolVersion: ProtocolVersion = new ProtocolVersion({
     store: state.store,
     cache: state.cache,
-    announced: () => peers.announced(),
-    begin: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
+    announcedVersions: () => peers.announcedVersions(),
+    beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(state.store, state.cache, {
     me: deployment.me,
     nodes: deployment.nodes,
     shardCount: deployment.shardCount,
-    peers: () => peers.peers(),
+    peers: () => peers.statuses(),
     outageGraceUntil: () =>
       outageGrace({
         nodes: deployment.nodes.length,
@@ -81,5 +85,5 @@
     tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
   const mayLead = (): boolean => leases.actingRevision(LEADER_CLAIM) !== null;
-  return { peers, protocolVersion, leases, duties, leaderNode, mayLead };
+  return { peerNetwork, peers, protocolVersion, leases, duties, leaderNode, mayLead };
 };
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -34,7 +34,8 @@
   shards: HeldShards,
 ): readonly ShardSummary[] => {
   const leader = leaderNode();
-  const relayed = leader !== undefined && leader !== deployment.me.node && peers.fresh(leader) === null;
+  const relayed =
+    leader !== undefined && leader !== deployment.me.node && peers.recentHeartbeat(leader) === null;
   return relayed ? shards.ownSummaries() : [];
 };
 
@@ -54,13 +55,13 @@
   shards: HeldShards,
 ): Leadership => {
   const { settings, deployment, clocks, state } = context;
-  const { peers, leases, duties, protocolVersion, mayLead } = coordination;
+  const { peerNetwork, peers, leases, duties, protocolVersion, mayLead } = coordination;
   const relay: KeyValueStoreRelay = new KeyValueStoreRelay({
     store: state.store,
     valueBytes: deployment.valueBytes,
     now: clocks.steady,
     leaderClaim: () => leases.claim(LEADER_CLAIM)?.version ?? null,
-    cutOff: () => cutOffSummaries(context, coordination, shards),
+    summariesToRelay: () => cutOffSummaries(context, coordination, shards),
     transferMachines: (shardId, moves) => void transfers.carryOut(shardId, moves),
   });
   const transfers = new Transfers({
@@ -68,6 +69,7 @@
     shards,
     leases,
     peers,
+    peerNetwork,
     relay,
     reservations: () => leader.reservations,
   });
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -2,7 +2,7 @@
  * Which of our shards' workers reach another controller instead of this one. Pure decision; the lease manager
  * asks for it with each look at the claims, and hands such shards over.
  */
-import type { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import type { Shard } from '../placement/shard.js';
 import type { HeldShards } from './held-shards.js';
 
@@ -12,7 +12,7 @@
 /** What the decision looks at. */
 export interface MisroutingInput {
   readonly shards: Pick<HeldShards, 'forEach'>;
-  readonly peers: Pick<PeerNetwork, 'misroutedHeartbeats'>;
+  readonly peers: Pick<PeerView, 'misroutedHeartbeats'>;
 }
 
 /** The node that hears the shard's workers while this one hears none of them; null: there is no such node. */
--- a/src/controller/readiness.ts
+++ b/src/controller/readiness.ts
@@ -3,13 +3,13 @@
  * check.
  */
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
-import type { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import type { StateAccess } from './state-access.js';
 
 /** What readiness depends on. */
 export interface ReadinessInput {
   readonly state: Pick<StateAccess, 'cache' | 'catalog' | 'ageMs'>;
-  readonly peers: Pick<PeerNetwork, 'storeReachability'>;
+  readonly peers: Pick<PeerView, 'storeReachability'>;
 }
 
 /** Ready means: takes users' requests at least as well as the other nodes. */
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -4,7 +4,7 @@
  */
 import type { Leader } from '../fleet/leader.js';
 import type { Reservation } from '../fleet/records.js';
-import type { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { Coordination } from './coordination.js';
 
@@ -12,7 +12,7 @@
 export interface ReservationsInput {
   readonly coordination: Pick<Coordination, 'leaderNode' | 'mayLead'>;
   readonly leader: Pick<Leader, 'reservations'>;
-  readonly peers: Pick<PeerNetwork, 'fresh'>;
+  readonly peers: Pick<PeerView, 'recentHeartbeat'>;
   readonly relay: Pick<KeyValueStoreRelay, 'reservations'>;
 }
 
@@ -32,7 +32,7 @@
     const { coordination, leader, peers, relay } = this.input;
     if (coordination.mayLead()) return leader.reservations;
     const node = coordination.leaderNode();
-    const heartbeat = node === undefined ? null : peers.fresh(node);
+    const heartbeat = node === undefined ? null : peers.recentHeartbeat(node);
     return heartbeat ? heartbeat.reservations : relay.reservations(shardId);
   }
 }
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -29,7 +29,7 @@
 
 const createClaimInput = (dependencies: ShardDependencies, shardId: number, claim: number): ClaimInput => {
   const { context, coordination, leadership } = dependencies;
-  const { leases, duties, peers, leaderNode } = coordination;
+  const { leases, duties, peerNetwork, leaderNode } = coordination;
   const mayAct = (): boolean => leases.actingRevision(String(shardId)) === claim;
   return {
     mayAct: mayAct,
@@ -48,7 +48,7 @@
           leaderNode,
           msSinceStoreAnswered: context.state.ageMs,
           releaseLocally: (own) => leadership().leader.releaseNow(own),
-          ask: (node, path, body, timeoutMs) => peers.ask(node, path, body, timeoutMs),
+          ask: (node, path, body, timeoutMs) => peerNetwork.request(node, path, body, timeoutMs),
         },
         machines,
       ),
@@ -87,6 +87,6 @@
     settled: (job, final) => pipelines.settle(job, final),
     readiness: (job) => pipelines.readiness(job),
     effectivePriority: (job) => pipelines.effectivePriority(job),
-    changed: () => coordination.peers.notifyLeader(),
+    changed: () => coordination.peerNetwork.notifyLeader(),
   };
 };
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -1,7 +1,7 @@
 /** What the leader knows of each shard. No state; the leader asks for it with each plan. */
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { ShardSummary } from '../fleet/records.js';
-import type { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
@@ -13,7 +13,7 @@
   readonly shardCount: number;
   readonly leases: Pick<LeaseManager, 'claim'>;
   readonly shards: Pick<HeldShards, 'ownSummaries'>;
-  readonly peers: Pick<PeerNetwork, 'summaries'>;
+  readonly peers: Pick<PeerView, 'summaries'>;
   readonly relay: Pick<KeyValueStoreRelay, 'summary'>;
 }
 
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -7,7 +7,9 @@
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { MachineTransfer, Reservation } from '../fleet/records.js';
 import type { PeerNetwork } from '../peers/network.js';
-import { writeMoveOrder } from '../peers/order-codec.js';
+import type { PeerView } from '../peers/peer-view.js';
+import { writeTransferOrder } from '../peers/order-codec.js';
+import { PEER_PATHS } from '../peers/request-codec.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
@@ -17,8 +19,9 @@
   readonly node: string;
   readonly shards: Pick<HeldShards, 'actingShard'>;
   readonly leases: Pick<LeaseManager, 'claim'>;
-  readonly peers: Pick<PeerNetwork, 'fresh' | 'ask'>;
-  readonly relay: Pick<KeyValueStoreRelay, 'order'>;
+  readonly peers: Pick<PeerView, 'recentHeartbeat'>;
+  readonly peerNetwork: Pick<PeerNetwork, 'request'>;
+  readonly relay: Pick<KeyValueStoreRelay, 'relayOrders'>;
   /** The leader's reservations, which relayed orders carry too. */
   readonly reservations: () => readonly Reservation[];
 }
@@ -29,15 +32,16 @@
 
   /** Has the holder of a shard carry out the leader's transfers from it. */
   order(from: number, moves: readonly MachineTransfer[], permit: Permit): Effect.Effect<unknown> {
-    const { node, leases, peers, relay } = this.input;
+    const { node, leases, peers, peerNetwork, relay } = this.input;
     const shard = this.input.shards.actingShard(from);
     if (shard) return Effect.promise(() => shard.transferMachines(moves));
     const holder = leases.claim(String(from))?.node;
     if (holder === undefined || holder === node) return Effect.void;
-    if (peers.fresh(holder) === null) return relay.order(from, moves, this.input.reservations());
+    if (peers.recentHeartbeat(holder) === null)
+      return relay.relayOrders(from, moves, this.input.reservations());
     if (!permit.mayProceed()) return Effect.void;
-    const order = writeMoveOrder({ from, moves }, permit.token);
-    return Effect.promise(() => peers.ask(holder, '/move', order));
+    const order = writeTransferOrder({ from, transfers: moves }, permit.token);
+    return Effect.promise(() => peerNetwork.request(holder, PEER_PATHS.transfer, order));
   }
 
   /**
--- a/src/duties/duties.test.ts
+++ b/src/duties/duties.test.ts
@@ -168,7 +168,7 @@
     let carriedOut = 0;
     const requests = new PeerRequests({
       gate,
-      move: () => {
+      transferMachines: () => {
         carriedOut += 1;
         return Promise.resolve(true);
       },
@@ -188,7 +188,7 @@
   gate.seen('1', HELD_UNDER);
   const requests = new PeerRequests({
     gate,
-    move: () => Promise.resolve(true),
+    transferMachines: () => Promise.resolve(true),
     releaseNow: () => Promise.resolve(true),
     acknowledge: () => true,
   });
--- a/src/duties/urgent-release.ts
+++ b/src/duties/urgent-release.ts
@@ -1,7 +1,8 @@
 import type { Duty } from '@dalegate/fencing';
 import { CLOUD_REQUEST_TIMEOUT_MS, MAX_MACHINES_PER_RELEASE_REQUEST } from '../constants/fleet.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
-import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
+import { readReleaseAnswer, writeReleaseOrder } from '../peers/order-codec.js';
+import { PEER_PATHS } from '../peers/request-codec.js';
 
 /** What an urgent return needs of its controller. */
 export interface UrgentReleaseDependencies {
@@ -35,8 +36,8 @@
   if (to === undefined || permit === null) return false;
   try {
     if (to === input.me) return await input.releaseLocally(machines);
-    const order = writeReturnOrder({ machines, shardId: input.shardId }, permit.token);
-    return readReturnAnswer(await input.ask(to, '/return', order, CLOUD_REQUEST_TIMEOUT_MS));
+    const order = writeReleaseOrder({ machines, shardId: input.shardId }, permit.token);
+    return readReleaseAnswer(await input.ask(to, PEER_PATHS.release, order, CLOUD_REQUEST_TIMEOUT_MS));
   } finally {
     permit.end();
   }
--- a/src/kv-store/limits.test.ts
+++ b/src/kv-store/limits.test.ts
@@ -312,7 +312,7 @@
     valueBytes: BYTES,
     now: () => 1e6,
     leaderClaim: () => 7,
-    cutOff: () => [],
+    summariesToRelay: () => [],
     transferMachines: () => undefined,
   });
   const hold = {
@@ -330,7 +330,7 @@
   };
   const moves = Array.from({ length: 200 }, (_, k) => ({ machine: `i-${k}`, to: 1 }));
   await Effect.runPromise(
-    detour.order(
+    detour.relayOrders(
       1,
       moves,
       Array.from({ length: 30 }, () => hold),
--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -1,3 +1,7 @@
+/**
+ * What heartbeats and summaries mean here, and their exact bytes. The texts must not change with names in the
+ * code.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decode, encode } from '../http.js';
@@ -7,7 +11,6 @@
 import type { PeerHeartbeat } from './heartbeat.js';
 import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
 
-/** What the heartbeat means here, and its exact bytes. The texts must not change with names in the code. */
 const reservation: Reservation = {
   shardId: 1,
   job: 'job-2',
@@ -109,12 +112,12 @@
 const heartbeats: readonly HeartbeatCase[] = [
   { name: 'with all fields', means: heartbeat, text: HEARTBEAT },
   {
-    name: 'of a version that announces no level',
+    name: 'of an earlier version, which names no protocol version',
     means: withoutLevel,
     text: HEARTBEAT.replace(`"level":${level},`, ''),
   },
   {
-    name: 'without a lease, shares and reservations',
+    name: 'without a lease, shards and reservations',
     means: {
       ...heartbeat,
       lease: null,
--- a/src/peers/heartbeat-codec.ts
+++ b/src/peers/heartbeat-codec.ts
@@ -1,22 +1,21 @@
-import type { Demand, PeerHeartbeat, ShardMachineCounts, TaskCounts } from './heartbeat.js';
+/**
+ * Reads and writes heartbeats as they travel between controllers. Two versions serve side by side during an
+ * upgrade, so the names of the fields and their order are fixed. Task counts pass by reference: there are
+ * thousands, and they look the same on both sides. No state; the peer network calls it.
+ */
+import type { StoreDemand, PeerHeartbeat, ShardTaskCounts, TaskCounts } from './heartbeat.js';
 import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
 import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
 import { isMap, readEntries } from './wire-values.js';
 
-/**
- * The heartbeat as it travels between controllers. Two versions serve side by side during an upgrade, so the
- * names of the fields and their order are fixed. Task counts pass by reference: there are thousands, and they
- * look the same on both sides.
- */
-
-/** The demand on the state service, on the wire. */
+/** The demand on the key-value store, on the wire: both a second. */
 export interface WireDemand {
   readonly requests: number;
   readonly changes: number;
 }
 
-/** Task counts of a share on the wire. */
-export interface WireShareCounts {
+/** Task counts of a shard on the wire. */
+export interface WireShardCounts {
   readonly slot: number;
   readonly jobs: readonly TaskCounts[];
 }
@@ -29,31 +28,31 @@
   readonly level?: number;
   readonly lease: number | null;
   readonly stateAgeMs: number;
-  readonly counts: readonly WireShareCounts[];
+  readonly counts: readonly WireShardCounts[];
   readonly summaries: readonly WireSummary[];
   readonly deaf: boolean;
-  /** Machines by share. */
+  /** Machines by shard. */
   readonly strays: Readonly<Record<string, number>>;
   readonly demand: WireDemand;
   readonly holds: readonly WireReservation[];
 }
 
-const writeDemand = (demand: Demand): WireDemand => ({
+const writeDemand = (demand: StoreDemand): WireDemand => ({
   requests: demand.requests,
   changes: demand.changes,
 });
 
-const readDemand = (wire: WireDemand): Demand => ({
+const readDemand = (wire: WireDemand): StoreDemand => ({
   requests: wire.requests,
   changes: wire.changes,
 });
 
-const writeShareCounts = (counts: ShardMachineCounts): WireShareCounts => ({
+const writeShardCounts = (counts: ShardTaskCounts): WireShardCounts => ({
   slot: counts.shardId,
   jobs: counts.jobs,
 });
 
-const readShareCounts = (wire: WireShareCounts): ShardMachineCounts => ({
+const readShardCounts = (wire: WireShardCounts): ShardTaskCounts => ({
   shardId: wire.slot,
   jobs: wire.jobs,
 });
@@ -65,7 +64,7 @@
   ...(heartbeat.protocolVersion === undefined ? {} : { level: heartbeat.protocolVersion }),
   lease: heartbeat.lease,
   stateAgeMs: heartbeat.storeSilenceMs,
-  counts: heartbeat.counts.map(writeShareCounts),
+  counts: heartbeat.counts.map(writeShardCounts),
   summaries: heartbeat.summaries.map(writeSummary),
   deaf: heartbeat.workersUnreachable,
   strays: heartbeat.misroutedHeartbeats,
@@ -73,7 +72,7 @@
   holds: heartbeat.reservations.map(writeReservation),
 });
 
-/** The node that sent a heartbeat; null: it does not say, so this is none. */
+/** The controller that sent a heartbeat; null: the value names none, so it is no heartbeat. */
 export const readSender = (value: unknown): string | null => {
   const from = (value as Partial<WireHeartbeat> | null | undefined)?.from;
   return typeof from === 'string' ? from : null;
@@ -93,7 +92,7 @@
     ...(wire.level === undefined ? {} : { protocolVersion: wire.level }),
     lease: wire.lease,
     storeSilenceMs: wire.stateAgeMs,
-    counts: readEntries(wire.counts, readShareCounts),
+    counts: readEntries(wire.counts, readShardCounts),
     summaries: readEntries(wire.summaries, readSummary),
     workersUnreachable: wire.deaf,
     misroutedHeartbeats: isMap(wire.strays) ? wire.strays : {},
--- a/src/peers/order-codec.test.ts
+++ b/src/peers/order-codec.test.ts
@@ -1,31 +1,31 @@
+/** Orders and their answers with their exact texts, which must not change with names in the code. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as codec from './order-codec.js';
 import type { TransferOrder, ReleaseOrder } from './orders.js';
 
-/** Orders and their answers with their exact texts, which must not change with names in the code. */
-const move: TransferOrder = {
+const transferOrder: TransferOrder = {
   from: 2,
-  moves: [
+  transfers: [
     { machine: 'i-1', to: 0 },
     { machine: 'i-2', to: 1 },
   ],
 };
-const giveBack: ReleaseOrder = { machines: ['i-1', 'i-2'], shardId: 2 };
+const releaseOrder: ReleaseOrder = { machines: ['i-1', 'i-2'], shardId: 2 };
 
 const written: readonly { readonly name: string; readonly value: unknown; readonly text: string }[] = [
   {
-    name: 'an order to move machines',
-    value: codec.writeMoveOrder(move, 40),
+    name: 'an order to transfer machines',
+    value: codec.writeTransferOrder(transferOrder, 40),
     text: '{"moves":[{"machine":"i-1","to":0},{"machine":"i-2","to":1}],"from":2,"token":40}',
   },
   {
-    name: 'an order to return machines',
-    value: codec.writeReturnOrder(giveBack, 41),
+    name: 'an order to release machines',
+    value: codec.writeReleaseOrder(releaseOrder, 41),
     text: '{"machines":["i-1","i-2"],"share":2,"token":41}',
   },
-  { name: 'the answer to a move', value: codec.writeMoveAnswer(true), text: '{"moved":true}' },
-  { name: 'the answer to a return', value: codec.writeReturnAnswer(false), text: '{"returned":false}' },
+  { name: 'the answer to a transfer', value: codec.writeTransferAnswer(true), text: '{"moved":true}' },
+  { name: 'the answer to a release', value: codec.writeReleaseAnswer(false), text: '{"returned":false}' },
   {
     name: 'the answer to a malformed token',
     value: codec.writeMalformedOrder('token', 'token must be an integer'),
@@ -48,27 +48,27 @@
   readonly means: unknown;
 }[] = [
   {
-    name: 'an order to move machines',
+    name: 'an order to transfer machines',
     text: '{"moves":[{"machine":"i-1","to":0},{"machine":"i-2","to":1}],"from":2,"token":40}',
-    read: codec.readMoveOrder,
-    means: move,
+    read: codec.readTransferOrder,
+    means: transferOrder,
   },
   {
-    name: 'an order to move machines with fields of a later version',
+    name: 'an order to transfer machines with fields of a later version',
     text: '{"moves":[{"machine":"i-1","to":0,"later":1},{"machine":"i-2","to":1}],"from":2,"later":1}',
-    read: codec.readMoveOrder,
-    means: move,
+    read: codec.readTransferOrder,
+    means: transferOrder,
   },
   {
-    name: 'an order to return machines',
+    name: 'an order to release machines',
     text: '{"machines":["i-1","i-2"],"share":2,"token":41,"later":1}',
-    read: codec.readReturnOrder,
-    means: giveBack,
+    read: codec.readReleaseOrder,
+    means: releaseOrder,
   },
   {
-    name: 'an order to return machines of an earlier version',
+    name: 'an order to release machines of an earlier version',
     text: '{"machines":["i-1"]}',
-    read: codec.readReturnOrder,
+    read: codec.readReleaseOrder,
     means: { machines: ['i-1'] } satisfies ReleaseOrder,
   },
   { name: 'a token', text: '{"token":40}', read: codec.readOrderToken, means: 40 },
@@ -79,16 +79,16 @@
     read: codec.readOrderToken,
     means: undefined,
   },
-  { name: 'that machines are gone', text: '{"returned":true}', read: codec.readReturnAnswer, means: true },
-  { name: 'that they are not', text: '{"returned":false}', read: codec.readReturnAnswer, means: false },
+  { name: 'that machines are gone', text: '{"returned":true}', read: codec.readReleaseAnswer, means: true },
+  { name: 'that they are not', text: '{"returned":false}', read: codec.readReleaseAnswer, means: false },
   {
     name: 'an answer that is no truth value',
     text: '{"returned":1}',
-    read: codec.readReturnAnswer,
+    read: codec.readReleaseAnswer,
     means: false,
   },
-  { name: 'an answer without the field', text: '{}', read: codec.readReturnAnswer, means: false },
-  { name: 'no answer', text: 'null', read: codec.readReturnAnswer, means: false },
+  { name: 'an answer without the field', text: '{}', read: codec.readReleaseAnswer, means: false },
+  { name: 'no answer', text: 'null', read: codec.readReleaseAnswer, means: false },
 ];
 for (const row of read) {
   test(`order codec: reads ${row.name}`, () => assert.deepEqual(row.read(JSON.parse(row.text)), row.means));
--- a/src/peers/order-codec.ts
+++ b/src/peers/order-codec.ts
@@ -1,40 +1,39 @@
-import type { MachineTransfer } from '../fleet/records.js';
-import type { TransferOrder, ReleaseOrder } from './orders.js';
-
 /**
- * Orders between controllers and their answers, as they travel; the names of the fields and their order are
- * fixed.
+ * Reads and writes orders between controllers and their answers, as they travel; the names of the fields and
+ * their order are fixed. No state.
  */
+import type { MachineTransfer } from '../fleet/records.js';
+import type { TransferOrder, ReleaseOrder } from './orders.js';
 
-/** One machine's move on the wire. */
-export interface WireMove {
+/** A transfer of one machine on the wire. */
+export interface WireTransfer {
   readonly machine: string;
   readonly to: number;
 }
 
-/** The body of an order to move machines. */
-export interface WireMoveOrder {
-  readonly moves: readonly WireMove[];
+/** The body of an order to transfer machines. */
+export interface WireTransferOrder {
+  readonly moves: readonly WireTransfer[];
   readonly from: number;
   /** The leader's fencing token; earlier versions don't send it. */
   readonly token?: number;
 }
 
-/** The body of an order to return machines. */
-export interface WireReturnOrder {
+/** The body of an order to release machines. */
+export interface WireReleaseOrder {
   readonly machines: readonly string[];
-  /** Earlier versions send neither the share nor its holder's fencing token. */
+  /** Earlier versions send neither the shard nor its holder's fencing token. */
   readonly share?: number;
   readonly token?: number;
 }
 
-/** The answer to an order to move machines. */
-export interface WireMoveAnswer {
+/** The answer to an order to transfer machines. */
+export interface WireTransferAnswer {
   readonly moved: boolean;
 }
 
-/** The answer to an order to return machines. */
-export interface WireReturnAnswer {
+/** The answer to an order to release machines. */
+export interface WireReleaseAnswer {
   readonly returned: boolean;
 }
 
@@ -51,35 +50,38 @@
   readonly token: number;
 }
 
-/** Writes a move. */
-export const writeMove = (move: MachineTransfer): WireMove => ({ machine: move.machine, to: move.to });
+/** Writes a transfer. */
+export const writeTransfer = (transfer: MachineTransfer): WireTransfer => ({
+  machine: transfer.machine,
+  to: transfer.to,
+});
 
-/** Reads a move. */
-export const readMove = (wire: WireMove): MachineTransfer => ({ machine: wire.machine, to: wire.to });
+/** Reads a transfer. */
+export const readTransfer = (wire: WireTransfer): MachineTransfer => ({ machine: wire.machine, to: wire.to });
 
-/** Writes an order to move machines, under the leader's fencing token. */
-export const writeMoveOrder = (order: TransferOrder, token: number): WireMoveOrder => ({
-  moves: order.moves.map(writeMove),
+/** Writes an order to transfer machines, under the leader's fencing token. */
+export const writeTransferOrder = (order: TransferOrder, token: number): WireTransferOrder => ({
+  moves: order.transfers.map(writeTransfer),
   from: order.from,
   token,
 });
 
-/** Reads an order to move machines; throws if it is malformed. */
-export const readMoveOrder = (body: unknown): TransferOrder => {
-  const wire = body as WireMoveOrder;
-  return { from: wire.from, moves: wire.moves.map(readMove) };
+/** Reads an order to transfer machines; throws if it is malformed. */
+export const readTransferOrder = (body: unknown): TransferOrder => {
+  const wire = body as WireTransferOrder;
+  return { from: wire.from, transfers: wire.moves.map(readTransfer) };
 };
 
-/** Writes an order to return machines, under the fencing token of the holder that asks. */
-export const writeReturnOrder = (order: ReleaseOrder, token: number): WireReturnOrder => ({
+/** Writes an order to release machines, under the fencing token of the holder that asks. */
+export const writeReleaseOrder = (order: ReleaseOrder, token: number): WireReleaseOrder => ({
   machines: order.machines,
   ...(order.shardId === undefined ? {} : { share: order.shardId }),
   token,
 });
 
-/** Reads an order to return machines; throws if there is none. */
-export const readReturnOrder = (body: unknown): ReleaseOrder => {
-  const wire = body as WireReturnOrder;
+/** Reads an order to release machines; throws if there is none. */
+export const readReleaseOrder = (body: unknown): ReleaseOrder => {
+  const wire = body as WireReleaseOrder;
   return {
     machines: wire.machines,
     ...(wire.share === undefined ? {} : { shardId: wire.share }),
@@ -92,15 +94,15 @@
  */
 export const readOrderToken = (body: unknown): unknown => (body as { readonly token?: unknown }).token;
 
-/** Writes the answer to an order to move machines. */
-export const writeMoveAnswer = (moved: boolean): WireMoveAnswer => ({ moved });
+/** Writes the answer to an order to transfer machines. */
+export const writeTransferAnswer = (moved: boolean): WireTransferAnswer => ({ moved });
 
-/** Writes the answer to an order to return machines. */
-export const writeReturnAnswer = (returned: boolean): WireReturnAnswer => ({ returned });
+/** Writes the answer to an order to release machines. */
+export const writeReleaseAnswer = (returned: boolean): WireReleaseAnswer => ({ returned });
 
-/** Reads the answer to an order to return machines; true: they are gone. */
-export const readReturnAnswer = (body: unknown): boolean =>
-  (body as Partial<WireReturnAnswer> | null | undefined)?.returned === true;
+/** Reads the answer to an order to release machines; true: they are gone. */
+export const readReleaseAnswer = (body: unknown): boolean =>
+  (body as Partial<WireReleaseAnswer> | null | undefined)?.returned === true;
 
 /** Writes the answer to an order whose token is malformed. */
 export const writeMalformedOrder = (field: string, reason: string): WireMalformedOrder => ({
--- a/src/peers/orders.ts
+++ b/src/peers/orders.ts
@@ -1,26 +1,27 @@
-import type { MachineTransfer, Reservation } from '../fleet/records.js';
-
 /**
  * What controllers order each other to do; `order-codec.ts` and `relay-codec.ts` have the forms on the wire.
+ * Types only.
  */
+import type { MachineTransfer, Reservation } from '../fleet/records.js';
 
-/** The leader's order to the holder of a share: machines that are to go to other shares. */
+/** The leader's order to the holder of a shard: machines that are to go to other shards. */
 export interface TransferOrder {
+  /** The shard that they leave. */
   readonly from: number;
-  readonly moves: readonly MachineTransfer[];
+  readonly transfers: readonly MachineTransfer[];
 }
 
-/** A holder's order to the leader: machines that are to go back to the cloud at once. */
+/** A holder's order to the leader: machines to release to the cloud at once. */
 export interface ReleaseOrder {
   readonly machines: readonly string[];
-  /** The share whose holder asks; earlier versions don't say. */
+  /** The shard whose holder asks; earlier versions don't say. */
   readonly shardId?: number;
 }
 
-/** The leader's orders through the state service, to a holder that it can't reach. */
+/** The leader's orders through the key-value store, to a holder that it can't reach. */
 export interface RelayedOrders {
   /** The revision of the leader's claim. */
-  readonly leader: number;
-  readonly moves: readonly MachineTransfer[];
+  readonly leaderClaim: number;
+  readonly transfers: readonly MachineTransfer[];
   readonly reservations: readonly Reservation[];
 }
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -1,3 +1,8 @@
+/**
+ * Answers what other controllers ask beside heartbeats: orders to transfer or release machines, and whether a
+ * shard's holder acts on cancellations. Checks the fencing token of every order first. No state; the peer
+ * network calls it.
+ */
 import type { Cancellation } from '../cancellation/acknowledgement.js';
 import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
@@ -5,23 +10,30 @@
 import type { MachineTransfer } from '../fleet/records.js';
 import type { ServerResponse } from '../http.js';
 import {
-  readMoveOrder,
+  readTransferOrder,
   readOrderToken,
-  readReturnOrder,
+  readReleaseOrder,
   writeMalformedOrder,
-  writeMoveAnswer,
-  writeReturnAnswer,
+  writeTransferAnswer,
+  writeReleaseAnswer,
   writeStaleOrder,
 } from './order-codec.js';
+import { PEER_PATHS } from './request-codec.js';
 
-/** What is asked of this controller by others. */
-export interface PeerRequestsInput {
+/** What the requests need of the rest of the controller. */
+export interface PeerRequestsDependencies {
   readonly gate: OrderGate;
-  readonly move: (from: number, moves: readonly MachineTransfer[]) => Promise<boolean>;
+  /** Carries out transfers from a shard held here; false: they were not. */
+  readonly transferMachines: (from: number, transfers: readonly MachineTransfer[]) => Promise<boolean>;
+  /** Releases machines to the cloud as the leader; false: they were not. */
   readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
+  /** Puts a cancellation to the shard held here; false: it is not, or its holder does not act on it yet. */
   readonly acknowledge: (cancellation: Cancellation) => boolean;
 }
 
+/** The claim of an order that does not say which shard's holder gives it. */
+const NO_CLAIM_NAME = '';
+
 const refusal = (verdict: OrderVerdict): ServerResponse | null => {
   switch (verdict._tag) {
     case 'accepted':
@@ -35,16 +47,16 @@
 
 /** Answers what other controllers ask beside heartbeats. */
 export class PeerRequests {
-  constructor(private readonly input: PeerRequestsInput) {}
+  constructor(private readonly dependencies: PeerRequestsDependencies) {}
 
-  /** Null: there is nothing under this path. */
+  /** The answer to a request; null: there is nothing under this path. */
   async answer(path: string, body: unknown): Promise<ServerResponse | null> {
     switch (path) {
-      case '/move':
-        return this.move(body);
-      case '/return':
-        return this.releaseNow(body);
-      case '/heed':
+      case PEER_PATHS.transfer:
+        return this.transfer(body);
+      case PEER_PATHS.release:
+        return this.release(body);
+      case PEER_PATHS.acknowledge:
         return { status: 200, body: writeAcknowledgeReply(this.acknowledge(body)) };
       default:
         return null;
@@ -52,29 +64,32 @@
   }
 
   private acknowledge(body: unknown): readonly boolean[] {
-    return readAcknowledgeRequest(body).map((cancellation) => this.input.acknowledge(cancellation));
+    return readAcknowledgeRequest(body).map((cancellation) => this.dependencies.acknowledge(cancellation));
   }
 
   /**
-   * The token is checked before the rest is read: a replaced leader hears that it is one, whatever it sent.
+   * The token is checked before the rest is read: a replaced leader is told that it is one, whatever it sent.
    */
-  private async move(body: unknown): Promise<ServerResponse> {
+  private async transfer(body: unknown): Promise<ServerResponse> {
     const token = readOrderToken(body);
     const refused = refusal(
-      this.input.gate.check('move', LEADER_CLAIM, 'order to the holder of a share', token),
+      this.dependencies.gate.check('move', LEADER_CLAIM, 'order to the holder of a share', token),
     );
     if (refused) return refused;
-    const { from, moves } = readMoveOrder(body);
-    return { status: 200, body: writeMoveAnswer(await this.input.move(from, moves)) };
+    const { from, transfers } = readTransferOrder(body);
+    return {
+      status: 200,
+      body: writeTransferAnswer(await this.dependencies.transferMachines(from, transfers)),
+    };
   }
 
-  private async releaseNow(body: unknown): Promise<ServerResponse> {
+  private async release(body: unknown): Promise<ServerResponse> {
     const token = readOrderToken(body);
-    const { machines, shardId } = readReturnOrder(body);
-    const claim = shardId === undefined ? '' : String(shardId);
+    const { machines, shardId } = readReleaseOrder(body);
+    const claimName = shardId === undefined ? NO_CLAIM_NAME : String(shardId);
     const refused = refusal(
-      this.input.gate.check('reclaim', claim, 'order to return machines at once', token),
+      this.dependencies.gate.check('reclaim', claimName, 'order to return machines at once', token),
     );
-    return refused ?? { status: 200, body: writeReturnAnswer(await this.input.releaseNow(machines)) };
+    return refused ?? { status: 200, body: writeReleaseAnswer(await this.dependencies.releaseNow(machines)) };
   }
 }
--- a/src/peers/protocol-version-codec.test.ts
+++ b/src/peers/protocol-version-codec.test.ts
@@ -1,3 +1,4 @@
+/** The agreed protocol version with its exact stored text. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
--- a/src/peers/protocol-version-codec.ts
+++ b/src/peers/protocol-version-codec.ts
@@ -1,4 +1,4 @@
-/** The agreed protocol version as it is stored. */
+/** Reads and writes the agreed protocol version as it is stored. No state. */
 
 interface StoredProtocolVersion {
   readonly v: number;
--- a/src/peers/relay-codec.test.ts
+++ b/src/peers/relay-codec.test.ts
@@ -1,3 +1,4 @@
+/** Relayed orders and summaries with their exact stored texts, which must not change with names here. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ShardSummary } from '../fleet/records.js';
@@ -5,12 +6,9 @@
 import { readRelayedOrders, readRelayedSummary, writeRelayedOrders } from './relay-codec.js';
 import { writeSummary } from './summary-codec.js';
 
-/**
- * Relayed orders and summaries with their exact stored texts, which must not change with names in the code.
- */
 const orders: RelayedOrders = {
-  leader: 41,
-  moves: [{ machine: 'i-1', to: 2 }],
+  leaderClaim: 41,
+  transfers: [{ machine: 'i-1', to: 2 }],
   reservations: [
     {
       shardId: 1,
@@ -62,7 +60,7 @@
   {
     name: 'orders without lists',
     value: { leader: 41 },
-    orders: { leader: 41, moves: [], reservations: [] },
+    orders: { leaderClaim: 41, transfers: [], reservations: [] },
   },
   {
     name: 'orders with fields of a later version',
--- a/src/peers/relay-codec.ts
+++ b/src/peers/relay-codec.ts
@@ -1,23 +1,25 @@
+/**
+ * Reads and writes what the relay stores in the key-value store; the names of the fields and their order are
+ * fixed. No state.
+ */
 import type { ShardSummary } from '../fleet/records.js';
-import { readMove, writeMove, type WireMove } from './order-codec.js';
+import { readTransfer, writeTransfer, type WireTransfer } from './order-codec.js';
 import type { RelayedOrders } from './orders.js';
 import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
 import { readSummary, type WireSummary } from './summary-codec.js';
 import { isMap, readEntries } from './wire-values.js';
 
-/** What the relay stores in the state service; the names of the fields and their order are fixed. */
-
-/** Orders for the holder of a share, as they are stored. */
+/** Orders for the holder of a shard, as they are stored. */
 export interface StoredOrders {
   readonly leader: number;
-  readonly moves: readonly WireMove[];
+  readonly moves: readonly WireTransfer[];
   readonly holds: readonly WireReservation[];
 }
 
 /** Writes orders as they are stored. */
 export const writeRelayedOrders = (orders: RelayedOrders): StoredOrders => ({
-  leader: orders.leader,
-  moves: orders.moves.map(writeMove),
+  leader: orders.leaderClaim,
+  moves: orders.transfers.map(writeTransfer),
   holds: orders.reservations.map(writeReservation),
 });
 
@@ -26,8 +28,8 @@
   if (!isMap(value)) return null;
   const stored = value as StoredOrders;
   return {
-    leader: stored.leader,
-    moves: readEntries(stored.moves, readMove),
+    leaderClaim: stored.leader,
+    transfers: readEntries(stored.moves, readTransfer),
     reservations: readEntries(stored.holds, readReservation),
   };
 };
--- a/src/peers/reservation-codec.ts
+++ b/src/peers/reservation-codec.ts
@@ -1,7 +1,9 @@
+/**
+ * Reads and writes reservations as they travel in heartbeats and in relayed orders; the names of the fields
+ * are fixed. No state.
+ */
 import type { Reservation } from '../fleet/records.js';
 
-/** Reservations as they travel in heartbeats and in relayed orders; the names of the fields are fixed. */
-
 /** A reservation on the wire. */
 export interface WireReservation {
   readonly share: number;
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -1,3 +1,8 @@
+/**
+ * Reads and writes summaries of shards as they travel in heartbeats and stand in the key-value store; the
+ * names of the fields and their order are fixed. Lists of machine types and maps of capacity pass by
+ * reference: they look the same on both sides. No state.
+ */
 import type {
   SpareMachine,
   ShardSummary,
@@ -7,12 +12,6 @@
 } from '../fleet/records.js';
 import { readEntries } from './wire-values.js';
 
-/**
- * Summaries of shares as they travel in heartbeats and stand in the state service; the names of the fields
- * and their order are fixed. Lists of machine types and maps of free room pass by reference: they look the
- * same on both sides.
- */
-
 /** A job that waits whole, on the wire. */
 export interface WireWaitingGang {
   readonly job: string;
@@ -57,7 +56,7 @@
   readonly count: number;
 }
 
-/** The summary of a share on the wire. */
+/** The summary of a shard on the wire. */
 export interface WireSummary {
   readonly share: number;
   readonly claim: number;
--- a/src/peers/wire-values.ts
+++ b/src/peers/wire-values.ts
@@ -1,4 +1,4 @@
-/** Reading of what other controllers send or store; they may run an earlier or a later version. */
+/** Reads what other controllers send or store; they may run an earlier or a later version. No state. */
 
 /** Is the value a map, whose fields can be read? */
 export const isMap = (value: unknown): value is object => typeof value === 'object' && value !== null;
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -69,12 +69,10 @@
  * is gone from its module has to go from here.
  */
 const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {
-  'src/cancellation/acknowledgement.ts': ['heed', 'heeded'],
+  'src/cancellation/acknowledgement.ts': ['heeded'],
   'src/controller/coordination.ts': ['siblings'],
   'src/controller/router.ts': ['/hello'],
   'src/controller/start.ts': ['mesh', 'siblings'],
-  'src/peers/network.ts': ['beat', 'sibling'],
-  'src/peers/peer-requests.ts': ['heed'],
   'src/settings/teams.ts': ['sibling', 'siblings'],
   'src/workers/worker-client.ts': ['stint'],
 };
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -69,7 +69,7 @@
   const answer = recordedValue('first-beats', 'n0 to n1');
   return new PeerNetwork({
     me: 'n0',
-    peers: [{ host_name: 'n1', endpoint: 'n1:2' }],
+    peers: [{ node: 'n1', endpoint: 'n1:2' }],
     heartbeat: () => answer as never,
     leader: () => undefined,
     now: () => START_MS,
@@ -98,7 +98,7 @@
     'first task count ms': (
       await processorMs(async () => {
         await note();
-        network.counts(1, jobId(JOBS - 1));
+        network.view.taskCounts(1, jobId(JOBS - 1));
       })
     ).toFixed(3),
   };
