--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,110 +1,115 @@
+/**
+ * Finds out whether users may be told of a cancellation: reads the claim of the job's shard once the
+ * cancellation is durable, gathers what its holder let be known, and asks the holder where that is not
+ * enough. No state of its own; the users' API calls it with each cancellation and each poll of a cancelled
+ * job.
+ */
 import * as Effect from 'effect/Effect';
 import { readClaim } from '../claims/codec.js';
-import { Batcher } from '../concurrency/batcher.js';
-import {
-  ACKNOWLEDGEMENT_BATCH_DELAY_MS,
-  MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
-} from '../constants/cancellation.js';
 import type { ShardSummary } from '../fleet/records.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { claimKey, markKey } from '../kv-store/keys.js';
-import { PEER_PATHS } from '../peers/request-codec.js';
+import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import { readAcknowledgement, readAcknowledgeReply, writeAcknowledgeRequest } from './codec.js';
-import { assessEvidence, type FreshClaim } from './evidence.js';
-
-/** A durable cancellation, as it is put to the holder of the job's share. */
-export interface Cancellation {
-  readonly shardId: number;
-  /** The claim under which it is put. */
-  readonly claim: number;
-  readonly job: string;
-  /** The revision at which it became durable. */
-  readonly version: number;
-}
+import { AcknowledgementClient, type PeerRequest } from './acknowledgement-client.js';
+import { readDurableAcknowledgement } from './codec.js';
+import { assessEvidence, type CancellationEvidence, type ConfirmedClaim } from './evidence.js';
+import type { Cancellation } from './model.js';
 
 /** What the acknowledgement of cancellations needs of the rest of the controller. */
-export interface CancellationAcknowledgementInput {
+export interface CancellationAcknowledgementDependencies {
+  /** This node's name. */
   readonly me: string;
   readonly store: KeyValueStore;
-  readonly fresh: LinearizableReads;
+  readonly linearizableReads: LinearizableReads;
   readonly cache: Pick<WatchCache, 'get'>;
-  /** Puts cancellations to the share held by this process under that claim; false: it does not hold it. */
+  /** Puts a cancellation to the shard held by this process under that claim; false: it does not hold it. */
   readonly acknowledge: (cancellation: Cancellation) => boolean;
-  readonly ask: (node: string, path: string, body: unknown) => Promise<unknown>;
+  readonly request: PeerRequest;
+  /** The summaries in the recent heartbeats of the peers. */
   readonly summaries: () => readonly ShardSummary[];
-  readonly understands: (node: string) => boolean;
+  /** Is the node known to be of a version that acknowledges cancellations? */
+  readonly supportsAcknowledgement: (node: string) => boolean;
 }
 
-/** Finds out whether a cancellation may be told: reads the claim freshly and asks its holder. */
+const NO_EVIDENCE: CancellationEvidence = {
+  acknowledged: null,
+  summary: null,
+  durableAcknowledgement: null,
+  stopsTasksBeforeLoading: false,
+};
+
+const heldClaim = (value: unknown, revision: number): ConfirmedClaim => ({
+  _tag: 'held',
+  node: readClaim(value).node,
+  revision,
+});
+
+/** Finds out whether users may be told of a cancellation. */
 export class CancellationAcknowledgement {
-  private readonly askers = new Map<string, Batcher<Cancellation, boolean>>();
-  constructor(private readonly input: CancellationAcknowledgementInput) {}
+  private readonly holders: AcknowledgementClient;
+
+  constructor(private readonly dependencies: CancellationAcknowledgementDependencies) {
+    this.holders = new AcknowledgementClient(dependencies.request);
+  }
 
-  private asker(node: string): Batcher<Cancellation, boolean> {
-    let asker = this.askers.get(node);
-    if (!asker) {
-      asker = new Batcher(
-        ACKNOWLEDGEMENT_BATCH_DELAY_MS,
-        MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
-        async (list) =>
-          readAcknowledgeReply(
-            await this.input.ask(node, PEER_PATHS.acknowledge, writeAcknowledgeRequest(list)),
-            list.length,
-          ),
-      );
-      this.askers.set(node, asker);
-    }
-    return asker;
+  /**
+   * May users be told of the cancellation that is durable at this revision? To be asked after that, so that
+   * the claim is read later.
+   */
+  mayConfirmCancellation(shardId: number, job: string, revision: number): Effect.Effect<boolean> {
+    return Effect.gen({ self: this }, function* () {
+      const claim = yield* this.readClaim(shardId);
+      const isConfirmedBy = (evidence: CancellationEvidence): boolean =>
+        assessEvidence(revision, claim, evidence)._tag === 'confirmed';
+      if (claim._tag !== 'held') return isConfirmedBy(NO_EVIDENCE);
+      const known = this.knownEvidence(shardId, claim.node);
+      if (isConfirmedBy(known)) return true;
+      const cancellation: Cancellation = { shardId, claim: claim.revision, job, revision };
+      const acknowledged = yield* this.askHolder(claim.node, cancellation);
+      return isConfirmedBy({ ...known, acknowledged: acknowledged ? { claim: claim.revision } : null });
+    });
   }
 
-  private claim(shardId: number): Effect.Effect<FreshClaim> {
+  /** The shard's claim at a moment after the call. */
+  private readClaim(shardId: number): Effect.Effect<ConfirmedClaim> {
     return Effect.gen({ self: this }, function* () {
+      const { cache, linearizableReads, store } = this.dependencies;
       const key = claimKey(String(shardId));
-      const copy = this.input.cache.get(key);
+      const copy = cache.get(key);
       if (copy) {
-        const freshness = yield* this.input.fresh.confirm(key, copy.version);
-        if (freshness === 'failed') return { _tag: 'unsure' } as const;
-        if (freshness === 'same')
-          return { _tag: 'held', node: readClaim(copy.value).node, version: copy.version } as const;
+        const freshness = yield* linearizableReads.confirm(key, copy.version);
+        if (freshness === 'failed') return { _tag: 'unknown' } as const;
+        if (freshness === 'same') return heldClaim(copy.value, copy.version);
       }
-      const read = yield* this.input.store.get(key, 'user');
+      const read = yield* store.get(key, 'user');
       switch (read._tag) {
         case 'failed':
-          return { _tag: 'unsure' } as const;
+          return { _tag: 'unknown' } as const;
         case 'absent':
-          return { _tag: 'free' } as const;
+          return { _tag: 'unclaimed' } as const;
         case 'found':
-          return { _tag: 'held', node: readClaim(read.item.value).node, version: read.item.version } as const;
+          return heldClaim(read.item.value, read.item.version);
       }
     });
   }
 
-  /**
-   * May users be told of the cancellation that is durable at this revision? Asked after that, so the claim is
-   * read later.
-   */
-  mayConfirmCancellation(shardId: number, job: string, version: number): Effect.Effect<boolean> {
-    return Effect.gen({ self: this }, function* () {
-      const claim = yield* this.claim(shardId);
-      const evidence = { acknowledged: null, summary: null, mark: null, understands: false };
-      if (claim._tag !== 'held') return assessEvidence(version, claim, evidence)._tag === 'assured';
-      const cancellation: Cancellation = { shardId, claim: claim.version, job, version };
-      const mark = this.input.cache.get(markKey(String(shardId)));
-      const known = {
-        acknowledged: null,
-        summary: this.input.summaries().find((summary) => summary.shardId === shardId) ?? null,
-        mark: mark ? readAcknowledgement(mark.value) : null,
-        understands: this.input.understands(claim.node),
-      };
-      if (assessEvidence(version, claim, known)._tag === 'assured') return true;
-      const heeded =
-        claim.node === this.input.me
-          ? this.input.acknowledge(cancellation)
-          : yield* Effect.promise(() => this.asker(claim.node).ask(cancellation));
-      const acknowledged = heeded ? { claim: claim.version } : null;
-      return assessEvidence(version, claim, { ...known, acknowledged })._tag === 'assured';
-    });
+  /** What is known of the holder without asking it. */
+  private knownEvidence(shardId: number, holder: string): CancellationEvidence {
+    const { cache, summaries, supportsAcknowledgement } = this.dependencies;
+    const recorded = cache.get(markKey(String(shardId)));
+    return {
+      acknowledged: null,
+      summary: summaries().find((summary) => summary.shardId === shardId) ?? null,
+      durableAcknowledgement: recorded ? readDurableAcknowledgement(recorded.value) : null,
+      stopsTasksBeforeLoading: supportsAcknowledgement(holder),
+    };
+  }
+
+  private askHolder(holder: string, cancellation: Cancellation): Effect.Effect<boolean> {
+    const { me, acknowledge } = this.dependencies;
+    return holder === me
+      ? Effect.sync(() => acknowledge(cancellation))
+      : Effect.promise(() => this.holders.ask(holder, cancellation));
   }
 }
--- a/src/cancellation/codec.test.ts
+++ b/src/cancellation/codec.test.ts
@@ -1,12 +1,12 @@
+/** Messages and stored values about cancellations with their exact texts. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Cancellation } from './acknowledgement.js';
 import * as codec from './codec.js';
+import type { Cancellation } from './model.js';
 
-/** Messages and stored values about cancellations with their exact texts. */
 const cancellations: readonly Cancellation[] = [
-  { shardId: 1, claim: 50, job: 'job-1', version: 100 },
-  { shardId: 2, claim: 51, job: 'job-2', version: 101 },
+  { shardId: 1, claim: 50, job: 'job-1', revision: 100 },
+  { shardId: 2, claim: 51, job: 'job-2', revision: 101 },
 ];
 const REQUEST = '[[1,50,"job-1",100],[2,51,"job-2",101]]';
 
@@ -15,9 +15,19 @@
   assert.deepEqual(codec.readAcknowledgeRequest(JSON.parse(REQUEST)), cancellations);
 });
 
+test('cancellation codec: malformed rows of a request are left out', () => {
+  assert.deepEqual(codec.readAcknowledgeRequest([[1, 50, 'job-1', 100], [1, 'x', 'job-1', 100], 7, null]), [
+    { shardId: 1, claim: 50, job: 'job-1', revision: 100 },
+  ]);
+  assert.deepEqual(codec.readAcknowledgeRequest(null), []);
+});
+
 test('cancellation codec: a durable acknowledgement', () => {
-  assert.equal(JSON.stringify(codec.writeAcknowledgement({ claim: 50, revision: 7 })), '{"c":50,"r":7}');
-  assert.deepEqual(codec.readAcknowledgement({ c: 50, r: 7, later: 1 }), { claim: 50, revision: 7 });
+  assert.equal(
+    JSON.stringify(codec.writeDurableAcknowledgement({ claim: 50, revision: 7 })),
+    '{"c":50,"r":7}',
+  );
+  assert.deepEqual(codec.readDurableAcknowledgement({ c: 50, r: 7, later: 1 }), { claim: 50, revision: 7 });
 });
 
 test('cancellation codec: an answer', () =>
--- a/src/cancellation/codec.ts
+++ b/src/cancellation/codec.ts
@@ -1,10 +1,8 @@
-import type { Cancellation } from './acknowledgement.js';
-import type { DurableAcknowledgement } from './durable-acknowledgement.js';
-
 /**
- * Requests to acknowledge cancellations and their answers, as they travel; durable acknowledgements as they
- * are stored.
+ * Reads and writes requests to acknowledge cancellations and their answers, as they travel, and durable
+ * acknowledgements, as they are stored. No state.
  */
+import type { Cancellation, DurableAcknowledgement } from './model.js';
 
 /** A cancellation on the wire. */
 type WireCancellation = readonly [slot: number, claim: number, job: string, version: number];
@@ -19,8 +17,10 @@
 }
 
 /** Writes a request to acknowledge cancellations. */
-export const writeAcknowledgeRequest = (list: readonly Cancellation[]): readonly WireCancellation[] =>
-  list.map(({ shardId, claim, job, version }) => [shardId, claim, job, version]);
+export const writeAcknowledgeRequest = (
+  cancellations: readonly Cancellation[],
+): readonly WireCancellation[] =>
+  cancellations.map(({ shardId, claim, job, revision }) => [shardId, claim, job, revision]);
 
 /** Reads a request to acknowledge cancellations; rows that are malformed are left out. */
 export const readAcknowledgeRequest = (body: unknown): readonly Cancellation[] =>
@@ -31,7 +31,7 @@
       typeof claim === 'number' &&
       typeof job === 'string' &&
       typeof version === 'number'
-      ? [{ shardId: slot, claim, job, version }]
+      ? [{ shardId: slot, claim, job, revision: version }]
       : [];
   });
 
@@ -47,13 +47,16 @@
 };
 
 /** Writes a durable acknowledgement as it is stored. */
-export const writeAcknowledgement = (mark: DurableAcknowledgement): StoredAcknowledgement => ({
-  c: mark.claim,
-  r: mark.revision,
+export const writeDurableAcknowledgement = ({
+  claim,
+  revision,
+}: DurableAcknowledgement): StoredAcknowledgement => ({
+  c: claim,
+  r: revision,
 });
 
 /** Reads a stored durable acknowledgement. */
-export const readAcknowledgement = (value: unknown): DurableAcknowledgement => {
+export const readDurableAcknowledgement = (value: unknown): DurableAcknowledgement => {
   const stored = value as StoredAcknowledgement;
   return { claim: stored.c, revision: stored.r };
 };
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,68 +1,77 @@
+/**
+ * Where connections between controllers are refused, holders record in the key-value store that they have
+ * seen cancellations. Owns the revision of the last cancellation of each shard that is not recorded yet; the
+ * change dispatcher tells it of cancellations.
+ */
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey, markKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import { writeAcknowledgement } from './codec.js';
+import { writeDurableAcknowledgement } from './codec.js';
 
-/** A holder's durable word: under this claim it has seen the shared keys up to this revision. */
-export interface DurableAcknowledgement {
+/** A shard held here, with the revision of its claim. */
+export interface ClaimedShard {
+  readonly shardId: number;
   readonly claim: number;
-  readonly revision: number;
 }
 
 /** What durable acknowledgements need of the rest of the controller. */
-export interface DurableAcknowledgementsInput {
+export interface DurableAcknowledgementsDependencies {
   readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get' | 'revision'>;
-  /** Shares held here whose book is loaded, with their claims. */
-  readonly held: () => readonly { readonly shardId: number; readonly claim: number }[];
-  /** Every other node is heard, so each can ask. */
-  readonly allHeard: () => boolean;
+  /** The shards held here that are loaded. */
+  readonly loadedShards: () => readonly ClaimedShard[];
+  /** Has every peer sent a heartbeat recently, so that each can ask? */
+  readonly allPeersConnected: () => boolean;
 }
 
-/**
- * Where connections between nodes are refused, holders say through the state service that they have seen
- * cancellations.
- */
+/** Records in the key-value store that holders have seen cancellations. */
 export class DurableAcknowledgements {
-  /** Revision of the last cancellation seen of each share, until it is marked. */
-  private readonly wanted = new Map<number, number>();
-  constructor(private readonly input: DurableAcknowledgementsInput) {}
+  /** Revision of the last cancellation seen of each shard, until it is recorded. */
+  private readonly pending = new Map<number, number>();
+
+  constructor(private readonly dependencies: DurableAcknowledgementsDependencies) {}
 
-  /** The shared keys show that a job of the share is cancelled. */
-  saw(shardId: number, version: number): void {
-    this.wanted.set(shardId, Math.max(version, this.wanted.get(shardId) ?? 0));
+  /** The shared keys show at this revision that a job of the shard is cancelled. */
+  noteCancellation(shardId: number, revision: number): void {
+    this.pending.set(shardId, Math.max(revision, this.pending.get(shardId) ?? 0));
   }
 
-  private mark(shardId: number, claim: number): Effect.Effect<void> {
+  /** Records what is pending for as long as a peer can't ask directly. */
+  readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
+    for (;;) {
+      yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
+      const loaded = this.dependencies.loadedShards();
+      this.forgetOthers(loaded);
+      // Asked directly, a holder answers sooner and for nothing.
+      if (this.dependencies.allPeersConnected()) continue;
+      for (const shard of loaded) if (this.pending.has(shard.shardId)) yield* this.record(shard);
+    }
+  });
+
+  private forgetOthers(loaded: readonly ClaimedShard[]): void {
+    for (const shardId of this.pending.keys())
+      if (!loaded.some((shard) => shard.shardId === shardId)) this.pending.delete(shardId);
+  }
+
+  private record({ shardId, claim }: ClaimedShard): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
+      const { store, cache } = this.dependencies;
       const key = markKey(String(shardId));
-      const before = this.input.cache.get(key);
-      const { revision } = this.input.cache;
-      const result = yield* this.input.store.compareAndSwap(
+      const before = cache.get(key);
+      const { revision } = cache;
+      const result = yield* store.compareAndSwap(
         // Conditional on itself too: a late copy must not take back what a newer one says.
         [
           { key: claimKey(String(shardId)), version: claim },
           { key, version: before?.version ?? 0 },
         ],
-        [{ _tag: 'put', key, value: writeAcknowledgement({ claim, revision }) }],
+        [{ _tag: 'put', key, value: writeDurableAcknowledgement({ claim, revision }) }],
         'user',
       );
-      if (result._tag === 'committed' && (this.wanted.get(shardId) ?? 0) <= revision)
-        this.wanted.delete(shardId);
+      if (result._tag === 'committed' && (this.pending.get(shardId) ?? 0) <= revision)
+        this.pending.delete(shardId);
     });
   }
-
-  readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
-    for (;;) {
-      yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
-      const held = this.input.held();
-      for (const shardId of this.wanted.keys())
-        if (!held.some((shard) => shard.shardId === shardId)) this.wanted.delete(shardId);
-      // Asked directly, a holder answers sooner and for nothing.
-      if (this.input.allHeard()) continue;
-      for (const { shardId, claim } of held) if (this.wanted.has(shardId)) yield* this.mark(shardId, claim);
-    }
-  });
 }
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -1,4 +1,4 @@
-import { outageGraceUntil } from '../cancellation/evidence.js';
+import { outageGraceUntil } from '../cancellation/outage-grace.js';
 import { OUTAGE_GRACE_MARGIN_MS } from '../constants/cancellation.js';
 import { CLOCK_DRIFT_FRACTION } from '../constants/leases.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
@@ -32,7 +32,7 @@
 export const outageGrace = (input: OutageInput): number | null =>
   outageGraceUntil({
     confirmed: confirmed(input),
-    nobodyTells:
+    onlyAcknowledgedConfirmed:
       input.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && input.peers.storeDownForAll(),
     confirmedAt: input.cache.confirmedAt,
     cancelMs: input.workers.cancel_s * 1000 * (1 - CLOCK_DRIFT_FRACTION),
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -25,12 +25,12 @@
   acknowledgement: new CancellationAcknowledgement({
     me: deployment.me.node,
     store: state.store,
-    fresh: state.linearizableReads,
+    linearizableReads: state.linearizableReads,
     cache: state.cache,
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
-    ask: (node, path, body) => peerNetwork.request(node, path, body),
+    request: (node, path, body) => peerNetwork.request(node, path, body),
     summaries: () => peers.summaries(),
-    understands: (node) =>
+    supportsAcknowledgement: (node) =>
       node === deployment.me.node ||
       protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION ||
       peers.supportsVersion(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
@@ -38,7 +38,7 @@
   durableAcknowledgements: new DurableAcknowledgements({
     store: state.store,
     cache: state.cache,
-    held: () => shards.loaded(),
-    allHeard: () => peers.allConnected(),
+    loadedShards: () => shards.loaded(),
+    allPeersConnected: () => peers.allConnected(),
   }),
 });
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -72,7 +72,7 @@
       onJobGone: (id) => note(`pipelines: no ${id}`),
     },
     durableAcknowledgements: {
-      saw: (shardId, version) => note(`acknowledgements: ${shardId} at ${version}`),
+      noteCancellation: (shardId, revision) => note(`acknowledgements: ${shardId} at ${revision}`),
     },
     shardOf: () => 2,
   }).dispatch(change);
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -32,7 +32,7 @@
   readonly scarceTypes: Pick<ScarceTypes, 'note'>;
   readonly bootBoundTypes: Pick<BootBoundTypes, 'note'>;
   readonly pipelines: Pick<Pipelines, 'onJob' | 'onJobGone'>;
-  readonly durableAcknowledgements: Pick<DurableAcknowledgements, 'saw'>;
+  readonly durableAcknowledgements: Pick<DurableAcknowledgements, 'noteCancellation'>;
   /** The shard of a team. */
   readonly shardOf: (team: string) => number;
 }
@@ -83,7 +83,8 @@
     scarceTypes.note(record.spec);
     bootBoundTypes.note(record.spec);
     pipelines.onJob(job, record, readDependencyList(cache, record));
-    if (record.cancelled) this.subscribers.durableAcknowledgements.saw(shardOf(record.spec.team), version);
+    if (record.cancelled)
+      this.subscribers.durableAcknowledgements.noteCancellation(shardOf(record.spec.team), version);
     shards.forEach((shard) => shard.onJobRecord(record, version));
   }
 
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -5,7 +5,7 @@
  */
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { Cancellation } from '../cancellation/acknowledgement.js';
+import type { Cancellation } from '../cancellation/model.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { ShardSummary } from '../fleet/records.js';
 import { log } from '../log.js';
@@ -83,9 +83,9 @@
   }
 
   /** Puts a cancellation to a shard of ours; false: this process does not hold it under that very claim. */
-  acknowledge({ shardId, claim, job, version }: Cancellation): boolean {
+  acknowledge({ shardId, claim, job, revision }: Cancellation): boolean {
     const shard = this.running.get(shardId)?.shard;
-    return shard?.claim === claim && shard.acknowledge(job, version);
+    return shard?.claim === claim && shard.acknowledge(job, revision);
   }
 
   /** The summaries of the shards that this process may act for. */
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -3,8 +3,8 @@
  * shard's holder acts on cancellations. Checks the fencing token of every order first. No state; the peer
  * network calls it.
  */
-import type { Cancellation } from '../cancellation/acknowledgement.js';
 import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
+import type { Cancellation } from '../cancellation/model.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import type { OrderGate, OrderVerdict } from '../duties/order-gate.js';
 import type { MachineTransfer } from '../fleet/records.js';
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -5,7 +5,7 @@
   writeProvisioningRecord,
   writeTombstoneRecord,
 } from '@dalegate/fencing';
-import { readAcknowledgement, writeAcknowledgement } from '../cancellation/codec.js';
+import { readDurableAcknowledgement, writeDurableAcknowledgement } from '../cancellation/codec.js';
 import { releaseUrgently } from '../duties/urgent-release.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/records.js';
@@ -129,7 +129,7 @@
   'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
   ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
   'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
-  'mark of a holder': writeAcknowledgement(ACKNOWLEDGEMENT),
+  'mark of a holder': writeDurableAcknowledgement(ACKNOWLEDGEMENT),
   keys: keysOfState(),
   ...(await orderToReturn()),
 });
@@ -171,7 +171,7 @@
   catalog: rereadCatalog,
   'book of rental requests': (stored) => writeProvisioningRecord(readProvisioningRecord(stored), TOKEN, ROOM),
   'book of removals': (stored) => writeTombstoneRecord(readTombstoneRecord(stored), ROOM),
-  'mark of a holder': (stored) => writeAcknowledgement(readAcknowledgement(stored)),
+  'mark of a holder': (stored) => writeDurableAcknowledgement(readDurableAcknowledgement(stored)),
 };
 
 /** Stored values after they were read and written again; those that no codec reads are left out. */
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -69,7 +69,6 @@
  * is gone from its module has to go from here.
  */
 const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {
-  'src/cancellation/acknowledgement.ts': ['heeded'],
   'src/controller/coordination.ts': ['siblings'],
   'src/controller/router.ts': ['/hello'],
   'src/controller/start.ts': ['mesh', 'siblings'],
