--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -16,6 +16,8 @@
 export const MAX_STEADY_HEARTBEAT_GAP_MS = 2 * HEARTBEAT_FRESHNESS_MS;
 /** Age up to which a worker heartbeat that belongs to the shard of another controller is counted. */
 export const MISROUTED_HEARTBEAT_FRESHNESS_MS = 2 * HEARTBEAT_FRESHNESS_MS;
+/** Fraction of a shard's machines whose workers must reach another controller before it gets the shard. */
+export const MISROUTED_HANDOVER_FRACTION = 1 / 2;
 /** Timeout of a request to a peer. */
 export const PEER_REQUEST_TIMEOUT_MS = 900;
 /** Sockets to one peer, for heartbeats, task counts and moves. */
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -18,20 +18,20 @@
 import type { Subsystems } from './subsystems.js';
 
 const createUsersApi = ({ context, coordination, sharding, cancellations }: Subsystems): UsersApi => {
-  const { settings, deployment, clocks, state } = context;
+  const { settings, deployment, clocks, storeAccess } = context;
   const { protocolVersion, peers } = coordination;
   return new UsersApi({
-    store: state.store,
-    fresh: state.linearizableReads,
-    finalRecords: state.finalRecords,
+    store: storeAccess.store,
+    fresh: storeAccess.linearizableReads,
+    finalRecords: storeAccess.finalRecords,
     pipelines: sharding.pipelines,
     takesPipelines: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     valueBytes: deployment.valueBytes,
-    copyAgeMs: () => clocks.lease() - state.cache.confirmedAt,
+    copyAgeMs: () => clocks.lease() - storeAccess.cache.confirmedAt,
     mayConfirmCancellation: (job, team, version) =>
       cancellations.acknowledgement.mayConfirmCancellation(deployment.shardOf(team), job, version),
-    cache: state.cache,
-    catalog: state.catalog,
+    cache: storeAccess.cache,
+    catalog: storeAccess.catalog,
     zones: settings.facts.zones,
     limits: deployment.limits,
     counts: (job, team) => {
@@ -50,7 +50,7 @@
     node: context.deployment.me.node,
     registry: coordination.duties.registry,
     access: adminAccess,
-    ready: () => context.state.cache.ready,
+    ready: () => context.storeAccess.cache.ready,
     releaseIntents: () => leadership.leader.releaseIntents,
     rentals: coordination.duties.loadProvisioningRecord,
   });
@@ -60,25 +60,25 @@
   subsystems: Subsystems,
   adminAccess: AdminAccess,
 ): ((call: ServerRequest) => Promise<ServerResponse>) => {
-  const { state } = subsystems.context;
+  const { storeAccess } = subsystems.context;
   const { peers } = subsystems.coordination;
   return createRouter({
-    ready: () => isReady({ state, peers }),
-    reports: subsystems.heartbeatHandler,
+    ready: () => isReady({ storeAccess, peers }),
+    workerHeartbeats: subsystems.heartbeatHandler,
     users: createUsersApi(subsystems),
     duties: createDutiesApi(subsystems, adminAccess),
   });
 };
 
-/** Creates what answers the workers. */
-export const createReportHandler = (
-  { deployment, clocks, state }: ControllerContext,
+/** Creates what answers the heartbeats of workers. */
+export const createWorkerHeartbeatHandler = (
+  { deployment, clocks, storeAccess }: ControllerContext,
   shards: HeldShards,
   leadership: Leadership,
 ): WorkerHeartbeatHandler =>
   new WorkerHeartbeatHandler({
     me: deployment.me.node,
-    cache: state.cache,
+    cache: storeAccess.cache,
     now: clocks.steady,
     shard: (shardId) => shards.actingShard(shardId),
     adopt: leadership.adopt,
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -1,6 +1,6 @@
 /**
  * How this controller learns that a cancellation is acted on: by asking the holder of the job's shard, or
- * from marks in the state service where controllers can't connect. Built by the composition root for the
+ * from marks in the key-value store where controllers can't connect. Built by the composition root for the
  * users' API.
  */
 import { CancellationAcknowledgement } from '../cancellation/acknowledgement.js';
@@ -18,15 +18,15 @@
 
 /** Creates the acknowledgement of cancellations of one controller. */
 export const createCancellations = (
-  { deployment, state }: ControllerContext,
+  { deployment, storeAccess }: ControllerContext,
   { peers, peerNetwork, protocolVersion }: Coordination,
   shards: HeldShards,
 ): Cancellations => ({
   acknowledgement: new CancellationAcknowledgement({
     me: deployment.me.node,
-    store: state.store,
-    linearizableReads: state.linearizableReads,
-    cache: state.cache,
+    store: storeAccess.store,
+    linearizableReads: storeAccess.linearizableReads,
+    cache: storeAccess.cache,
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
     request: (node, path, body) => peerNetwork.request(node, path, body),
     summaries: () => peers.summaries(),
@@ -36,8 +36,8 @@
       peers.supportsVersion(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
   }),
   durableAcknowledgements: new DurableAcknowledgements({
-    store: state.store,
-    cache: state.cache,
+    store: storeAccess.store,
+    cache: storeAccess.cache,
     loadedShards: () => shards.loaded(),
     allPeersConnected: () => peers.allConnected(),
   }),
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -1,3 +1,4 @@
+/** Which subscribers each change of the shared keys is passed on to, and in which order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newMachineRecord } from '../fleet/records.js';
@@ -39,10 +40,10 @@
 const inParts: JobRecord = { ...job, dependsOn: ['job-2'], parts: 1 };
 const machine = newMachineRecord(1, { type: 'g', zone: 'x', spot: false }, 5);
 
-/** Dispatches a change to subscribers that only note what they hear, in order. */
-const heardOf = (change: Change, stored: ReadonlyMap<string, unknown>): readonly string[] => {
-  const heard: string[] = [];
-  const note = (text: string): void => void heard.push(text);
+/** Dispatches a change to subscribers that only note what they are told, in order. */
+const notificationsOf = (change: Change, stored: ReadonlyMap<string, unknown>): readonly string[] => {
+  const notified: string[] = [];
+  const note = (text: string): void => void notified.push(text);
   const shard = (name: string): ShardListener => ({
     onMachineRecord: (id, { shardId }, version) => note(`${name}: machine ${id} of ${shardId} at ${version}`),
     onMachineGone: (id) => note(`${name}: no machine ${id}`),
@@ -76,39 +77,39 @@
     },
     shardOf: () => 2,
   }).dispatch(change);
-  return heard;
+  return notified;
 };
 
 const rows: readonly {
   name: string;
   change: Change;
   stored?: Readonly<Record<string, unknown>>;
-  heard: readonly string[];
+  notified: readonly string[];
 }[] = [
   {
     name: 'a claim: its duties before the shard',
     change: { _tag: 'claimChanged', claimName: '1', revision: VERSION },
-    heard: ['gate: 1 at 7', 'registry: 1', 'shards: 1'],
+    notified: ['gate: 1 at 7', 'registry: 1', 'shards: 1'],
   },
   {
     name: 'the end of a claim: nothing new for the gate',
     change: { _tag: 'claimChanged', claimName: 'L', revision: null },
-    heard: ['registry: L', 'shards: L'],
+    notified: ['registry: L', 'shards: L'],
   },
   {
     name: 'a machine: the shards in their order',
     change: { _tag: 'machineChanged', machine: 'i-1', record: machine, version: VERSION },
-    heard: ['first: machine i-1 of 1 at 7', 'second: machine i-1 of 1 at 7'],
+    notified: ['first: machine i-1 of 1 at 7', 'second: machine i-1 of 1 at 7'],
   },
   {
     name: 'the end of a machine',
     change: { _tag: 'machineRemoved', machine: 'i-1' },
-    heard: ['first: no machine i-1', 'second: no machine i-1'],
+    notified: ['first: no machine i-1', 'second: no machine i-1'],
   },
   {
     name: 'a job: the shards last',
     change: { _tag: 'jobChanged', job: JOB, record: job, version: VERSION },
-    heard: [
+    notified: [
       'scarce types: job-1',
       'boot-bound types: job-1',
       'pipelines: job-1 after []',
@@ -117,9 +118,9 @@
     ],
   },
   {
-    name: 'a cancelled job: acknowledged before the shards hear of it',
+    name: 'a cancelled job: noted for acknowledgement before the shards are told',
     change: { _tag: 'jobChanged', job: JOB, record: cancelled, version: VERSION },
-    heard: [
+    notified: [
       'scarce types: job-1',
       'boot-bound types: job-1',
       'pipelines: job-1 after []',
@@ -131,7 +132,7 @@
   {
     name: 'a job whose dependency list is not whole',
     change: { _tag: 'jobChanged', job: JOB, record: inParts, version: VERSION },
-    heard: [
+    notified: [
       'scarce types: job-1',
       'boot-bound types: job-1',
       'pipelines: job-1 after null',
@@ -142,32 +143,32 @@
   {
     name: 'the end of a job: the shards first',
     change: { _tag: 'jobRemoved', job: JOB },
-    heard: ['first: no job-1', 'second: no job-1', 'pipelines: no job-1'],
+    notified: ['first: no job-1', 'second: no job-1', 'pipelines: no job-1'],
   },
   {
     name: 'a part of a dependency list: only the pipelines',
     change: { _tag: 'dependencyListChanged', job: JOB },
     stored: { [jobKey(JOB)]: writeJobRecord(inParts), [followsKey(JOB, 0)]: packIds(['job-3']) },
-    heard: ['pipelines: job-1 after ["job-2","job-3"]'],
+    notified: ['pipelines: job-1 after ["job-2","job-3"]'],
   },
   {
     name: 'a part of a dependency list before its job',
     change: { _tag: 'dependencyListChanged', job: JOB },
-    heard: [],
+    notified: [],
   },
   {
     name: 'a relayed summary',
     change: { _tag: 'summaryRelayed', shardId: 1, value: {} },
-    heard: ['relay: summary of 1'],
+    notified: ['relay: summary of 1'],
   },
   {
     name: 'relayed orders',
     change: { _tag: 'ordersRelayed', shardId: 1, value: {} },
-    heard: ['relay: orders for 1'],
+    notified: ['relay: orders for 1'],
   },
-  { name: 'any other key', change: { _tag: 'other' }, heard: [] },
+  { name: 'any other key', change: { _tag: 'other' }, notified: [] },
 ];
-for (const { name, change, stored = {}, heard } of rows) {
+for (const { name, change, stored = {}, notified } of rows) {
   test(`change dispatcher: ${name}`, () =>
-    assert.deepEqual(heardOf(change, new Map(Object.entries(stored))), heard));
+    assert.deepEqual(notificationsOf(change, new Map(Object.entries(stored))), notified));
 }
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -16,7 +16,7 @@
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readDependencyList } from './dependency-list.js';
 
-/** What a shard hears of changes. */
+/** What a shard is told of changes. */
 export type ShardListener = Pick<Shard, 'onMachineRecord' | 'onMachineGone' | 'onJobRecord' | 'onJobGone'>;
 
 /** Who follows changes of the shared keys. */
@@ -43,29 +43,36 @@
 export class ChangeDispatcher {
   constructor(private readonly subscribers: ChangeSubscribers) {}
 
+  /** Passes one change on. */
   dispatch(change: Change): void {
     const { relay, shards } = this.subscribers;
     switch (change._tag) {
       case 'claimChanged':
-        return this.onClaim(change);
+        this.onClaim(change);
+        break;
       case 'machineChanged':
-        return shards.forEach((shard) =>
-          shard.onMachineRecord(change.machine, change.record, change.version),
-        );
+        shards.forEach((shard) => shard.onMachineRecord(change.machine, change.record, change.version));
+        break;
       case 'machineRemoved':
-        return shards.forEach((shard) => shard.onMachineGone(change.machine));
+        shards.forEach((shard) => shard.onMachineGone(change.machine));
+        break;
       case 'jobChanged':
-        return this.onJob(change);
+        this.onJob(change);
+        break;
       case 'jobRemoved':
-        return this.onJobRemoved(change);
+        this.onJobRemoved(change);
+        break;
       case 'dependencyListChanged':
-        return this.onDependencyList(change);
+        this.onDependencyList(change);
+        break;
       case 'summaryRelayed':
-        return relay.onSummary(change.shardId, change.value);
+        relay.onSummary(change.shardId, change.value);
+        break;
       case 'ordersRelayed':
-        return relay.onOrders(change.shardId, change.value);
+        relay.onOrders(change.shardId, change.value);
+        break;
       case 'other':
-        return;
+        break;
     }
   }
 
@@ -97,9 +104,9 @@
   /** A part may be seen after the record that it belongs to. */
   private onDependencyList({ job }: ChangeOf<'dependencyListChanged'>): void {
     const { cache, pipelines } = this.subscribers;
-    const item = cache.get(jobKey(job));
-    if (!item) return;
-    const record = readJobRecord(item.value);
+    const entry = cache.get(jobKey(job));
+    if (!entry) return;
+    const record = readJobRecord(entry.value);
     pipelines.onJob(record.spec.id, record, readDependencyList(cache, record));
   }
 }
--- a/src/controller/clocks.ts
+++ b/src/controller/clocks.ts
@@ -9,7 +9,8 @@
   /** ms, steady. Evidence that something is over elsewhere is measured by it, since it never runs ahead. */
   readonly steady: () => number;
   /**
-   * ms, steady, counting suspensions of the host. What is known of the state service and of peers ages by it.
+   * ms, steady, counting suspensions of the host. What is known of the key-value store and of peers ages by
+   * it.
    */
   readonly lease: () => number;
   /** ms since the epoch. */
@@ -22,7 +23,7 @@
   if (!features.fencing) return { steady, lease: steady, wall };
   const clock = new SuspensionAwareClock(
     { steady, timeOfDay: wall, timeOfDayErrorMs: clockErrorMs },
-    (gapMs) => log.info({ event: 'clock.gap', gapMs }),
+    (gapMs) => log.info({ event: 'clock.suspension_detected', gapMs }),
   );
   return { steady, lease: clock.now, wall };
 };
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -5,7 +5,7 @@
 import { ANYONE, type AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
 import { decodeChange } from '../kv-store/change-feed.js';
-import { createApi, createPeerRequests, createReportHandler } from './api.js';
+import { createApi, createPeerRequests, createWorkerHeartbeatHandler } from './api.js';
 import { createCancellations } from './cancellations.js';
 import { ChangeDispatcher } from './change-dispatcher.js';
 import { createContext } from './context.js';
@@ -24,9 +24,9 @@
  */
 const createSubsystems = (settings: Settings, ports: Ports, features: Features): Subsystems => {
   const context = createContext(settings, ports, features);
-  const { deployment, state } = context;
+  const { deployment, storeAccess } = context;
   const coordination: Coordination = createCoordination(context, {
-    heartbeat: (to) => createHeartbeat(heartbeatInput, to),
+    heartbeat: (to) => createHeartbeat(heartbeatSources, to),
     answer: (path, body) => peerRequests.answer(path, body),
     unreachableShards: () => findUnreachableShards({ shards, peers: coordination.peers }),
   });
@@ -34,14 +34,14 @@
   const { shards } = sharding;
   const leadership: Leadership = createLeadership(context, coordination, shards);
   const cancellations = createCancellations(context, coordination, shards);
-  const heartbeatHandler = createReportHandler(context, shards, leadership);
+  const heartbeatHandler = createWorkerHeartbeatHandler(context, shards, leadership);
   const peerRequests = createPeerRequests(coordination, shards, leadership);
-  const heartbeatInput = {
+  const heartbeatSources = {
     me: deployment.me,
     leases: coordination.leases,
     leaderNode: coordination.leaderNode,
-    stateAgeMs: state.ageMs,
-    store: state.store,
+    msSinceStoreAnswered: storeAccess.msSinceAnswered,
+    store: storeAccess.store,
     shards,
     heartbeatHandler,
     reservations: () => leadership.reservations.announced(),
@@ -49,10 +49,10 @@
   return { context, coordination, sharding, leadership, cancellations, heartbeatHandler };
 };
 
-/** Has the subsystems hear of each change of the shared keys. */
+/** Passes each change of the shared keys to the subsystems that follow it. */
 const followChanges = (subsystems: Subsystems): void => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
-  const { cache } = context.state;
+  const { cache } = context.storeAccess;
   const dispatcher = new ChangeDispatcher({
     cache,
     relay: leadership.relay,
@@ -68,10 +68,10 @@
   cache.onEvent((event) => dispatcher.dispatch(decodeChange(event)));
 };
 
-/** Everything that runs for as long as the controller does; shards run beside it. */
+/** Everything that runs for as long as the controller does; shards have fibers of their own. */
 const createRun = (subsystems: Subsystems): Effect.Effect<unknown> => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
-  const { store, cache } = context.state;
+  const { store, cache } = context.storeAccess;
   const { leases, peers, peerNetwork, protocolVersion } = coordination;
   return superviseAll({
     cache: cache.run,
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -7,7 +7,7 @@
 import { createClocks, type Clocks } from './clocks.js';
 import { readDeployment, type Deployment } from './deployment.js';
 import type { Ports } from './ports.js';
-import { createStateAccess, type StateAccess } from './state-access.js';
+import { createStoreAccess, type StoreAccess } from './store-access.js';
 
 /** What every subsystem of a controller builds on. */
 export interface ControllerContext {
@@ -16,18 +16,18 @@
   readonly ports: Ports;
   readonly deployment: Deployment;
   readonly clocks: Clocks;
-  readonly state: StateAccess;
+  readonly storeAccess: StoreAccess;
 }
 
 /** Creates the context of one controller. */
 export const createContext = (settings: Settings, ports: Ports, features: Features): ControllerContext => {
   const deployment = readDeployment(settings, ports.incarnation);
   const clocks = createClocks(ports, features, settings.facts.clock_error_ms);
-  const state = createStateAccess({
+  const storeAccess = createStoreAccess({
     address: settings.services.state,
     deployment,
     leaseClock: clocks.lease,
     createHttpClient: ports.createHttpClient,
   });
-  return { settings, features, ports, deployment, clocks, state };
+  return { settings, features, ports, deployment, clocks, storeAccess };
 };
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -13,15 +13,16 @@
 import { PeerNetwork } from '../peers/network.js';
 import type { PeerView } from '../peers/peer-view.js';
 import { ProtocolVersion } from '../peers/protocol-version.js';
+import { readPeerAddresses } from './address-codec.js';
 import type { ControllerContext } from './context.js';
 
 /** What coordination needs of subsystems that are built after it; called only once the controller runs. */
-export interface CoordinationInput {
+export interface CoordinationDependencies {
   /** What this node tells a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
   /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
-  /** Shards of ours whose workers reach only another node: by slot, that node. */
+  /** Shards held here whose workers reach only another node: by claim name, that node. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
 
@@ -39,27 +40,37 @@
   readonly mayLead: () => boolean;
 }
 
-/** Creates the coordination of one controller. */
-export const createCoordination = (context: ControllerContext, input: CoordinationInput): Coordination => {
-  const { settings, deployment, clocks, state } = context;
-  const leaderNode = (): string | undefined => leases.claim(LEADER_CLAIM)?.node;
-  const peerNetwork = new PeerNetwork({
+const createPeerNetwork = (
+  { settings, deployment, clocks, ports }: ControllerContext,
+  { heartbeat, answer }: CoordinationDependencies,
+  leaderNode: () => string | undefined,
+): PeerNetwork =>
+  new PeerNetwork({
     me: deployment.me.node,
-    peers: settings.siblings.map(({ host_name: node, endpoint }) => ({ node, endpoint })),
+    peers: readPeerAddresses(settings),
     now: clocks.lease,
-    createHttpClient: context.ports.createHttpClient,
+    createHttpClient: ports.createHttpClient,
     leader: leaderNode,
-    heartbeat: input.heartbeat,
-    answer: input.answer,
+    heartbeat,
+    answer,
   });
+
+/** Creates the coordination of one controller. */
+export const createCoordination = (
+  context: ControllerContext,
+  dependencies: CoordinationDependencies,
+): Coordination => {
+  const { settings, deployment, clocks, storeAccess } = context;
+  const leaderNode = (): string | undefined => leases.claim(LEADER_CLAIM)?.node;
+  const peerNetwork = createPeerNetwork(context, dependencies, leaderNode);
   const peers = peerNetwork.view;
   const protocolVersion: ProtocolVersion = new ProtocolVersion({
-    store: state.store,
-    cache: state.cache,
+    store: storeAccess.store,
+    cache: storeAccess.cache,
     announcedVersions: () => peers.announcedVersions(),
     beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
-  const leases: LeaseManager = new LeaseManager(state.store, state.cache, {
+  const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
     me: deployment.me,
     nodes: deployment.nodes,
     shardCount: deployment.shardCount,
@@ -67,18 +78,18 @@
     outageGraceUntil: () =>
       outageGrace({
         nodes: deployment.nodes.length,
-        msSinceStoreAnswered: state.ageMs,
+        msSinceStoreAnswered: storeAccess.msSinceAnswered,
         peers,
         protocolVersion,
-        cache: state.cache,
+        cache: storeAccess.cache,
         workers: settings.facts.workers,
       }),
-    unreachableShards: input.unreachableShards,
+    unreachableShards: dependencies.unreachableShards,
     now: clocks.lease,
   });
   const duties: Duties = composeDuties({
     leases,
-    store: state.store,
+    store: storeAccess.store,
     valueBytes: deployment.valueBytes,
     wall: clocks.wall,
     enforce: context.features.fencing,
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -30,9 +30,9 @@
   readonly guarantees: ReadonlyMap<string, TeamUsage>;
   /** Targets of each class of jobs. */
   readonly objectives: ReadonlyMap<string, Objectives>;
-  /** The state service's limits, now and after the announced change. */
+  /** The key-value store's limits, now and after the announced change. */
   readonly stateLimits: StateLimits;
-  /** bytes: the largest value that the state service takes, now and later. */
+  /** bytes: the largest value that the key-value store takes, now and later. */
   readonly valueBytes: number;
 }
 
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -14,12 +14,12 @@
 import type { HeldShards } from './held-shards.js';
 
 /** What a heartbeat is built from. */
-export interface HeartbeatInput {
+export interface HeartbeatSources {
   readonly me: ClaimHolder;
   readonly leases: Pick<LeaseManager, 'lease' | 'workersUnreachable'>;
   readonly leaderNode: () => string | undefined;
-  /** ms since the state service last answered this node. */
-  readonly stateAgeMs: () => number;
+  /** ms since the key-value store last answered this node. */
+  readonly msSinceStoreAnswered: () => number;
   readonly store: Pick<KeyValueStore, 'requests' | 'changes'>;
   readonly shards: Pick<HeldShards, 'taskCounts' | 'ownSummaries'>;
   readonly heartbeatHandler: Pick<WorkerHeartbeatHandler, 'misroutedCounts'>;
@@ -28,19 +28,20 @@
 }
 
 /** The heartbeat to a peer; the order of its fields is that of the wire. */
-export const createHeartbeat = (input: HeartbeatInput, to: string): PeerHeartbeat => {
-  const { me, leases, shards, store } = input;
+export const createHeartbeat = (sources: HeartbeatSources, to: string): PeerHeartbeat => {
+  const { me, leases, shards, store } = sources;
   return {
     from: me.node,
     incarnation: me.incarnation,
     protocolVersion: PROTOCOL_VERSION,
     lease: leases.lease,
-    storeSilenceMs: input.stateAgeMs(),
+    storeSilenceMs: sources.msSinceStoreAnswered(),
     counts: shards.taskCounts(),
-    summaries: to === input.leaderNode() ? shards.ownSummaries() : shards.ownSummaries().map(abridgedSummary),
+    summaries:
+      to === sources.leaderNode() ? shards.ownSummaries() : shards.ownSummaries().map(abridgedSummary),
     workersUnreachable: leases.workersUnreachable,
-    misroutedHeartbeats: input.heartbeatHandler.misroutedCounts(MISROUTED_HEARTBEAT_FRESHNESS_MS),
+    misroutedHeartbeats: sources.heartbeatHandler.misroutedCounts(MISROUTED_HEARTBEAT_FRESHNESS_MS),
     demand: { requests: store.requests.demand(), changes: store.changes.demand() },
-    reservations: input.reservations(),
+    reservations: sources.reservations(),
   };
 };
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -1,6 +1,6 @@
 /**
- * The lifecycle of the shards that this process holds. Owns the map of `Share` objects, one for each claim
- * revision of this process; the change dispatcher tells it of claims, the other subsystems look shards up
+ * The lifecycle of the shards that this process holds. Owns the map of running shards, one for each
+ * claim revision of this process; the change dispatcher tells it of claims, the other subsystems find shards
  * here.
  */
 import * as Effect from 'effect/Effect';
@@ -15,12 +15,12 @@
 import { supervise } from './supervise.js';
 
 /** What the lifecycle of shards needs of the rest of the controller. */
-export interface HeldShardsInput {
+export interface HeldShardsDependencies {
   readonly shardCount: number;
   readonly leases: Pick<LeaseManager, 'ownRevision' | 'actingRevision'>;
   /** Creates the shard for the claim with this revision. */
   readonly create: (shardId: number, claim: number) => Shard;
-  /** A shard was taken: what its jobs wait for is to be looked up. */
+  /** Called once a shard is taken: what its jobs depend on is to be evaluated anew. */
   readonly onTaken: () => void;
 }
 
@@ -39,15 +39,15 @@
 export class HeldShards {
   private readonly running = new Map<number, RunningShard>();
 
-  constructor(private readonly input: HeldShardsInput) {}
+  constructor(private readonly dependencies: HeldShardsDependencies) {}
 
-  /** The claim on a slot changed; a `Share` lives as long as this process's claim with that very revision. */
+  /** A claim changed; a `Shard` lives as long as this process's claim with that very revision. */
   followClaim(claimName: string): void {
     const shardId = parseShard(claimName);
-    if (shardId === null || shardId >= this.input.shardCount) return;
-    const claim = this.input.leases.ownRevision(claimName);
+    if (shardId === null || shardId >= this.dependencies.shardCount) return;
+    const claim = this.dependencies.leases.ownRevision(claimName);
     const held = this.running.get(shardId);
-    if (held && held.shard.claim === claim) return;
+    if (held?.shard.claim === claim) return;
     if (held) this.drop(shardId, held);
     if (claim !== null) this.take(shardId, claim);
   }
@@ -58,23 +58,23 @@
   }
 
   private take(shardId: number, claim: number): void {
-    const shard = this.input.create(shardId, claim);
-    const fiber = Effect.runFork(supervise(`share.${shardId}`, shard.run));
+    const shard = this.dependencies.create(shardId, claim);
+    const fiber = Effect.runFork(supervise(`shard.${shardId}`, shard.run));
     this.running.set(shardId, { shard, fiber });
-    this.input.onTaken();
-    log.info({ event: 'share.taken', shardId: shardId, claim });
+    this.dependencies.onTaken();
+    log.info({ event: 'shard.taken', shardId, claim });
   }
 
   /** Does this process hold the shard, as far as the shared keys show? */
-  holds(shardId: number): boolean {
+  isHeld(shardId: number): boolean {
     return this.running.has(shardId);
   }
 
   /** The shard, if this process may act for it now. */
   actingShard(shardId: number): Shard | null {
-    const claim = this.input.leases.actingRevision(String(shardId));
+    const claim = this.dependencies.leases.actingRevision(String(shardId));
     const shard = this.running.get(shardId)?.shard;
-    return claim !== null && shard && shard.claim === claim && shard.stage !== 'lost' ? shard : null;
+    return claim !== null && shard?.claim === claim && shard.stage !== 'lost' ? shard : null;
   }
 
   /** Applies an action to each shard held, in the order in which they were taken. */
@@ -82,7 +82,7 @@
     for (const { shard } of this.running.values()) action(shard);
   }
 
-  /** Puts a cancellation to a shard of ours; false: this process does not hold it under that very claim. */
+  /** Puts a cancellation to a shard held here; false: this process does not hold it under that very claim. */
   acknowledge({ shardId, claim, job, revision }: Cancellation): boolean {
     const shard = this.running.get(shardId)?.shard;
     return shard?.claim === claim && shard.acknowledge(job, revision);
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,6 +1,7 @@
 /**
- * What the leader does and how shards hear of it: the leader itself, the relay through the state service,
- * transfers and reservations. Every controller has all of it; the leader acts only while this node leads.
+ * What the leader does and how its decisions reach the shards: the leader itself, the relay through the
+ * key-value store, transfers and reservations. Every controller has all of it; the leader acts only while
+ * this node leads.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
@@ -17,18 +18,20 @@
 import { collectSummaries } from './summaries.js';
 import { Transfers } from './transfers.js';
 
-/** What the leader does and how shards hear of it. */
+/** What the leader does and how its decisions reach the shards. */
 export interface Leadership {
   readonly leader: Leader;
   readonly relay: KeyValueStoreRelay;
   readonly transfers: Transfers;
   readonly reservations: Reservations;
-  /** Has the leader adopt the unknown machine of a report; false: this node does not lead. */
+  /** Has the leader adopt the unknown machine of a heartbeat; false: this node does not lead. */
   readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
-/** Our summaries while the leader is another node that can't be heard; else none. */
-const cutOffSummaries = (
+/**
+ * The summaries of the shards held here while the leader is another node that can't be reached; else none.
+ */
+const summariesToRelay = (
   { deployment }: ControllerContext,
   { leaderNode, peers }: Coordination,
   shards: HeldShards,
@@ -48,22 +51,31 @@
     ports.createHttpClient,
   );
 
+/** `transfers` is first called once the controller runs. */
+const createRelay = (
+  context: ControllerContext,
+  coordination: Coordination,
+  shards: HeldShards,
+  transfers: () => Transfers,
+): KeyValueStoreRelay =>
+  new KeyValueStoreRelay({
+    store: context.storeAccess.store,
+    valueBytes: context.deployment.valueBytes,
+    now: context.clocks.steady,
+    leaderClaim: () => coordination.leases.claim(LEADER_CLAIM)?.version ?? null,
+    summariesToRelay: () => summariesToRelay(context, coordination, shards),
+    transferMachines: (shardId, ordered) => void transfers().carryOut(shardId, ordered),
+  });
+
 /** Creates the leadership of one controller. */
 export const createLeadership = (
   context: ControllerContext,
   coordination: Coordination,
   shards: HeldShards,
 ): Leadership => {
-  const { settings, deployment, clocks, state } = context;
+  const { settings, deployment, clocks, storeAccess } = context;
   const { peerNetwork, peers, leases, duties, protocolVersion, mayLead } = coordination;
-  const relay: KeyValueStoreRelay = new KeyValueStoreRelay({
-    store: state.store,
-    valueBytes: deployment.valueBytes,
-    now: clocks.steady,
-    leaderClaim: () => leases.claim(LEADER_CLAIM)?.version ?? null,
-    summariesToRelay: () => cutOffSummaries(context, coordination, shards),
-    transferMachines: (shardId, moves) => void transfers.carryOut(shardId, moves),
-  });
+  const relay: KeyValueStoreRelay = createRelay(context, coordination, shards, () => transfers);
   const transfers = new Transfers({
     node: deployment.me.node,
     shards,
@@ -74,8 +86,8 @@
     reservations: () => leader.reservations,
   });
   const leader: Leader = new Leader({
-    store: state.store,
-    cache: state.cache,
+    store: storeAccess.store,
+    cache: storeAccess.cache,
     cloud: createCloud(context),
     duties: duties.registry,
     journal: duties.journal,
@@ -83,7 +95,7 @@
     listLagS: settings.facts.cloud.list_lag_s,
     valueBytes: deployment.valueBytes,
     maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
-    catalog: state.catalog,
+    catalog: storeAccess.catalog,
     actingRevision: () => leases.actingRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
     move: (from, moves, permit) => transfers.order(from, moves, permit),
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -1,30 +1,28 @@
 /**
- * Which of our shards' workers reach another controller instead of this one. Pure decision; the lease manager
- * asks for it with each look at the claims, and hands such shards over.
+ * Which shards held here have workers that reach another controller instead of this one. Pure decision; the
+ * lease manager asks with each check of the claims, and hands such shards over.
  */
+import { MISROUTED_HANDOVER_FRACTION } from '../constants/peers.js';
 import type { PeerView } from '../peers/peer-view.js';
 import type { Shard } from '../placement/shard.js';
 import type { HeldShards } from './held-shards.js';
 
-/** Fraction of a shard's machines that another node must hear before the shard is handed to it. */
-const MISROUTED_FRACTION = 1 / 2;
-
-/** What the decision looks at. */
-export interface MisroutingInput {
+/** What the decision depends on. */
+export interface MisroutingSources {
   readonly shards: Pick<HeldShards, 'forEach'>;
   readonly peers: Pick<PeerView, 'misroutedHeartbeats'>;
 }
 
-/** The node that hears the shard's workers while this one hears none of them; null: there is no such node. */
-const nodeReachedInstead = (shard: Shard, peers: MisroutingInput['peers']): string | null => {
+/** The node that the shard's workers reach while none of them reaches this one; null: there is none. */
+const nodeReachedInstead = (shard: Shard, peers: MisroutingSources['peers']): string | null => {
   const { machines, heard } = shard.hearing();
   if (machines === 0 || heard > 0) return null;
   const misrouted = peers.misroutedHeartbeats(String(shard.shardId));
-  return misrouted && misrouted.count >= machines * MISROUTED_FRACTION ? misrouted.node : null;
+  return misrouted && misrouted.count >= machines * MISROUTED_HANDOVER_FRACTION ? misrouted.node : null;
 };
 
-/** Shards of ours whose workers reach only another node: by slot, that node. */
-export const findUnreachableShards = ({ shards, peers }: MisroutingInput): ReadonlyMap<string, string> => {
+/** Shards held here whose workers reach only another node: by claim name, that node. */
+export const findUnreachableShards = ({ shards, peers }: MisroutingSources): ReadonlyMap<string, string> => {
   const unreachable = new Map<string, string>();
   shards.forEach((shard) => {
     const node = nodeReachedInstead(shard, peers);
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -24,6 +24,6 @@
   /** The other controllers. */
   readonly peerRoute: (call: ServerRequest) => Promise<ServerResponse>;
   readonly run: Effect.Effect<unknown>;
-  /** Ends what runs beside `run`. */
+  /** Ends the shards, which have fibers of their own. */
   readonly stop: () => void;
 }
--- a/src/controller/readiness.ts
+++ b/src/controller/readiness.ts
@@ -4,16 +4,16 @@
  */
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import type { PeerView } from '../peers/peer-view.js';
-import type { StateAccess } from './state-access.js';
+import type { StoreAccess } from './store-access.js';
 
 /** What readiness depends on. */
-export interface ReadinessInput {
-  readonly state: Pick<StateAccess, 'cache' | 'catalog' | 'ageMs'>;
+export interface ReadinessSources {
+  readonly storeAccess: Pick<StoreAccess, 'cache' | 'catalog' | 'msSinceAnswered'>;
   readonly peers: Pick<PeerView, 'storeReachability'>;
 }
 
 /** Ready means: takes users' requests at least as well as the other nodes. */
-export const isReady = ({ state, peers }: ReadinessInput): boolean => {
-  if (!state.cache.ready || state.catalog() === null) return false;
-  return state.ageMs() < HEARTBEAT_FRESHNESS_MS || peers.storeReachability().up === 0;
+export const isReady = ({ storeAccess, peers }: ReadinessSources): boolean => {
+  if (!storeAccess.cache.ready || storeAccess.catalog() === null) return false;
+  return storeAccess.msSinceAnswered() < HEARTBEAT_FRESHNESS_MS || peers.storeReachability().up === 0;
 };
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -1,6 +1,5 @@
 /**
- * Looks up the leader's reservations. No state; heartbeats announce them, shards leave reserved machines
- * alone.
+ * Finds the leader's reservations. No state; heartbeats announce them, shards leave reserved machines alone.
  */
 import type { Leader } from '../fleet/leader.js';
 import type { Reservation } from '../fleet/records.js';
@@ -9,7 +8,7 @@
 import type { Coordination } from './coordination.js';
 
 /** Where reservations come from. */
-export interface ReservationsInput {
+export interface ReservationSources {
   readonly coordination: Pick<Coordination, 'leaderNode' | 'mayLead'>;
   readonly leader: Pick<Leader, 'reservations'>;
   readonly peers: Pick<PeerView, 'recentHeartbeat'>;
@@ -18,18 +17,18 @@
 
 /** The reservations of whichever node leads. */
 export class Reservations {
-  constructor(private readonly input: ReservationsInput) {}
+  constructor(private readonly sources: ReservationSources) {}
 
   /** What this node announces; nothing unless it leads. */
   announced(): readonly Reservation[] {
-    return this.input.coordination.mayLead() ? this.input.leader.reservations : [];
+    return this.sources.coordination.mayLead() ? this.sources.leader.reservations : [];
   }
 
   /**
-   * What a shard of ours has to heed: from the leader's heartbeat, or relayed while the leader is not heard.
+   * What a shard held here must leave free: from the leader's heartbeat, or relayed while none comes.
    */
   forShard(shardId: number): readonly Reservation[] {
-    const { coordination, leader, peers, relay } = this.input;
+    const { coordination, leader, peers, relay } = this.sources;
     if (coordination.mayLead()) return leader.reservations;
     const node = coordination.leaderNode();
     const heartbeat = node === undefined ? null : peers.recentHeartbeat(node);
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -8,15 +8,13 @@
 import type { ServerRequest, ServerResponse } from '../http.js';
 import type { UsersApi } from '../jobs/api.js';
 import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
-
-/** Where workers send their heartbeats. */
-export const WORKER_PATH = '/hello';
+import { READINESS_PATH, WORKER_HEARTBEAT_PATH } from './route-codec.js';
 
 /** What requests on the API address are routed to. */
-export interface RouterInput {
+export interface RouterDependencies {
   /** Does this node take users' requests at least as well as the others? */
   readonly ready: () => boolean;
-  readonly reports: Pick<WorkerHeartbeatHandler, 'handle'>;
+  readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
   readonly users: Pick<UsersApi, 'handle'>;
   readonly duties: Pick<DutiesApi, 'handle'>;
 }
@@ -24,7 +22,7 @@
 /**
  * Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers.
  */
-const withinBudget = (reply: Effect.Effect<ServerResponse>): Promise<ServerResponse> =>
+const withinTimeout = (reply: Effect.Effect<ServerResponse>): Promise<ServerResponse> =>
   new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
       resolve({
@@ -39,20 +37,26 @@
   });
 
 /**
- * Routes requests on the API address: health checks, workers' reports, users' calls, operators' reading
+ * Routes requests on the API address: health checks, workers' heartbeats, users' calls, operators' reading
  * calls.
  */
-export const createRouter =
-  ({ ready, reports, users, duties }: RouterInput): ((call: ServerRequest) => Promise<ServerResponse>) =>
-  (call) => {
-    if (call.path === '/ready') return Promise.resolve({ status: ready() ? 200 : 503 });
-    if (call.path === WORKER_PATH) {
-      if (call.method !== 'POST') return Promise.resolve({ status: 405, headers: { allow: 'POST' } });
-      return call.body._tag === 'value' ? reports.handle(call.body.value) : Promise.resolve({ status: 400 });
-    }
+export const createRouter = (
+  dependencies: RouterDependencies,
+): ((call: ServerRequest) => Promise<ServerResponse>) => {
+  const { ready, workerHeartbeats, users, duties } = dependencies;
+
+  const routeWorkerHeartbeat = ({ method, body }: ServerRequest): Promise<ServerResponse> => {
+    if (method !== 'POST') return Promise.resolve({ status: 405, headers: { allow: 'POST' } });
+    return body._tag === 'value' ? workerHeartbeats.handle(body.value) : Promise.resolve({ status: 400 });
+  };
+
+  return (call) => {
+    if (call.path === READINESS_PATH) return Promise.resolve({ status: ready() ? 200 : 503 });
+    if (call.path === WORKER_HEARTBEAT_PATH) return routeWorkerHeartbeat(call);
     const parts = call.path.split('/').filter((part) => part !== '');
-    if (parts[0] === 'v2' && parts[1] === 'runs') return withinBudget(users.handle(call, parts.slice(2)));
+    if (parts[0] === 'v2' && parts[1] === 'runs') return withinTimeout(users.handle(call, parts.slice(2)));
     if (parts[0] === 'admin' && parts[1] === 'v1' && parts[2] === 'duties')
       return duties.handle(call, parts.slice(3));
     return Promise.resolve({ status: 404 });
   };
+};
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-context.ts
@@ -1,4 +1,7 @@
-/** Builds what one shard needs of the rest of the controller. No state; called when a shard is taken. */
+/**
+ * Builds the context of one shard: what it needs of the rest of the controller. No state; called when a shard
+ * is taken.
+ */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { releaseUrgently } from '../duties/urgent-release.js';
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
@@ -10,7 +13,7 @@
 import type { Leadership } from './leadership.js';
 
 /** The subsystems that a shard works with. */
-export interface ShardDependencies {
+export interface ShardSubsystems {
   readonly context: ControllerContext;
   readonly coordination: Coordination;
   readonly scarceTypes: ScarceTypes;
@@ -22,17 +25,17 @@
 }
 
 /** What depends on the shard and its claim; the rest is the same for all shards. */
-type ClaimInput = Pick<
+type ClaimContext = Pick<
   ShardContext,
   'mayAct' | 'reservations' | 'direct' | 'releaseNow' | 'cleanUp' | 'loaded'
 >;
 
-const createClaimInput = (dependencies: ShardDependencies, shardId: number, claim: number): ClaimInput => {
-  const { context, coordination, leadership } = dependencies;
+const createClaimContext = (subsystems: ShardSubsystems, shardId: number, claim: number): ClaimContext => {
+  const { context, coordination, leadership } = subsystems;
   const { leases, duties, peerNetwork, leaderNode } = coordination;
   const mayAct = (): boolean => leases.actingRevision(String(shardId)) === claim;
   return {
-    mayAct: mayAct,
+    mayAct,
     reservations: () => leadership().reservations.forShard(shardId),
     // Asked for at the very moment of sending: this process may have stood still since the decision.
     direct: (addr, token, agentEpoch, commands) =>
@@ -42,11 +45,11 @@
     releaseNow: (machines) =>
       releaseUrgently(
         {
-          shardId: shardId,
+          shardId,
           duty: duties.registry.shard(shardId, 'reclaim'),
           me: context.deployment.me.node,
           leaderNode,
-          msSinceStoreAnswered: context.state.ageMs,
+          msSinceStoreAnswered: context.storeAccess.msSinceAnswered,
           releaseLocally: (own) => leadership().leader.releaseNow(own),
           ask: (node, path, body, timeoutMs) => peerNetwork.request(node, path, body, timeoutMs),
         },
@@ -58,18 +61,18 @@
 };
 
 /** Everything that the shard needs for as long as its claim has this revision. */
-export const createShardInput = (
-  dependencies: ShardDependencies,
+export const createShardContext = (
+  subsystems: ShardSubsystems,
   shardId: number,
   claim: number,
 ): ShardContext => {
-  const { context, coordination, scarceTypes, bootBoundTypes, pipelines } = dependencies;
-  const { settings, ports, deployment, clocks, state } = context;
+  const { context, coordination, scarceTypes, bootBoundTypes, pipelines } = subsystems;
+  const { settings, ports, deployment, clocks, storeAccess } = context;
   return {
-    ...createClaimInput(dependencies, shardId, claim),
-    store: state.store,
-    cache: state.cache,
-    catalog: state.catalog,
+    ...createClaimContext(subsystems, shardId, claim),
+    store: storeAccess.store,
+    cache: storeAccess.cache,
+    catalog: storeAccess.catalog,
     scarceDemand: (type) => scarceTypes.demand(type),
     bootBound: (type) => bootBoundTypes.has(type),
     shardOfTeam: deployment.shardByTeam,
@@ -80,7 +83,7 @@
     valueBytes: deployment.valueBytes,
     maySplit: () => coordination.protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     coreShare: settings.facts.quota.core_share,
-    spareElsewhere: dependencies.spareElsewhere,
+    spareElsewhere: subsystems.spareElsewhere,
     now: clocks.steady,
     processorMs: ports.processorMs,
     wall: clocks.wall,
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -1,5 +1,5 @@
 /**
- * The shards that this process holds and what all of them look at together: pipelines of jobs, and machine
+ * The shards that this process holds and what they use in common: pipelines of jobs, and machine
  * types that some work depends on. Built by the composition root.
  */
 import { BootBoundTypes } from '../fleet/boot-bound-types.js';
@@ -10,11 +10,11 @@
 import type { Coordination } from './coordination.js';
 import { HeldShards } from './held-shards.js';
 import type { Leadership } from './leadership.js';
-import { createShardInput } from './shard-input.js';
+import { createShardContext } from './shard-context.js';
 import { hasSpareElsewhere } from './spare-capacity.js';
 import { directSummaries } from './summaries.js';
 
-/** The shards held here and what they look at together. */
+/** The shards held here and what they use in common. */
 export interface Sharding {
   readonly shards: HeldShards;
   readonly pipelines: Pipelines;
@@ -28,24 +28,27 @@
   coordination: Coordination,
   leadership: () => Leadership,
 ): Sharding => {
-  const { deployment, state } = context;
-  const scarceTypes = new ScarceTypes(state.catalog);
-  const bootBoundTypes = new BootBoundTypes(state.catalog, deployment.objectives);
+  const { deployment, storeAccess } = context;
+  const scarceTypes = new ScarceTypes(storeAccess.catalog);
+  const bootBoundTypes = new BootBoundTypes(storeAccess.catalog, deployment.objectives);
   const pipelines: Pipelines = new Pipelines({
-    cache: state.cache,
-    finalRecords: state.finalRecords,
-    ownsTeam: (team) => shards.holds(deployment.shardOf(team)),
+    cache: storeAccess.cache,
+    finalRecords: storeAccess.finalRecords,
+    ownsTeam: (team) => shards.isHeld(deployment.shardOf(team)),
     changed: (jobs) => {
       for (const job of jobs) shards.forEach((shard) => shard.onEffectivePriority(job));
     },
   });
   const spareElsewhere: ShardContext['spareElsewhere'] = (shardId, spec) =>
     hasSpareElsewhere(
-      { summaries: () => directSummaries({ shards, peers: coordination.peers }), catalog: state.catalog },
+      {
+        summaries: () => directSummaries({ shards, peers: coordination.peers }),
+        catalog: storeAccess.catalog,
+      },
       shardId,
       spec,
     );
-  const dependencies = {
+  const subsystems = {
     context,
     coordination,
     scarceTypes,
@@ -57,7 +60,7 @@
   const shards: HeldShards = new HeldShards({
     shardCount: deployment.shardCount,
     leases: coordination.leases,
-    create: (shardId, claim) => new Shard(shardId, claim, createShardInput(dependencies, shardId, claim)),
+    create: (shardId, claim) => new Shard(shardId, claim, createShardContext(subsystems, shardId, claim)),
     onTaken: () => pipelines.reevaluateAll(),
   });
   return { shards, pipelines, scarceTypes, bootBoundTypes };
--- a/src/controller/spare-capacity.ts
+++ b/src/controller/spare-capacity.ts
@@ -5,15 +5,15 @@
 import { fitsIn, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 
 /** What the answer depends on. */
-export interface SpareCapacityInput {
+export interface SpareCapacitySources {
   readonly summaries: () => readonly ShardSummary[];
   readonly catalog: () => Catalog | null;
 }
 
 /** Has a shard other than this one a spare machine that one task of the job fits on? */
-export const hasSpareElsewhere = (input: SpareCapacityInput, shardId: number, spec: JobSpec): boolean => {
-  const catalog = input.catalog();
-  return input
+export const hasSpareElsewhere = (sources: SpareCapacitySources, shardId: number, spec: JobSpec): boolean => {
+  const catalog = sources.catalog();
+  return sources
     .summaries()
     .filter((summary) => summary.shardId !== shardId)
     .some((summary) =>
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -14,9 +14,10 @@
 import type { AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
 import { WorkerClient } from '../workers/worker-client.js';
+import { readListenAddresses, readPeerAddresses } from './address-codec.js';
 import { compose } from './compose.js';
 import type { Ports } from './ports.js';
-import { WORKER_PATH } from './router.js';
+import { WORKER_HEARTBEAT_PATH } from './route-codec.js';
 
 const MICROSECONDS_PER_MS = 1_000;
 
@@ -26,7 +27,7 @@
 
 /** Connections that the peer address may hold open. */
 const peerConnections = (settings: Settings): number =>
-  (settings.siblings.length + 1) * MAX_INCOMING_SOCKETS_PER_NODE;
+  (readPeerAddresses(settings).length + 1) * MAX_INCOMING_SOCKETS_PER_NODE;
 
 /** Connections that this process may hold open to workers. */
 const workerConnections = (settings: Settings): number =>
@@ -46,7 +47,7 @@
 });
 
 const logFailedRequest = (error: unknown): void =>
-  log.error({ event: 'request.failed', error: String(error) });
+  log.error({ event: 'http.request_failed', error: String(error) });
 
 /** Runs one controller as this process. */
 export const start = async (
@@ -54,23 +55,24 @@
   features: Features,
   adminAccess: AdminAccess,
 ): Promise<void> => {
+  const addresses = readListenAddresses(settings);
   const controller = compose(settings, processPorts(settings), features, adminAccess);
   await serve(
-    parseTarget(settings.api_addr),
-    { connections: apiConnections(settings), crowd: (path) => path === WORKER_PATH },
+    parseTarget(addresses.api),
+    { connections: apiConnections(settings), crowd: (path) => path === WORKER_HEARTBEAT_PATH },
     MAX_BODY_BYTES,
     controller.route,
     logFailedRequest,
   );
   await serve(
-    parseTarget(settings.mesh_addr),
+    parseTarget(addresses.peers),
     { connections: peerConnections(settings) },
     MAX_RESPONSE_BYTES,
     controller.peerRoute,
     logFailedRequest,
   );
   log.info({
-    event: 'service.started',
+    event: 'controller.started',
     node: settings.host_name,
     zone: settings.area,
     shardCount: settings.facts.count,
--- a/src/controller/state-access.ts
+++ b/src/controller/store-access.ts
@@ -1,5 +1,5 @@
 /**
- * This controller's access to the state service: its client, its copy of the shared keys, and what is read
+ * This controller's access to the key-value store: the client, the copy of the shared keys, and what is read
  * through them. Owns these objects; built once by the context and used by every subsystem.
  */
 import { CatalogView } from '../fleet/catalog-view.js';
@@ -11,20 +11,20 @@
 import { WatchCache } from '../kv-store/watch-cache.js';
 import type { Deployment } from './deployment.js';
 
-/** This controller's access to the state service. */
-export interface StateAccess {
+/** This controller's access to the key-value store. */
+export interface StoreAccess {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly linearizableReads: LinearizableReads;
   readonly finalRecords: FinalRecordCache;
   /** The catalog of machine types; null: not known yet. */
   readonly catalog: () => Catalog | null;
-  /** ms since the state service last answered this node. */
-  readonly ageMs: () => number;
+  /** ms since the key-value store last answered this node. */
+  readonly msSinceAnswered: () => number;
 }
 
-/** Where the state service is, and how it is reached. */
-export interface StateAccessInput {
+/** Where the key-value store is, and how it is reached. */
+export interface StoreAccessOptions {
   readonly address: string;
   readonly deployment: Deployment;
   readonly leaseClock: () => number;
@@ -32,13 +32,13 @@
 }
 
 /** Creates the client and the copy of the shared keys; the copy is filled once its `run` is started. */
-export const createStateAccess = (input: StateAccessInput): StateAccess => {
-  const { deployment, leaseClock } = input;
+export const createStoreAccess = (options: StoreAccessOptions): StoreAccess => {
+  const { deployment, leaseClock } = options;
   const store = new KeyValueStore(
-    parseTarget(input.address),
+    parseTarget(options.address),
     { ...deployment.stateLimits, nodes: deployment.nodes.length },
     leaseClock,
-    input.createHttpClient,
+    options.createHttpClient,
   );
   const cache = new WatchCache(store, leaseClock);
   return {
@@ -47,6 +47,7 @@
     linearizableReads: new LinearizableReads(store),
     finalRecords: new FinalRecordCache(store),
     catalog: new CatalogView(cache).current,
-    ageMs: () => (store.lastAnsweredAt === 0 ? Number.MAX_SAFE_INTEGER : leaseClock() - store.lastAnsweredAt),
+    msSinceAnswered: () =>
+      store.lastAnsweredAt === 0 ? Number.MAX_SAFE_INTEGER : leaseClock() - store.lastAnsweredAt,
   };
 };
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -17,7 +17,7 @@
   readonly relay: Pick<KeyValueStoreRelay, 'summary'>;
 }
 
-/** The summaries that come without a detour: those of our own shards, and of the peers that are heard. */
+/** The summaries that need no relay: of the shards held here, and in the recent heartbeats of peers. */
 export const directSummaries = ({
   shards,
   peers,
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -14,7 +14,7 @@
 import type { HeldShards } from './held-shards.js';
 
 /** What transfers need of the rest of the controller. */
-export interface TransfersInput {
+export interface TransfersDependencies {
   /** This node's name. */
   readonly node: string;
   readonly shards: Pick<HeldShards, 'actingShard'>;
@@ -28,27 +28,27 @@
 
 /** Orders and carries out transfers of machines. */
 export class Transfers {
-  constructor(private readonly input: TransfersInput) {}
+  constructor(private readonly dependencies: TransfersDependencies) {}
 
   /** Has the holder of a shard carry out the leader's transfers from it. */
-  order(from: number, moves: readonly MachineTransfer[], permit: Permit): Effect.Effect<unknown> {
-    const { node, leases, peers, peerNetwork, relay } = this.input;
-    const shard = this.input.shards.actingShard(from);
-    if (shard) return Effect.promise(() => shard.transferMachines(moves));
+  order(from: number, transfers: readonly MachineTransfer[], permit: Permit): Effect.Effect<unknown> {
+    const { node, leases, peers, peerNetwork, relay } = this.dependencies;
+    const shard = this.dependencies.shards.actingShard(from);
+    if (shard) return Effect.promise(() => shard.transferMachines(transfers));
     const holder = leases.claim(String(from))?.node;
     if (holder === undefined || holder === node) return Effect.void;
     if (peers.recentHeartbeat(holder) === null)
-      return relay.relayOrders(from, moves, this.input.reservations());
+      return relay.relayOrders(from, transfers, this.dependencies.reservations());
     if (!permit.mayProceed()) return Effect.void;
-    const order = writeTransferOrder({ from, transfers: moves }, permit.token);
+    const order = writeTransferOrder({ from, transfers }, permit.token);
     return Effect.promise(() => peerNetwork.request(holder, PEER_PATHS.transfer, order));
   }
 
   /**
-   * Carries out transfers from a shard of ours; false: they were not, or this process may not act for the
+   * Carries out transfers from a shard held here; false: they were not, or this process may not act for the
    * shard.
    */
-  async carryOut(from: number, moves: readonly MachineTransfer[]): Promise<boolean> {
-    return (await this.input.shards.actingShard(from)?.transferMachines(moves)) ?? false;
+  async carryOut(from: number, transfers: readonly MachineTransfer[]): Promise<boolean> {
+    return (await this.dependencies.shards.actingShard(from)?.transferMachines(transfers)) ?? false;
   }
 }
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -69,9 +69,6 @@
  * is gone from its module has to go from here.
  */
 const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {
-  'src/controller/coordination.ts': ['siblings'],
-  'src/controller/router.ts': ['/hello'],
-  'src/controller/start.ts': ['mesh', 'siblings'],
   'src/settings/teams.ts': ['sibling', 'siblings'],
   'src/workers/worker-client.ts': ['stint'],
 };
