--- a/src/cancellation/acknowledgement-client.ts
+++ b/src/cancellation/acknowledgement-client.ts
@@ -20,7 +20,7 @@
 
   constructor(private readonly request: PeerRequest) {}
 
-  /** Does this node act on the cancellation? False also where it did not answer. */
+  /** Does this controller act on the cancellation? False also where it did not answer. */
   ask(node: string, cancellation: Cancellation): Promise<boolean> {
     return this.batcherFor(node).ask(cancellation);
   }
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -18,7 +18,7 @@
 
 /** What the acknowledgement of cancellations needs of the rest of the controller. */
 export interface CancellationAcknowledgementDependencies {
-  /** This node's name. */
+  /** This controller's name. */
   readonly me: string;
   readonly store: KeyValueStore;
   readonly linearizableReads: LinearizableReads;
@@ -28,7 +28,7 @@
   readonly request: PeerRequest;
   /** The summaries in the recent heartbeats of the peers. */
   readonly summaries: () => readonly ShardSummary[];
-  /** Is the node known to be of a version that acknowledges cancellations? */
+  /** Is the controller known to be of a version that acknowledges cancellations? */
   readonly supportsAcknowledgement: (node: string) => boolean;
 }
 
--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -41,13 +41,13 @@
 const UNCONFIRMED: CancellationVerdict = { _tag: 'unconfirmed' };
 
 const assessHolder = (
-  cancelledAt: number,
+  cancelledRevision: number,
   claim: number,
   evidence: CancellationEvidence,
 ): CancellationVerdict => {
   const hasSeen = (seen: SeenKeys | null): boolean =>
-    seen !== null && seen.claim === claim && seen.revision >= cancelledAt;
-  if (claim > cancelledAt && evidence.stopsTasksBeforeLoading)
+    seen !== null && seen.claim === claim && seen.revision >= cancelledRevision;
+  if (claim > cancelledRevision && evidence.stopsTasksBeforeLoading)
     return { _tag: 'confirmed', by: 'later claim' };
   if (evidence.acknowledged?.claim === claim) return { _tag: 'confirmed', by: 'acknowledged' };
   if (hasSeen(evidence.summary)) return { _tag: 'confirmed', by: 'summary' };
@@ -56,11 +56,11 @@
 };
 
 /**
- * May users be told of a cancellation? `cancelledAt` is the revision at which it became durable, `claim` was
- * read after that.
+ * May users be told of a cancellation? `cancelledRevision` is the revision at which it became durable,
+ * `claim` was read after that.
  */
 export const assessEvidence = (
-  cancelledAt: number,
+  cancelledRevision: number,
   claim: ConfirmedClaim,
   evidence: CancellationEvidence,
 ): CancellationVerdict => {
@@ -71,6 +71,6 @@
       // Whoever takes the claim sees every change before it, and the cancellation is one.
       return { _tag: 'confirmed', by: 'unclaimed' };
     case 'held':
-      return assessHolder(cancelledAt, claim.revision, evidence);
+      return assessHolder(cancelledRevision, claim.revision, evidence);
   }
 };
--- a/src/cancellation/outage-grace.ts
+++ b/src/cancellation/outage-grace.ts
@@ -6,11 +6,14 @@
 
 /** What is known of an outage. Times are ms, on one steady clock. */
 export interface Outage {
-  /** The store is down as far as most nodes say. */
+  /** The store is down as far as most controllers say. */
   readonly confirmed: boolean;
-  /** Every node says so, and each is known to confirm only cancellations that the holder has acknowledged. */
+  /**
+   * Every controller says so, and each is known to confirm only cancellations that the holder has
+   * acknowledged.
+   */
   readonly onlyAcknowledgedConfirmed: boolean;
-  /** Up to then this node surely knows the shared keys. */
+  /** Up to then this controller surely knows the shared keys. */
   readonly confirmedAt: number;
   /** ms within which the tasks of a cancelled job must be gone. */
   readonly cancelMs: number;
--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -2,7 +2,9 @@
 
 /** Pause between two heartbeats to one peer. */
 export const HEARTBEAT_INTERVAL_MS = 1_000;
-/** Heartbeat intervals after which the second of two nodes, by name, exchanges in place of the first. */
+/**
+ * Heartbeat intervals after which the second of two controllers, by name, exchanges in place of the first.
+ */
 export const HEARTBEAT_RESPONDER_FACTOR = 1.25;
 /** Part of that time after which an exchange is due, for timers that fire a little early. */
 export const HEARTBEAT_DUE_FRACTION = 0.9;
@@ -22,7 +24,7 @@
 export const PEER_REQUEST_TIMEOUT_MS = 900;
 /** Sockets to one peer, for heartbeats, task counts and moves. */
 export const MAX_SOCKETS_PER_PEER = 6;
-/** Incoming connections on the peer address for each node of the deployment. */
+/** Incoming connections on the peer address for each controller of the deployment. */
 export const MAX_INCOMING_SOCKETS_PER_NODE = 16;
 
 /** Least time between two computations of a shard's unmet demand; the leader acts on it no faster. */
@@ -31,12 +33,12 @@
 export const MAX_SPARES_PER_KIND = 24;
 /** Classes of demand in one summary, the most important first. */
 export const MAX_DEMAND_CLASSES = 40;
-/** Jobs of one shard whose task counts go with each heartbeat; other nodes only display them. */
+/** Jobs of one shard whose task counts go with each heartbeat; other controllers only display them. */
 export const MAX_JOBS_WITH_TASK_COUNTS = 4_000;
 
 /** Least time between two writes of the same key when summaries or orders go through the store. */
 export const RELAY_INTERVAL_MS = 2_000;
-/** Pause between two looks for summaries to relay. */
+/** Pause between two checks for summaries to relay. */
 export const RELAY_CHECK_INTERVAL_MS = RELAY_INTERVAL_MS / 2;
 /** Age up to which a relayed summary or order counts. */
 export const RELAY_FRESHNESS_MS = 7_000;
--- a/src/constants/protocol.ts
+++ b/src/constants/protocol.ts
@@ -1,6 +1,6 @@
-/** Versions of the protocol between controllers. A node of an earlier version names none, and counts as 0. */
+/** Versions of the protocol between controllers; one of an earlier version names none, and counts as 0. */
 
-/** The version of this node. */
+/** The version of this controller. */
 export const PROTOCOL_VERSION = 2;
 /** First version whose orders between controllers carry fencing tokens. */
 export const FENCED_ORDERS_PROTOCOL_VERSION = 2;
@@ -8,5 +8,5 @@
 export const ACKNOWLEDGEMENT_PROTOCOL_VERSION = 1;
 /** First version that understands jobs that follow others. */
 export const PIPELINES_PROTOCOL_VERSION = 1;
-/** Pause between two looks whether every node has announced its version; an upgrade takes minutes. */
+/** Pause between two checks whether every controller has announced its version; an upgrade takes minutes. */
 export const PROTOCOL_VERSION_CHECK_INTERVAL_MS = 2_000;
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -1,6 +1,6 @@
 /**
  * How this controller learns that a cancellation is acted on: by asking the holder of the job's shard, or
- * from marks in the key-value store where controllers can't connect. Built by the composition root for the
+ * from durable acknowledgements where controllers can't connect. Built by the composition root for the
  * users' API.
  */
 import { CancellationAcknowledgement } from '../cancellation/acknowledgement.js';
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -1,7 +1,7 @@
 /**
- * Coordination among the controllers: connections to peers, the agreed protocol version, this node's lease
- * and claims, and the duties that go with them. Built by the composition root; every later subsystem asks it
- * who holds what.
+ * Coordination among the controllers: connections to peers, the agreed protocol version, this controller's
+ * lease and claims, and the duties that go with them. Built by the composition root; every later subsystem
+ * asks it who holds what.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
@@ -18,11 +18,11 @@
 
 /** What coordination needs of subsystems that are built after it; called only once the controller runs. */
 export interface CoordinationDependencies {
-  /** What this node tells a peer. */
+  /** What this controller tells a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
   /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
-  /** Shards held here whose workers reach only another node: by claim name, that node. */
+  /** Shards held here whose workers reach only another controller: by claim name, that controller. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
 
@@ -34,9 +34,9 @@
   readonly protocolVersion: ProtocolVersion;
   readonly leases: LeaseManager;
   readonly duties: Duties;
-  /** The node that leads, as far as this node knows. */
+  /** The controller that leads, as far as this controller knows. */
   readonly leaderNode: () => string | undefined;
-  /** May this node act as the leader now? */
+  /** May this controller act as the leader now? */
   readonly mayLead: () => boolean;
 }
 
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -1,6 +1,6 @@
 /**
  * What the settings say of the deployment, in the form in which the subsystems need it. Worked out once, when
- * the controller is composed; every node that has the same settings works out the same.
+ * the controller is composed; every controller that has the same settings works out the same.
  */
 import type { ClaimHolder } from '../claims/claim-decisions.js';
 import type { TeamLimit, TeamUsage } from '../placement/bin-packing.js';
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -1,6 +1,6 @@
 /**
- * Builds this node's heartbeats from the state of the subsystems. No state of its own; the peer network calls
- * it.
+ * Builds this controller's heartbeats from the state of the subsystems. No state of its own; the peer network
+ * calls it.
  */
 import type { ClaimHolder } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
@@ -18,12 +18,12 @@
   readonly me: ClaimHolder;
   readonly leases: Pick<LeaseManager, 'lease' | 'workersUnreachable'>;
   readonly leaderNode: () => string | undefined;
-  /** ms since the key-value store last answered this node. */
+  /** ms since the key-value store last answered this controller. */
   readonly msSinceStoreAnswered: () => number;
   readonly store: Pick<KeyValueStore, 'requests' | 'changes'>;
   readonly shards: Pick<HeldShards, 'taskCounts' | 'ownSummaries'>;
   readonly heartbeatHandler: Pick<WorkerHeartbeatHandler, 'misroutedCounts'>;
-  /** The reservations that this node announces as the leader. */
+  /** The reservations that this controller announces as the leader. */
   readonly reservations: () => readonly Reservation[];
 }
 
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,7 +1,7 @@
 /**
  * What the leader does and how its decisions reach the shards: the leader itself, the relay through the
  * key-value store, transfers and reservations. Every controller has all of it; the leader acts only while
- * this node leads.
+ * this controller leads.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
@@ -24,12 +24,13 @@
   readonly relay: KeyValueStoreRelay;
   readonly transfers: Transfers;
   readonly reservations: Reservations;
-  /** Has the leader adopt the unknown machine of a heartbeat; false: this node does not lead. */
+  /** Has the leader adopt the unknown machine of a heartbeat; false: this controller does not lead. */
   readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
 /**
- * The summaries of the shards held here while the leader is another node that can't be reached; else none.
+ * The summaries of the shards held here while the leader is another controller that can't be reached; else
+ * none.
  */
 const summariesToRelay = (
   { deployment }: ControllerContext,
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -13,7 +13,7 @@
   readonly peers: Pick<PeerView, 'misroutedHeartbeats'>;
 }
 
-/** The node that the shard's workers reach while none of them reaches this one; null: there is none. */
+/** The controller that the shard's workers reach while none of them reaches this one; null: there is none. */
 const nodeReachedInstead = (shard: Shard, peers: MisroutingSources['peers']): string | null => {
   const { machines, heard } = shard.hearing();
   if (machines === 0 || heard > 0) return null;
@@ -21,7 +21,7 @@
   return misrouted && misrouted.count >= machines * MISROUTED_HANDOVER_FRACTION ? misrouted.node : null;
 };
 
-/** Shards held here whose workers reach only another node: by claim name, that node. */
+/** Shards held here whose workers reach only another controller: by claim name, that controller. */
 export const findUnreachableShards = ({ shards, peers }: MisroutingSources): ReadonlyMap<string, string> => {
   const unreachable = new Map<string, string>();
   shards.forEach((shard) => {
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -11,7 +11,7 @@
   readonly wall: () => number;
   /** ms of processor time that this process has used. */
   readonly processorMs: () => number;
-  /** Differs for every process that ever runs as this node. */
+  /** Differs for every process that ever runs as this controller. */
   readonly incarnation: string;
   readonly createHttpClient: HttpClientFactory;
   readonly workerClient: DirectCommands;
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -15,11 +15,11 @@
   readonly relay: Pick<KeyValueStoreRelay, 'reservations'>;
 }
 
-/** The reservations of whichever node leads. */
+/** The reservations of whichever controller leads. */
 export class Reservations {
   constructor(private readonly sources: ReservationSources) {}
 
-  /** What this node announces; nothing unless it leads. */
+  /** What this controller announces; nothing unless it leads. */
   announced(): readonly Reservation[] {
     return this.sources.coordination.mayLead() ? this.sources.leader.reservations : [];
   }
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -12,7 +12,7 @@
 
 /** What requests on the API address are routed to. */
 export interface RouterDependencies {
-  /** Does this node take users' requests at least as well as the others? */
+  /** Does this controller take users' requests at least as well as the others? */
   readonly ready: () => boolean;
   readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
   readonly users: Pick<UsersApi, 'handle'>;
--- a/src/controller/store-access.ts
+++ b/src/controller/store-access.ts
@@ -19,7 +19,7 @@
   readonly finalRecords: FinalRecordCache;
   /** The catalog of machine types; null: not known yet. */
   readonly catalog: () => Catalog | null;
-  /** ms since the key-value store last answered this node. */
+  /** ms since the key-value store last answered this controller. */
   readonly msSinceAnswered: () => number;
 }
 
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -15,7 +15,7 @@
 
 /** What transfers need of the rest of the controller. */
 export interface TransfersDependencies {
-  /** This node's name. */
+  /** This controller's name. */
   readonly node: string;
   readonly shards: Pick<HeldShards, 'actingShard'>;
   readonly leases: Pick<LeaseManager, 'claim'>;
--- a/src/peers/heartbeat-exchange.ts
+++ b/src/peers/heartbeat-exchange.ts
@@ -13,9 +13,9 @@
 
 /** What the exchange of heartbeats needs of the peer network. */
 export interface HeartbeatExchangeDependencies {
-  /** This node's name. */
+  /** This controller's name. */
   readonly me: string;
-  /** The other nodes. */
+  /** The other controllers. */
   readonly nodes: readonly string[];
   /** ms, steady. */
   readonly now: () => number;
@@ -39,12 +39,12 @@
     this.endPause.get(node)?.();
   }
 
-  /** ms without a heartbeat of a peer after which this node begins an exchange. */
+  /** ms without a heartbeat of a peer after which this controller begins an exchange. */
   private initiationMs(node: string): number {
     return HEARTBEAT_INTERVAL_MS * (this.dependencies.me < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
   }
 
-  /** ms until this node would begin an exchange with a peer. */
+  /** ms until this controller would begin an exchange with a peer. */
   private nextMs(node: string): number {
     const age = this.dependencies.heartbeatAgeMs(node) ?? 0;
     const wait = this.initiationMs(node);
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Each answers a heartbeat with its own, so of two nodes one need begin: the other does when no heartbeat
-   * came in time.
+   * Each answers a heartbeat with its own, so of two controllers one need begin: the other does when no
+   * heartbeat came in time.
    */
   private due(node: string): boolean {
     const age = this.dependencies.heartbeatAgeMs(node);
--- a/src/peers/heartbeat.ts
+++ b/src/peers/heartbeat.ts
@@ -36,7 +36,10 @@
   readonly summaries: readonly ShardSummary[];
   /** Workers lately could not reach the sender. */
   readonly workersUnreachable: boolean;
-  /** Machines whose worker lately sent heartbeats here although another node holds their shard: by shard. */
+  /**
+   * Machines whose worker lately sent heartbeats here although another controller holds their shard: by
+   * shard.
+   */
   readonly misroutedHeartbeats: Readonly<Record<string, number>>;
   /** What the sender asks of the key-value store. */
   readonly demand: StoreDemand;
--- a/src/peers/network.test.ts
+++ b/src/peers/network.test.ts
@@ -4,21 +4,9 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import type { CallOutcome, ServerResponse } from '../http.js';
-import type { PeerHeartbeat } from './heartbeat.js';
+import { heartbeatFrom } from '../testing/peer-heartbeats.js';
 import { PeerNetwork } from './network.js';
 
-const heartbeatOf = (from: string): PeerHeartbeat => ({
-  from,
-  incarnation: '1',
-  lease: 1,
-  storeSilenceMs: 0,
-  summaries: [],
-  counts: [],
-  workersUnreachable: false,
-  misroutedHeartbeats: {},
-  demand: { requests: 0, changes: 0 },
-  reservations: [],
-});
 const answerOf = (reply: ServerResponse): CallOutcome => ({
   _tag: 'response',
   status: reply.status,
@@ -65,7 +53,7 @@
         new PeerNetwork({
           me,
           peers: [{ node: other, endpoint: `${other}:1` }],
-          heartbeat: () => heartbeatOf(me),
+          heartbeat: () => heartbeatFrom(me),
           leader: () => 'a',
           now: () => Date.now(),
           answer: () => Promise.resolve(null),
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -14,12 +14,12 @@
 
 /** What the peer network needs of the rest of the controller. */
 export interface PeerNetworkDependencies {
-  /** This node's name. */
+  /** This controller's name. */
   readonly me: string;
   readonly peers: readonly PeerAddress[];
-  /** What this node tells a peer. */
+  /** What this controller tells a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
-  /** The node that leads, as far as this node knows. */
+  /** The controller that leads, as far as this controller knows. */
   readonly leader: () => string | undefined;
   /** ms, steady. */
   readonly now: () => number;
--- a/src/peers/peer-view.ts
+++ b/src/peers/peer-view.ts
@@ -19,7 +19,7 @@
   readonly running: number;
 }
 
-/** How many peers can't reach the state service, and how many can, of those whose heartbeat is recent. */
+/** How many peers can't reach the key-value store, and how many can, of those whose heartbeat is recent. */
 export interface StoreReachability {
   readonly down: number;
   readonly up: number;
@@ -104,14 +104,16 @@
     }));
   }
 
-  /** How many peers say in a recent heartbeat that they can't reach the state service, and that they can. */
+  /**
+   * How many peers say in a recent heartbeat that they can't reach the key-value store, and that they can.
+   */
   storeReachability(): StoreReachability {
     const recent = this.nodes.flatMap((node) => this.recentHeartbeat(node) ?? []);
     const up = recent.filter((heartbeat) => heartbeat.storeSilenceMs < HEARTBEAT_FRESHNESS_MS).length;
     return { down: recent.length - up, up };
   }
 
-  /** Does every peer say in a recent heartbeat that it can't reach the state service? */
+  /** Does every peer say in a recent heartbeat that it can't reach the key-value store? */
   storeDownForAll(): boolean {
     return this.storeReachability().down === this.nodes.length;
   }
@@ -139,7 +141,7 @@
     return this.nodes.flatMap((node) => this.recentHeartbeat(node)?.summaries ?? []);
   }
 
-  /** What each peer last said that it asks of the state service. */
+  /** What each peer last said that it asks of the key-value store. */
   storeDemands(): readonly StoreDemand[] {
     return this.nodes.map((node) => this.received.get(node)?.heartbeat.demand ?? NO_DEMAND);
   }
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -25,7 +25,7 @@
   readonly cache: Pick<WatchCache, 'get' | 'ready'>;
   /** What each peer last announced; null: it has never sent a heartbeat. */
   readonly announcedVersions: () => readonly (number | null)[];
-  /** Permit to record the version; null: this node does not hold the duty now. */
+  /** Permit to record the version; null: this controller does not hold the duty now. */
   readonly beginAgreement: () => Permit | null;
 }
 
@@ -39,7 +39,7 @@
     return entry ? readProtocolVersion(entry.value) : FIRST_VERSION;
   }
 
-  /** Records this node's version once every controller has announced it. */
+  /** Records this controller's version once every controller has announced it. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       yield* Effect.sleep(PROTOCOL_VERSION_CHECK_INTERVAL_MS);
--- a/src/peers/rate-division.ts
+++ b/src/peers/rate-division.ts
@@ -9,8 +9,9 @@
 import type { StoreDemand } from './heartbeat.js';
 
 /**
- * This node's part of a rate that all nodes divide among them: one fraction is divided evenly, the rest by
- * what each asks for. A peer that sends no heartbeats keeps its even part and what it last asked for.
+ * This controller's part of a rate that all controllers divide among them: one fraction is divided evenly,
+ * the rest by what each asks for. A peer that sends no heartbeats keeps its even part and what it last asked
+ * for.
  */
 const divideRate = (total: number, own: number, others: readonly number[]): number => {
   const nodes = others.length + 1;
@@ -19,7 +20,7 @@
   return total * (EVEN_RATE_FRACTION / nodes + (1 - EVEN_RATE_FRACTION) * byDemand);
 };
 
-/** Keeps this node's part of the store's rates in step with what the nodes ask for. */
+/** Keeps this controller's part of the store's rates in step with what the controllers ask for. */
 export const divideStoreRates = (
   { requests, changes, rates }: Pick<KeyValueStore, 'requests' | 'changes' | 'rates'>,
   peerDemands: () => readonly StoreDemand[],
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -24,7 +24,10 @@
   readonly now: () => number;
   /** The revision of the leader's claim. */
   readonly leaderClaim: () => number | null;
-  /** Summaries of the shards held here, while the leader is another node that can't be reached; else none. */
+  /**
+   * Summaries of the shards held here, while the leader is another controller that can't be reached; else
+   * none.
+   */
   readonly summariesToRelay: () => readonly ShardSummary[];
   /** Carries out the leader's transfers from a shard. */
   readonly transferMachines: (shardId: number, transfers: readonly MachineTransfer[]) => void;
@@ -46,7 +49,7 @@
 export class KeyValueStoreRelay {
   private readonly receivedSummaries = new Map<number, Received<ShardSummary>>();
   private readonly receivedOrders = new Map<number, Received<RelayedOrders>>();
-  /** When this node last wrote each key. */
+  /** When this controller last wrote each key. */
   private readonly writtenAt = new Map<string, number>();
   /** Of the summary that was last written for each shard. */
   private readonly lastDigest = new Map<number, string>();
