--- a/eslint.config.js
+++ b/eslint.config.js
@@ -9,10 +9,13 @@
  */
 const cleanedModules = [
   'packages/fencing',
+  'src/cancellation',
   'src/cli',
   'src/constants/command-line.ts',
+  'src/controller',
   'src/duties',
   'src/main.ts',
+  'src/peers',
   'src/repository-checks',
 ];
 
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -1,6 +1,6 @@
 /**
  * How this controller learns that a cancellation is acted on: by asking the holder of the job's shard, or
- * from marks in the state service where controllers can't connect. Built by the composition root for the
+ * from durable acknowledgements where controllers can't connect. Built by the composition root for the
  * users' API.
  */
 import { CancellationAcknowledgement } from '../cancellation/acknowledgement.js';
@@ -18,27 +18,27 @@
 
 /** Creates the acknowledgement of cancellations of one controller. */
 export const createCancellations = (
-  { deployment, state }: ControllerContext,
-  { peers, protocolVersion }: Coordination,
+  { deployment, storeAccess }: ControllerContext,
+  { peers, peerNetwork, protocolVersion }: Coordination,
   shards: HeldShards,
 ): Cancellations => ({
   acknowledgement: new CancellationAcknowledgement({
     me: deployment.me.node,
-    store: state.store,
-    fresh: state.linearizableReads,
-    cache: state.cache,
+    store: storeAccess.store,
+    linearizableReads: storeAccess.linearizableReads,
+    cache: storeAccess.cache,
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
-    ask: (node, path, body) => peers.ask(node, path, body),
+    request: (node, path, body) => peerNetwork.request(node, path, body),
     summaries: () => peers.summaries(),
-    understands: (node) =>
+    supportsAcknowledgement: (node) =>
       node === deployment.me.node ||
       protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION ||
-      peers.understands(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
+      peers.supportsVersion(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
   }),
   durableAcknowledgements: new DurableAcknowledgements({
-    store: state.store,
-    cache: state.cache,
-    held: () => shards.loaded(),
-    allHeard: () => peers.allHeard(),
+    store: storeAccess.store,
+    cache: storeAccess.cache,
+    loadedShards: () => shards.loaded(),
+    allPeersConnected: () => peers.allConnected(),
   }),
 });
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -1,7 +1,7 @@
 /**
- * Coordination among the controllers: connections to peers, the agreed protocol version, this node's lease
- * and claims, and the duties that go with them. Built by the composition root; every later subsystem asks it
- * who holds what.
+ * Coordination among the controllers: connections to peers, the agreed protocol version, this controller's
+ * lease and claims, and the duties that go with them. Built by the composition root; every later subsystem
+ * asks it who holds what.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
@@ -11,75 +11,90 @@
 import type { ServerResponse } from '../http.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { PeerNetwork } from '../peers/network.js';
+import type { PeerView } from '../peers/peer-view.js';
 import { ProtocolVersion } from '../peers/protocol-version.js';
+import { readPeerAddresses } from './address-codec.js';
 import type { ControllerContext } from './context.js';
 
 /** What coordination needs of subsystems that are built after it; called only once the controller runs. */
-export interface CoordinationInput {
-  /** What this node tells a peer. */
+export interface CoordinationDependencies {
+  /** What this controller tells a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
   /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
-  /** Shards of ours whose workers reach only another node: by slot, that node. */
+  /** Shards held here whose workers reach only another controller: by claim name, that controller. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
 
 /** Coordination among the controllers. */
 export interface Coordination {
-  readonly peers: PeerNetwork;
+  readonly peerNetwork: PeerNetwork;
+  /** What the heartbeats of the peers say. */
+  readonly peers: PeerView;
   readonly protocolVersion: ProtocolVersion;
   readonly leases: LeaseManager;
   readonly duties: Duties;
-  /** The node that leads, as far as this node knows. */
+  /** The controller that leads, as far as this controller knows. */
   readonly leaderNode: () => string | undefined;
-  /** May this node act as the leader now? */
+  /** May this controller act as the leader now? */
   readonly mayLead: () => boolean;
 }
 
-/** Creates the coordination of one controller. */
-export const createCoordination = (context: ControllerContext, input: CoordinationInput): Coordination => {
-  const { settings, deployment, clocks, state } = context;
-  const leaderNode = (): string | undefined => leases.claim(LEADER_CLAIM)?.node;
-  const peers = new PeerNetwork({
+const createPeerNetwork = (
+  { settings, deployment, clocks, ports }: ControllerContext,
+  { heartbeat, answer }: CoordinationDependencies,
+  leaderNode: () => string | undefined,
+): PeerNetwork =>
+  new PeerNetwork({
     me: deployment.me.node,
-    peers: settings.siblings,
+    peers: readPeerAddresses(settings),
     now: clocks.lease,
-    createHttpClient: context.ports.createHttpClient,
+    createHttpClient: ports.createHttpClient,
     leader: leaderNode,
-    heartbeat: input.heartbeat,
-    answer: input.answer,
+    heartbeat,
+    answer,
   });
+
+/** Creates the coordination of one controller. */
+export const createCoordination = (
+  context: ControllerContext,
+  dependencies: CoordinationDependencies,
+): Coordination => {
+  const { settings, deployment, clocks, storeAccess } = context;
+  const leaderNode = (): string | undefined => leases.claim(LEADER_CLAIM)?.node;
+  const peerNetwork = createPeerNetwork(context, dependencies, leaderNode);
+  const peers = peerNetwork.view;
   const protocolVersion: ProtocolVersion = new ProtocolVersion({
-    store: state.store,
-    cache: state.cache,
-    announced: () => peers.announced(),
-    begin: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
+    store: storeAccess.store,
+    cache: storeAccess.cache,
+    announcedVersions: () => peers.announcedVersions(),
+    beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
-  const leases: LeaseManager = new LeaseManager(state.store, state.cache, {
+  const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
     me: deployment.me,
     nodes: deployment.nodes,
     shardCount: deployment.shardCount,
-    peers: () => peers.peers(),
+    peers: () => peers.statuses(),
     outageGraceUntil: () =>
       outageGrace({
         nodes: deployment.nodes.length,
-        msSinceStoreAnswered: state.ageMs,
+        msSinceStoreAnswered: storeAccess.msSinceAnswered,
         peers,
         protocolVersion,
-        cache: state.cache,
+        cache: storeAccess.cache,
         workers: settings.facts.workers,
       }),
-    unreachableShards: input.unreachableShards,
+    unreachableShards: dependencies.unreachableShards,
     now: clocks.lease,
   });
   const duties: Duties = composeDuties({
     leases,
-    store: state.store,
+    store: storeAccess.store,
     valueBytes: deployment.valueBytes,
     timeOfDay: clocks.wall,
     enforceFencing: context.features.fencing,
     tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
   const mayLead = (): boolean => leases.actingRevision(LEADER_CLAIM) !== null;
-  return { peers, protocolVersion, leases, duties, leaderNode, mayLead };
+  return { peerNetwork, peers, protocolVersion, leases, duties, leaderNode, mayLead };
 };
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -1,6 +1,6 @@
 /**
  * What the settings say of the deployment, in the form in which the subsystems need it. Worked out once, when
- * the controller is composed; every node that has the same settings works out the same.
+ * the controller is composed; every controller that has the same settings works out the same.
  */
 import type { ClaimHolder } from '../claims/claim-decisions.js';
 import type { TeamLimit, TeamUsage } from '../placement/bin-packing.js';
@@ -30,9 +30,9 @@
   readonly guarantees: ReadonlyMap<string, TeamUsage>;
   /** Targets of each class of jobs. */
   readonly objectives: ReadonlyMap<string, Objectives>;
-  /** The state service's limits, now and after the announced change. */
+  /** The key-value store's limits, now and after the announced change. */
   readonly stateLimits: StateLimits;
-  /** bytes: the largest value that the state service takes, now and later. */
+  /** bytes: the largest value that the key-value store takes, now and later. */
   readonly valueBytes: number;
 }
 
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -11,7 +11,7 @@
   readonly wall: () => number;
   /** ms of processor time that this process has used. */
   readonly processorMs: () => number;
-  /** Differs for every process that ever runs as this node. */
+  /** Differs for every process that ever runs as this controller. */
   readonly incarnation: string;
   readonly createHttpClient: HttpClientFactory;
   readonly workerClient: DirectCommands;
@@ -24,6 +24,6 @@
   /** The other controllers. */
   readonly peerRoute: (call: ServerRequest) => Promise<ServerResponse>;
   readonly run: Effect.Effect<unknown>;
-  /** Ends what runs beside `run`. */
+  /** Ends the shards, which have fibers of their own. */
   readonly stop: () => void;
 }
--- a/src/duties/order-verifier.test.ts
+++ b/src/duties/order-verifier.test.ts
@@ -9,11 +9,14 @@
 const HELD_UNDER = 40;
 
 /** Peer requests that carry out every order that the verifier accepts. */
-const peerRequestsWith = (gate: OrderVerifier, onMove: () => void = () => undefined): PeerRequests =>
+const peerRequestsWith = (
+  orderVerifier: OrderVerifier,
+  onTransfer: () => void = () => undefined,
+): PeerRequests =>
   new PeerRequests({
-    gate,
-    move: () => {
-      onMove();
+    orderVerifier,
+    transferMachines: () => {
+      onTransfer();
       return Promise.resolve(true);
     },
     releaseNow: () => Promise.resolve(true),
--- a/src/duties/release-without-intent.ts
+++ b/src/duties/release-without-intent.ts
@@ -6,7 +6,8 @@
 import type { Duty } from '@dalegate/fencing';
 import { CLOUD_REQUEST_TIMEOUT_MS, MAX_MACHINES_PER_RELEASE_REQUEST } from '../constants/fleet.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
-import { readReturnAnswer, writeReturnOrder } from '../peers/order-codec.js';
+import { readReleaseAnswer, writeReleaseOrder } from '../peers/order-codec.js';
+import { PEER_PATHS } from '../peers/request-codec.js';
 
 /** What a release without intent needs of its controller. */
 export interface ReleaseWithoutIntentDependencies {
@@ -40,9 +41,9 @@
   if (permit === null) return false;
   try {
     if (leader === dependencies.ownNode) return await dependencies.releaseLocally(machines);
-    const order = writeReturnOrder({ machines, shardId: dependencies.shardId }, permit.token);
-    return readReturnAnswer(
-      await dependencies.sendRequest(leader, '/return', order, CLOUD_REQUEST_TIMEOUT_MS),
+    const order = writeReleaseOrder({ machines, shardId: dependencies.shardId }, permit.token);
+    return readReleaseAnswer(
+      await dependencies.sendRequest(leader, PEER_PATHS.release, order, CLOUD_REQUEST_TIMEOUT_MS),
     );
   } finally {
     permit.end();
