--- /dev/null
+++ b/src/claims/claim-decisions.test.ts
@@ -0,0 +1,126 @@
+/** Which claims a controller takes or hands over, by the situation. */
+
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { decideClaims, type ClaimSituation, type ObservedClaim, type PeerStatus } from './claim-decisions.js';
+
+const claim = (node: string, incarnation = '1', version = 5): ObservedClaim => ({
+  node,
+  incarnation,
+  version,
+});
+const situation = (over: Partial<ClaimSituation>): ClaimSituation => ({
+  self: { node: 'n0', incarnation: '1' },
+  controllers: ['n0', 'n1', 'n2'],
+  claimNames: ['0', '1', '2', 'L'],
+  claims: new Map(),
+  freeSince: new Map(),
+  peers: [],
+  unreachableShards: new Map(),
+  now: 0,
+  ...over,
+});
+const peer = (node: string, over: Partial<PeerStatus>): PeerStatus => ({
+  node,
+  incarnation: '2',
+  lease: 3,
+  steadyMs: 60_000,
+  storeReachable: true,
+  workersUnreachable: false,
+  ...over,
+});
+const claimsOf = (entries: Record<string, ObservedClaim>): ReadonlyMap<string, ObservedClaim> =>
+  new Map(Object.entries(entries));
+
+const decisions: readonly { name: string; situation: ClaimSituation; expect: readonly string[] }[] = [
+  {
+    name: 'a controller takes its own shard at once and leaves the others to theirs',
+    situation: situation({}),
+    expect: ['take 0', 'take L'],
+  },
+  {
+    name: 'a shard left free too long is taken by another controller',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
+      freeSince: new Map([['1', 0]]),
+      now: 3_000,
+    }),
+    expect: ['take 1'],
+  },
+  {
+    name: 'a free shard is not left to a preferred holder that fell silent',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
+      freeSince: new Map([['1', 0]]),
+      peers: [peer('n1', { steadyMs: -1, incarnation: '1' })],
+      now: 700,
+    }),
+    expect: ['take 1'],
+  },
+  {
+    name: 'a free shard is left to its preferred holder while that answers',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
+      freeSince: new Map([['1', 0]]),
+      peers: [peer('n1', { steadyMs: 100, incarnation: '1' })],
+      now: 700,
+    }),
+    expect: [],
+  },
+  {
+    name: "a restarted process takes over its predecessor's claims at once",
+    situation: situation({
+      claims: claimsOf({
+        '0': claim('n0', 'old', 9),
+        '1': claim('n1'),
+        '2': claim('n2'),
+        L: claim('n0', 'old', 4),
+      }),
+    }),
+    expect: ['take 0', 'take L'],
+  },
+  {
+    name: 'a second shard goes back to a steady controller without one',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '1': claim('n0'), '2': claim('n2'), L: claim('n2') }),
+      peers: [peer('n1', { steadyMs: 60_000 })],
+    }),
+    expect: ['hand 1'],
+  },
+  {
+    name: 'a second shard does not go back to one that only just came up, or that cannot reach the store',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '1': claim('n0'), '2': claim('n0'), L: claim('n2') }),
+      peers: [
+        peer('n1', { steadyMs: 100 }),
+        peer('n2', { steadyMs: 60_000, lease: 4, storeReachable: false }),
+      ],
+    }),
+    expect: [],
+  },
+  {
+    name: 'a shard whose workers reach only another controller is handed to that one',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '1': claim('n1'), '2': claim('n2'), L: claim('n2') }),
+      peers: [peer('n1', { steadyMs: 100 })],
+      unreachableShards: new Map([['0', 'n1']]),
+    }),
+    expect: ['hand 0'],
+  },
+  {
+    name: 'such a shard does not come back while its owner says that workers could not reach it',
+    situation: situation({
+      claims: claimsOf({ '0': claim('n0'), '1': claim('n0'), '2': claim('n2'), L: claim('n2') }),
+      peers: [peer('n1', { steadyMs: 60_000, workersUnreachable: true })],
+    }),
+    expect: [],
+  },
+];
+for (const row of decisions) {
+  test(`claims: ${row.name}`, () => {
+    assert.deepEqual(
+      decideClaims(row.situation).map((action) => `${action._tag} ${action.claimName}`),
+      row.expect,
+    );
+  });
+}
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -1,3 +1,7 @@
+/**
+ * Decides which claims this controller takes and which it hands to another. No state: plain data in, plain
+ * data out. `claim-keeper.ts` calls it at each check and carries the actions out.
+ */
 import {
   HANDBACK_STABILITY_MS,
   HELD_SHARD_DELAY_MS,
@@ -6,23 +10,26 @@
   SHARD_RANK_DELAY_MS,
 } from '../constants/leases.js';
 
-/** Which claims to take or hand back. Plain data in, plain data out. */
+/** The claim on the leadership; every other claim has the id of its shard as its name. */
 export const LEADER_CLAIM = 'L';
 
-/** Which process holds a slot. */
+/** The process that holds a claim. */
 export interface ClaimHolder {
+  /** The controller's name. */
   readonly node: string;
-  /** Tells this process from an earlier one of the same node. */
+  /** Tells this process from an earlier one of the same controller. */
   readonly incarnation: string;
 }
-/** A claim as the watch cache shows it, with the revision at which it was taken. */
+
+/** A claim as the watch cache shows it. */
 export interface ObservedClaim extends ClaimHolder {
+  /** Revision at which it was taken: the holder's fencing token. */
   readonly version: number;
 }
-/** What the claims need to know of another controller. */
-export interface PeerStatus {
-  readonly node: string;
-  readonly incarnation: string;
+
+/** What decisions about claims need to know of another controller. */
+export interface PeerStatus extends ClaimHolder {
+  /** Its lease, to which its claims are attached; null: it has none. */
   readonly lease: number | null;
   /** ms for which it has answered without a gap; negative: it does not answer. */
   readonly steadyMs: number;
@@ -30,100 +37,113 @@
   /** It says that workers lately could not reach it. */
   readonly workersUnreachable: boolean;
 }
-/** Everything that a decision about claims looks at. */
-export interface ClaimsView {
-  readonly me: ClaimHolder;
-  readonly nodes: readonly string[];
+
+/** The situation in which claims are decided about. */
+export interface ClaimSituation {
+  /** This process. */
+  readonly self: ClaimHolder;
+  /** All controllers by name; the order ranks them. */
+  readonly controllers: readonly string[];
   readonly claimNames: readonly string[];
+  /** The claims that somebody holds, by name. */
   readonly claims: ReadonlyMap<string, ObservedClaim>;
-  /** When each slot without a claim was first seen without (ms). */
+  /** ms, lease clock: when each claim that nobody holds was first seen free. */
   readonly freeSince: ReadonlyMap<string, number>;
   readonly peers: readonly PeerStatus[];
-  /** Shares of ours whose workers reach another node but not us: by slot, that node. */
+  /** Claims of this process whose workers reach another controller only: by claim name, that controller. */
   readonly unreachableShards: ReadonlyMap<string, string>;
-  /** Workers lately could not reach this node: it leaves shares to others as long as they take them. */
-  readonly workersUnreachable: boolean;
+  /** ms, lease clock. */
   readonly now: number;
 }
-/** A claim to take, or to hand to another controller. */
+
+/** A claim to take, or to hand to another controller, if its revision is still `version` (0: it is free). */
 export type ClaimAction =
   | { readonly _tag: 'take'; readonly claimName: string; readonly version: number }
   | { readonly _tag: 'hand'; readonly claimName: string; readonly version: number; readonly to: PeerStatus };
 
-const preferred = (view: ClaimsView, claimName: string): string | undefined =>
-  claimName === LEADER_CLAIM ? undefined : view.nodes[Number(claimName) % view.nodes.length];
+/** Do both names stand for the same process? */
+export const isSameHolder = (one: ClaimHolder, other: ClaimHolder): boolean =>
+  one.node === other.node && one.incarnation === other.incarnation;
+
+/** The controller that a shard is meant for; the leadership is meant for none. */
+const preferredHolder = ({ controllers }: ClaimSituation, claimName: string): string | undefined =>
+  claimName === LEADER_CLAIM ? undefined : controllers[Number(claimName) % controllers.length];
 
-/** How many shares the node holds, the leadership aside. */
-const heldBy = (view: ClaimsView, node: string): number =>
-  [...view.claims].filter(([claimName, claim]) => claimName !== LEADER_CLAIM && claim.node === node).length;
+/** How many shards the controller holds. */
+const shardsHeldBy = ({ claims }: ClaimSituation, controller: string): number =>
+  [...claims].filter(([claimName, claim]) => claimName !== LEADER_CLAIM && claim.node === controller).length;
 
-const isMine = (view: ClaimsView, claim: ObservedClaim): boolean =>
-  claim.node === view.me.node && claim.incarnation === view.me.incarnation;
+const peerNamed = ({ peers }: ClaimSituation, controller: string | undefined): PeerStatus | undefined =>
+  peers.find((peer) => peer.node === controller);
 
-/** ms that this node leaves a free claim to others. */
-const patienceMs = (view: ClaimsView, claimName: string): number => {
-  const rank = Math.max(0, view.nodes.indexOf(view.me.node));
+/** ms for which this controller leaves a free claim to others. */
+const takeoverDelayMs = (situation: ClaimSituation, claimName: string): number => {
+  const { self, controllers } = situation;
+  const rank = Math.max(0, controllers.indexOf(self.node));
   if (claimName === LEADER_CLAIM) return rank * LEADER_RANK_DELAY_MS;
-  const owner = preferred(view, claimName);
-  if (owner === view.me.node) return 0;
-  const pause = heldBy(view, view.me.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
-  // One that fell silent is not waited for: the leases of its workers run out meanwhile.
-  const silent = view.peers.some((peer) => peer.node === owner && peer.steadyMs < 0);
-  return silent ? pause : PREFERRED_HOLDER_GRACE_MS + pause;
+  const preferred = preferredHolder(situation, claimName);
+  if (preferred === self.node) return 0;
+  const delay = shardsHeldBy(situation, self.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
+  // A preferred holder that fell silent is not waited for: the leases of its workers run out meanwhile.
+  const silent = (peerNamed(situation, preferred)?.steadyMs ?? 0) < 0;
+  return silent ? delay : PREFERRED_HOLDER_GRACE_MS + delay;
 };
 
-/**
- * Free claims, and those of an earlier process of this node: a node runs one process, so that one is dead.
- */
-const claimsToTake = (view: ClaimsView): readonly ClaimAction[] =>
-  view.claimNames.flatMap((claimName): readonly ClaimAction[] => {
-    const claim = view.claims.get(claimName);
-    if (claim) {
-      const predecessor = claim.node === view.me.node && !isMine(view, claim);
-      return predecessor ? [{ _tag: 'take', claimName, version: claim.version }] : [];
-    }
-    const waited = view.now - (view.freeSince.get(claimName) ?? view.now);
-    return waited >= patienceMs(view, claimName) ? [{ _tag: 'take', claimName, version: 0 }] : [];
+/** Has the claim been free for so long that this controller may take it? */
+const mayTakeFree = (situation: ClaimSituation, claimName: string): boolean => {
+  const { now, freeSince } = situation;
+  return now - (freeSince.get(claimName) ?? now) >= takeoverDelayMs(situation, claimName);
+};
+
+/** Is this the claim of an earlier process of this controller? A controller runs one, so that one is dead. */
+const isPredecessors = ({ self }: ClaimSituation, claim: ObservedClaim): boolean =>
+  claim.node === self.node && !isSameHolder(claim, self);
+
+const claimsToTake = (situation: ClaimSituation): readonly ClaimAction[] =>
+  situation.claimNames.flatMap((claimName): readonly ClaimAction[] => {
+    const claim = situation.claims.get(claimName);
+    const take = claim ? isPredecessors(situation, claim) : mayTakeFree(situation, claimName);
+    return take ? [{ _tag: 'take', claimName, version: claim?.version ?? 0 }] : [];
   });
 
-/** Shares of ours whose workers reach only another node go there. */
-const claimsOfUnreachableShards = (view: ClaimsView): readonly ClaimAction[] =>
-  [...view.unreachableShards].flatMap(([claimName, node]): readonly ClaimAction[] => {
-    const claim = view.claims.get(claimName);
-    const to = view.peers.find((peer) => peer.node === node);
-    const able = to?.storeReachable && to.lease !== null && to.steadyMs >= 0;
-    return claim && isMine(view, claim) && able
-      ? [{ _tag: 'hand', claimName, version: claim.version, to }]
-      : [];
+/** Can the peer hold a claim: does it answer, has it a lease, and does it reach the store? */
+const canHold = (peer: PeerStatus): boolean =>
+  peer.storeReachable && peer.lease !== null && peer.steadyMs >= 0;
+
+/** A shard whose workers reach another controller only goes to that controller. */
+const unreachableShardsToHand = (situation: ClaimSituation): readonly ClaimAction[] =>
+  [...situation.unreachableShards].flatMap(([claimName, controller]): readonly ClaimAction[] => {
+    const claim = situation.claims.get(claimName);
+    if (!claim || !isSameHolder(claim, situation.self)) return [];
+    const to = peerNamed(situation, controller);
+    return to && canHold(to) ? [{ _tag: 'hand', claimName, version: claim.version, to }] : [];
   });
 
-/**
- * Teams stay divided among controllers: a node with several shares hands one to its steady, empty preferred
- * node.
- */
-const claimToHandBack = (view: ClaimsView): readonly ClaimAction[] => {
-  if (heldBy(view, view.me.node) <= 1) return [];
-  for (const claimName of view.claimNames) {
-    const claim = view.claims.get(claimName);
-    const owner = preferred(view, claimName);
-    if (!claim || !isMine(view, claim) || owner === undefined || owner === view.me.node) continue;
-    if (heldBy(view, owner) > 0) continue;
-    const to = view.peers.find((peer) => peer.node === owner);
-    if (
-      to &&
-      !to.workersUnreachable &&
-      to.storeReachable &&
-      to.lease !== null &&
-      to.steadyMs >= HANDBACK_STABILITY_MS
-    )
-      return [{ _tag: 'hand', claimName, version: claim.version, to }];
+/** The preferred holder of a shard, if it holds none and has been up long enough to be handed this one. */
+const handbackTarget = (situation: ClaimSituation, claimName: string): PeerStatus | undefined => {
+  const preferred = preferredHolder(situation, claimName);
+  if (preferred === undefined || preferred === situation.self.node) return undefined;
+  if (shardsHeldBy(situation, preferred) > 0) return undefined;
+  const peer = peerNamed(situation, preferred);
+  const steady = peer && canHold(peer) && !peer.workersUnreachable && peer.steadyMs >= HANDBACK_STABILITY_MS;
+  return steady ? peer : undefined;
+};
+
+/** Teams stay divided among the controllers: one with several shards hands one back at a time. */
+const shardToHandBack = (situation: ClaimSituation): readonly ClaimAction[] => {
+  if (shardsHeldBy(situation, situation.self.node) <= 1) return [];
+  for (const claimName of situation.claimNames) {
+    const claim = situation.claims.get(claimName);
+    if (!claim || !isSameHolder(claim, situation.self)) continue;
+    const to = handbackTarget(situation, claimName);
+    if (to) return [{ _tag: 'hand', claimName, version: claim.version, to }];
   }
   return [];
 };
 
-/** The claims that this node should take or hand on now. */
-export const decideClaims = (view: ClaimsView): readonly ClaimAction[] => [
-  ...claimsToTake(view),
-  ...claimsOfUnreachableShards(view),
-  ...(view.unreachableShards.size > 0 ? [] : claimToHandBack(view)),
+/** The claims that this controller should take or hand to another now. */
+export const decideClaims = (situation: ClaimSituation): readonly ClaimAction[] => [
+  ...claimsToTake(situation),
+  ...unreachableShardsToHand(situation),
+  ...(situation.unreachableShards.size > 0 ? [] : shardToHandBack(situation)),
 ];
--- a/src/claims/codec.test.ts
+++ b/src/claims/codec.test.ts
@@ -1,3 +1,5 @@
+/** The stored form of a claim. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readClaim, writeClaim } from './codec.js';
--- a/src/claims/codec.ts
+++ b/src/claims/codec.ts
@@ -1,9 +1,10 @@
+/** The form of a claim in the key-value store. No state; also read by those who ask who holds a shard. */
 import type { ClaimHolder } from './claim-decisions.js';
 
-/** Claims as they are stored in the state service. */
-
 interface StoredClaim {
+  /** The controller. */
   readonly n: string;
+  /** Its process. */
   readonly i: string;
 }
 
--- a/src/claims/lease-state.ts
+++ b/src/claims/lease-state.ts
@@ -1,21 +1,23 @@
+/**
+ * The state machine of this controller's lease: how long it may act on the claims attached to it. The
+ * deadline is its own reckoning from the moment at which it *sent* its last good renewal; the store never
+ * ends the lease before it. Pure; `lease-renewal.ts` holds the state.
+ */
 import { CLOCK_DRIFT_FRACTION, LEASE_EXPIRY_MARGIN_MS } from '../constants/leases.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 
-/**
- * How long this node may act on the claims attached to its lease. The deadline is this node's own reckoning
- * from the moment it *sent* its last good renewal; the state service never ends the lease before it.
- */
+/** The state of the lease. `until` is in ms of the lease clock. */
 export type LeaseState =
-  /** No lease: nothing may be done. */
+  /** No lease: this controller may not act. */
   | { readonly _tag: 'detached' }
-  /** The lease surely lasts until `until` (ms, steady clock). */
+  /** The lease surely lasts until `until`. */
   | { readonly _tag: 'holding'; readonly lease: number; readonly until: number }
-  /** The state service is down for most nodes, where no lease runs out: workers may still be answered. */
+  /** The store is down for most controllers, so that no lease ends: workers may still be answered. */
   | { readonly _tag: 'outageGrace'; readonly lease: number; readonly until: number }
-  /** The lease may be over: nobody is answered until a renewal says that it is not. */
+  /** The lease may be over: this controller may not act until a renewal says that it is not. */
   | { readonly _tag: 'suspended'; readonly lease: number };
 
-/** What changes the state of a lease. */
+/** What changes the state of the lease; moments are in ms of the lease clock. */
 export type LeaseEvent =
   | { readonly _tag: 'granted'; readonly lease: number; readonly sentAt: number }
   | { readonly _tag: 'renewed'; readonly lease: number; readonly sentAt: number }
@@ -24,55 +26,72 @@
       readonly _tag: 'tick';
       readonly now: number;
       /**
-       * Until when workers may be answered in an outage (ms, steady clock; `outageGraceUntil`); null: there
-       * is none.
+       * Until when workers may be answered in an outage of the store (`outage-grace.ts`); null: there is
+       * none.
        */
       readonly outageGraceUntil: number | null;
     };
 
-/** ms, steady: until when a lease surely lasts whose last good renewal was sent at `sentAt`. */
-export const deadline = (sentAt: number, ttlMs: number): number =>
+/** ms, lease clock: until when a lease surely lasts whose last good renewal was sent at `sentAt`. */
+export const leaseDeadline = (sentAt: number, ttlMs: number): number =>
   sentAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - LEASE_EXPIRY_MARGIN_MS;
 
-/** The one place where the state of a lease changes. */
-export const nextLeaseState = (tenure: LeaseState, event: LeaseEvent, ttlMs: number): LeaseState => {
+type LimitedState = Extract<LeaseState, { _tag: 'holding' | 'outageGrace' }>;
+type TickEvent = Extract<LeaseEvent, { _tag: 'tick' }>;
+
+const suspend = ({ lease }: LimitedState): LeaseState => ({ _tag: 'suspended', lease });
+
+const tickInOutage = (
+  state: LimitedState,
+  now: number,
+  outageGraceUntil: number,
+  ttlMs: number,
+): LeaseState => {
+  if (state._tag === 'holding' && now < state.until) return state;
+  // After the outage the lease has its full time again, and what peers say of the outage is at most this old.
+  const confirmedUntil = Math.max(state.until, leaseDeadline(now - HEARTBEAT_FRESHNESS_MS, ttlMs));
+  const until = Math.min(confirmedUntil, outageGraceUntil);
+  return now < until ? { _tag: 'outageGrace', lease: state.lease, until } : suspend(state);
+};
+
+const afterTick = (state: LeaseState, { now, outageGraceUntil }: TickEvent, ttlMs: number): LeaseState => {
+  switch (state._tag) {
+    case 'detached':
+    case 'suspended':
+      return state;
+    case 'holding':
+    case 'outageGrace':
+      if (outageGraceUntil !== null) return tickInOutage(state, now, outageGraceUntil, ttlMs);
+      return now < state.until ? state : suspend(state);
+  }
+};
+
+const isAbout = (state: LeaseState, lease: number): boolean =>
+  state._tag !== 'detached' && state.lease === lease;
+
+/**
+ * The one place where the state of the lease changes. A late answer about an earlier lease changes nothing.
+ */
+export const nextLeaseState = (state: LeaseState, event: LeaseEvent, ttlMs: number): LeaseState => {
   switch (event._tag) {
     case 'granted':
-      return { _tag: 'holding', lease: event.lease, until: deadline(event.sentAt, ttlMs) };
+      return { _tag: 'holding', lease: event.lease, until: leaseDeadline(event.sentAt, ttlMs) };
     case 'renewed':
-      if (tenure._tag === 'detached' || tenure.lease !== event.lease) return tenure;
-      return { _tag: 'holding', lease: event.lease, until: deadline(event.sentAt, ttlMs) };
+      if (!isAbout(state, event.lease)) return state;
+      return { _tag: 'holding', lease: event.lease, until: leaseDeadline(event.sentAt, ttlMs) };
     case 'ended':
-      if (tenure._tag === 'detached' || tenure.lease !== event.lease) return tenure;
-      return { _tag: 'detached' };
+      return isAbout(state, event.lease) ? { _tag: 'detached' } : state;
     case 'tick':
-      switch (tenure._tag) {
-        case 'detached':
-        case 'suspended':
-          return tenure;
-        case 'holding':
-        case 'outageGrace': {
-          if (event.outageGraceUntil !== null) {
-            // After the outage the lease has its full time again, and peers' word is at most this old.
-            const confirmed = Math.max(tenure.until, deadline(event.now - HEARTBEAT_FRESHNESS_MS, ttlMs));
-            const until = Math.min(confirmed, event.outageGraceUntil);
-            if (event.now < tenure.until && tenure._tag === 'holding') return tenure;
-            return event.now < until
-              ? { _tag: 'outageGrace', lease: tenure.lease, until }
-              : { _tag: 'suspended', lease: tenure.lease };
-          }
-          return event.now < tenure.until ? tenure : { _tag: 'suspended', lease: tenure.lease };
-        }
-      }
+      return afterTick(state, event, ttlMs);
   }
 };
 
-/** May this node act on its claims now? */
-export const mayAct = (tenure: LeaseState, now: number): boolean => {
-  switch (tenure._tag) {
+/** May this controller act on its claims at `now` (ms, lease clock)? */
+export const mayAct = (state: LeaseState, now: number): boolean => {
+  switch (state._tag) {
     case 'holding':
     case 'outageGrace':
-      return now < tenure.until;
+      return now < state.until;
     case 'detached':
     case 'suspended':
       return false;
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -1,40 +1,48 @@
+/**
+ * How long this controller may go on answering workers while the key-value store is out for most controllers,
+ * so that no lease can be renewed. No state; asked at each check of the claims.
+ */
 import { outageGraceUntil } from '../cancellation/evidence.js';
 import { OUTAGE_GRACE_MARGIN_MS } from '../constants/cancellation.js';
 import { CLOCK_DRIFT_FRACTION } from '../constants/leases.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { ACKNOWLEDGEMENT_PROTOCOL_VERSION } from '../constants/protocol.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { PeerNetwork } from '../peers/network.js';
 import type { ProtocolVersion } from '../peers/protocol-version.js';
-import type { WatchCache } from '../kv-store/watch-cache.js';
 
-/** What this node knows about an outage of the state service. */
-export interface OutageInput {
-  readonly nodes: number;
-  /** ms since the state service last answered this node. */
+const MS_PER_S = 1000;
+
+/** What this controller knows of an outage of the store. */
+export interface OutageEvidence {
+  /** Number of controllers, this one included. */
+  readonly controllerCount: number;
+  /** ms since the store last answered this controller. */
   readonly msSinceStoreAnswered: () => number;
   readonly peers: Pick<PeerNetwork, 'storeReachability' | 'allDown'>;
   readonly protocolVersion: Pick<ProtocolVersion, 'agreed'>;
   readonly cache: Pick<WatchCache, 'confirmedAt'>;
-  readonly workers: { readonly cancel_s: number; readonly lease_s: number };
+  /** s: within which a cancelled task must have stopped. */
+  readonly cancellationLimitS: number;
+  /** s: for which a worker goes on without an answer. */
+  readonly workerLeaseS: number;
 }
 
-/** Most nodes, this one included, can't reach the state service, and no node says that it can. */
-const confirmed = ({ msSinceStoreAnswered, peers, nodes }: OutageInput): boolean => {
+/** Most controllers, this one included, can't reach the store, and none says that it can. */
+const isConfirmed = ({ msSinceStoreAnswered, peers, controllerCount }: OutageEvidence): boolean => {
   if (msSinceStoreAnswered() < HEARTBEAT_FRESHNESS_MS) return false;
-  const word = peers.storeReachability();
-  return word.up === 0 && (word.down + 1) * 2 > nodes;
+  const reachability = peers.storeReachability();
+  return reachability.up === 0 && (reachability.down + 1) * 2 > controllerCount;
 };
 
-/**
- * ms, on the clock of the leases: until when this node may go on answering workers without renewals; null: it
- * may not.
- */
-export const outageGrace = (input: OutageInput): number | null =>
+/** ms, lease clock: until when workers may be answered without renewals; null: there is no outage. */
+export const outageGrace = (evidence: OutageEvidence): number | null =>
   outageGraceUntil({
-    confirmed: confirmed(input),
-    nobodyTells: input.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && input.peers.allDown(),
-    confirmedAt: input.cache.confirmedAt,
-    cancelMs: input.workers.cancel_s * 1000 * (1 - CLOCK_DRIFT_FRACTION),
-    leaseMs: input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION),
+    confirmed: isConfirmed(evidence),
+    nobodyTells:
+      evidence.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && evidence.peers.allDown(),
+    confirmedAt: evidence.cache.confirmedAt,
+    cancelMs: evidence.cancellationLimitS * MS_PER_S * (1 - CLOCK_DRIFT_FRACTION),
+    leaseMs: evidence.workerLeaseS * MS_PER_S * (1 + CLOCK_DRIFT_FRACTION),
     marginMs: OUTAGE_GRACE_MARGIN_MS,
   });
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -56,18 +56,19 @@
     begin: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(state.store, state.cache, {
-    me: deployment.me,
-    nodes: deployment.nodes,
+    self: deployment.me,
+    controllers: deployment.nodes,
     shardCount: deployment.shardCount,
     peers: () => peers.peers(),
     outageGraceUntil: () =>
       outageGrace({
-        nodes: deployment.nodes.length,
+        controllerCount: deployment.nodes.length,
         msSinceStoreAnswered: state.ageMs,
         peers,
         protocolVersion,
         cache: state.cache,
-        workers: settings.facts.workers,
+        cancellationLimitS: settings.facts.workers.cancel_s,
+        workerLeaseS: settings.facts.workers.lease_s,
       }),
     unreachableShards: input.unreachableShards,
     now: clocks.lease,
