--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,13 @@
  * Folders and files that meet the stricter rules. Modules are cleaned one after the other; the list only grows, and
  * once it names every module the stricter rules hold for the whole tree and it goes.
  */
-const cleanedModules = ['src/repository-checks', 'src/claims', 'src/constants/leases.ts'];
+const cleanedModules = [
+  'src/repository-checks',
+  'src/claims',
+  'src/kv-store',
+  'src/concurrency',
+  'src/constants/leases.ts',
+];
 
 /** A glob for each entry: a folder stands for all that is below it. */
 const cleanedFiles = cleanedModules.map((path) => (path.endsWith('.ts') ? path : `${path}/**/*.ts`));
@@ -18,7 +24,6 @@
   ...TEST_FILES,
   '**/*codec.ts',
   'src/settings/schema.ts',
-  'src/kv-store/client.ts',
   'src/fleet/cloud.ts',
   'src/testing/**/*.ts',
 ];
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -8,7 +8,7 @@
 import type { ShardSummary } from '../fleet/records.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
-import { claimKey, markKey } from '../kv-store/keys.js';
+import { claimKey, acknowledgementKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readAcknowledgement, readAcknowledgeReply, writeAcknowledgeRequest } from './codec.js';
 import { assessEvidence, type FreshClaim } from './evidence.js';
@@ -90,7 +90,7 @@
       const evidence = { acknowledged: null, summary: null, mark: null, understands: false };
       if (claim._tag !== 'held') return assessEvidence(version, claim, evidence)._tag === 'assured';
       const cancellation: Cancellation = { shardId, claim: claim.version, job, version };
-      const mark = this.input.cache.get(markKey(String(shardId)));
+      const mark = this.input.cache.get(acknowledgementKey(String(shardId)));
       const known = {
         acknowledged: null,
         summary: this.input.summaries().find((summary) => summary.shardId === shardId) ?? null,
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,7 +1,7 @@
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import { claimKey, markKey } from '../kv-store/keys.js';
+import { claimKey, acknowledgementKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { writeAcknowledgement } from './codec.js';
 
@@ -37,7 +37,7 @@
 
   private mark(shardId: number, claim: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const key = markKey(String(shardId));
+      const key = acknowledgementKey(String(shardId));
       const before = this.input.cache.get(key);
       const { revision } = this.input.cache;
       const result = yield* this.input.store.compareAndSwap(
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -5,8 +5,8 @@
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { packIds } from '../pipelines/codec.js';
 import type { Change } from '../kv-store/change-feed.js';
-import type { StoredEntry } from '../kv-store/client.js';
-import { followsKey, jobKey } from '../kv-store/keys.js';
+import type { StoredEntry } from '../kv-store/model.js';
+import { dependencyListKey, jobKey } from '../kv-store/keys.js';
 import { ChangeDispatcher, type ShardListener } from './change-dispatcher.js';
 
 const VERSION = 7;
@@ -147,7 +147,7 @@
   {
     name: 'a part of a dependency list: only the pipelines',
     change: { _tag: 'dependencyListChanged', job: JOB },
-    stored: { [jobKey(JOB)]: writeJobRecord(inParts), [followsKey(JOB, 0)]: packIds(['job-3']) },
+    stored: { [jobKey(JOB)]: writeJobRecord(inParts), [dependencyListKey(JOB, 0)]: packIds(['job-3']) },
     heard: ['pipelines: job-1 after ["job-2","job-3"]'],
   },
   {
--- a/src/controller/dependency-list.ts
+++ b/src/controller/dependency-list.ts
@@ -4,7 +4,7 @@
  */
 import type { JobRecord } from '../jobs/model.js';
 import { unpackIds } from '../pipelines/codec.js';
-import { followsKey } from '../kv-store/keys.js';
+import { dependencyListKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 
 /**
@@ -15,7 +15,7 @@
   record: JobRecord,
 ): readonly string[] | null => {
   const parts = Array.from({ length: record.parts }, (_, part) =>
-    cache.get(followsKey(record.spec.id, part)),
+    cache.get(dependencyListKey(record.spec.id, part)),
   );
   if (parts.some((part) => part === undefined)) return null;
   return [...record.dependsOn, ...parts.flatMap((part) => unpackIds(part?.value as string[]))];
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -11,7 +11,7 @@
 import { log } from '../log.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import type { Shard } from '../placement/shard.js';
-import { parseShard } from '../kv-store/keys.js';
+import { parseShardId } from '../kv-store/keys.js';
 import { supervise } from './supervise.js';
 
 /** What the lifecycle of shards needs of the rest of the controller. */
@@ -43,7 +43,7 @@
 
   /** The claim on a slot changed; a `Share` lives as long as this process's claim with that very revision. */
   followClaim(claimName: string): void {
-    const shardId = parseShard(claimName);
+    const shardId = parseShardId(claimName);
     if (shardId === null || shardId >= this.input.shardCount) return;
     const claim = this.input.leases.ownRevision(claimName);
     const held = this.running.get(shardId);
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -1,6 +1,7 @@
 import type { FencedValue, FencingToken, Permit, ReadOutcome, WriteOutcome } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Condition, TransactionResult, Write } from '../kv-store/model.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
--- a/src/fleet/catalog-codec.test.ts
+++ b/src/fleet/catalog-codec.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
-import type { StoredEntry } from '../kv-store/client.js';
+import type { StoredEntry } from '../kv-store/model.js';
 import { isStored, readStored, storeCatalog } from './catalog.js';
 import { readMachineType, writeMachineType, type StoredMachineType } from './catalog-codec.js';
 
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,6 +1,6 @@
 import { JSON_BRACKETS_BYTES, JSON_COMMA_BYTES } from '../constants/key-value-store.js';
 import type { Catalog, MachineType } from '../jobs/model.js';
-import type { StoredEntry, Write } from '../kv-store/client.js';
+import type { StoredEntry, Write } from '../kv-store/model.js';
 import { CATALOG_KEY, catalogPartKey } from '../kv-store/keys.js';
 import {
   readMachineType,
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { WatchEvent } from '../kv-store/client.js';
+import type { WatchEvent } from '../kv-store/model.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { MachineIndex } from './machine-index.js';
 import { machineRecord } from '../testing/bodies.js';
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,5 +1,5 @@
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
-import type { WatchEvent } from '../kv-store/client.js';
+import type { WatchEvent } from '../kv-store/model.js';
 import { parseSharedKey } from '../kv-store/keys.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
--- a/src/fleet/machine-recorder.ts
+++ b/src/fleet/machine-recorder.ts
@@ -1,7 +1,8 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { fencedTransaction } from '../duties/fenced-store.js';
-import type { KeyValueStore, TransactionResult } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { TransactionResult } from '../kv-store/model.js';
 import { machineKey } from '../kv-store/keys.js';
 import { writeMachineRecord, type MachineRecord } from './records.js';
 
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -8,7 +8,8 @@
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { StoredEntry, KeyValueStore } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { StoredEntry } from '../kv-store/model.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -11,9 +11,10 @@
 import { packIds, splitIds } from '../pipelines/codec.js';
 import type { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { KeyValueStore, Write } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Write } from '../kv-store/model.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
-import { finalKey, followsKey, jobKey } from '../kv-store/keys.js';
+import { finalKey, dependencyListKey, jobKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import {
   isJobId,
@@ -256,7 +257,7 @@
     const whole = writeJobRecord({ ...plain, dependsOn: follows });
     if (jsonBytes(whole) <= room) return [put(jobKey(spec.id), whole)];
     const parts = splitIds(follows, room - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
-      put(followsKey(spec.id, part), packIds(ids)),
+      put(dependencyListKey(spec.id, part), packIds(ids)),
     );
     const record = writeJobRecord({ ...plain, parts: parts.length });
     if (jsonBytes(record) > this.input.valueBytes || parts.length + 1 > this.input.store.maxTransactionWrites)
--- a/src/kv-store/change-feed.test.ts
+++ b/src/kv-store/change-feed.test.ts
@@ -1,3 +1,5 @@
+/** What a write and the end of each kind of shared key mean. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { writeMachineRecord, type MachineRecord } from '../fleet/records.js';
@@ -6,7 +8,7 @@
 import { decodeChange, type Change } from './change-feed.js';
 import {
   claimKey,
-  followsKey,
+  dependencyListKey,
   jobKey,
   PROTOCOL_VERSION_KEY,
   machineKey,
@@ -52,7 +54,6 @@
 };
 const OTHER: Change = { _tag: 'other' };
 
-/** What a write and the end of each kind of key mean. */
 const rows: readonly { key: string; value: unknown; put: Change; removed: Change }[] = [
   {
     key: claimKey('2'),
@@ -73,7 +74,7 @@
     removed: { _tag: 'jobRemoved', job: 'job-1' },
   },
   {
-    key: followsKey('job-1', 3),
+    key: dependencyListKey('job-1', 3),
     value: [],
     put: { _tag: 'dependencyListChanged', job: 'job-1' },
     removed: OTHER,
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -5,12 +5,12 @@
 import { readMachineRecord, type MachineRecord } from '../fleet/records.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { JobRecord } from '../jobs/model.js';
-import type { StoredEntry, WatchEvent } from './client.js';
+import type { StoredEntry, WatchEvent } from './model.js';
 import { parseSharedKey } from './keys.js';
 
 /** A change of the shared keys. */
 export type Change =
-  /** `revision` is null when nobody holds the slot any more. */
+  /** `revision` is null when nobody holds the claim any more. */
   | { readonly _tag: 'claimChanged'; readonly claimName: string; readonly revision: number | null }
   | {
       readonly _tag: 'machineChanged';
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -1,3 +1,8 @@
+/**
+ * Client of the key-value store, within this controller's part of the common rates. Owns the connections, the
+ * two rate limiters and the moment of the store's last answer. Every subsystem reads and writes the store
+ * through it.
+ */
 import * as Effect from 'effect/Effect';
 import {
   LEASE_REQUEST_TIMEOUT_MS,
@@ -19,189 +24,190 @@
 } from '../constants/key-value-store.js';
 import { SHARD_LEASE_TTL_MS } from '../constants/leases.js';
 import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http.js';
+import type { StateLimits } from '../settings/limits.js';
+import {
+  entryPath,
+  LEASES_PATH,
+  listPath,
+  readChanges,
+  readEntry,
+  readLease,
+  readPage,
+  readTransactionResult,
+  renewalPath,
+  TRANSACTION_PATH,
+  watchPath,
+  writeLeaseRequest,
+  writeTransaction,
+} from './codec.js';
+import type {
+  Condition,
+  LeaseResult,
+  ListResult,
+  ReadResult,
+  StoredEntry,
+  TransactionResult,
+  WatchResult,
+  Write,
+} from './model.js';
 import { RateLimiter, type RequestPriority } from './rate-limiter.js';
 
-/** The one module that speaks to the state service. */
-export interface Condition {
-  readonly key: string;
-  /** 0: the key does not exist. */
-  readonly version: number;
+/** What all controllers together may ask of the store, and how many they are. */
+interface StoreLimits extends Pick<StateLimits, 'rps' | 'write_rps' | 'txn_ops'> {
+  readonly nodes: number;
 }
-/** A change of one key. */
-export type Write =
-  | { readonly _tag: 'put'; readonly key: string; readonly value: unknown; readonly lease?: number }
-  | { readonly _tag: 'delete'; readonly key: string };
-
-/** The outcome of a transaction. */
-export type TransactionResult =
-  | { readonly _tag: 'committed'; readonly revision: number }
-  | { readonly _tag: 'conflict'; readonly failed: readonly string[] }
-  | { readonly _tag: 'noLease' }
-  /** Not carried out. */
-  | { readonly _tag: 'refused'; readonly why: string }
-  /** May have been carried out, or may be later. */
-  | { readonly _tag: 'unknown'; readonly why: string };
 
-/** A key with its value and the revision of its last change. */
-export interface StoredEntry {
-  readonly key: string;
-  readonly value: unknown;
-  readonly version: number;
+interface StoreRequest {
+  readonly method: 'GET' | 'POST';
+  readonly path: string;
+  readonly body?: unknown;
+  readonly timeoutMs: number;
 }
-/** The outcome of reading a key. */
-export type ReadResult =
-  | { readonly _tag: 'found'; readonly item: StoredEntry }
-  | { readonly _tag: 'absent' }
-  | { readonly _tag: 'failed'; readonly why: string };
-/** The outcome of reading a page of keys. */
-export type ListResult =
-  | {
-      readonly _tag: 'page';
-      readonly items: readonly StoredEntry[];
-      readonly more: boolean;
-      readonly revision: number;
-    }
-  | { readonly _tag: 'failed'; readonly why: string };
-/** A change that a watch showed. */
-export type WatchEvent =
-  | { readonly _tag: 'put'; readonly item: StoredEntry }
-  | { readonly _tag: 'delete'; readonly key: string; readonly version: number };
-/** The outcome of one watch. */
-export type WatchResult =
-  | { readonly _tag: 'events'; readonly events: readonly WatchEvent[]; readonly revision: number }
-  | { readonly _tag: 'tooOld' }
-  | { readonly _tag: 'failed'; readonly why: string };
-/** The outcome of asking for a lease or renewing it. */
-export type LeaseResult =
-  | { readonly _tag: 'held'; readonly lease: number; readonly sentAt: number }
-  | { readonly _tag: 'gone' }
-  | { readonly _tag: 'failed'; readonly why: string };
 
-interface RawItem {
-  path: string;
-  data: unknown;
-  brandMark: number;
-}
-const item = (raw: RawItem): StoredEntry => ({ key: raw.path, value: raw.data, version: raw.brandMark });
-const why = (answer: CallOutcome): string =>
-  answer._tag === 'noResponse' ? answer.why : `status ${answer.status}`;
+/**
+ * What became of a request: it was not sent for want of rate, or it was sent at `sentAt` (ms, lease clock).
+ */
+type Attempt =
+  | { readonly _tag: 'overRate' }
+  | { readonly _tag: 'sent'; readonly sentAt: number; readonly outcome: CallOutcome };
+
+const OVER_RATE: Attempt = { _tag: 'overRate' };
+const OVER_RATE_REASON = 'over budget';
+
+/** The status of the answer; null: there is none. */
+const statusOf = (attempt: Attempt): number | null =>
+  attempt._tag === 'sent' && attempt.outcome._tag === 'response' ? attempt.outcome.status : null;
+
+/** Why a request has no answer of use. */
+const failureOf = (attempt: Attempt): { readonly _tag: 'failed'; readonly why: string } => {
+  if (attempt._tag === 'overRate') return { _tag: 'failed', why: OVER_RATE_REASON };
+  const { outcome } = attempt;
+  return {
+    _tag: 'failed',
+    why: outcome._tag === 'noResponse' ? outcome.why : `status ${outcome.status}`,
+  };
+};
+
+/** The answer's body; null unless it has the status 200. */
+const okBody = (attempt: Attempt): { readonly body: unknown; readonly sentAt: number } | null => {
+  if (attempt._tag !== 'sent' || attempt.outcome._tag !== 'response') return null;
+  const { outcome, sentAt } = attempt;
+  return outcome.status === 200 ? { body: outcome.body, sentAt } : null;
+};
 
-/** Client for the state service, within this node's part of its rates. */
+/** Client of the key-value store. */
 export class KeyValueStore {
   private readonly calls: HttpClient;
   private readonly watches: HttpClient;
   private readonly leases: HttpClient;
+  private answeredAt = 0;
+  /** This controller's part of the request rate. */
   readonly requests: RateLimiter;
+  /** This controller's part of the rate of changes. */
   readonly changes: RateLimiter;
-  /** When the service last answered anything but 503 here. */
-  lastAnsweredAt = 0;
+  /** Changes that one transaction may hold. */
+  readonly maxTransactionWrites: number;
+  /** ms: pause between two watches, so that they take a bounded part of the requests. */
+  readonly watchGapMs: number;
+  /** What all controllers together may use, a second. */
+  readonly rates: { readonly requests: number; readonly changes: number };
 
   constructor(
     target: Target,
-    limits: { rps: number; write_rps: number; txn_ops: number; nodes: number },
+    limits: StoreLimits,
+    /** ms, lease clock. */
     private readonly now: () => number,
     createHttpClient: HttpClientFactory,
   ) {
     this.calls = createHttpClient(target, STORE_SOCKETS);
     this.watches = createHttpClient(target, WATCH_SOCKETS);
     this.leases = createHttpClient(target, LEASE_SOCKETS);
-    this.requests = new RateLimiter(
-      limits.rps / limits.nodes,
-      RATE_RESERVE_FRACTION,
-      RATE_QUEUE_TIMEOUT_MS,
-      now,
-    );
-    this.changes = new RateLimiter(
-      limits.write_rps / limits.nodes,
-      RATE_RESERVE_FRACTION,
-      RATE_QUEUE_TIMEOUT_MS,
-      now,
-    );
+    const evenPart = (rate: number): RateLimiter =>
+      new RateLimiter(rate / limits.nodes, RATE_RESERVE_FRACTION, RATE_QUEUE_TIMEOUT_MS, now);
+    this.requests = evenPart(limits.rps);
+    this.changes = evenPart(limits.write_rps);
     this.maxTransactionWrites = limits.txn_ops;
     this.watchGapMs = (1000 * limits.nodes) / (limits.rps * WATCH_REQUEST_FRACTION);
     this.rates = { requests: limits.rps, changes: limits.write_rps };
   }
-  readonly maxTransactionWrites: number;
+
+  /** ms, lease clock: when the store last answered anything but 429 or an error of its own; 0: never. */
+  get lastAnsweredAt(): number {
+    return this.answeredAt;
+  }
+
   /** Changes that one transaction should hold at the present rate. */
   get batchWrites(): number {
-    return Math.min(
-      this.maxTransactionWrites,
-      Math.max(MIN_TRANSACTION_CHANGES, Math.floor(this.changes.perSecond * TRANSACTION_RATE_FRACTION)),
-    );
+    const affordable = Math.floor(this.changes.perSecond * TRANSACTION_RATE_FRACTION);
+    return Math.min(this.maxTransactionWrites, Math.max(MIN_TRANSACTION_CHANGES, affordable));
   }
-  /** ms: pause between two watches, so that they take a bounded part of the requests. */
-  readonly watchGapMs: number;
-  /** What all nodes together may use, a second. */
-  readonly rates: { readonly requests: number; readonly changes: number };
 
-  private seen(answer: CallOutcome): CallOutcome {
-    if (answer._tag === 'response' && answer.status < 500 && answer.status !== 429)
-      this.lastAnsweredAt = this.now();
-    return answer;
+  /** Sends a request once, as soon as there is rate for it. */
+  private async attempt(
+    client: HttpClient,
+    request: StoreRequest,
+    priority: RequestPriority,
+  ): Promise<Attempt> {
+    if (!(await this.requests.take(1, priority))) return OVER_RATE;
+    const sentAt = this.now();
+    const outcome = await client.request(request.method, request.path, request.body, request.timeoutMs);
+    if (outcome._tag === 'response' && outcome.status < 500 && outcome.status !== 429)
+      this.answeredAt = this.now();
+    return { _tag: 'sent', sentAt, outcome };
   }
 
-  private async call(
-    rank: RequestPriority,
-    client: HttpClient,
-    method: string,
-    path: string,
-    body: unknown,
-    ms: number,
-  ) {
-    for (let tries = 0; ; tries += 1) {
-      if (!(await this.requests.take(1, rank))) return null;
-      const answer = this.seen(await client.request(method, path, body, ms));
-      // 429: not carried out. All nodes together asked for more than there is; soon there is some again.
-      if (
-        rank !== 'user' ||
-        answer._tag !== 'response' ||
-        answer.status !== 429 ||
-        tries >= MAX_RATE_LIMITED_RETRIES
-      )
-        return answer;
+  /**
+   * Sends a request; a user's again after a 429. That was not carried out: all controllers together asked for
+   * more than there is, and soon there is some again.
+   */
+  private async send(request: StoreRequest, priority: RequestPriority): Promise<Attempt> {
+    for (let retries = 0; ; retries += 1) {
+      const attempt = await this.attempt(this.calls, request, priority);
+      const rateLimited = statusOf(attempt) === 429;
+      if (priority !== 'user' || !rateLimited || retries >= MAX_RATE_LIMITED_RETRIES) return attempt;
       await new Promise((resolve) => {
         setTimeout(resolve, RATE_LIMITED_RETRY_DELAY_MS);
       });
     }
   }
 
-  get(key: string, rank: RequestPriority): Effect.Effect<ReadResult> {
+  /** Reads a key. */
+  get(key: string, priority: RequestPriority): Effect.Effect<ReadResult> {
     return Effect.promise(async (): Promise<ReadResult> => {
-      const answer = await this.call(
-        rank,
-        this.calls,
-        'GET',
-        `/store/${key}`,
-        undefined,
-        STORE_REQUEST_TIMEOUT_MS,
-      );
-      if (answer === null) return { _tag: 'failed', why: 'over budget' };
-      if (answer._tag === 'response' && answer.status === 200)
-        return { _tag: 'found', item: item(answer.body as RawItem) };
-      if (answer._tag === 'response' && answer.status === 404) return { _tag: 'absent' };
-      return { _tag: 'failed', why: why(answer) };
+      const request: StoreRequest = {
+        method: 'GET',
+        path: entryPath(key),
+        timeoutMs: STORE_REQUEST_TIMEOUT_MS,
+      };
+      const attempt = await this.send(request, priority);
+      const answer = okBody(attempt);
+      if (answer) return { _tag: 'found', item: readEntry(answer.body) };
+      return statusOf(attempt) === 404 ? { _tag: 'absent' } : failureOf(attempt);
     });
   }
 
-  page(prefix: string, after: string | null, rank: RequestPriority): Effect.Effect<ListResult> {
+  /** Lists the first keys under a prefix that come after `after`; null: from the first on. */
+  page(prefix: string, after: string | null, priority: RequestPriority): Effect.Effect<ListResult> {
     return Effect.promise(async (): Promise<ListResult> => {
-      const path = `/store?under=${encodeURIComponent(prefix)}&most=${LIST_PAGE_ITEMS}${after === null ? '' : `&since=${encodeURIComponent(after)}`}`;
-      const answer = await this.call(rank, this.calls, 'GET', path, undefined, STORE_LIST_TIMEOUT_MS);
-      if (answer === null) return { _tag: 'failed', why: 'over budget' };
-      if (answer._tag !== 'response' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
-      const body = answer.body as { rows: RawItem[]; more: boolean; epoch: number };
-      return { _tag: 'page', items: body.rows.map(item), more: body.more, revision: body.epoch };
+      const request: StoreRequest = {
+        method: 'GET',
+        path: listPath(prefix, after, LIST_PAGE_ITEMS),
+        timeoutMs: STORE_LIST_TIMEOUT_MS,
+      };
+      const attempt = await this.send(request, priority);
+      const answer = okBody(attempt);
+      return answer ? readPage(answer.body) : failureOf(attempt);
     });
   }
 
   /** All pages under a prefix. The revision is that of the first page: a watch from there misses nothing. */
-  list(prefix: string, rank: RequestPriority): Effect.Effect<ListResult> {
+  list(prefix: string, priority: RequestPriority): Effect.Effect<ListResult> {
     return Effect.gen({ self: this }, function* () {
       const items: StoredEntry[] = [];
       let after: string | null = null;
       let revision = -1;
       for (;;) {
-        const page: ListResult = yield* this.page(prefix, after, rank);
+        const page: ListResult = yield* this.page(prefix, after, priority);
         if (page._tag === 'failed') return page;
         if (revision < 0) revision = page.revision;
         items.push(...page.items);
@@ -212,89 +218,61 @@
     });
   }
 
+  /** Carries out all writes at once if every condition is met, else none. */
   compareAndSwap(
-    when: readonly Condition[],
+    conditions: readonly Condition[],
     writes: readonly Write[],
-    rank: RequestPriority,
+    priority: RequestPriority,
   ): Effect.Effect<TransactionResult> {
     return Effect.promise(async (): Promise<TransactionResult> => {
-      if (writes.length > 0 && !(await this.changes.take(writes.length, rank))) {
-        return { _tag: 'refused', why: 'over budget' };
-      }
-      const body = {
-        when: when.map((condition) => ({ path: condition.key, brandMark: condition.version })),
-        writes: writes.map((write) =>
-          write._tag === 'put'
-            ? {
-                write: write.key,
-                data: write.value,
-                ...(write.lease === undefined ? {} : { permit: write.lease }),
-              }
-            : { remove: write.key },
-        ),
+      if (writes.length > 0 && !(await this.changes.take(writes.length, priority)))
+        return { _tag: 'refused', why: OVER_RATE_REASON };
+      const request: StoreRequest = {
+        method: 'POST',
+        path: TRANSACTION_PATH,
+        body: writeTransaction(conditions, writes),
+        timeoutMs: STORE_REQUEST_TIMEOUT_MS,
       };
-      const answer = await this.call(rank, this.calls, 'POST', '/txn', body, STORE_REQUEST_TIMEOUT_MS);
-      if (answer === null) return { _tag: 'refused', why: 'over budget' };
-      if (answer._tag === 'noResponse') return { _tag: 'unknown', why: answer.why };
-      const data = answer.body as { epoch?: number; failed?: string[]; error?: string } | null;
-      switch (answer.status) {
-        case 200:
-          return { _tag: 'committed', revision: data?.epoch ?? 0 };
-        case 409:
-          return { _tag: 'conflict', failed: data?.failed ?? [] };
-        case 400:
-          return data?.error === 'no such lease'
-            ? { _tag: 'noLease' }
-            : { _tag: 'refused', why: `400 ${data?.error ?? ''}` };
-        case 429:
-        case 503:
-          return { _tag: 'refused', why: `status ${answer.status}` };
-        default:
-          return { _tag: 'unknown', why: `status ${answer.status}` };
-      }
+      const attempt = await this.send(request, priority);
+      if (attempt._tag === 'overRate') return { _tag: 'refused', why: OVER_RATE_REASON };
+      const { outcome } = attempt;
+      if (outcome._tag === 'noResponse') return { _tag: 'unknown', why: outcome.why };
+      return readTransactionResult(outcome.status, outcome.body);
     });
   }
 
+  /** Asks for a lease. */
   grant(): Effect.Effect<LeaseResult> {
-    return this.lease('POST', '/holds', { ttlMs: SHARD_LEASE_TTL_MS });
+    return this.leaseRequest(LEASES_PATH, writeLeaseRequest(SHARD_LEASE_TTL_MS));
   }
+
+  /** Renews a lease. */
   renew(lease: number): Effect.Effect<LeaseResult> {
-    return this.lease('POST', `/holds/${lease}/renew`, {});
+    return this.leaseRequest(renewalPath(lease), {});
   }
 
-  private lease(method: string, path: string, body: unknown): Effect.Effect<LeaseResult> {
+  private leaseRequest(path: string, body: unknown): Effect.Effect<LeaseResult> {
     return Effect.promise(async (): Promise<LeaseResult> => {
-      if (!(await this.requests.take(1, 'vital'))) return { _tag: 'failed', why: 'over budget' };
-      const sentAt = this.now();
-      const answer = this.seen(await this.leases.request(method, path, body, LEASE_REQUEST_TIMEOUT_MS));
-      if (answer._tag === 'response' && answer.status === 200) {
-        return { _tag: 'held', lease: (answer.body as { permit: number }).permit, sentAt };
-      }
-      if (answer._tag === 'response' && answer.status === 404) return { _tag: 'gone' };
-      return { _tag: 'failed', why: why(answer) };
+      const request: StoreRequest = { method: 'POST', path, body, timeoutMs: LEASE_REQUEST_TIMEOUT_MS };
+      const attempt = await this.attempt(this.leases, request, 'vital');
+      const answer = okBody(attempt);
+      if (answer) return { _tag: 'held', lease: readLease(answer.body), sentAt: answer.sentAt };
+      return statusOf(attempt) === 404 ? { _tag: 'gone' } : failureOf(attempt);
     });
   }
 
-  watch(prefix: string, since: number): Effect.Effect<WatchResult> {
+  /** Waits for changes under a prefix after a revision; none within `WATCH_TIMEOUT_MS` is an empty batch. */
+  watch(prefix: string, revision: number): Effect.Effect<WatchResult> {
     return Effect.promise(async (): Promise<WatchResult> => {
-      if (!(await this.requests.take(1, 'user'))) return { _tag: 'failed', why: 'over budget' };
-      const path = `/follow?under=${encodeURIComponent(prefix)}&since=${since}&waitMs=${WATCH_TIMEOUT_MS}`;
-      const answer = this.seen(await this.watches.request('GET', path, undefined, WATCH_REQUEST_TIMEOUT_MS));
-      if (answer._tag === 'response' && answer.status === 410) return { _tag: 'tooOld' };
-      if (answer._tag !== 'response' || answer.status !== 200) return { _tag: 'failed', why: why(answer) };
-      const body = answer.body as {
-        epoch: number;
-        news: ({ write: string; data: unknown; brandMark: number } | { remove: string; brandMark: number })[];
-      };
-      return {
-        _tag: 'events',
-        revision: body.epoch,
-        events: body.news.map((event) =>
-          'write' in event
-            ? { _tag: 'put', item: { key: event.write, value: event.data, version: event.brandMark } }
-            : { _tag: 'delete', key: event.remove, version: event.brandMark },
-        ),
+      const request: StoreRequest = {
+        method: 'GET',
+        path: watchPath(prefix, revision, WATCH_TIMEOUT_MS),
+        timeoutMs: WATCH_REQUEST_TIMEOUT_MS,
       };
+      const attempt = await this.attempt(this.watches, request, 'user');
+      if (statusOf(attempt) === 410) return { _tag: 'tooOld' };
+      const answer = okBody(attempt);
+      return answer ? readChanges(answer.body) : failureOf(attempt);
     });
   }
 }
--- a/src/kv-store/rate-limiter.ts
+++ b/src/kv-store/rate-limiter.ts
@@ -1,3 +1,8 @@
+/**
+ * Token bucket for one rate, with a queue for each priority: lease renewals and users' calls pass while
+ * background work waits. Owns its tokens, its queues and the demand it has seen; the key-value store's client
+ * and the cloud's have one for each of their rates.
+ */
 import {
   BATCH_ADMISSION_FRACTION,
   BIND_RESERVE_FRACTION,
@@ -7,139 +12,164 @@
   VITAL_OVERDRAFT_FRACTION,
 } from '../constants/key-value-store.js';
 
-/** A token bucket with ranks: renewals and users' calls pass while background work waits. */
+/** From the highest on: leases and claims, users' calls, binding of tasks, background work. */
 export type RequestPriority = 'vital' | 'user' | 'bind' | 'work';
 const REQUEST_PRIORITIES: readonly RequestPriority[] = ['vital', 'user', 'bind', 'work'];
 
-interface Waiting {
-  readonly count: number;
-  readonly until: number;
-  readonly settle: (granted: boolean) => void;
+/** A request that waits for its tokens. */
+interface QueuedRequest {
+  readonly tokens: number;
+  /** ms: when it is given up. */
+  readonly expiresAt: number;
+  readonly resolve: (granted: boolean) => void;
 }
 
-/** Token bucket for one rate, with a queue by rank. */
+const sleepMs = (ms: number): Promise<void> =>
+  new Promise((resolve) => {
+    setTimeout(resolve, ms);
+  });
+
+/** Token bucket for one rate, which holds the tokens of one second. */
 export class RateLimiter {
-  private level: number;
-  private at: number;
-  private readonly queues: Record<RequestPriority, Waiting[]> = { vital: [], user: [], bind: [], work: [] };
-  private pumping = false;
-  private wanted = 0;
-  private wantedBefore = 0;
-  private windowAt: number;
+  /** Negative while a batch is owed. */
+  private tokens: number;
+  private refilledAt: number;
+  private readonly queues: Record<RequestPriority, QueuedRequest[]> = {
+    vital: [],
+    user: [],
+    bind: [],
+    work: [],
+  };
+  private servingQueues = false;
+  /** Tokens asked for in the present window and in the one before. */
+  private demanded = 0;
+  private demandedBefore = 0;
+  private windowStartedAt: number;
 
   constructor(
+    /** Tokens a second. */
     private rate: number,
-    private readonly reserve: number,
-    private readonly patienceMs: number,
+    /** Part of the rate that background work leaves to others. */
+    private readonly reserveFraction: number,
+    /** ms: how long a request waits for its tokens. */
+    private readonly queueTimeoutMs: number,
     private readonly now: () => number,
-    private readonly sleep: (ms: number) => Promise<void> = (ms) =>
-      new Promise((resolve) => {
-        setTimeout(resolve, ms);
-      }),
+    private readonly sleep: (ms: number) => Promise<void> = sleepMs,
   ) {
-    this.level = rate;
-    this.at = now();
-    this.windowAt = this.at;
+    this.tokens = rate;
+    this.refilledAt = now();
+    this.windowStartedAt = this.refilledAt;
   }
 
+  /** Tokens a second. */
   get perSecond(): number {
     return this.rate;
   }
-  /** This node's part of the common rate, as agreed from what all nodes ask for. */
+
+  /** Sets this controller's part of the common rate, as agreed from what all controllers ask for. */
   setRate(rate: number): void {
     this.refill();
     this.rate = rate;
-    this.level = Math.min(this.level, rate);
+    this.tokens = Math.min(this.tokens, rate);
   }
 
   /** Tokens asked for a second, over the last window or two. */
   demand(): number {
-    this.turnWindow();
-    const spanS = (RATE_DEMAND_WINDOW_MS + this.now() - this.windowAt) / 1000;
-    return (this.wanted + this.wantedBefore) / spanS;
+    this.advanceWindow();
+    const spanS = (RATE_DEMAND_WINDOW_MS + this.now() - this.windowStartedAt) / 1000;
+    return (this.demanded + this.demandedBefore) / spanS;
   }
-  private turnWindow(): void {
-    const passed = this.now() - this.windowAt;
-    if (passed < RATE_DEMAND_WINDOW_MS) return;
-    this.wantedBefore = passed < 2 * RATE_DEMAND_WINDOW_MS ? this.wanted : 0;
-    this.wanted = 0;
-    this.windowAt = this.now();
+
+  private advanceWindow(): void {
+    const passedMs = this.now() - this.windowStartedAt;
+    if (passedMs < RATE_DEMAND_WINDOW_MS) return;
+    this.demandedBefore = passedMs < 2 * RATE_DEMAND_WINDOW_MS ? this.demanded : 0;
+    this.demanded = 0;
+    this.windowStartedAt = this.now();
   }
 
-  /** Ranks below `vital` leave some room for those above them. */
-  private floor(rank: RequestPriority): number {
-    switch (rank) {
+  /** Tokens that must be left: each priority below `vital` leaves some to those above it. */
+  private floor(priority: RequestPriority): number {
+    switch (priority) {
       case 'vital':
         return -this.rate * VITAL_OVERDRAFT_FRACTION;
       case 'user':
         return 0;
       case 'bind':
-        return this.rate * this.reserve * BIND_RESERVE_FRACTION;
+        return this.rate * this.reserveFraction * BIND_RESERVE_FRACTION;
       case 'work':
-        return this.rate * this.reserve;
+        return this.rate * this.reserveFraction;
     }
   }
 
   private refill(): void {
     const now = this.now();
-    this.level = Math.min(this.rate, this.level + ((now - this.at) / 1000) * this.rate);
-    this.at = now;
+    this.tokens = Math.min(this.rate, this.tokens + ((now - this.refilledAt) / 1000) * this.rate);
+    this.refilledAt = now;
   }
 
   /**
-   * What must be there for a call to pass. Of a batch only a part: the rest is owed, and what comes after
-   * waits for it. Were the whole asked for, a batch as large as the bucket would need it full, which others
-   * never leave it.
+   * Tokens that must be there above the floor for a request to pass. Of a batch only a part: the rest is
+   * owed, and what comes after waits for it. Were the whole asked for, a batch as large as the bucket would
+   * need it full, which others never leave it.
    */
-  private need(count: number, rank: RequestPriority): number {
-    return Math.min(count, this.rate * BATCH_ADMISSION_FRACTION, this.rate - this.floor(rank));
+  private requiredTokens(tokens: number, priority: RequestPriority): number {
+    return Math.min(tokens, this.rate * BATCH_ADMISSION_FRACTION, this.rate - this.floor(priority));
   }
 
-  tryTake(count: number, rank: RequestPriority): boolean {
+  /** Takes the tokens if the request may pass now. */
+  tryTake(tokens: number, priority: RequestPriority): boolean {
     this.refill();
-    if (this.level - this.need(count, rank) < this.floor(rank)) return false;
-    this.level -= count;
+    if (this.tokens - this.requiredTokens(tokens, priority) < this.floor(priority)) return false;
+    this.tokens -= tokens;
     return true;
   }
 
-  take(count: number, rank: RequestPriority): Promise<boolean> {
-    this.turnWindow();
-    this.wanted += count;
-    // Whoever came first within a rank goes first; a later small call never overtakes a large one for ever.
-    if (this.queues[rank].length === 0 && this.tryTake(count, rank)) return Promise.resolve(true);
+  /** Takes the tokens as soon as the request may pass; false: it waited too long. */
+  take(tokens: number, priority: RequestPriority): Promise<boolean> {
+    this.advanceWindow();
+    this.demanded += tokens;
+    // First come, first served within a priority: a small request never overtakes a large one for ever.
+    if (this.queues[priority].length === 0 && this.tryTake(tokens, priority)) return Promise.resolve(true);
     return new Promise((resolve) => {
-      this.queues[rank].push({ count, until: this.now() + this.patienceMs, settle: resolve });
-      if (!this.pumping) void this.pump();
+      this.queues[priority].push({ tokens, expiresAt: this.now() + this.queueTimeoutMs, resolve });
+      if (!this.servingQueues) void this.serveQueues();
     });
   }
 
-  /** When the first in some queue can have its tokens, or gives up: looking more often only costs time. */
-  private nextLookMs(): number {
+  /**
+   * ms until the first of some queue can have its tokens, or is given up: an earlier check finds nothing to
+   * do.
+   */
+  private nextCheckMs(): number {
     this.refill();
-    let least = MAX_RATE_QUEUE_CHECK_INTERVAL_MS;
-    for (const rank of REQUEST_PRIORITIES) {
-      const head = this.queues[rank][0];
-      if (!head) continue;
-      const missing = this.floor(rank) + this.need(head.count, rank) - this.level;
-      least = Math.min(least, (missing / this.rate) * 1000, head.until - this.now());
+    let nextMs = MAX_RATE_QUEUE_CHECK_INTERVAL_MS;
+    for (const priority of REQUEST_PRIORITIES) {
+      const first = this.queues[priority][0];
+      if (!first) continue;
+      const missing = this.floor(priority) + this.requiredTokens(first.tokens, priority) - this.tokens;
+      nextMs = Math.min(nextMs, (missing / this.rate) * 1000, first.expiresAt - this.now());
+    }
+    return Math.max(MIN_RATE_QUEUE_CHECK_INTERVAL_MS, nextMs);
+  }
+
+  /** Settles the first requests of a queue that have their tokens or have waited too long. */
+  private serveQueue(priority: RequestPriority): void {
+    const queue = this.queues[priority];
+    for (let first = queue[0]; first; first = queue[0]) {
+      const granted = this.tryTake(first.tokens, priority);
+      if (!granted && this.now() < first.expiresAt) return;
+      queue.shift();
+      first.resolve(granted);
     }
-    return Math.max(MIN_RATE_QUEUE_CHECK_INTERVAL_MS, least);
   }
 
-  private async pump(): Promise<void> {
-    this.pumping = true;
-    while (REQUEST_PRIORITIES.some((rank) => this.queues[rank].length > 0)) {
-      await this.sleep(this.nextLookMs());
-      for (const rank of REQUEST_PRIORITIES) {
-        const queue = this.queues[rank];
-        for (let head = queue[0]; head; head = queue[0]) {
-          const granted = this.tryTake(head.count, rank);
-          if (!granted && this.now() < head.until) break;
-          queue.shift();
-          head.settle(granted);
-        }
-      }
+  private async serveQueues(): Promise<void> {
+    this.servingQueues = true;
+    while (REQUEST_PRIORITIES.some((priority) => this.queues[priority].length > 0)) {
+      await this.sleep(this.nextCheckMs());
+      for (const priority of REQUEST_PRIORITIES) this.serveQueue(priority);
     }
-    this.pumping = false;
+    this.servingQueues = false;
   }
 }
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -1,30 +1,35 @@
+/** What the copy of the shared keys shows, and how recent that is. */
+
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
+import { answering, TIMED_OUT } from '../testing/answering-client.js';
 import { StateStandIn } from '../testing/state-stand-in.js';
 import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
 
-/** How fresh a node's copy of the shared keys is, by what the state service does. */
+const LIMITS = { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 };
+const TARGET = { host: 'state', port: 1 };
+
+/** How recent what the copy shows is, by what the store does. */
 const rows: readonly {
   name: string;
   refusedFromS: number;
   ageAt60S: readonly [least: number, most: number];
 }[] = [
-  // Where nothing changes watches end empty; the copy must count as fresh enough to answer from all the same.
+  // Where nothing changes watches end empty; the copy must be recent enough to answer from all the same.
   { name: 'nothing changes for a minute', refusedFromS: 99, ageAt60S: [0, CACHE_FRESHNESS_MS] },
   // A watch that hangs says nothing: what happened since may be unknown here.
-  { name: 'this node alone is refused from 20 s on', refusedFromS: 20, ageAt60S: [40_000, 50_000] },
+  { name: 'this controller alone is refused from 20 s on', refusedFromS: 20, ageAt60S: [40_000, 50_000] },
 ];
 for (const row of rows) {
   test(`cache: ${row.name}`, async () => {
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_000_000 });
     const state = new StateStandIn();
     const now = (): number => Date.now();
-    const limits = { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 };
-    const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, () => ({
+    const store = new KeyValueStore(TARGET, LIMITS, now, () => ({
       request: (method, path, body) => state.handle('n0', method, path, body),
     }));
     const cache = new WatchCache(store, now);
@@ -44,3 +49,16 @@
     }
   });
 }
+
+test('cache: an older change never undoes a newer one', () => {
+  const cache = new WatchCache(new KeyValueStore(TARGET, LIMITS, () => 0, answering(TIMED_OUT)));
+  const seen: string[] = [];
+  cache.onEvent((event) => seen.push(event._tag));
+  cache.apply({ _tag: 'put', item: { key: 'w/c/0', value: 2, version: 20 } });
+  cache.apply({ _tag: 'put', item: { key: 'w/c/0', value: 1, version: 10 } });
+  cache.apply({ _tag: 'delete', key: 'w/c/0', version: 15 });
+  assert.equal(cache.get('w/c/0')?.value, 2);
+  cache.apply({ _tag: 'delete', key: 'w/c/0', version: 25 });
+  assert.equal(cache.get('w/c/0'), undefined);
+  assert.deepEqual(seen, ['put', 'delete']);
+});
--- a/src/kv-store/watch-cache.ts
+++ b/src/kv-store/watch-cache.ts
@@ -1,91 +1,133 @@
+/**
+ * This controller's copy of the shared keys, in the order of their changes: what it shows was true at its
+ * revision, and a later change is never shown before an earlier one. That order is what fencing relies on.
+ * Owns the copy; filled by its `run`, read by every subsystem.
+ */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { log } from '../log.js';
-import type { StoredEntry, KeyValueStore, WatchEvent } from './client.js';
-import { kindOf, SHARED } from './keys.js';
+import type { KeyValueStore } from './client.js';
+import { kindOf, SHARED_PREFIX } from './keys.js';
+import type { StoredEntry, WatchEvent } from './model.js';
 
-/**
- * This node's copy of the shared keys, in the order of their changes: what it shows was true at `revision`,
- * and a later change is never shown before an earlier one. That order is what fencing relies on.
- */
+/** Called for each change once the copy shows it. */
+type WatchListener = (event: WatchEvent) => void;
+
+/** Copy of the shared keys. */
 export class WatchCache {
   /** By kind of key (`w/j/`, `w/m/`, …), so that a walk over one kind costs only that kind. */
-  private readonly kinds = new Map<string, Map<string, StoredEntry>>();
-  private readonly listeners: ((event: WatchEvent) => void)[] = [];
-  revision = -1;
-  /** ms, steady: every change made before this moment is shown. */
-  confirmedAt = Number.NEGATIVE_INFINITY;
-  /** True once the first full read is in. */
-  ready = false;
+  private readonly entriesByKind = new Map<string, Map<string, StoredEntry>>();
+  private readonly listeners: WatchListener[] = [];
+  private shownRevision = -1;
+  private confirmedSince = Number.NEGATIVE_INFINITY;
+  private loaded = false;
 
   constructor(
-    private readonly store: KeyValueStore,
+    private readonly store: Pick<KeyValueStore, 'list' | 'watch' | 'watchGapMs'>,
+    /** ms, lease clock. */
     private readonly now: () => number = () => performance.now(),
   ) {}
 
-  onEvent(listener: (event: WatchEvent) => void): void {
+  /** The revision up to which every change is shown; -1 before the first load. */
+  get revision(): number {
+    return this.shownRevision;
+  }
+
+  /** ms, lease clock: every change made before this moment is shown. */
+  get confirmedAt(): number {
+    return this.confirmedSince;
+  }
+
+  /** True once all keys have been read for the first time. */
+  get ready(): boolean {
+    return this.loaded;
+  }
+
+  /** Calls the listener for each later change. */
+  onEvent(listener: WatchListener): void {
     this.listeners.push(listener);
   }
+
+  /** The entry of a key; undefined: there is none. */
   get(key: string): StoredEntry | undefined {
-    return this.kinds.get(kindOf(key))?.get(key);
+    return this.entriesByKind.get(kindOf(key))?.get(key);
   }
-  /** All keys of one kind. */
+
+  /** All entries of one kind. */
   under(kind: `w/${string}/`): Iterable<StoredEntry> {
-    return this.kinds.get(kind)?.values() ?? [];
+    return this.entriesByKind.get(kind)?.values() ?? [];
   }
 
+  /** Shows a change, unless the copy shows it or a later one already. */
   apply(event: WatchEvent): void {
-    const key = event._tag === 'put' ? event.item.key : event.key;
-    const version = event._tag === 'put' ? event.item.version : event.version;
-    let items = this.kinds.get(kindOf(key));
-    const known = items?.get(key);
-    if (known && known.version >= version) return;
-    if (event._tag === 'put') {
-      if (!items) this.kinds.set(kindOf(key), (items = new Map<string, StoredEntry>()));
-      items.set(key, event.item);
-    } else if (!items?.delete(key)) return;
+    const { key, version } = event._tag === 'put' ? event.item : event;
+    const shown = this.get(key);
+    if (shown && shown.version >= version) return;
+    if (event._tag === 'put') this.entriesOf(kindOf(key)).set(key, event.item);
+    else if (!this.entriesByKind.get(kindOf(key))?.delete(key)) return;
     for (const listener of this.listeners) listener(event);
   }
 
-  private reload(items: readonly StoredEntry[], revision: number): void {
-    const present = new Set(items.map((item) => item.key));
-    for (const items of this.kinds.values()) {
-      for (const key of [...items.keys()])
+  private entriesOf(kind: string): Map<string, StoredEntry> {
+    let entries = this.entriesByKind.get(kind);
+    if (!entries) {
+      entries = new Map<string, StoredEntry>();
+      this.entriesByKind.set(kind, entries);
+    }
+    return entries;
+  }
+
+  /** Brings the copy to what a list showed, as changes in their order. */
+  private replaceAll(listed: readonly StoredEntry[], revision: number): void {
+    const present = new Set(listed.map((entry) => entry.key));
+    for (const entries of this.entriesByKind.values()) {
+      for (const key of [...entries.keys()])
         if (!present.has(key)) this.apply({ _tag: 'delete', key, version: revision });
     }
-    for (const item of [...items].sort((a, b) => a.version - b.version)) this.apply({ _tag: 'put', item });
-    this.revision = revision;
-    this.ready = true;
+    const inOrder = [...listed].sort((a, b) => a.version - b.version);
+    for (const item of inOrder) this.apply({ _tag: 'put', item });
+    this.shownRevision = revision;
+    this.loaded = true;
   }
 
-  readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
+  /** Reads all shared keys; false: that failed. */
+  private readonly load: Effect.Effect<boolean> = Effect.gen({ self: this }, function* () {
+    const askedAt = this.now();
+    const all = yield* this.store.list(SHARED_PREFIX, 'user');
+    if (all._tag === 'failed') {
+      log.debug({ event: 'cache.list_failed', why: all.why });
+      return false;
+    }
+    this.replaceAll(all.items, all.revision);
+    this.confirmedSince = askedAt;
+    log.info({ event: 'cache.loaded', items: all.items.length, revision: all.revision });
+    return true;
+  });
+
+  /** Follows the changes until the store no longer has all of them. */
+  private readonly follow: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      const listedAt = this.now();
-      const all = yield* this.store.list(SHARED, 'user');
-      if (all._tag === 'failed') {
-        log.debug({ event: 'cache.list_failed', why: all.why });
+      const askedAt = this.now();
+      const result = yield* this.store.watch(SHARED_PREFIX, this.shownRevision);
+      if (result._tag === 'tooOld') return;
+      if (result._tag === 'failed') {
         yield* Effect.sleep(STORE_RETRY_DELAY_MS);
         continue;
       }
-      this.reload(all.items, all.revision);
-      this.confirmedAt = listedAt;
-      log.info({ event: 'cache.loaded', items: all.items.length, revision: all.revision });
-      for (;;) {
-        const askedAt = this.now();
-        const result = yield* this.store.watch(SHARED, this.revision);
-        if (result._tag === 'tooOld') break;
-        if (result._tag === 'failed') {
-          yield* Effect.sleep(STORE_RETRY_DELAY_MS);
-          continue;
-        }
-        for (const event of result.events) this.apply(event);
-        this.revision = Math.max(this.revision, result.revision);
-        // An answer tells all that happened before its question was sent; it may have been under way for
-        // long.
-        this.confirmedAt = askedAt;
-        // Each change would otherwise cost every node one more request; together they fit in a few.
-        yield* Effect.sleep(this.store.watchGapMs);
-      }
+      for (const event of result.events) this.apply(event);
+      this.shownRevision = Math.max(this.shownRevision, result.revision);
+      // An answer tells all that happened before it was asked for; the answer itself may have taken long.
+      this.confirmedSince = askedAt;
+      // Each change would otherwise cost every controller one more request; together they fit in a few.
+      yield* Effect.sleep(this.store.watchGapMs);
+    }
+  });
+
+  /** Keeps the copy up to date for ever. */
+  readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
+    for (;;) {
+      const loaded = yield* this.load;
+      yield* loaded ? this.follow : Effect.sleep(STORE_RETRY_DELAY_MS);
     }
   });
 }
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -206,7 +206,7 @@
 test('layout: keys are those of 79bc3b2, and of 55b30b1 where that is new', () => {
   assert.deepEqual(
     [
-      keys.SHARED,
+      keys.SHARED_PREFIX,
       keys.claimKey('2'),
       keys.machineKey('i-1'),
       keys.jobKey('job-1'),
@@ -216,8 +216,8 @@
       keys.runsPrefix(2),
       keys.runKey(2, 'job-1', 3),
       keys.finalKey('job-1'),
-      keys.followsKey('job-1', 4),
-      keys.markKey('2'),
+      keys.dependencyListKey('job-1', 4),
+      keys.acknowledgementKey('2'),
       keys.PROTOCOL_VERSION_KEY,
       keys.catalogPartKey(4),
       keys.runPartKey(2, 'job-1', 3, 4),
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,7 +1,8 @@
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_TRANSACTIONS } from '../constants/placement.js';
-import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Condition, TransactionResult, Write } from '../kv-store/model.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -2,8 +2,9 @@
 import { writeFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { KeyValueStore, Write } from '../kv-store/client.js';
-import { finalKey, followsKey, jobKey, runKey, runPartKey } from '../kv-store/keys.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Write } from '../kv-store/model.js';
+import { finalKey, dependencyListKey, jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import type { ShardJob } from './shard-model.js';
 
@@ -100,7 +101,7 @@
       }));
     });
     const follows = Array.from({ length: job.parts }, (_, part): OrphanedKey => ({
-      key: followsKey(job.spec.id, part),
+      key: dependencyListKey(job.spec.id, part),
       revision: null,
       reason: 'job over',
     }));
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,5 +1,5 @@
 import type { OrphanedKey } from '@dalegate/fencing';
-import type { StoredEntry } from '../kv-store/client.js';
+import type { StoredEntry } from '../kv-store/model.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { counts, durableKeys, partsOf, readRunRecord, validAttempt } from './run-records.js';
 import type { ShardState } from './shard-state.js';
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -7,7 +7,8 @@
   VALUE_FILL_FRACTION,
 } from '../constants/key-value-store.js';
 import { log } from '../log.js';
-import type { KeyValueStore, Write } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Write } from '../kv-store/model.js';
 import { jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -14,7 +14,7 @@
 import type { Catalog, Demand, FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import { JOB_PREFIX, jobKey, MACHINE_PREFIX, machineOf, runsPrefix } from '../kv-store/keys.js';
+import { JOB_PREFIX, jobKey, MACHINE_PREFIX, machineOfKey, runsPrefix } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { DirectResult } from '../workers/worker-client.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
@@ -206,7 +206,7 @@
       changed: input.changed,
     });
     for (const { key, value, version } of input.cache.under(MACHINE_PREFIX))
-      this.onMachineRecord(machineOf(key), readMachineRecord(value), version);
+      this.onMachineRecord(machineOfKey(key), readMachineRecord(value), version);
   }
 
   /** What the leader should know; null: nothing is placed yet. */
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -68,14 +68,14 @@
 });
 
 const keysOfState = (): readonly string[] => [
-  keys.SHARED,
+  keys.SHARED_PREFIX,
   keys.claimKey('2'),
   keys.machineKey('i-000001'),
   keys.jobKey('job-000412'),
-  keys.followsKey('job-000412', 4),
+  keys.dependencyListKey('job-000412', 4),
   keys.summaryKey(2),
   keys.ordersKey(2),
-  keys.markKey('2'),
+  keys.acknowledgementKey('2'),
   keys.PROTOCOL_VERSION_KEY,
   keys.CATALOG_KEY,
   keys.catalogPartKey(4),
