--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,6 +13,7 @@
   'src/kv-store',
   'src/concurrency',
   'src/constants/leases.ts',
+  'src/constants/key-value-store.ts',
 ];
 
 /** A glob for each entry: a folder stands for all that is below it. */
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -75,7 +75,11 @@
         case 'absent':
           return { _tag: 'free' } as const;
         case 'found':
-          return { _tag: 'held', node: readClaim(read.item.value).node, version: read.item.version } as const;
+          return {
+            _tag: 'held',
+            node: readClaim(read.entry.value).node,
+            version: read.entry.version,
+          } as const;
       }
     });
   }
--- a/src/constants/key-value-store.ts
+++ b/src/constants/key-value-store.ts
@@ -1,4 +1,7 @@
-/** Access to the key-value store: timeouts, rates, and sizes of values and transactions. */
+/**
+ * Access to the key-value store: timeouts, rates, and sizes of values and transactions. Times are in ms,
+ * sizes in bytes, rates in requests or changes a second.
+ */
 
 /** Timeout of a read of one key, or of a transaction. */
 export const STORE_REQUEST_TIMEOUT_MS = 1_500;
@@ -8,8 +11,8 @@
 export const LEASE_REQUEST_TIMEOUT_MS = 1_000;
 /** Pause after a request that failed. */
 export const STORE_RETRY_DELAY_MS = 300;
-/** Items of one page of a list; the store's own bound is 1,000. */
-export const LIST_PAGE_ITEMS = 500;
+/** Entries of one page of a list; the store's own bound is 1,000. */
+export const LIST_PAGE_ENTRIES = 500;
 /** Sockets for reads and transactions. */
 export const STORE_SOCKETS = 12;
 /** Sockets for watches. */
@@ -21,9 +24,9 @@
 export const WATCH_TIMEOUT_MS = 4_000;
 /** Timeout of the request that carries a watch. */
 export const WATCH_REQUEST_TIMEOUT_MS = WATCH_TIMEOUT_MS + STORE_REQUEST_TIMEOUT_MS;
-/** Part of the request rate that watches may use: each change ends the watch of every node. */
+/** Part of the request rate that watches may use: each change ends the watch of every controller. */
 export const WATCH_REQUEST_FRACTION = 0.1;
-/** Age up to which users are answered from this node's copy of the keys: more than two watches. */
+/** Age up to which users are answered from this controller's copy of the keys: more than two watches. */
 export const CACHE_FRESHNESS_MS = 10_000;
 
 /** How long users' reads wait for others, to be confirmed in one request. */
@@ -37,11 +40,11 @@
 export const RATE_LIMITED_RETRY_DELAY_MS = 120;
 /** How often such a call is sent again. */
 export const MAX_RATE_LIMITED_RETRIES = 6;
-/** Part of the common rate that is divided evenly, so that an idle node can act at once. */
+/** Part of the common rate that is divided evenly, so that an idle controller can act at once. */
 export const EVEN_RATE_FRACTION = 0.5;
-/** Window over which a node's demand for rate is measured. */
+/** Window over which a controller's demand for rate is measured. */
 export const RATE_DEMAND_WINDOW_MS = 2_000;
-/** Part of a node's rate that only lease requests and users' calls may use. */
+/** Part of a controller's rate that only lease requests and users' calls may use. */
 export const RATE_RESERVE_FRACTION = 0.35;
 /** Part of that reserve that transactions which bind tasks leave alone. */
 export const BIND_RESERVE_FRACTION = 0.5;
@@ -51,9 +54,9 @@
 export const BATCH_ADMISSION_FRACTION = 0.25;
 /** Longest wait for rate before a call is given up as not carried out. */
 export const RATE_QUEUE_TIMEOUT_MS = 2_000;
-/** Shortest pause between two looks at the queue for rate. */
+/** Shortest pause between two checks of the queues for rate. */
 export const MIN_RATE_QUEUE_CHECK_INTERVAL_MS = 10;
-/** Longest pause between two looks at the queue, since the rate may change in between. */
+/** Longest pause between two checks of the queues, since the rate may change in between. */
 export const MAX_RATE_QUEUE_CHECK_INTERVAL_MS = 250;
 
 /** Part of a second's change rate that one transaction holds; a larger one would hold up the others. */
@@ -85,5 +88,5 @@
 export const MAX_IMAGE_NAMES_BYTES = 512;
 /** Part of the largest value that the names of images may take. */
 export const IMAGE_NAMES_VALUE_FRACTION = 0.25;
-/** A part of a list of followed jobs without the ids. */
+/** A part of a dependency list without the ids. */
 export const FOLLOWED_IDS_OVERHEAD_BYTES = 64;
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -44,7 +44,7 @@
     const result = await Effect.runPromise(store.get(key, 'user'));
     switch (result._tag) {
       case 'found':
-        return { _tag: 'read', entry: { value: result.item.value, revision: result.item.version } };
+        return { _tag: 'read', entry: { value: result.entry.value, revision: result.entry.version } };
       case 'absent':
         return { _tag: 'read', entry: { value: null, revision: 0 } };
       case 'failed':
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -8,7 +8,7 @@
 
 const put = (id: string, over: Partial<MachineRecord> = {}): WatchEvent => ({
   _tag: 'put',
-  item: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(over)), version: 1 },
+  entry: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(over)), version: 1 },
 });
 const remove = (id: string): WatchEvent => ({ _tag: 'delete', key: `w/m/${id}`, version: 2 });
 
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -40,14 +40,14 @@
   readonly releasing = new Set<string>();
 
   onEvent(event: WatchEvent): void {
-    const key = parseSharedKey(event._tag === 'put' ? event.item.key : event.key);
+    const key = parseSharedKey(event._tag === 'put' ? event.entry.key : event.key);
     if (key._tag !== 'machine') return;
     const id = key.machine;
     const before = this.records.get(id);
     if (before) this.count(id, before, -1);
     this.records.delete(id);
     if (event._tag !== 'put') return;
-    const record = readMachineRecord(event.item.value);
+    const record = readMachineRecord(event.entry.value);
     this.records.set(id, record);
     this.count(id, record, 1);
   }
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -137,8 +137,8 @@
       if (active._tag === 'absent') return yield* this.readFinal(id);
       return {
         _tag: 'active',
-        record: readJobRecord(active.item.value),
-        version: active.item.version,
+        record: readJobRecord(active.entry.value),
+        version: active.entry.version,
       } as const;
     });
   }
--- a/src/kv-store/change-feed.test.ts
+++ b/src/kv-store/change-feed.test.ts
@@ -97,7 +97,7 @@
 ];
 for (const { key, value, put, removed } of rows) {
   test(`change feed: ${key}`, () => {
-    assert.deepEqual(decodeChange({ _tag: 'put', item: { key, value, version: VERSION } }), put);
+    assert.deepEqual(decodeChange({ _tag: 'put', entry: { key, value, version: VERSION } }), put);
     assert.deepEqual(decodeChange({ _tag: 'delete', key, version: REMOVED_AT }), removed);
   });
 }
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -75,4 +75,4 @@
 
 /** Decodes a watch event. */
 export const decodeChange = (event: WatchEvent): Change =>
-  event._tag === 'put' ? decodePut(event.item) : decodeDelete(event.key);
+  event._tag === 'put' ? decodePut(event.entry) : decodeDelete(event.key);
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -7,7 +7,7 @@
 import {
   LEASE_REQUEST_TIMEOUT_MS,
   LEASE_SOCKETS,
-  LIST_PAGE_ITEMS,
+  LIST_PAGE_ENTRIES,
   MAX_RATE_LIMITED_RETRIES,
   MIN_TRANSACTION_CHANGES,
   RATE_LIMITED_RETRY_DELAY_MS,
@@ -181,7 +181,7 @@
       };
       const attempt = await this.send(request, priority);
       const answer = okBody(attempt);
-      if (answer) return { _tag: 'found', item: readEntry(answer.body) };
+      if (answer) return { _tag: 'found', entry: readEntry(answer.body) };
       return statusOf(attempt) === 404 ? { _tag: 'absent' } : failureOf(attempt);
     });
   }
@@ -191,7 +191,7 @@
     return Effect.promise(async (): Promise<ListResult> => {
       const request: StoreRequest = {
         method: 'GET',
-        path: listPath(prefix, after, LIST_PAGE_ITEMS),
+        path: listPath(prefix, after, LIST_PAGE_ENTRIES),
         timeoutMs: STORE_LIST_TIMEOUT_MS,
       };
       const attempt = await this.send(request, priority);
@@ -203,16 +203,16 @@
   /** All pages under a prefix. The revision is that of the first page: a watch from there misses nothing. */
   list(prefix: string, priority: RequestPriority): Effect.Effect<ListResult> {
     return Effect.gen({ self: this }, function* () {
-      const items: StoredEntry[] = [];
+      const entries: StoredEntry[] = [];
       let after: string | null = null;
       let revision = -1;
       for (;;) {
         const page: ListResult = yield* this.page(prefix, after, priority);
         if (page._tag === 'failed') return page;
         if (revision < 0) revision = page.revision;
-        items.push(...page.items);
-        const last = page.items.at(-1);
-        if (!page.more || !last) return { _tag: 'page', items, more: false, revision } as const;
+        entries.push(...page.entries);
+        const last = page.entries.at(-1);
+        if (!page.more || !last) return { _tag: 'page', entries, more: false, revision } as const;
         after = last.key;
       }
     });
--- a/src/kv-store/codec.ts
+++ b/src/kv-store/codec.ts
@@ -108,12 +108,12 @@
 /** Reads a page of a list. */
 export const readPage = (body: unknown): ListPage => {
   const { rows, more, epoch } = body as WirePage;
-  return { _tag: 'page', items: rows.map(readWireEntry), more, revision: epoch };
+  return { _tag: 'page', entries: rows.map(readWireEntry), more, revision: epoch };
 };
 
 const readChange = (change: WireChange): WatchEvent =>
   'write' in change
-    ? { _tag: 'put', item: { key: change.write, value: change.data, version: change.brandMark } }
+    ? { _tag: 'put', entry: { key: change.write, value: change.data, version: change.brandMark } }
     : { _tag: 'delete', key: change.remove, version: change.brandMark };
 
 /** Reads the changes that a watch showed. */
--- a/src/kv-store/model.ts
+++ b/src/kv-store/model.ts
@@ -36,14 +36,14 @@
 
 /** The outcome of reading a key. */
 export type ReadResult =
-  | { readonly _tag: 'found'; readonly item: StoredEntry }
+  | { readonly _tag: 'found'; readonly entry: StoredEntry }
   | { readonly _tag: 'absent' }
   | { readonly _tag: 'failed'; readonly why: string };
 
 /** Entries in the order of their keys, as they were at a revision. */
 export interface ListPage {
   readonly _tag: 'page';
-  readonly items: readonly StoredEntry[];
+  readonly entries: readonly StoredEntry[];
   /** Other entries follow. */
   readonly more: boolean;
   readonly revision: number;
@@ -54,7 +54,7 @@
 
 /** A change that a watch showed. */
 export type WatchEvent =
-  | { readonly _tag: 'put'; readonly item: StoredEntry }
+  | { readonly _tag: 'put'; readonly entry: StoredEntry }
   | { readonly _tag: 'delete'; readonly key: string; readonly version: number };
 
 /** All changes up to a revision, in their order. */
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -54,8 +54,8 @@
   const cache = new WatchCache(new KeyValueStore(TARGET, LIMITS, () => 0, answering(TIMED_OUT)));
   const seen: string[] = [];
   cache.onEvent((event) => seen.push(event._tag));
-  cache.apply({ _tag: 'put', item: { key: 'w/c/0', value: 2, version: 20 } });
-  cache.apply({ _tag: 'put', item: { key: 'w/c/0', value: 1, version: 10 } });
+  cache.apply({ _tag: 'put', entry: { key: 'w/c/0', value: 2, version: 20 } });
+  cache.apply({ _tag: 'put', entry: { key: 'w/c/0', value: 1, version: 10 } });
   cache.apply({ _tag: 'delete', key: 'w/c/0', version: 15 });
   assert.equal(cache.get('w/c/0')?.value, 2);
   cache.apply({ _tag: 'delete', key: 'w/c/0', version: 25 });
--- a/src/kv-store/watch-cache.ts
+++ b/src/kv-store/watch-cache.ts
@@ -60,10 +60,10 @@
 
   /** Shows a change, unless the copy shows it or a later one already. */
   apply(event: WatchEvent): void {
-    const { key, version } = event._tag === 'put' ? event.item : event;
+    const { key, version } = event._tag === 'put' ? event.entry : event;
     const shown = this.get(key);
     if (shown && shown.version >= version) return;
-    if (event._tag === 'put') this.entriesOf(kindOf(key)).set(key, event.item);
+    if (event._tag === 'put') this.entriesOf(kindOf(key)).set(key, event.entry);
     else if (!this.entriesByKind.get(kindOf(key))?.delete(key)) return;
     for (const listener of this.listeners) listener(event);
   }
@@ -85,7 +85,7 @@
         if (!present.has(key)) this.apply({ _tag: 'delete', key, version: revision });
     }
     const inOrder = [...listed].sort((a, b) => a.version - b.version);
-    for (const item of inOrder) this.apply({ _tag: 'put', item });
+    for (const entry of inOrder) this.apply({ _tag: 'put', entry });
     this.shownRevision = revision;
     this.loaded = true;
   }
@@ -98,9 +98,9 @@
       log.debug({ event: 'cache.list_failed', why: all.why });
       return false;
     }
-    this.replaceAll(all.items, all.revision);
+    this.replaceAll(all.entries, all.revision);
     this.confirmedSince = askedAt;
-    log.info({ event: 'cache.loaded', items: all.items.length, revision: all.revision });
+    log.info({ event: 'cache.loaded', items: all.entries.length, revision: all.revision });
     return true;
   });
 
--- a/src/pipelines/final-record-cache.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -34,7 +34,7 @@
       const read = yield* this.store.get(finalKey(id), 'user');
       if (read._tag === 'failed') return { _tag: 'failed' } as const;
       if (read._tag === 'absent') return { _tag: 'absent' } as const;
-      const final = readFinalRecord(read.item.value);
+      const final = readFinalRecord(read.entry.value);
       this.remember(id, final);
       return { _tag: 'found', final } as const;
     });
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -87,8 +87,8 @@
             if (!unsure) return result;
             const now = yield* this.input.store.get(witness, rank);
             const before = when.find((condition) => condition.key === witness)?.version ?? 0;
-            if (now._tag === 'found' && now.item.version !== before) {
-              return { _tag: 'committed', revision: now.item.version };
+            if (now._tag === 'found' && now.entry.version !== before) {
+              return { _tag: 'committed', revision: now.entry.version };
             }
             if (now._tag === 'absent' && before !== 0) return { _tag: 'committed', revision: 0 };
             if (now._tag !== 'failed') return result;
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -72,7 +72,7 @@
         const result = await Effect.runPromise(store.get(key, 'work'));
         switch (result._tag) {
           case 'found':
-            return { _tag: 'revision', revision: result.item.version };
+            return { _tag: 'revision', revision: result.entry.version };
           case 'absent':
             return { _tag: 'absent' };
           case 'failed':
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -299,7 +299,7 @@
         this.onEffectivePriority(record.spec.id);
       }
       const loader = new RunLoader({ shardId: this.shardId, shardState: this.shardState });
-      this.orphanedKeys.discard(loader.loadAll(all.items));
+      this.orphanedKeys.discard(loader.loadAll(all.entries));
       for (const machine of this.shardState.machines.values()) {
         machine.free = null;
         for (const task of machine.reported) {
