--- a/src/claims/claim-decisions.test.ts
+++ b/src/claims/claim-decisions.test.ts
@@ -4,10 +4,10 @@
 import { test } from 'node:test';
 import { decideClaims, type ClaimSituation, type ObservedClaim, type PeerStatus } from './claim-decisions.js';
 
-const claim = (node: string, incarnation = '1', version = 5): ObservedClaim => ({
+const claim = (node: string, incarnation = '1', revision = 5): ObservedClaim => ({
   node,
   incarnation,
-  version,
+  revision,
 });
 const situation = (over: Partial<ClaimSituation>): ClaimSituation => ({
   self: { node: 'n0', incarnation: '1' },
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -24,7 +24,7 @@
 /** A claim as the watch cache shows it. */
 export interface ObservedClaim extends ClaimHolder {
   /** Revision at which it was taken: the holder's fencing token. */
-  readonly version: number;
+  readonly revision: number;
 }
 
 /** What decisions about claims need to know of another controller. */
@@ -56,10 +56,15 @@
   readonly now: number;
 }
 
-/** A claim to take, or to hand to another controller, if its revision is still `version` (0: it is free). */
+/** A claim to take or to hand on, unless it changed since it was observed (revision 0: it was free). */
 export type ClaimAction =
-  | { readonly _tag: 'take'; readonly claimName: string; readonly version: number }
-  | { readonly _tag: 'hand'; readonly claimName: string; readonly version: number; readonly to: PeerStatus };
+  | { readonly _tag: 'take'; readonly claimName: string; readonly observedRevision: number }
+  | {
+      readonly _tag: 'hand';
+      readonly claimName: string;
+      readonly observedRevision: number;
+      readonly to: PeerStatus;
+    };
 
 /** Do both names stand for the same process? */
 export const isSameHolder = (one: ClaimHolder, other: ClaimHolder): boolean =>
@@ -103,7 +108,7 @@
   situation.claimNames.flatMap((claimName): readonly ClaimAction[] => {
     const claim = situation.claims.get(claimName);
     const take = claim ? isPredecessors(situation, claim) : mayTakeFree(situation, claimName);
-    return take ? [{ _tag: 'take', claimName, version: claim?.version ?? 0 }] : [];
+    return take ? [{ _tag: 'take', claimName, observedRevision: claim?.revision ?? 0 }] : [];
   });
 
 /** Can the peer hold a claim: does it answer, has it a lease, and does it reach the store? */
@@ -116,7 +121,7 @@
     const claim = situation.claims.get(claimName);
     if (!claim || !isSameHolder(claim, situation.self)) return [];
     const to = peerNamed(situation, controller);
-    return to && canHold(to) ? [{ _tag: 'hand', claimName, version: claim.version, to }] : [];
+    return to && canHold(to) ? [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }] : [];
   });
 
 /** The preferred holder of a shard, if it holds none and has been up long enough to be handed this one. */
@@ -136,7 +141,7 @@
     const claim = situation.claims.get(claimName);
     if (!claim || !isSameHolder(claim, situation.self)) continue;
     const to = handbackTarget(situation, claimName);
-    if (to) return [{ _tag: 'hand', claimName, version: claim.version, to }];
+    if (to) return [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }];
   }
   return [];
 };
--- a/src/claims/claim-keeper.ts
+++ b/src/claims/claim-keeper.ts
@@ -104,7 +104,7 @@
       const { holder, lease } = nextHolder(action, this.dependencies.self, ownLease);
       const key = claimKey(action.claimName);
       const result = yield* this.store.compareAndSwap(
-        [{ key, version: action.version }],
+        [{ key, version: action.observedRevision }],
         [{ _tag: 'put', key, value: writeClaim(holder), lease }],
         'vital',
       );
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -55,7 +55,7 @@
   /** The claim as the watch cache shows it; undefined: nobody holds it. */
   claim(claimName: string): ObservedClaim | undefined {
     const entry = this.cache.get(claimKey(claimName));
-    return entry && { ...readClaim(entry.value), version: entry.version };
+    return entry && { ...readClaim(entry.value), revision: entry.version };
   }
 
   /**
@@ -64,7 +64,7 @@
    */
   ownRevision(claimName: string): number | null {
     const claim = this.claim(claimName);
-    return claim && isSameHolder(claim, this.dependencies.self) ? claim.version : null;
+    return claim && isSameHolder(claim, this.dependencies.self) ? claim.revision : null;
   }
 
   /**
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -59,7 +59,7 @@
     store: state.store,
     valueBytes: deployment.valueBytes,
     now: clocks.steady,
-    leaderClaim: () => leases.claim(LEADER_CLAIM)?.version ?? null,
+    leaderClaim: () => leases.claim(LEADER_CLAIM)?.revision ?? null,
     cutOff: () => cutOffSummaries(context, coordination, shards),
     transferMachines: (shardId, moves) => void transfers.carryOut(shardId, moves),
   });
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -31,7 +31,7 @@
   const { leases, relay } = sources;
   const direct = directSummaries(sources);
   const relayed = (shardId: number): ShardSummary | null =>
-    relay.summary(shardId, leases.claim(String(shardId))?.version ?? NO_CLAIM);
+    relay.summary(shardId, leases.claim(String(shardId))?.revision ?? NO_CLAIM);
   const summaryOf = (shardId: number): ShardSummary | null =>
     direct.find((summary) => summary.shardId === shardId) ?? relayed(shardId);
   return Array.from({ length: sources.shardCount }, (_, shardId) => summaryOf(shardId)).filter(
--- a/src/duties/registry.ts
+++ b/src/duties/registry.ts
@@ -91,7 +91,7 @@
   /** The claim on a slot changed in this node's copy of the shared keys. */
   onClaim(claimName: string): void {
     const claim = this.input.leases.claim(claimName);
-    if (claim) this.audit.holder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
+    if (claim) this.audit.holder(claimName, tokenOf(claim.revision), claim.node, claim.incarnation);
     else this.audit.end(claimName, 'lease ended');
     const ownRevision = this.input.leases.ownRevision(claimName);
     for (const duty of this.duties.values()) {
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -14,7 +14,7 @@
   const registry = new DutyRegistry({
     leases: {
       claimNames: [LEADER_CLAIM],
-      claim: () => ({ node: 'n0', incarnation: '1', version: revision }),
+      claim: () => ({ node: 'n0', incarnation: '1', revision }),
       ownRevision: () => revision,
       actingRevision: () => (mayAct() ? revision : null),
     },
