--- a/eslint.config.js
+++ b/eslint.config.js
@@ -10,10 +10,15 @@
 const cleanedModules = [
   'packages/fencing',
   'src/cancellation',
+  'src/claims',
   'src/cli',
+  'src/concurrency',
   'src/constants/command-line.ts',
+  'src/constants/key-value-store.ts',
+  'src/constants/leases.ts',
   'src/controller',
   'src/duties',
+  'src/kv-store',
   'src/main.ts',
   'src/peers',
   'src/repository-checks',
@@ -28,7 +33,6 @@
   ...TEST_FILES,
   '**/*codec.ts',
   'src/settings/schema.ts',
-  'src/kv-store/client.ts',
   'src/fleet/cloud.ts',
   'src/testing/**/*.ts',
 ];
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -8,7 +8,7 @@
 import { readClaim } from '../claims/codec.js';
 import type { ShardSummary } from '../fleet/records.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import { claimKey, markKey } from '../kv-store/keys.js';
+import { claimKey, acknowledgementKey } from '../kv-store/keys.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { AcknowledgementClient, type PeerRequest } from './acknowledgement-client.js';
@@ -89,7 +89,7 @@
         case 'absent':
           return { _tag: 'unclaimed' } as const;
         case 'found':
-          return heldClaim(read.item.value, read.item.version);
+          return heldClaim(read.entry.value, read.entry.version);
       }
     });
   }
@@ -97,7 +97,7 @@
   /** What is known of the holder without asking it. */
   private knownEvidence(shardId: number, holder: string): CancellationEvidence {
     const { cache, summaries, supportsAcknowledgement } = this.dependencies;
-    const recorded = cache.get(markKey(String(shardId)));
+    const recorded = cache.get(acknowledgementKey(String(shardId)));
     return {
       acknowledged: null,
       summary: summaries().find((summary) => summary.shardId === shardId) ?? null,
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -6,7 +6,7 @@
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import { claimKey, markKey } from '../kv-store/keys.js';
+import { claimKey, acknowledgementKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { writeDurableAcknowledgement } from './codec.js';
 
@@ -58,7 +58,7 @@
   private record({ shardId, claim }: ClaimedShard): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { store, cache } = this.dependencies;
-      const key = markKey(String(shardId));
+      const key = acknowledgementKey(String(shardId));
       const before = cache.get(key);
       const { revision } = cache;
       const result = yield* store.compareAndSwap(
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -71,18 +71,19 @@
     beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
-    me: deployment.me,
-    nodes: deployment.nodes,
+    self: deployment.me,
+    controllers: deployment.nodes,
     shardCount: deployment.shardCount,
     peers: () => peers.statuses(),
     outageGraceUntil: () =>
       outageGrace({
-        nodes: deployment.nodes.length,
+        controllerCount: deployment.nodes.length,
         msSinceStoreAnswered: storeAccess.msSinceAnswered,
         peers,
         protocolVersion,
         cache: storeAccess.cache,
-        workers: settings.facts.workers,
+        cancellationLimitS: settings.facts.workers.cancel_s,
+        workerLeaseS: settings.facts.workers.lease_s,
       }),
     unreachableShards: dependencies.unreachableShards,
     now: clocks.lease,
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -63,7 +63,7 @@
     store: context.storeAccess.store,
     valueBytes: context.deployment.valueBytes,
     now: context.clocks.steady,
-    leaderClaim: () => coordination.leases.claim(LEADER_CLAIM)?.version ?? null,
+    leaderClaim: () => coordination.leases.claim(LEADER_CLAIM)?.revision ?? null,
     summariesToRelay: () => summariesToRelay(context, coordination, shards),
     transferMachines: (shardId, ordered) => void transfers().carryOut(shardId, ordered),
   });
--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -117,7 +117,7 @@
 
   private auditHolder(claimName: string): void {
     const claim = this.dependencies.leases.claim(claimName);
-    if (claim) this.audit.recordHolder(claimName, tokenOf(claim.version), claim.node, claim.incarnation);
+    if (claim) this.audit.recordHolder(claimName, tokenOf(claim.revision), claim.node, claim.incarnation);
     else this.audit.recordEnd(claimName, 'lease ended');
   }
 
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -4,7 +4,8 @@
  */
 import type { FencedValue, FencingToken, Permit, ReadOutcome, WriteOutcome } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Condition, TransactionResult, Write } from '../kv-store/model.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
@@ -50,7 +51,7 @@
     const result = await Effect.runPromise(store.get(key, 'user'));
     switch (result._tag) {
       case 'found':
-        return { _tag: 'read', entry: { value: result.item.value, revision: result.item.version } };
+        return { _tag: 'read', entry: { value: result.entry.value, revision: result.entry.version } };
       case 'absent':
         return { _tag: 'read', entry: { value: null, revision: 0 } };
       case 'failed':
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { WatchEvent } from '../kv-store/client.js';
+import type { WatchEvent } from '../kv-store/model.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { MachineIndex } from './machine-index.js';
 import { machineRecord } from '../testing/bodies.js';
@@ -8,7 +8,7 @@
 
 const put = (id: string, over: Partial<MachineRecord> = {}): WatchEvent => ({
   _tag: 'put',
-  item: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(over)), version: 1 },
+  entry: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(over)), version: 1 },
 });
 const remove = (id: string): WatchEvent => ({ _tag: 'delete', key: `w/m/${id}`, version: 2 });
 
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,5 +1,5 @@
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
-import type { WatchEvent } from '../kv-store/client.js';
+import type { WatchEvent } from '../kv-store/model.js';
 import { parseSharedKey } from '../kv-store/keys.js';
 import { readMachineRecord, type MachineRecord } from './records.js';
 
@@ -40,14 +40,14 @@
   readonly releasing = new Set<string>();
 
   onEvent(event: WatchEvent): void {
-    const key = parseSharedKey(event._tag === 'put' ? event.item.key : event.key);
+    const key = parseSharedKey(event._tag === 'put' ? event.entry.key : event.key);
     if (key._tag !== 'machine') return;
     const id = key.machine;
     const before = this.records.get(id);
     if (before) this.count(id, before, -1);
     this.records.delete(id);
     if (event._tag !== 'put') return;
-    const record = readMachineRecord(event.item.value);
+    const record = readMachineRecord(event.entry.value);
     this.records.set(id, record);
     this.count(id, record, 1);
   }
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,7 +1,8 @@
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_TRANSACTIONS } from '../constants/placement.js';
-import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
+import type { KeyValueStore } from '../kv-store/client.js';
+import type { Condition, TransactionResult, Write } from '../kv-store/model.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
@@ -86,8 +87,8 @@
             if (!unsure) return result;
             const now = yield* this.input.store.get(witness, rank);
             const before = when.find((condition) => condition.key === witness)?.version ?? 0;
-            if (now._tag === 'found' && now.item.version !== before) {
-              return { _tag: 'committed', revision: now.item.version };
+            if (now._tag === 'found' && now.entry.version !== before) {
+              return { _tag: 'committed', revision: now.entry.version };
             }
             if (now._tag === 'absent' && before !== 0) return { _tag: 'committed', revision: 0 };
             if (now._tag !== 'failed') return result;
