--- a/src/peers/relay-size.ts
+++ b/src/peers/relay-size.ts
@@ -49,7 +49,7 @@
   spares: firstHalf(summary.spares),
 });
 
-/** A summary whose stored form has at most `valueBytes`, as long as halving its lists changes anything. */
+/** A summary whose stored form has at most `valueBytes`; one class of demand with few gangs has to fit. */
 export const shortenSummary = (summary: ShardSummary, valueBytes: number): ShardSummary => {
   let short = summary;
   while (isTooLong(writeSummary(short), valueBytes) && short.needs.length + short.spares.length > 0)
