--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -36,7 +36,7 @@
     limits: deployment.limits,
     counts: (job, team) => {
       const shardId = deployment.shardOf(team);
-      return sharding.shards.actingShard(shardId)?.counts(job) ?? peers.counts(shardId, job);
+      return sharding.shards.actingShard(shardId)?.taskCounts(job) ?? peers.counts(shardId, job);
     },
     wall: clocks.wall,
   });
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -95,7 +95,7 @@
 
   /** Task counts of the jobs of the shards held, as heartbeats carry them. */
   taskCounts(): PeerHeartbeat['counts'] {
-    return [...this.running].map(([shardId, { shard }]) => ({ shardId, jobs: shard.allCounts() }));
+    return [...this.running].map(([shardId, { shard }]) => ({ shardId, jobs: shard.allTaskCounts() }));
   }
 
   /** The shards that this process may act for and whose runs are read. */
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -17,7 +17,7 @@
 
 /** The node that hears the shard's workers while this one hears none of them; null: there is no such node. */
 const nodeReachedInstead = (shard: Shard, peers: MisroutingInput['peers']): string | null => {
-  const { machines, heard } = shard.hearing();
+  const { machines, heard } = shard.heartbeatCoverage();
   if (machines === 0 || heard > 0) return null;
   const misrouted = peers.misroutedHeartbeats(String(shard.shardId));
   return misrouted && misrouted.count >= machines * MISROUTED_FRACTION ? misrouted.node : null;
--- a/src/controller/shard-input.ts
+++ b/src/controller/shard-input.ts
@@ -4,7 +4,7 @@
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
-import type { ShardContext } from '../placement/shard.js';
+import type { ShardContext } from '../placement/shard-context.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import type { Leadership } from './leadership.js';
@@ -24,7 +24,7 @@
 /** What depends on the shard and its claim; the rest is the same for all shards. */
 type ClaimInput = Pick<
   ShardContext,
-  'mayAct' | 'reservations' | 'direct' | 'releaseNow' | 'cleanUp' | 'loaded'
+  'mayAct' | 'reservations' | 'sendCommands' | 'releaseNow' | 'cleanUp' | 'onLoaded'
 >;
 
 const createClaimInput = (dependencies: ShardDependencies, shardId: number, claim: number): ClaimInput => {
@@ -35,7 +35,7 @@
     mayAct: mayAct,
     reservations: () => leadership().reservations.forShard(shardId),
     // Asked for at the very moment of sending: this process may have stood still since the decision.
-    direct: (addr, token, agentEpoch, commands) =>
+    sendCommands: (addr, token, agentEpoch, commands) =>
       mayAct()
         ? context.ports.workerClient.send(addr, token, agentEpoch, commands)
         : Promise.resolve({ _tag: 'refused', heartbeat: null }),
@@ -53,7 +53,7 @@
         machines,
       ),
     cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
-    loaded: () => duties.registry.shardLoaded(shardId, claim),
+    onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
 
@@ -71,7 +71,7 @@
     cache: state.cache,
     catalog: state.catalog,
     scarceDemand: (type) => scarceTypes.demand(type),
-    bootBound: (type) => bootBoundTypes.has(type),
+    isBootBound: (type) => bootBoundTypes.has(type),
     shardOfTeam: deployment.shardByTeam,
     limits: deployment.limits,
     guarantees: deployment.guarantees,
@@ -79,14 +79,14 @@
     workers: settings.facts.workers,
     valueBytes: deployment.valueBytes,
     maySplit: () => coordination.protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
-    coreShare: settings.facts.quota.core_share,
+    coreFraction: settings.facts.quota.core_share,
     spareElsewhere: dependencies.spareElsewhere,
     now: clocks.steady,
     processorMs: ports.processorMs,
     wall: clocks.wall,
-    settled: (job, final) => pipelines.settle(job, final),
+    onFinalRecord: (job, final) => pipelines.settle(job, final),
     readiness: (job) => pipelines.readiness(job),
     effectivePriority: (job) => pipelines.effectivePriority(job),
-    changed: () => coordination.peers.notifyLeader(),
+    notifyLeader: () => coordination.peers.notifyLeader(),
   };
 };
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -5,7 +5,8 @@
 import { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import { ScarceTypes } from '../fleet/scarce-types.js';
 import { Pipelines } from '../pipelines/pipelines.js';
-import { Shard, type ShardContext } from '../placement/shard.js';
+import { Shard } from '../placement/shard.js';
+import type { ShardContext } from '../placement/shard-context.js';
 import type { ControllerContext } from './context.js';
 import type { Coordination } from './coordination.js';
 import { HeldShards } from './held-shards.js';
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -6,12 +6,12 @@
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
 /** What the transactions need of their share. */
-export interface ClaimTransactionsInput {
+export interface ClaimTransactionsDependencies {
   readonly store: KeyValueStore;
   readonly shardId: number;
   readonly claim: number;
   /** Another holder's claim showed up in a condition. */
-  readonly lost: () => void;
+  readonly markLost: () => void;
   readonly isLost: () => boolean;
 }
 
@@ -20,14 +20,14 @@
   private running = 0;
   private readonly queue: (() => void)[] = [];
 
-  constructor(private readonly input: ClaimTransactionsInput) {}
+  constructor(private readonly dependencies: ClaimTransactionsDependencies) {}
 
-  private guard(): Condition {
-    return { key: claimKey(String(this.input.shardId)), version: this.input.claim };
+  private claimCondition(): Condition {
+    return { key: claimKey(String(this.dependencies.shardId)), version: this.dependencies.claim };
   }
 
   /** Transactions under way are few: each has its time limit, which waiting for a socket would use up. */
-  private async slotted<A>(work: () => Promise<A>): Promise<A> {
+  private async withSlot<A>(work: () => Promise<A>): Promise<A> {
     if (this.running >= MAX_CONCURRENT_TRANSACTIONS)
       await new Promise<void>((resolve) => {
         this.queue.push(resolve);
@@ -53,7 +53,7 @@
     witness: string,
     rank: RequestPriority,
   ): Promise<TransactionResult> {
-    return this.slotted(() => Effect.runPromise(this.attempts(when, writes, witness, rank)));
+    return this.withSlot(() => Effect.runPromise(this.attempts(when, writes, witness, rank)));
   }
 
   private attempts(
@@ -65,8 +65,12 @@
     return Effect.gen({ self: this }, function* () {
       let unsure = false;
       for (;;) {
-        if (this.input.isLost() && !unsure) return { _tag: 'refused', why: 'lost' };
-        const result = yield* this.input.store.compareAndSwap([this.guard(), ...when], writes, rank);
+        if (this.dependencies.isLost() && !unsure) return { _tag: 'refused', why: 'lost' };
+        const result = yield* this.dependencies.store.compareAndSwap(
+          [this.claimCondition(), ...when],
+          writes,
+          rank,
+        );
         switch (result._tag) {
           case 'committed':
             return result;
@@ -79,12 +83,12 @@
             unsure = true;
             break;
           case 'conflict': {
-            if (result.failed.includes(this.guard().key)) {
-              this.input.lost();
+            if (result.failed.includes(this.claimCondition().key)) {
+              this.dependencies.markLost();
               return result;
             }
             if (!unsure) return result;
-            const now = yield* this.input.store.get(witness, rank);
+            const now = yield* this.dependencies.store.get(witness, rank);
             const before = when.find((condition) => condition.key === witness)?.version ?? 0;
             if (now._tag === 'found' && now.item.version !== before) {
               return { _tag: 'committed', revision: now.item.version };
@@ -94,7 +98,7 @@
             break;
           }
         }
-        if (this.input.isLost()) return { _tag: 'refused', why: 'lost' };
+        if (this.dependencies.isLost()) return { _tag: 'refused', why: 'lost' };
         yield* Effect.sleep(STORE_RETRY_DELAY_MS);
       }
     });
@@ -106,8 +110,8 @@
    */
   async remove(keys: readonly string[]): Promise<boolean> {
     const result = await Effect.runPromise(
-      this.input.store.compareAndSwap(
-        [this.guard()],
+      this.dependencies.store.compareAndSwap(
+        [this.claimCondition()],
         keys.map((key) => ({ _tag: 'delete', key })),
         'work',
       ),
--- /dev/null
+++ b/src/placement/direct-commands.ts
@@ -0,0 +1,159 @@
+/**
+ * Commands that go straight to workers instead of waiting for their next heartbeat. Owns no state: it notes on
+ * each machine which `run`s are unacknowledged. `Binder` sends runs, `Shard` sends stops, `ShardChanges`
+ * announces tokens.
+ */
+import { log } from '../log.js';
+import type { Command, WorkerHeartbeat } from '../workers/model.js';
+import type { DirectResult } from '../workers/worker-client.js';
+import { onMachine } from './attempt-phase.js';
+import { noteLastSeen, tokenOf } from './heartbeat-order.js';
+import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
+import type { CommandSender } from './shard-context.js';
+import { bindingKey, type Binding, type ShardMachine } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+
+/** What the direct commands need of their shard. */
+export interface DirectCommandsDependencies
+  extends
+    Pick<ShardIdentity, 'claim'>,
+    SteadyClock,
+    Pick<StageQueries, 'isLoaded' | 'isLost'>,
+    RoundTrigger,
+    CommandSender {
+  readonly shardState: ShardState;
+}
+
+const keyOf = (binding: Binding): string => bindingKey(binding.job, binding.index, binding.attempt);
+
+const runCommand = ({ job, index, attempt }: Binding): Command => ({ _tag: 'run', job, index, attempt });
+
+const stopCommand = ({ job, index, attempt, stop }: Binding): Command => ({
+  _tag: 'stop',
+  job,
+  index,
+  attempt,
+  graceS: stop?.graceS ?? 0,
+});
+
+/** Sends commands to the workers of one shard, and reads what they answer. */
+export class DirectCommands {
+  constructor(private readonly dependencies: DirectCommandsDependencies) {}
+
+  /**
+   * Stops go out directly too: all members of a gang must hear of an orderly stop within the time that its
+   * tasks wait for each other, and heartbeats alone may take as long. A late copy stops only what is to stop
+   * anyway.
+   */
+  sendStops(): void {
+    const { stopsToSend } = this.dependencies.shardState;
+    if (stopsToSend.size === 0) return;
+    const waiting = [...stopsToSend].filter((binding) => binding.stop && onMachine(binding.phase));
+    stopsToSend.clear();
+    for (const [machine, bindings] of this.groupByMachine(waiting)) {
+      void this.send(machine, bindings.map(stopCommand)).then((result) => {
+        if (result._tag === 'executed') this.onResponse(machine, result.heartbeat);
+      });
+    }
+  }
+
+  /** Sends the `run`s of tasks that were just bound. */
+  sendRuns(bindings: readonly Binding[]): void {
+    const toRun = bindings.filter((binding) => binding.phase._tag === 'bound' && !binding.stop);
+    for (const [machine, ofMachine] of this.groupByMachine(toRun)) {
+      // The answer that is held for this round carries them.
+      if (machine.heldAnswers > 0) continue;
+      const token = this.token(machine);
+      for (const binding of ofMachine) machine.unacknowledgedRuns.set(keyOf(binding), token);
+      void this.send(machine, ofMachine.map(runCommand)).then((result) =>
+        this.onRunsAnswered(machine, ofMachine, token, result),
+      );
+    }
+  }
+
+  private onRunsAnswered(
+    machine: ShardMachine,
+    bindings: readonly Binding[],
+    token: number,
+    result: DirectResult,
+  ): void {
+    switch (result._tag) {
+      case 'executed':
+      case 'refused':
+        for (const binding of bindings) {
+          const key = keyOf(binding);
+          if (machine.unacknowledgedRuns.get(key) === token) machine.unacknowledgedRuns.delete(key);
+        }
+        if (result._tag === 'executed') this.onResponse(machine, result.heartbeat);
+        return;
+      case 'unsure':
+        machine.raiseToken = true;
+        log.info({ event: 'direct_commands.unacknowledged', machine: machine.id, tasks: bindings.length });
+        this.dependencies.requestRound();
+    }
+  }
+
+  /** Tells the worker of a machine that came from another shard its new token at once. */
+  announceToken(machine: ShardMachine, agentEpoch: number): void {
+    const token = this.token(machine);
+    void this.dependencies.sendCommands(machine.addr, token, agentEpoch, []).then((result) => {
+      if (result._tag === 'executed') this.onTokenAnnounced(machine, token, result.heartbeat);
+    });
+  }
+
+  private onTokenAnnounced(machine: ShardMachine, token: number, heartbeat: WorkerHeartbeat): void {
+    const { shardState, now, requestRound } = this.dependencies;
+    if (shardState.machines.get(machine.id) !== machine || this.token(machine) !== token) return;
+    if (heartbeat.token !== token) return;
+    if (machine.confirmedToken !== 0 || machine.answeredAt !== null) return;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.sequenceNumber = heartbeat.sequenceNumber;
+    machine.confirmedToken = token;
+    machine.everConfirmedToken = true;
+    machine.reportedTasks = heartbeat.tasks;
+    machine.free = null;
+    // Later than the last answer of any earlier holder that the worker can have accepted.
+    machine.answeredAt = now();
+    requestRound();
+  }
+
+  /**
+   * What a direct answer shows is there is there. What it doesn't show proves nothing: the answer to a
+   * heartbeat may be on its way at the same time.
+   */
+  private onResponse(machine: ShardMachine, heartbeat: WorkerHeartbeat): void {
+    const { shardState, isLost, isLoaded } = this.dependencies;
+    if (isLost() || !isLoaded() || shardState.machines.get(machine.id) !== machine) return;
+    if (heartbeat.agentEpoch < machine.agentEpoch) return;
+    for (const task of heartbeat.tasks) {
+      const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
+      if (!binding) continue;
+      const { lastSeen } = binding;
+      const shownAlready =
+        lastSeen?.agentEpoch === heartbeat.agentEpoch && lastSeen.sequenceNumber >= heartbeat.sequenceNumber;
+      if (!shownAlready) shardState.apply(binding, { _tag: 'reported', state: task.state });
+    }
+    noteLastSeen(machine, heartbeat);
+  }
+
+  private send(machine: ShardMachine, commands: readonly Command[]): Promise<DirectResult> {
+    return this.dependencies.sendCommands(machine.addr, this.token(machine), machine.agentEpoch, commands);
+  }
+
+  private token(machine: ShardMachine): number {
+    return tokenOf(this.dependencies.claim, machine);
+  }
+
+  /** Bindings by machine, of those machines that can be reached and have taken up the token. */
+  private groupByMachine(bindings: Iterable<Binding>): ReadonlyMap<ShardMachine, Binding[]> {
+    const groups = new Map<ShardMachine, Binding[]>();
+    for (const binding of bindings) {
+      const machine = this.dependencies.shardState.machines.get(binding.machine);
+      if (!machine || machine.addr === '' || machine.confirmedToken === 0) continue;
+      const group = groups.get(machine);
+      if (group) group.push(binding);
+      else groups.set(machine, [binding]);
+    }
+    return groups;
+  }
+}
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -14,7 +14,7 @@
 }
 
 /** What the writer of final records needs of its share. */
-export interface FinalRecordWriterInput {
+export interface FinalRecordWriterDependencies {
   readonly transactions: ClaimTransactions;
   readonly store: KeyValueStore;
   readonly shardId: number;
@@ -24,11 +24,11 @@
 
 /** Writes the final records of jobs that are over, in place of everything else that is stored of them. */
 export class FinalRecordWriter {
-  constructor(private readonly input: FinalRecordWriterInput) {}
+  constructor(private readonly dependencies: FinalRecordWriterDependencies) {}
 
   /** How many changes the final record of a job takes, with all its runs. */
-  finalSize(job: ShardJob): number {
-    let parts = job.parts;
+  changesOf(job: ShardJob): number {
+    let parts = job.dependencyParts;
     for (const chunk of job.chunks.values()) parts += 1 + chunk.parts;
     return 2 + parts;
   }
@@ -43,7 +43,7 @@
     const writes: Write[] = [];
     const finals = jobs.map(({ job, state }) => ({
       job,
-      final: { state, at: this.input.wall(), tasks: job.spec.tasks },
+      final: { state, at: this.dependencies.wall(), tasks: job.spec.tasks },
     }));
     for (const { job, final } of finals) {
       job.finishing = true;
@@ -53,11 +53,11 @@
       );
     }
     for (const key of jobs.flatMap(({ job }) => this.keysOf(job))) {
-      if (writes.length < this.input.store.maxTransactionWrites)
+      if (writes.length < this.dependencies.store.maxTransactionWrites)
         writes.push({ _tag: 'delete', key: key.key });
       else orphanedKeys.push(key);
     }
-    const result = await this.input.transactions.commit(
+    const result = await this.dependencies.transactions.commit(
       jobs.flatMap(({ job }) => [
         { key: jobKey(job.spec.id), version: job.version },
         // Only the holder writes it, so it tells whether an unanswered copy was applied; a user's late
@@ -75,12 +75,17 @@
           result._tag === 'conflict' &&
           result.failed.some((key) => key === jobKey(job.spec.id) || key === finalKey(job.spec.id))
         )
-          job.finishAlone = true;
+          job.finishSeparately = true;
       }
       return { done: [], orphanedKeys: [] };
     }
     for (const { job, state } of jobs)
-      log.info({ event: 'job.final', job: job.spec.id, state, ageMs: this.input.wall() - job.at });
+      log.info({
+        event: 'job.finished',
+        job: job.spec.id,
+        state,
+        ageMs: this.dependencies.wall() - job.waitingSince,
+      });
     return { done: finals, orphanedKeys };
   }
 
@@ -91,15 +96,15 @@
       // yet.
       const revision = chunk.version === 0 ? null : chunk.version;
       const parts = Array.from({ length: chunk.parts }, (_, part) =>
-        runPartKey(this.input.shardId, job.spec.id, number, part),
+        runPartKey(this.dependencies.shardId, job.spec.id, number, part),
       );
-      return [runKey(this.input.shardId, job.spec.id, number), ...parts].map((key) => ({
+      return [runKey(this.dependencies.shardId, job.spec.id, number), ...parts].map((key) => ({
         key,
         revision,
         reason: 'job over',
       }));
     });
-    const follows = Array.from({ length: job.parts }, (_, part): OrphanedKey => ({
+    const follows = Array.from({ length: job.dependencyParts }, (_, part): OrphanedKey => ({
       key: followsKey(job.spec.id, part),
       revision: null,
       reason: 'job over',
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -51,7 +51,7 @@
     store,
     shardId: 0,
     claim: 5,
-    lost: () => undefined,
+    markLost: () => undefined,
     isLost: () => false,
   });
   const writer = new RunWriter({
@@ -105,7 +105,7 @@
     );
     found += readRunRecord(value, name.chunk, parts).bindings.length;
   }
-  return { bound, found, carriedOut, job, valid: validAttempt(first), writing: job.writing };
+  return { bound, found, carriedOut, job, valid: validAttempt(first), writing: job.writesUnderWay };
 };
 
 /**
@@ -126,7 +126,7 @@
       const part = await bindUntil(row, ended);
       assert.deepEqual([part.bound, part.found, part.writing], [false, 0, 0], `ended after ${ended}`);
       // Parts that are left behind are written over.
-      assert.ok([...part.job.chunks.values()].every((chunk) => chunk.dirtyFrom !== null));
+      assert.ok([...part.job.chunks.values()].every((chunk) => chunk.dirtySince !== null));
     }
   });
 }
--- /dev/null
+++ b/src/placement/heartbeat-order.ts
@@ -0,0 +1,30 @@
+/**
+ * Which of two messages of a worker is the newer, and what tokens they are judged by. No state of its own;
+ * `WorkerSessions` and `DirectCommands` call it.
+ */
+import type { WorkerHeartbeat } from '../workers/model.js';
+import { bindingKey, type ShardMachine } from './shard-model.js';
+
+/** A worker's session, and the number of a message within it. */
+export interface MessagePosition {
+  readonly agentEpoch: number;
+  readonly sequenceNumber: number;
+}
+
+/** Is a message later than another of the same worker? */
+export const isNewer = (message: MessagePosition, other: MessagePosition): boolean =>
+  message.agentEpoch > other.agentEpoch ||
+  (message.agentEpoch === other.agentEpoch && message.sequenceNumber > other.sequenceNumber);
+
+/** The fencing token for a machine: the later revision of the shard's claim and of the machine's record. */
+export const tokenOf = (claim: number, machine: ShardMachine): number => Math.max(claim, machine.version);
+
+/** Notes, for each binding that a message shows, that this is the newest message which did. */
+export const noteLastSeen = (machine: ShardMachine, heartbeat: WorkerHeartbeat): void => {
+  for (const task of heartbeat.tasks) {
+    const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
+    if (!binding) continue;
+    if (binding.lastSeen && !isNewer(heartbeat, binding.lastSeen)) continue;
+    binding.lastSeen = { agentEpoch: heartbeat.agentEpoch, sequenceNumber: heartbeat.sequenceNumber };
+  }
+};
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -10,7 +10,7 @@
 import type { MachineAssignment, MachineRecordWriter } from './machine-record-writer.js';
 
 /** What the machine lifecycle needs of its share. */
-export interface MachineLifecycleInput {
+export interface MachineLifecycleDependencies {
   readonly shardId: number;
   readonly store: KeyValueStore;
   readonly shardState: ShardState;
@@ -19,55 +19,57 @@
   readonly records: MachineRecordWriter;
   readonly now: () => number;
   /** The share has been rebuilt, so it may place work and give machines away. */
-  readonly placing: () => boolean;
+  readonly isPlacing: () => boolean;
   /** The share's claim is no longer held by this process. */
-  readonly lost: () => boolean;
+  readonly isLost: () => boolean;
   /** Returns machines to the cloud at once, without a record of it; true: they are gone. */
   readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
 }
 
 /** What becomes of a share's machines: leases that run out, returns to the cloud, moves to other shares. */
 export class MachineLifecycle {
-  private watchedAt = 0;
-  private returnAskedAt = Number.NEGATIVE_INFINITY;
+  private checkedAt = 0;
+  private urgentReleaseAt = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly input: MachineLifecycleInput) {}
+  constructor(private readonly dependencies: MachineLifecycleDependencies) {}
 
-  watch(): void {
-    const now = this.input.now();
-    if (now - this.watchedAt < MACHINE_CHECK_INTERVAL_MS) return;
-    this.watchedAt = now;
-    for (const machine of this.input.liveness.watch()) {
-      log.info({ event: 'machine.lease_over', machine: machine.id, tasks: machine.bound.size });
+  check(): void {
+    const now = this.dependencies.now();
+    if (now - this.checkedAt < MACHINE_CHECK_INTERVAL_MS) return;
+    this.checkedAt = now;
+    for (const machine of this.dependencies.liveness.updateAndFindExpired()) {
+      log.info({ event: 'machine.lease_expired', machine: machine.id, tasks: machine.bound.size });
       for (const binding of [...machine.bound.values()])
-        this.input.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
+        this.dependencies.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
     }
-    const overdue = this.input.liveness.overdue(this.input.shardState.jobs.values());
+    const overdue = this.dependencies.liveness.machinesWithOverdueCancellations(
+      this.dependencies.shardState.jobs.values(),
+    );
     this.releaseNow(overdue.map((machine) => machine.id));
     const release = [
       ...overdue
         .filter((machine) => !machine.releasing)
-        .map((machine) => ({ machine, why: 'cancelled and not gone' })),
-      ...this.input.liveness
-        .toRelease(this.input.placing())
+        .map((machine) => ({ machine, reason: 'cancelled and not gone' })),
+      ...this.dependencies.liveness
+        .machinesToRelease(this.dependencies.isPlacing())
         .filter(({ machine }) => !overdue.includes(machine)),
     ];
-    const raise = [...this.input.shardState.machines.values()].filter(
+    const raise = [...this.dependencies.shardState.machines.values()].filter(
       (machine) => machine.raiseToken && !machine.releasing,
     );
     for (const machine of raise) machine.raiseToken = false;
     const records = [
-      ...raise.map((machine): MachineAssignment => ({ machine, shardId: this.input.shardId })),
+      ...raise.map((machine): MachineAssignment => ({ machine, shardId: this.dependencies.shardId })),
       ...release
         .filter(({ machine }) => !raise.includes(machine))
-        .map(({ machine, why }): MachineAssignment => {
-          log.info({ event: 'machine.release_wanted', machine: machine.id, why });
-          return { machine, shardId: this.input.shardId, release: why };
+        .map(({ machine, reason }): MachineAssignment => {
+          log.info({ event: 'machine.release_requested', machine: machine.id, why: reason });
+          return { machine, shardId: this.dependencies.shardId, releaseReason: reason };
         }),
     ];
     while (records.length > 0)
-      void this.input.records.assign(
-        records.splice(0, this.input.store.batchWrites),
+      void this.dependencies.records.assign(
+        records.splice(0, this.dependencies.store.batchWrites),
         raise.length > 0 ? 'bind' : 'work',
       );
   }
@@ -77,20 +79,20 @@
    * early.
    */
   private releaseNow(machines: readonly string[]): void {
-    const now = this.input.now();
-    if (machines.length === 0 || now - this.returnAskedAt < URGENT_RETURN_INTERVAL_MS) return;
-    this.returnAskedAt = now;
+    const now = this.dependencies.now();
+    if (machines.length === 0 || now - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
+    this.urgentReleaseAt = now;
     // The request may be carried out late, whatever its answer: nothing new goes there from now on.
     for (const id of machines) {
-      const machine = this.input.shardState.machines.get(id);
+      const machine = this.dependencies.shardState.machines.get(id);
       if (machine) machine.cordoned = true;
     }
-    void this.input.releaseNow(machines).then((returned) => {
-      if (this.input.lost() || !returned) return;
+    void this.dependencies.releaseNow(machines).then((returned) => {
+      if (this.dependencies.isLost() || !returned) return;
       for (const id of machines) {
-        const machine = this.input.shardState.machines.get(id);
+        const machine = this.dependencies.shardState.machines.get(id);
         for (const binding of [...(machine?.bound.values() ?? [])])
-          this.input.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'released' } });
+          this.dependencies.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'released' } });
       }
     });
   }
@@ -98,37 +100,43 @@
   /**
    * Free for another share: nothing on it but exits that are settled, which any holder may have forgotten.
    */
-  movable(machine: ShardMachine): boolean {
+  isTransferable(machine: ShardMachine): boolean {
     return (
       !machine.releasing &&
       !machine.cordoned &&
       !machine.raiseToken &&
-      this.input.liveness.idle(machine) &&
+      this.dependencies.liveness.isIdle(machine) &&
       machine.unacknowledgedRuns.size === 0 &&
-      machine.noticeAt === null &&
-      machine.health._tag === 'fine' &&
-      machine.reported.every((task) =>
-        this.input.sessions.settled(bindingKey(task.job, task.index, task.attempt), task.job, task.index),
+      machine.reclaimNoticeAt === null &&
+      machine.health._tag === 'healthy' &&
+      machine.reportedTasks.every((task) =>
+        this.dependencies.sessions.isDurablyUnbound(
+          bindingKey(task.job, task.index, task.attempt),
+          task.job,
+          task.index,
+        ),
       )
     );
   }
 
   /** Moves free machines to other shares. Their new assignment raises the token beyond all that we sent. */
   async transferMachines(moves: readonly MachineTransfer[]): Promise<boolean> {
-    if (!this.input.placing()) return false;
+    if (!this.dependencies.isPlacing()) return false;
     const records = moves.flatMap(({ machine: id, to }) => {
-      const machine = this.input.shardState.machines.get(id);
-      return machine && this.movable(machine) ? [{ machine, shardId: to }] : [];
+      const machine = this.dependencies.shardState.machines.get(id);
+      return machine && this.isTransferable(machine) ? [{ machine, shardId: to }] : [];
     });
     if (records.length === 0) return false;
     log.info({
-      event: 'machine.move',
-      from: this.input.shardId,
+      event: 'machine.transfer_started',
+      from: this.dependencies.shardId,
       moves: records.map(({ machine, shardId }) => `${machine.id}>${shardId}`),
     });
     const batches: Promise<boolean>[] = [];
     while (records.length > 0)
-      batches.push(this.input.records.assign(records.splice(0, this.input.store.batchWrites), 'bind'));
+      batches.push(
+        this.dependencies.records.assign(records.splice(0, this.dependencies.store.batchWrites), 'bind'),
+      );
     return (await Promise.all(batches)).some(Boolean);
   }
 }
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -60,7 +60,7 @@
       machines: shardState.machines,
       catalog: () => new Map([['g', machineType]]),
       workers: { lease_s: 18, report_s: 3, cancel_s: 48 },
-      bootBound: () => row.bootBound,
+      isBootBound: () => row.bootBound,
       now: () => NOW,
       wall: () => NOW,
     });
@@ -83,7 +83,7 @@
     machine.answeredAt = NOW;
     machine.confirmedToken = 1;
     machine.idleSince = NOW - row.idleBoots * BOOT_S * 1000;
-    const released = liveness.toRelease(true).map(({ why }) => why);
+    const released = liveness.machinesToRelease(true).map(({ reason: why }) => why);
     assert.deepEqual(released, row.withheldFromSpotWork ? [] : ['idle']);
   });
 }
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -26,12 +26,12 @@
  * What may be said of a share's machines from when they reported. Pure but for the clocks handed in, which
  * walks over all machines read once.
  */
-export interface MachineLivenessInput {
+export interface MachineLivenessDependencies {
   readonly machines: ReadonlyMap<string, ShardMachine>;
   readonly catalog: () => Catalog | null;
   readonly workers: { readonly lease_s: number; readonly report_s: number; readonly cancel_s: number };
   /** Some class misses every start target if a machine of this type has to be booted for it. */
-  readonly bootBound: (type: string) => boolean;
+  readonly isBootBound: (type: string) => boolean;
   readonly now: () => number;
   readonly wall: () => number;
 }
@@ -39,93 +39,94 @@
 /** A machine that is to go back to the cloud. */
 export interface MachineToRelease {
   readonly machine: ShardMachine;
-  readonly why: string;
+  readonly reason: string;
 }
 
-interface Hearing {
+interface Reachability {
   /** This node hears at least half of its machines. */
-  readonly hears: boolean;
+  readonly hearsMost: boolean;
   /** At least half of those that report take up its token. */
-  readonly isHeard: boolean;
+  readonly isHeardByMost: boolean;
   /** The share was read long enough ago for its machines to have reported. */
-  readonly settledIn: boolean;
+  readonly hasSettledIn: boolean;
 }
 
 /** What may be concluded from a machine's reports and its silence. */
 export class MachineLiveness {
   /** ms: when this holder had read the share's runs; null: not yet. */
   loadedAt: number | null = null;
-  readonly deafMs: number;
-  readonly rebuildMs: number;
-  private readonly spotSilentMs: number;
+  readonly unreachableAfterMs: number;
+  readonly rebuildTimeoutMs: number;
+  private readonly spotSilenceMs: number;
   /**
    * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
    * cloud.
    */
-  readonly returnMs: number;
+  readonly cancelledReturnMs: number;
   /** The full lease, with drift, that this holder must see pass after its last answer. */
   readonly leaseMs: number;
 
-  constructor(private readonly input: MachineLivenessInput) {
-    const reportMs = input.workers.report_s * 1000;
-    this.deafMs = reportMs * UNREACHABLE_REPORT_INTERVALS;
-    this.rebuildMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
-    this.spotSilentMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
-    this.returnMs = input.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
-    this.leaseMs = input.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
+  constructor(private readonly dependencies: MachineLivenessDependencies) {
+    const reportMs = dependencies.workers.report_s * 1000;
+    this.unreachableAfterMs = reportMs * UNREACHABLE_REPORT_INTERVALS;
+    this.rebuildTimeoutMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
+    this.spotSilenceMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
+    this.cancelledReturnMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
+    this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
-  private bootS(machine: ShardMachine, unknown: number): number {
-    return this.input.catalog()?.get(machine.type)?.bootS ?? unknown;
+  private bootSecondsOf(machine: ShardMachine, unknown: number): number {
+    return this.dependencies.catalog()?.get(machine.type)?.bootS ?? unknown;
   }
 
   /** Never heard, and young enough that it may still come up. */
-  booting(machine: ShardMachine, wall = this.input.wall()): boolean {
+  isBooting(machine: ShardMachine, wall = this.dependencies.wall()): boolean {
     return (
       machine.answeredAt === null &&
       machine.bound.size === 0 &&
-      wall - machine.since <
-        (this.bootS(machine, UNKNOWN_TYPE_BOOT_S) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_SLACK_S) * 1000
+      wall - machine.recordedAt <
+        (this.bootSecondsOf(machine, UNKNOWN_TYPE_BOOT_S) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_SLACK_S) * 1000
     );
   }
 
   /** Still within the time in which a machine usually comes up: its room counts as coming. */
-  expected(machine: ShardMachine, now: number, wall: number): boolean {
+  isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
     // It came from another share, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
       return now - machine.takenAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
-      this.booting(machine, wall) &&
-      wall - machine.since < (this.bootS(machine, 0) * USUAL_BOOT_FACTOR + USUAL_BOOT_SLACK_S) * 1000
+      this.isBooting(machine, wall) &&
+      wall - machine.recordedAt <
+        (this.bootSecondsOf(machine, 0) * USUAL_BOOT_FACTOR + USUAL_BOOT_SLACK_S) * 1000
     );
   }
 
-  silent(machine: ShardMachine, now: number): boolean {
+  isSilent(machine: ShardMachine, now: number): boolean {
     const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.takenAt);
     return now - from > this.leaseMs;
   }
 
-  live(machine: ShardMachine, now: number): boolean {
+  isLive(machine: ShardMachine, now: number): boolean {
     return (
       machine.confirmedToken !== 0 && now - (machine.answeredAt ?? 0) < this.leaseMs * LIVE_LEASE_FRACTION
     );
   }
 
-  idle(machine: ShardMachine): boolean {
+  isIdle(machine: ShardMachine): boolean {
     return (
       machine.confirmedToken !== 0 &&
       machine.bound.size === 0 &&
-      machine.reported.every((task) => task.state._tag === 'exited')
+      machine.reportedTasks.every((task) => task.state._tag === 'exited')
     );
   }
 
   /** Machines that have reported, and those that did within the last `ms`. */
-  hearing(ms: number): { readonly machines: number; readonly heard: number } {
-    const now = this.input.now();
+  heartbeatCoverage(ms: number): { readonly machines: number; readonly heard: number } {
+    const now = this.dependencies.now();
     let machines = 0;
     let heard = this.loadedAt === null || now - this.loadedAt < ms ? 1 : 0;
-    for (const machine of this.input.machines.values()) {
-      if (machine.answeredAt === null && (now - machine.takenAt < ms || this.booting(machine))) continue;
+    for (const machine of this.dependencies.machines.values()) {
+      if (machine.answeredAt === null && (now - machine.takenAt < ms || this.isBooting(machine))) continue;
       machines += 1;
       if (now - (machine.answeredAt ?? 0) < ms) heard += 1;
     }
@@ -133,11 +134,11 @@
   }
 
   /** Have the machines of a share that was taken over said what is on them, or had their time to? */
-  rebuilt(): boolean {
-    if (this.input.catalog() === null || this.loadedAt === null) return false;
-    if (this.input.now() - this.loadedAt > this.rebuildMs) return true;
-    return [...this.input.machines.values()].every(
-      (machine) => machine.confirmedToken !== 0 || machine.releasing || this.booting(machine),
+  isRebuilt(): boolean {
+    if (this.dependencies.catalog() === null || this.loadedAt === null) return false;
+    if (this.dependencies.now() - this.loadedAt > this.rebuildTimeoutMs) return true;
+    return [...this.dependencies.machines.values()].every(
+      (machine) => machine.confirmedToken !== 0 || machine.releasing || this.isBooting(machine),
     );
   }
 
@@ -146,13 +147,13 @@
    * end it in time: one that hangs may come back within its lease, and each new holder would wait for that
    * lease anew.
    */
-  overdue(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
-    const wall = this.input.wall();
+  machinesWithOverdueCancellations(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
+    const wall = this.dependencies.wall();
     const late = new Set<ShardMachine>();
     for (const job of jobs) {
-      if (job.cancelledAt === null || wall - job.cancelledAt < this.returnMs) continue;
+      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReturnMs) continue;
       for (const binding of job.bindings.values()) {
-        const machine = this.input.machines.get(binding.machine);
+        const machine = this.dependencies.machines.get(binding.machine);
         if (machine) late.add(machine);
       }
     }
@@ -165,24 +166,24 @@
    */
   private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
-      !machine.spot && this.input.bootBound(machine.type)
+      !machine.spot && this.dependencies.isBootBound(machine.type)
         ? BOOT_BOUND_IDLE_HOLD_BOOT_TIMES
         : rank < LONG_IDLE_HOLD_MACHINES
           ? IDLE_HOLD_BOOT_TIMES
           : SURPLUS_IDLE_HOLD_BOOT_TIMES;
-    return Math.max(MIN_IDLE_HOLD_S, this.bootS(machine, 0) * boots) * 1000;
+    return Math.max(MIN_IDLE_HOLD_S, this.bootSecondsOf(machine, 0) * boots) * 1000;
   }
 
   /** Machines to be released now, each with the reason. Looks at each machine once. */
-  toRelease(placing: boolean): readonly MachineToRelease[] {
-    const now = this.input.now();
+  machinesToRelease(placing: boolean): readonly MachineToRelease[] {
+    const now = this.dependencies.now();
     const list: MachineToRelease[] = [];
     const idle = new Map<string, ShardMachine[]>();
-    const hearing = this.judgeHearing(now);
-    for (const machine of this.input.machines.values()) {
+    const hearing = this.reachability(now);
+    for (const machine of this.dependencies.machines.values()) {
       if (machine.releasing) continue;
       const why = this.releaseReason(machine, now, hearing);
-      if (why !== null) list.push({ machine, why });
+      if (why !== null) list.push({ machine, reason: why });
       else if (placing && machine.answeredAt !== null && machine.idleSince !== null) {
         const key = `${machine.type}|${machine.spot}`;
         const known = idle.get(key);
@@ -190,77 +191,79 @@
         else idle.set(key, [machine]);
       }
     }
-    for (const group of idle.values()) list.push(...this.idleTooLong(group, now));
+    for (const group of idle.values()) list.push(...this.idleBeyondHold(group, now));
     return list;
   }
 
   /** Whether silence speaks for a fault of machines, or of this node. */
-  private judgeHearing(now: number): Hearing {
+  private reachability(now: number): Reachability {
     let unconfirmed = 0;
     let reporting = 0;
-    for (const machine of this.input.machines.values()) {
+    for (const machine of this.dependencies.machines.values()) {
       if (machine.answeredAt === null || now - machine.answeredAt >= this.leaseMs) continue;
       reporting += 1;
       if (machine.unconfirmedSince !== null) unconfirmed += 1;
     }
-    const { machines, heard } = this.hearing(this.spotSilentMs);
+    const { machines, heard } = this.heartbeatCoverage(this.spotSilenceMs);
     return {
-      hears: heard * 2 >= machines,
-      isHeard: unconfirmed * 2 <= reporting,
-      settledIn: this.loadedAt !== null && now - this.loadedAt > this.spotSilentMs * SETTLING_SPOT_SILENCES,
+      hearsMost: heard * 2 >= machines,
+      isHeardByMost: unconfirmed * 2 <= reporting,
+      hasSettledIn:
+        this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SETTLING_SPOT_SILENCES,
     };
   }
 
   /** Why a machine is to be released whatever else there is to do; null: it is not. */
-  private releaseReason(machine: ShardMachine, now: number, hearing: Hearing): string | null {
+  private releaseReason(machine: ShardMachine, now: number, hearing: Reachability): string | null {
     // Its return was asked for while nothing could be written: the request may still be carried out.
     if (machine.cordoned) return 'return was asked for';
     if (machine.answeredAt === null)
-      return this.silent(machine, now) && !this.booting(machine) ? 'never came up' : null;
-    if (this.silent(machine, now)) return 'silent';
+      return this.isSilent(machine, now) && !this.isBooting(machine) ? 'never came up' : null;
+    if (this.isSilent(machine, now)) return 'silent';
     /*
      * A spot machine that stopped reporting was most likely taken back without notice. Releasing it is proof
      * that its tasks are gone, long before its lease would be; if it was only cut off, little is lost.
      */
-    const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilentMs;
-    if (spotSilent && hearing.hears && hearing.settledIn) return 'spot silent';
+    const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilenceMs;
+    if (spotSilent && hearing.hearsMost && hearing.hasSettledIn) return 'spot silent';
     // It reports, and yet does not take up our token for longer than its lease: it does not hear us.
     const { unconfirmedSince } = machine;
     if (
       unconfirmedSince !== null &&
-      hearing.isHeard &&
+      hearing.isHeardByMost &&
       now - unconfirmedSince > this.leaseMs * UNCONFIRMED_TOKEN_LEASES
     )
       return 'does not hear';
-    return machine.health._tag === 'sick' && machine.bound.size === 0 ? 'sick' : null;
+    return machine.health._tag === 'quarantined' && machine.bound.size === 0 ? 'sick' : null;
   }
 
   /**
    * Holding an idle machine for about what a new one costs to bring up bounds the regret either way. That is
    * for the next gang or two; of many idle machines, those that have been so longest go sooner.
    */
-  private idleTooLong(group: readonly ShardMachine[], now: number): readonly MachineToRelease[] {
+  private idleBeyondHold(group: readonly ShardMachine[], now: number): readonly MachineToRelease[] {
     return [...group]
       .sort((a, b) => (b.idleSince ?? 0) - (a.idleSince ?? 0))
       .filter((machine, rank) => now - (machine.idleSince ?? now) > this.idleHoldMs(machine, rank))
-      .map((machine) => ({ machine, why: 'idle' }));
+      .map((machine) => ({ machine, reason: 'idle' }));
   }
 
   /** Bookkeeping of what only time changes; returns the machines whose lease is over with tasks bound. */
-  watch(): readonly ShardMachine[] {
-    const now = this.input.now();
+  updateAndFindExpired(): readonly ShardMachine[] {
+    const now = this.dependencies.now();
     const over: ShardMachine[] = [];
-    const catalog = this.input.catalog();
-    for (const machine of this.input.machines.values()) {
+    const catalog = this.dependencies.catalog();
+    for (const machine of this.dependencies.machines.values()) {
       const type = catalog?.get(machine.type);
       if (type && machine.total.cpus === 0) {
         machine.total = type;
         machine.free = null;
       }
-      if (machine.health._tag === 'suspect' && now > machine.health.until) machine.health = { _tag: 'fine' };
-      if (machine.bound.size > 0 && machine.confirmedToken !== 0 && this.silent(machine, now))
+      if (machine.health._tag === 'suspect' && now > machine.health.until)
+        machine.health = { _tag: 'healthy' };
+      if (machine.bound.size > 0 && machine.confirmedToken !== 0 && this.isSilent(machine, now))
         over.push(machine);
-      if (this.idle(machine)) machine.idleSince ??= now;
+      if (this.isIdle(machine)) machine.idleSince ??= now;
       else machine.idleSince = null;
     }
     return over;
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -14,7 +14,7 @@
   readonly machine: ShardMachine;
   readonly shardId: number;
   /** Why it is to be released; none: it stays in use. */
-  readonly release?: string;
+  readonly releaseReason?: string;
 }
 
 /** The most recently used images of a machine, as many as its record has room for beside the rest. */
@@ -30,7 +30,7 @@
 };
 
 /** What the writer of machine records needs of its share. */
-export interface MachineRecordWriterInput {
+export interface MachineRecordWriterDependencies {
   readonly transactions: ClaimTransactions;
   readonly claim: number;
   /** bytes: the largest value that the state service takes, now and later. */
@@ -42,7 +42,7 @@
  * token.
  */
 export class MachineRecordWriter {
-  constructor(private readonly input: MachineRecordWriterInput) {}
+  constructor(private readonly dependencies: MachineRecordWriterDependencies) {}
 
   /**
    * Machine records in one transaction. From its start nothing is placed on them, also while the end is open.
@@ -51,7 +51,7 @@
     // No holder takes back a release intent: a late release request must not meet a machine that is in use
     // again.
     const machines = assignments.filter(
-      ({ machine, release }) => release !== undefined || !machine.releasing,
+      ({ machine, releaseReason: release }) => release !== undefined || !machine.releasing,
     );
     const first = machines[0];
     if (!first) return true;
@@ -59,12 +59,12 @@
     for (const { machine } of sent) machine.releasing = true;
     const imageBytes = Math.min(
       MAX_IMAGE_NAMES_BYTES,
-      this.input.valueBytes * IMAGE_NAMES_VALUE_FRACTION,
+      this.dependencies.valueBytes * IMAGE_NAMES_VALUE_FRACTION,
       MAX_RECORD_BATCH_BYTES / sent.length,
     );
-    const result = await this.input.transactions.commit(
+    const result = await this.dependencies.transactions.commit(
       sent.map(({ machine, version }) => ({ key: machineKey(machine.id), version })),
-      sent.map(({ machine, shardId, release }) => ({
+      sent.map(({ machine, shardId, releaseReason: release }) => ({
         _tag: 'put',
         key: machineKey(machine.id),
         value: writeMachineRecord({
@@ -72,9 +72,9 @@
           type: machine.type,
           zone: machine.zone,
           spot: machine.spot,
-          at: machine.since,
+          at: machine.recordedAt,
           releasing: release !== undefined,
-          ...(release === undefined ? {} : { release: { reason: release, token: this.input.claim } }),
+          ...(release === undefined ? {} : { release: { reason: release, token: this.dependencies.claim } }),
           addr: machine.addr,
           agentEpoch: machine.agentEpoch,
           images: recentImages(machine.images, imageBytes),
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -58,16 +58,16 @@
 export class TombstonedRemoval implements OrphanedKeys {
   private readonly garbageCollector: GarbageCollector;
 
-  constructor(private readonly input: TombstonedRemovalDependencies) {
-    const { store, shardId, duty } = input;
+  constructor(private readonly dependencies: TombstonedRemovalDependencies) {
+    const { store, shardId, duty } = dependencies;
     this.garbageCollector = new GarbageCollector({
       value: fencedValue(store, tombstonesKey(shardId), String(shardId), 'work'),
       begin: () => duty.begin('removal of left-over state'),
       inUse: (key) => this.inUse(key),
       // The book of removals is one more change.
       batch: () => Math.max(1, store.batchWrites - 1),
-      maxBytes: input.valueBytes * VALUE_FILL_FRACTION,
-      timeOfDay: input.wall,
+      maxBytes: dependencies.valueBytes * VALUE_FILL_FRACTION,
+      timeOfDay: dependencies.wall,
       revisionOf: async (key) => {
         const result = await Effect.runPromise(store.get(key, 'work'));
         switch (result._tag) {
@@ -86,15 +86,15 @@
   /** A run whose job is there after all is left alone; its parts and lists go by the job's name as well. */
   private inUse(key: string): boolean {
     const job = parseRunKey(key)?.job ?? key.split('/')[2];
-    return job !== undefined && this.input.jobKnown(job);
+    return job !== undefined && this.dependencies.jobKnown(job);
   }
 
   private logRemoved(keys: readonly Tombstone[]): void {
     if (keys.length === 0) return;
     log.info({
-      event: 'state.removed',
-      shardId: this.input.shardId,
-      claim: this.input.claim,
+      event: 'orphaned_keys.removed',
+      shardId: this.dependencies.shardId,
+      claim: this.dependencies.claim,
       keys: keys.map(({ key, reason, token }) => ({ key, reason, markedUnder: token })),
     });
   }
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -115,7 +115,7 @@
     const index = new PipelineIndex(STAGE_MS);
     const shardState = new ShardState({ now: () => NOW, wall: () => NOW, requestRound: () => undefined });
     const liveness = new MachineLiveness({
-      bootBound: () => false,
+      isBootBound: () => false,
       machines: shardState.machines,
       catalog: () => new Map(),
       workers: { lease_s: 18, report_s: 3, cancel_s: 48 },
@@ -139,7 +139,7 @@
     for (const { spec } of row.jobs) {
       const effectivePriority = index.effectivePriority(spec.id);
       assert.ok(effectivePriority);
-      shardState.stand(spec.id, index.readiness(spec.id), effectivePriority);
+      shardState.updateReadiness(spec.id, index.readiness(spec.id), effectivePriority);
     }
     const requests = placementRequests({
       shardState,
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -78,7 +78,7 @@
   };
   let clear = true;
   for (const binding of machine.bound.values()) if (!subtract(binding.job)) clear = false;
-  for (const task of machine.reported) {
+  for (const task of machine.reportedTasks) {
     if (task.state._tag === 'exited' || machine.bound.has(bindingKey(task.job, task.index, task.attempt)))
       continue;
     // On the machine, but not ours any more: it is being stopped, and its room is not free yet.
@@ -120,18 +120,18 @@
   const capacities: AvailableCapacity[] = [];
   let idle = 0;
   for (const machine of shardState.machines.values())
-    if (!machine.spot && !machine.releasing && liveness.idle(machine)) idle += 1;
+    if (!machine.spot && !machine.releasing && liveness.isIdle(machine)) idle += 1;
   for (const machine of shardState.machines.values()) {
     if (
       machine.releasing ||
       machine.cordoned ||
-      machine.noticeAt !== null ||
-      machine.health._tag !== 'fine' ||
+      machine.reclaimNoticeAt !== null ||
+      machine.health._tag !== 'healthy' ||
       machine.raiseToken
     )
       continue;
-    const live = liveness.live(machine, input.now);
-    if (!live && !liveness.expected(machine, input.now, input.wall)) continue;
+    const live = liveness.isLive(machine, input.now);
+    if (!live && !liveness.isExpectedSoon(machine, input.now, input.wall)) continue;
     machine.free ??= freeOf(shardState, machine, input.catalog);
     const { free } = machine;
     if (free._tag === 'unclear') continue;
@@ -167,8 +167,8 @@
   const waiting: number[] = [];
   // A job of 100,000 tasks need not be walked whole each round, but a gang is placed whole.
   const most = job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PER_PLACEMENT_REQUEST;
-  while (job.done.has(job.firstOpen)) job.firstOpen += 1;
-  for (let index = job.firstOpen; index < job.spec.tasks && waiting.length < most; index += 1) {
+  while (job.done.has(job.firstUnfinished)) job.firstUnfinished += 1;
+  for (let index = job.firstUnfinished; index < job.spec.tasks && waiting.length < most; index += 1) {
     if (!job.done.has(index) && !job.bindings.has(index)) waiting.push(index);
   }
   return waiting;
@@ -190,7 +190,7 @@
   const { shardState, now, wall } = input;
   const requests: PlacementRequest[] = [];
   const ahead = new Map<string, TeamUsage>();
-  for (const job of [...shardState.jobs.values()].sort((a, b) => a.at - b.at)) {
+  for (const job of [...shardState.jobs.values()].sort((a, b) => a.waitingSince - b.waitingSince)) {
     const { spec } = job;
     // What waits for others holds no part of its team's limit or guarantee.
     if (job.readiness._tag !== 'ready') continue;
@@ -199,14 +199,14 @@
     use.cpus += spec.cpus * left;
     use.gpus += spec.gpus * left;
     ahead.set(spec.team, use);
-    if (job.cancelled || job.finishing || job.writing > 0 || now < job.backoffUntil) continue;
+    if (job.cancelled || job.finishing || job.writesUnderWay > 0 || now < job.backoffUntil) continue;
     if (job.bindings.size >= left || isFinished(job)) continue;
     if (spec.kind === 'gang' && job.bindings.size > 0) continue;
     const waiting = waitingTasks(job);
     if (waiting.length === 0) continue;
     const guarantee = input.guarantees.get(spec.team);
     const objectives = input.objectives.get(spec.jobClass);
-    const waitedS = (wall - job.at) / 1000;
+    const waitedS = (wall - job.waitingSince) / 1000;
     const withinGuarantee =
       guarantee !== undefined &&
       use.gpus <= guarantee.gpus &&
@@ -218,7 +218,7 @@
       waiting,
       inZones: inZones(job, shardState),
       failedOn: job.failedOn,
-      at: job.at,
+      at: job.waitingSince,
       attainableObjective: attainableObjective(objectives, waitedS),
       urgency: pressing,
       mayUseOnDemand:
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -12,7 +12,7 @@
 import type { UnplacedRequest } from './unmet-demand.js';
 
 /** What the preemptor needs of its share. */
-export interface PreemptorInput {
+export interface PreemptorDependencies {
   readonly shardId: number;
   readonly shardState: ShardState;
   readonly now: () => number;
@@ -26,7 +26,7 @@
 export class Preemptor {
   private lastSearchAt = 0;
 
-  constructor(private readonly input: PreemptorInput) {}
+  constructor(private readonly dependencies: PreemptorDependencies) {}
 
   /**
    * Whole groups of lower priority go when nothing else helps: no room here, no free machine in another share
@@ -35,18 +35,19 @@
    * room at once.
    */
   run(left: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
-    const now = this.input.now();
+    const now = this.dependencies.now();
     if (now - this.lastSearchAt < PREEMPTION_SEARCH_INTERVAL_MS) return;
     const candidates = left
       .filter(
-        ({ request }) => request.spec.priority > 0 && this.input.wall() - request.at >= PREEMPTION_DELAY_MS,
+        ({ request }) =>
+          request.spec.priority > 0 && this.dependencies.wall() - request.at >= PREEMPTION_DELAY_MS,
       )
       .slice(0, MAX_JOBS_PER_PREEMPTION_SEARCH);
     if (candidates.length === 0 || this.evictionsUnderWay()) return;
     this.lastSearchAt = now;
     let machines = this.occupied(capacities);
     for (const { request, count } of candidates) {
-      if (this.input.spareElsewhere(this.input.shardId, request.spec)) continue;
+      if (this.dependencies.spareElsewhere(this.dependencies.shardId, request.spec)) continue;
       const { spec, inZones, failedOn } = request;
       const preemption = preempt({ spec, count, inZones, failedOn }, machines);
       for (const eviction of preemption.evictions) this.evict(eviction, request.job);
@@ -55,16 +56,16 @@
   }
 
   private evictionsUnderWay(): boolean {
-    for (const machine of this.input.shardState.machines.values())
+    for (const machine of this.dependencies.shardState.machines.values())
       for (const binding of machine.bound.values()) if (binding.stop?.reason === 'evicted') return true;
     return false;
   }
 
   private evict(victim: Eviction, beneficiary: string): void {
-    const { shardState } = this.input;
+    const { shardState } = this.dependencies;
     const job = shardState.jobs.get(victim.job);
     if (!job) return;
-    log.info({ event: 'group.evicted', job: victim.job, machine: victim.machine, for: beneficiary });
+    log.info({ event: 'job.preempted', job: victim.job, machine: victim.machine, for: beneficiary });
     for (const binding of job.bindings.values()) {
       if (job.spec.kind === 'gang' || binding.machine === victim.machine)
         shardState.stop(binding, 'evicted', shardState.graceOf(job));
@@ -72,14 +73,14 @@
   }
 
   private occupied(capacities: readonly AvailableCapacity[]): readonly OccupiedMachine[] {
-    const now = this.input.now();
+    const now = this.dependencies.now();
     const occupied: OccupiedMachine[] = [];
     for (const capacity of capacities) {
-      const machine = this.input.shardState.machines.get(capacity.id);
+      const machine = this.dependencies.shardState.machines.get(capacity.id);
       if (!machine || !capacity.live) continue;
       const groups = new Map<string, { binding: Binding; job: ShardJob; tasks: number }>();
       for (const binding of machine.bound.values()) {
-        const job = this.input.shardState.jobs.get(binding.job);
+        const job = this.dependencies.shardState.jobs.get(binding.job);
         if (!job || binding.stop) continue;
         const known = groups.get(binding.job);
         groups.set(binding.job, { binding, job, tasks: (known?.tasks ?? 0) + 1 });
@@ -94,7 +95,7 @@
           // What ends before it could be stopped is not worth stopping.
           .filter(({ binding, job }) => {
             const leftS = job.spec.estimateS - (now - (binding.runningAt ?? now)) / 1000;
-            return leftS > this.input.shardState.graceOf(job) || leftS < -job.spec.estimateS;
+            return leftS > this.dependencies.shardState.graceOf(job) || leftS < -job.spec.estimateS;
           })
           .map(({ job, tasks }) => ({
             job: job.spec.id,
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -60,19 +60,19 @@
     store,
     shardId: 0,
     claim: 1,
-    lost: () => undefined,
+    markLost: () => undefined,
     isLost: () => false,
   });
   const flusher = new RecordFlusher({
     store,
     shardState,
     runs: new RunWriter({ transactions, store, shardId: 0, valueBytes: 2048, maySplit: () => true }),
-    finals: new FinalRecordWriter({ transactions, store, shardId: 0, wall: () => 0 }),
+    finalRecords: new FinalRecordWriter({ transactions, store, shardId: 0, wall: () => 0 }),
     orphanedKeys: new ImmediateRemoval(store, transactions),
     now: () => 0,
-    lost: () => false,
+    isLost: () => false,
     requestRound: () => undefined,
-    settled: (job) => settled.push(job),
+    onFinalRecord: (job) => settled.push(job),
   });
   shardState.adoptJob(record, ACCEPTED_AT);
   const round = async (): Promise<void> => {
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -8,19 +8,19 @@
 import type { RunWrite, RunWriter } from './run-writer.js';
 
 /** What the record flusher needs of its share. */
-export interface RecordFlusherInput {
+export interface RecordFlusherDependencies {
   readonly store: KeyValueStore;
   readonly shardState: ShardState;
   readonly runs: RunWriter;
-  readonly finals: FinalRecordWriter;
+  readonly finalRecords: FinalRecordWriter;
   readonly orphanedKeys: OrphanedKeys;
   readonly now: () => number;
   /** The share's claim is no longer held by this process. */
-  readonly lost: () => boolean;
+  readonly isLost: () => boolean;
   /** Asks for another placement round. */
   readonly requestRound: () => void;
   /** A job's final record is durable. */
-  readonly settled: (job: string, final: FinalRecord) => void;
+  readonly onFinalRecord: (job: string, final: FinalRecord) => void;
 }
 
 /**
@@ -31,31 +31,31 @@
   private flushing = false;
   private flushedAt = 0;
 
-  constructor(private readonly input: RecordFlusherInput) {}
+  constructor(private readonly dependencies: RecordFlusherDependencies) {}
 
   /** Finished tasks, and bindings that are gone. Jobs that are all done go straight to their final record. */
   flush(): void {
-    const now = this.input.now();
-    if (this.flushing || now - this.flushedAt < FLUSH_INTERVAL_MS || this.input.lost()) return;
-    const { changes } = this.input.store;
+    const now = this.dependencies.now();
+    if (this.flushing || now - this.flushedAt < FLUSH_INTERVAL_MS || this.dependencies.isLost()) return;
+    const { changes } = this.dependencies.store;
     const ageMs = changes.demand() < changes.perSecond * IMMEDIATE_FLUSH_RATE_FRACTION ? 0 : FLUSH_DELAY_MS;
     const entries: { write: RunWrite }[] = [];
-    for (const job of this.input.shardState.jobs.values()) {
-      if (job.finishing || job.writing > 0) continue;
+    for (const job of this.dependencies.shardState.jobs.values()) {
+      if (job.finishing || job.writesUnderWay > 0) continue;
       if (job.bindings.size === 0 && (job.cancelled || isFinished(job))) continue;
       for (const [number, chunk] of job.chunks) {
-        if (chunk.dirtyFrom !== null && now - chunk.dirtyFrom >= ageMs)
-          entries.push({ write: this.input.runs.runWrite(job, number) });
+        if (chunk.dirtySince !== null && now - chunk.dirtySince >= ageMs)
+          entries.push({ write: this.dependencies.runs.runWrite(job, number) });
       }
     }
-    const { orphanedKeys } = this.input;
+    const { orphanedKeys } = this.dependencies;
     if (entries.length === 0 && !orphanedKeys.due) return;
     this.flushing = true;
     this.flushedAt = now;
     const work = async (): Promise<void> => {
       // One at a time: what changes meanwhile shares the next.
-      for (const batch of this.input.runs.batches(entries).slice(0, 1))
-        await this.input.runs.commitRuns(
+      for (const batch of this.dependencies.runs.batches(entries).slice(0, 1))
+        await this.dependencies.runs.commitRuns(
           batch.map((entry) => entry.write),
           'work',
         );
@@ -63,7 +63,7 @@
     };
     void work().finally(() => {
       this.flushing = false;
-      this.input.requestRound();
+      this.dependencies.requestRound();
     });
   }
 
@@ -76,24 +76,24 @@
       batch = [];
       size = 0;
       if (sent.length === 0) return;
-      void this.input.finals.finish(sent).then(({ done, orphanedKeys }) => {
+      void this.dependencies.finalRecords.finish(sent).then(({ done, orphanedKeys }) => {
         for (const { job, final } of done) {
-          this.input.shardState.jobs.delete(job.spec.id);
-          this.input.settled(job.spec.id, final);
+          this.dependencies.shardState.jobs.delete(job.spec.id);
+          this.dependencies.onFinalRecord(job.spec.id, final);
         }
-        for (const { job } of sent) this.input.shardState.dropIfOver(job);
-        this.input.orphanedKeys.discard(orphanedKeys);
-        this.input.requestRound();
+        for (const { job } of sent) this.dependencies.shardState.dropIfOver(job);
+        this.dependencies.orphanedKeys.discard(orphanedKeys);
+        this.dependencies.requestRound();
       });
     };
-    for (const job of this.input.shardState.jobs.values()) {
-      if (job.finishing || job.writing > 0 || job.bindings.size > 0) continue;
+    for (const job of this.dependencies.shardState.jobs.values()) {
+      if (job.finishing || job.writesUnderWay > 0 || job.bindings.size > 0) continue;
       if (!job.cancelled && !isFinished(job)) continue;
-      const more = this.input.finals.finalSize(job);
-      if (job.finishAlone || size + more > this.input.store.batchWrites) send();
+      const more = this.dependencies.finalRecords.changesOf(job);
+      if (job.finishSeparately || size + more > this.dependencies.store.batchWrites) send();
       batch.push({ job, state: job.cancelled ? 'cancelled' : 'done' });
       size += more;
-      if (job.finishAlone) send();
+      if (job.finishSeparately) send();
     }
     send();
   }
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -8,10 +8,10 @@
  * ms of rest that a round of so much processor time earns: its node has a part of a core, and rounds a part
  * of that.
  */
-export const restMs = (processorMs: number, coreShare: number): number =>
+export const restMs = (processorMs: number, coreFraction: number): number =>
   Math.max(
     MIN_PLACEMENT_ROUND_PAUSE_MS,
-    processorMs * (1 / (Math.min(1, coreShare) * PLACEMENT_ROUND_CORE_FRACTION) - 1),
+    processorMs * (1 / (Math.min(1, coreFraction) * PLACEMENT_ROUND_CORE_FRACTION) - 1),
   );
 
 /**
@@ -23,13 +23,13 @@
   /** ms; null: no round yet. */
   private average: number | null = null;
 
-  constructor(private readonly coreShare: number) {}
+  constructor(private readonly coreFraction: number) {}
 
   /** Takes note of a round's processor time (ms); returns the rest before the next (ms). */
   restAfter(processorMs: number): number {
     // The first is as dear as the next few: nothing is compiled yet, and everything waits.
     const before = this.average ?? processorMs;
     this.average = before + (processorMs - before) * ROUND_AVERAGE_WEIGHT;
-    return restMs(this.average, this.coreShare);
+    return restMs(this.average, this.coreFraction);
   }
 }
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -23,7 +23,7 @@
 import type { Chunk, ShardJob } from './shard-model.js';
 
 /** What the writer of runs needs of its share. */
-export interface RunWriterInput {
+export interface RunWriterDependencies {
   readonly transactions: ClaimTransactions;
   readonly store: KeyValueStore;
   readonly shardId: number;
@@ -42,7 +42,7 @@
 }
 
 /** Guess of a run record's size on the wire: a binding is an index, a machine's name and an attempt. */
-const sizeOf = (record: RunRecord): number =>
+const estimatedBytes = (record: RunRecord): number =>
   ESTIMATED_RUN_RECORD_BYTES + record.bindings.length * ESTIMATED_BINDING_BYTES;
 
 /** bytes on the wire, as the protocol measures them, of a run with its parts, its keys and its condition. */
@@ -54,12 +54,12 @@
 
 /** Writes the runs of a share's jobs: which task is bound to which machine, and which are done. */
 export class RunWriter {
-  constructor(private readonly input: RunWriterInput) {}
+  constructor(private readonly dependencies: RunWriterDependencies) {}
 
   runWrite(job: ShardJob, chunk: number): RunWrite {
     const record = runRecord(job, chunk);
-    const bytes = this.input.valueBytes * VALUE_FILL_FRACTION;
-    const stored = storeRun(record, chunk, bytes, this.input.maySplit());
+    const bytes = this.dependencies.valueBytes * VALUE_FILL_FRACTION;
+    const stored = storeRun(record, chunk, bytes, this.dependencies.maySplit());
     const keeps = chunk === 0 && job.validAttempt > 0;
     return { job, chunk, record, stored: keeps ? validating(stored, job.validAttempt) : stored };
   }
@@ -75,11 +75,11 @@
     let bytes = 0;
     let changes = 0;
     for (const entry of entries) {
-      const size = sizeOf(entry.write.record);
+      const size = estimatedBytes(entry.write.record);
       const more = this.changesOf(entry.write);
       if (
         batch.length > 0 &&
-        (changes + more > this.input.store.batchWrites || bytes + size > MAX_RECORD_BATCH_BYTES)
+        (changes + more > this.dependencies.store.batchWrites || bytes + size > MAX_RECORD_BATCH_BYTES)
       ) {
         batches.push(batch);
         batch = [];
@@ -98,20 +98,21 @@
   async commitRuns(writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
     const first = writes[0];
     if (!first) return true;
-    const key = (write: RunWrite): string => runKey(this.input.shardId, write.job.spec.id, write.chunk);
+    const key = (write: RunWrite): string =>
+      runKey(this.dependencies.shardId, write.job.spec.id, write.chunk);
     const jobs = new Set(writes.map((write) => write.job));
     const chunks = writes.map((write): Chunk => {
       const known = write.job.chunks.get(write.chunk);
       if (known) {
-        known.dirtyFrom = null;
+        known.dirtySince = null;
         return known;
       }
-      const fresh: Chunk = { version: 0, parts: 0, durable: new Set(), dirtyFrom: null };
+      const fresh: Chunk = { version: 0, parts: 0, durable: new Set(), dirtySince: null };
       write.job.chunks.set(write.chunk, fresh);
       return fresh;
     });
-    for (const job of jobs) job.writing += 1;
-    const result = await this.input.transactions.commit(
+    for (const job of jobs) job.writesUnderWay += 1;
+    const result = await this.dependencies.transactions.commit(
       [
         ...[...jobs].map((job) => ({ key: jobKey(job.spec.id), version: job.version })),
         ...writes.map((write, index) => ({ key: key(write), version: chunks[index]?.version ?? 0 })),
@@ -120,7 +121,7 @@
       key(first),
       rank,
     );
-    for (const job of jobs) job.writing -= 1;
+    for (const job of jobs) job.writesUnderWay -= 1;
     const committed = result._tag === 'committed';
     writes.forEach((write, index) => {
       const chunk = chunks[index];
@@ -129,20 +130,20 @@
         chunk.version = result.revision;
         chunk.parts = write.stored.parts.length;
         chunk.durable = durableKeys(write.job.spec.id, write.record);
-      } else chunk.dirtyFrom ??= 0;
+      } else chunk.dirtySince ??= 0;
     });
-    if (result._tag === 'conflict') log.debug({ event: 'bind.conflict', failed: result.failed });
+    if (result._tag === 'conflict') log.debug({ event: 'runs.write_conflict', failed: result.failed });
     return committed;
   }
 
-  private fitOneTransaction(writes: readonly RunWrite[]): boolean {
+  private fitInOneTransaction(writes: readonly RunWrite[]): boolean {
     let changes = 0;
     let bytes = 0;
     for (const write of writes) {
       changes += this.changesOf(write);
       bytes += storedBytes(write.stored);
     }
-    return changes <= this.input.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
+    return changes <= this.dependencies.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
   }
 
   /**
@@ -151,12 +152,12 @@
    */
   async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
-    if (!first || first.chunk !== 0 || this.fitOneTransaction(writes)) return this.commitRuns(writes, rank);
+    if (!first || first.chunk !== 0 || this.fitInOneTransaction(writes)) return this.commitRuns(writes, rank);
     // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the
     // upgrade.
-    if (!this.input.maySplit()) return false;
+    if (!this.dependencies.maySplit()) return false;
     // Nothing else writes its runs in between.
-    job.writing += 1;
+    job.writesUnderWay += 1;
     try {
       const entries = others.map((write) => ({ write: { ...write, stored: prepared(write.stored) } }));
       for (const batch of this.batches(entries)) {
@@ -164,7 +165,7 @@
           batch.map((entry) => entry.write),
           rank,
         );
-        if (!ready) return this.unprepared(job);
+        if (!ready) return this.rewritePrepared(job);
       }
       const before = job.validAttempt;
       job.validAttempt = job.attempt;
@@ -174,15 +175,15 @@
       );
       if (bound) return true;
       job.validAttempt = before;
-      return this.unprepared(job);
+      return this.rewritePrepared(job);
     } finally {
-      job.writing -= 1;
+      job.writesUnderWay -= 1;
     }
   }
 
   /** What was prepared and is not valid is written over. */
-  private unprepared(job: ShardJob): false {
-    for (const chunk of job.chunks.values()) chunk.dirtyFrom ??= 0;
+  private rewritePrepared(job: ShardJob): false {
+    for (const chunk of job.chunks.values()) chunk.dirtySince ??= 0;
     return false;
   }
 
@@ -192,9 +193,9 @@
    */
   private changes(write: RunWrite, before: number): readonly Write[] {
     const { job, chunk, stored } = write;
-    const partKey = (part: number): string => runPartKey(this.input.shardId, job.spec.id, chunk, part);
+    const partKey = (part: number): string => runPartKey(this.dependencies.shardId, job.spec.id, chunk, part);
     return [
-      { _tag: 'put', key: runKey(this.input.shardId, job.spec.id, chunk), value: stored.record },
+      { _tag: 'put', key: runKey(this.dependencies.shardId, job.spec.id, chunk), value: stored.record },
       ...stored.parts.map((value, part): Write => ({ _tag: 'put', key: partKey(part), value })),
       ...Array.from({ length: Math.max(0, before - stored.parts.length) }, (_, k): Write => ({
         _tag: 'delete',
--- /dev/null
+++ b/src/placement/shard-changes.ts
@@ -0,0 +1,104 @@
+/**
+ * Takes changes of the shared records into a shard's state: machines, jobs, cancellations that other
+ * controllers acknowledged. No state of its own; `Shard` hands on what the watch and other controllers say.
+ */
+import type { MachineRecord } from '../fleet/records.js';
+import { readJobRecord } from '../jobs/codec.js';
+import type { JobRecord } from '../jobs/model.js';
+import { jobKey } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
+import type { DirectCommands } from './direct-commands.js';
+import type { RoundTrigger, ShardIdentity, StageQueries } from './ports.js';
+import type { ShardContext } from './shard-context.js';
+import type { ShardMachine } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+
+const NO_RESOURCES = { cpus: 0, gpus: 0, memoryGb: 0 };
+
+/** What the taking in of changes needs of its shard. */
+export interface ShardChangesDependencies
+  extends
+    Pick<ShardIdentity, 'shardId'>,
+    Pick<StageQueries, 'isLoaded' | 'isLost'>,
+    RoundTrigger,
+    Pick<ShardContext, 'catalog' | 'mayAct' | 'shardOfTeam' | 'readiness' | 'effectivePriority'> {
+  readonly shardState: ShardState;
+  readonly directCommands: DirectCommands;
+}
+
+/** Is the job cancelled, as far as the shared records and other controllers' acknowledgements go? */
+export const isKnownCancelled = (shardState: ShardState, cache: WatchCache, job: string): boolean => {
+  const item = cache.get(jobKey(job));
+  return shardState.acknowledged.has(job) || (item !== undefined && readJobRecord(item.value).cancelled);
+};
+
+/** Changes that come from outside the shard. */
+export class ShardChanges {
+  constructor(private readonly dependencies: ShardChangesDependencies) {}
+
+  onMachineRecord(id: string, record: MachineRecord, version: number): void {
+    const { shardState, shardId } = this.dependencies;
+    const known = shardState.machines.get(id);
+    if (record.shardId !== shardId) {
+      // Its former holder moves only free ones, so nothing of this shard is on it.
+      if (known) shardState.dropMachine(known, { _tag: 'released' });
+      return;
+    }
+    if (known) this.renew(known, record, version);
+    else this.add(id, record, version);
+  }
+
+  private renew(machine: ShardMachine, record: MachineRecord, version: number): void {
+    if (machine.version !== version) {
+      machine.version = version;
+      machine.confirmedToken = 0;
+    }
+    machine.releasing = record.releasing;
+  }
+
+  private add(id: string, record: MachineRecord, version: number): void {
+    const { shardState, directCommands, catalog, mayAct, requestRound } = this.dependencies;
+    const total = catalog()?.get(record.type) ?? NO_RESOURCES;
+    const machine = shardState.addMachine(id, record, version, total);
+    if (record.addr !== '' && mayAct()) directCommands.announceToken(machine, record.agentEpoch);
+    requestRound();
+  }
+
+  onMachineGone(id: string): void {
+    const { shardState } = this.dependencies;
+    const machine = shardState.machines.get(id);
+    // The record goes only after the cloud answered 200 to the machine's release.
+    if (machine) shardState.dropMachine(machine, { _tag: 'released' });
+  }
+
+  onJobRecord(record: JobRecord, version: number): void {
+    const { shardOfTeam, shardId, isLoaded, shardState, requestRound } = this.dependencies;
+    if (shardOfTeam.get(record.spec.team) !== shardId || !isLoaded()) return;
+    shardState.adoptJob(record, version);
+    this.onEffectivePriority(record.spec.id);
+    requestRound();
+  }
+
+  /** The readiness or effective priority of a job may have changed. */
+  onEffectivePriority(id: string): void {
+    const { shardState, effectivePriority, readiness } = this.dependencies;
+    const job = shardState.jobs.get(id);
+    const priority = effectivePriority(id);
+    if (job && priority) shardState.updateReadiness(id, readiness(id), priority);
+  }
+
+  /**
+   * Another controller is about to tell a user of this cancellation. True: from now on every answer to a
+   * worker says so.
+   */
+  acknowledge(id: string, version: number): boolean {
+    if (this.dependencies.isLost()) return false;
+    this.dependencies.shardState.acknowledge(id, version);
+    this.dependencies.requestRound();
+    return true;
+  }
+
+  onJobGone(id: string): void {
+    this.dependencies.shardState.onRecordGone(id);
+  }
+}
--- /dev/null
+++ b/src/placement/shard-loader.ts
@@ -0,0 +1,84 @@
+/**
+ * Reads a shard's state after its claim was taken: jobs from the watch cache, runs from the key-value store,
+ * and what machines reported in the meantime. No state of its own; `Shard` runs it once.
+ */
+import * as Effect from 'effect/Effect';
+import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
+import { readJobRecord } from '../jobs/codec.js';
+import type { KeyValueStore, StoredEntry } from '../kv-store/client.js';
+import { JOB_PREFIX, runsPrefix } from '../kv-store/keys.js';
+import type { WatchCache } from '../kv-store/watch-cache.js';
+import { log } from '../log.js';
+import type { OrphanedKeys } from './orphaned-keys.js';
+import type { ShardIdentity } from './ports.js';
+import { RunLoader } from './run-loader.js';
+import { bindingKey, type ShardMachine } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
+
+/** What the loading needs of its shard. */
+export interface ShardLoaderDependencies extends ShardIdentity {
+  readonly store: KeyValueStore;
+  readonly cache: WatchCache;
+  readonly shardOfTeam: ReadonlyMap<string, number>;
+  readonly shardState: ShardState;
+  readonly orphanedKeys: OrphanedKeys;
+  /** The runs have arrived; they are taken in next. */
+  readonly onRunsRead: () => void;
+  /** The readiness or effective priority of a job is to be looked up. */
+  readonly onEffectivePriority: (job: string) => void;
+  /** Everything is taken in. */
+  readonly onLoaded: () => void;
+}
+
+/** Fills the state of a shard that was just taken. */
+export class ShardLoader {
+  constructor(private readonly dependencies: ShardLoaderDependencies) {}
+
+  /** Reads the shard's runs. The cache already shows every change before the claim's own revision. */
+  readonly load: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+    const { store, shardId } = this.dependencies;
+    for (;;) {
+      const runs = yield* store.list(runsPrefix(shardId), 'user');
+      if (runs._tag === 'failed') {
+        yield* Effect.sleep(STORE_RETRY_DELAY_MS);
+        continue;
+      }
+      this.takeIn(runs.items);
+      return;
+    }
+  });
+
+  private takeIn(runs: readonly StoredEntry[]): void {
+    const { shardId, claim, shardState, orphanedKeys, onRunsRead, onLoaded } = this.dependencies;
+    onRunsRead();
+    this.adoptJobs();
+    orphanedKeys.discard(new RunLoader({ shardId, shardState }).loadAll(runs));
+    for (const machine of shardState.machines.values()) this.applyReports(machine);
+    log.info({
+      event: 'shard.loaded',
+      shardId,
+      claim,
+      jobs: shardState.jobs.size,
+      machines: shardState.machines.size,
+    });
+    onLoaded();
+  }
+
+  private adoptJobs(): void {
+    const { cache, shardOfTeam, shardId, shardState, onEffectivePriority } = this.dependencies;
+    for (const item of cache.under(JOB_PREFIX)) {
+      const record = readJobRecord(item.value);
+      if (shardOfTeam.get(record.spec.team) === shardId) shardState.adoptJob(record, item.version);
+      onEffectivePriority(record.spec.id);
+    }
+  }
+
+  /** Applies what a machine reported before its bindings were known. */
+  private applyReports(machine: ShardMachine): void {
+    machine.free = null;
+    for (const task of machine.reportedTasks) {
+      const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
+      if (binding) this.dependencies.shardState.apply(binding, { _tag: 'reported', state: task.state });
+    }
+  }
+}
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -23,12 +23,12 @@
   phase: Phase;
   stop: Stop | null;
   /** The newest message of its machine that showed it. */
-  seen: { readonly agentEpoch: number; readonly sequenceNumber: number } | null;
+  lastSeen: { readonly agentEpoch: number; readonly sequenceNumber: number } | null;
   /** ms, when it was decided, and when it was first seen running. */
   readonly boundAt: number;
   runningAt: number | null;
   /** Answers that carried its `run` without a sign of it since. */
-  asked: number;
+  runCommandsSent: number;
 }
 
 /** What is known of one stored run record. */
@@ -38,7 +38,7 @@
   parts: number;
   durable: ReadonlySet<string>;
   /** What is known differs from what the state service holds, since then (ms); null: it does not. */
-  dirtyFrom: number | null;
+  dirtySince: number | null;
 }
 
 /** A job of the share, with its tasks. */
@@ -48,15 +48,15 @@
    */
   spec: JobSpec;
   /** As its user submitted it. */
-  readonly own: JobSpec;
+  readonly submittedSpec: JobSpec;
   /** ms since the epoch. */
   readonly submittedAt: number;
   /**
    * ms since the epoch: from when its waiting counts, which is when the last job that it follows was done.
    */
-  at: number;
+  waitingSince: number;
   /** Parts in which the list of jobs that it follows stands, beside its record. */
-  readonly parts: number;
+  readonly dependencyParts: number;
   readiness: Readiness;
   version: number;
   cancelled: boolean;
@@ -64,7 +64,7 @@
   cancelledAt: number | null;
   readonly done: Set<number>;
   /** All tasks before this one are done. */
-  firstOpen: number;
+  firstUnfinished: number;
   readonly bindings: Map<number, Binding>;
   attempt: number;
   /** The attempt that its first run names as valid for runs that were prepared; 0: none. */
@@ -72,25 +72,25 @@
   readonly chunks: Map<number, Chunk>;
   /** Machines on which tasks of this job failed. */
   readonly failedOn: Set<string>;
-  errors: number;
+  failures: number;
   backoffUntil: number;
   /** The job ran somewhere without failing at once. */
-  proven: boolean;
+  hasCompletedTask: boolean;
   finishing: boolean;
   /** Its record is deleted, which happens only together with the write of its final record. */
   recordGone: boolean;
   /** Its final record failed in company: it is written alone, or it would hold up the others for ever. */
-  finishAlone: boolean;
+  finishSeparately: boolean;
   /** Transactions under way that write its runs; nothing else may write them meanwhile. */
-  writing: number;
+  writesUnderWay: number;
 }
 
 /** Whether a machine can be trusted with tasks. */
 export type Health =
-  | { readonly _tag: 'fine' }
+  | { readonly _tag: 'healthy' }
   /** A task of `job` failed here; nothing new until it is clear whose fault that is. */
   | { readonly _tag: 'suspect'; readonly job: string; readonly until: number }
-  | { readonly _tag: 'sick' };
+  | { readonly _tag: 'quarantined' };
 
 /** A machine of the share, with what its worker last said. */
 export interface ShardMachine {
@@ -101,7 +101,7 @@
   /** Revision of the record that assigned it to this share. */
   version: number;
   /** ms since the epoch, when it was first recorded. */
-  readonly since: number;
+  readonly recordedAt: number;
   /** Asked to be released; nothing is placed on it. */
   releasing: boolean;
   /**
@@ -115,15 +115,15 @@
   /** A report of this session named our current token. */
   confirmedToken: number;
   /** It has reported a token of this holder at some time: no command of an earlier one can reach it. */
-  tookOurToken: boolean;
+  everConfirmedToken: boolean;
   /** ms: when it came into this share under this holder. */
   readonly takenAt: number;
   /** ms: since when it reports without naming our token, so that it may not hear us; null: it names it. */
   unconfirmedSince: number | null;
   /** ms: the last report that we answered 200; null: none by this holder. */
   answeredAt: number | null;
-  noticeAt: number | null;
-  noticeS: number | null;
+  reclaimNoticeAt: number | null;
+  reclaimNoticeS: number | null;
   /**
    * Direct `run`s of unknown outcome, with the token they carried: such a command may still be carried out
    * until the worker has seen a higher token.
@@ -132,10 +132,10 @@
   /** Its record is to be rewritten, for a higher token that ends what is unsure. */
   raiseToken: boolean;
   /** Reports whose answer is being held for a placement round: direct commands are not needed. */
-  answering: number;
-  reported: readonly ReportedTask[];
+  heldAnswers: number;
+  reportedTasks: readonly ReportedTask[];
   /** ms: since when exits on it wait to be forgotten; null: none do. */
-  forgetFrom: number | null;
+  exitsPendingSince: number | null;
   readonly bound: Map<string, Binding>;
   readonly images: Set<string>;
   health: Health;
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -36,11 +36,11 @@
   readonly jobs = new Map<string, ShardJob>();
   readonly machines = new Map<string, ShardMachine>();
   /** Bindings whose stop is to go out directly. */
-  readonly stops = new Set<Binding>();
+  readonly stopsToSend = new Set<Binding>();
   /** Cancellations heard of before their jobs, by the revision at which they became durable. */
   readonly acknowledged = new Map<string, number>();
 
-  constructor(private readonly input: ShardStateDependencies) {}
+  constructor(private readonly dependencies: ShardStateDependencies) {}
 
   addMachine(id: string, record: MachineRecord, version: number, total: Demand): ShardMachine {
     const machine: ShardMachine = {
@@ -49,26 +49,26 @@
       zone: record.zone,
       spot: record.spot,
       version,
-      since: record.at,
+      recordedAt: record.at,
       releasing: record.releasing,
       cordoned: false,
       addr: record.addr,
       agentEpoch: 0,
       sequenceNumber: 0,
       confirmedToken: 0,
-      tookOurToken: false,
-      takenAt: this.input.now(),
+      everConfirmedToken: false,
+      takenAt: this.dependencies.now(),
       unconfirmedSince: null,
       answeredAt: null,
-      noticeAt: null,
-      noticeS: null,
+      reclaimNoticeAt: null,
+      reclaimNoticeS: null,
       unacknowledgedRuns: new Map(),
-      answering: 0,
-      reported: [],
-      forgetFrom: null,
+      heldAnswers: 0,
+      reportedTasks: [],
+      exitsPendingSince: null,
       bound: new Map(),
       images: new Set(record.images),
-      health: { _tag: 'fine' },
+      health: { _tag: 'healthy' },
       idleSince: null,
       total,
       free: null,
@@ -81,7 +81,7 @@
   dropMachine(machine: ShardMachine, how: Gone): void {
     for (const binding of [...machine.bound.values()]) this.apply(binding, { _tag: 'lost', how });
     this.machines.delete(machine.id);
-    this.input.requestRound();
+    this.dependencies.requestRound();
   }
 
   adoptJob(record: JobRecord, version: number): ShardJob {
@@ -89,10 +89,10 @@
     if (!job) {
       job = {
         spec: record.spec,
-        own: record.spec,
+        submittedSpec: record.spec,
         submittedAt: record.at,
-        at: record.at,
-        parts: record.parts,
+        waitingSince: record.at,
+        dependencyParts: record.parts,
         readiness:
           record.dependsOn.length + record.parts > 0
             ? { _tag: 'waiting' }
@@ -101,27 +101,27 @@
         cancelled: false,
         cancelledAt: null,
         done: new Set(),
-        firstOpen: 0,
+        firstUnfinished: 0,
         bindings: new Map(),
         attempt: 0,
         validAttempt: 0,
         chunks: new Map(),
         failedOn: new Set(),
-        errors: 0,
+        failures: 0,
         backoffUntil: 0,
-        proven: false,
+        hasCompletedTask: false,
         finishing: false,
         recordGone: false,
-        finishAlone: false,
-        writing: 0,
+        finishSeparately: false,
+        writesUnderWay: 0,
       };
       this.jobs.set(record.spec.id, job);
       log.debug({
-        event: 'job.known',
+        event: 'job.adopted',
         job: record.spec.id,
         class: record.spec.jobClass,
         tasks: record.spec.tasks,
-        ageMs: this.input.wall() - record.at,
+        ageMs: this.dependencies.wall() - record.at,
       });
     }
     // The news of a change may come after a message about a later one.
@@ -157,26 +157,27 @@
   }
 
   private cancel(job: ShardJob, at: number | null): void {
-    job.cancelledAt ??= at ?? this.input.wall();
+    job.cancelledAt ??= at ?? this.dependencies.wall();
     if (job.cancelled) return;
     job.cancelled = true;
     for (const binding of job.bindings.values()) this.stop(binding, 'cancelled', 0);
   }
 
   /** Where a job stands among those that it follows, and what it is worth for those that need it. */
-  stand(id: string, readiness: Readiness, effectivePriority: EffectivePriority): void {
+  updateReadiness(id: string, readiness: Readiness, effectivePriority: EffectivePriority): void {
     const job = this.jobs.get(id);
     if (!job) return;
     job.readiness = readiness;
-    if (readiness._tag === 'ready') job.at = Math.max(job.submittedAt, readiness.since);
+    if (readiness._tag === 'ready') job.waitingSince = Math.max(job.submittedAt, readiness.since);
     job.spec = {
-      ...job.own,
+      ...job.submittedSpec,
       priority: effectivePriority.priority,
-      deadlineS: effectivePriority.dueAt === null ? null : (effectivePriority.dueAt - job.at) / 1000,
+      deadlineS:
+        effectivePriority.dueAt === null ? null : (effectivePriority.dueAt - job.waitingSince) / 1000,
     };
     // It has no task, and never will.
     if (readiness._tag === 'doomed') this.cancel(job, null);
-    this.input.requestRound();
+    this.dependencies.requestRound();
   }
 
   /**
@@ -201,10 +202,10 @@
       machine: machine.id,
       phase,
       stop: null,
-      seen: null,
-      boundAt: this.input.now(),
+      lastSeen: null,
+      boundAt: this.dependencies.now(),
       runningAt: null,
-      asked: 0,
+      runCommandsSent: 0,
     };
     job.bindings.set(index, binding);
     machine.bound.set(bindingKey(job.spec.id, index, attempt), binding);
@@ -225,11 +226,11 @@
 
   stop(binding: Binding, reason: Stop['reason'], graceS: number): void {
     if (binding.stop && binding.stop.graceS <= graceS) return;
-    binding.stop = { reason, graceS, since: this.input.now() };
+    binding.stop = { reason, graceS, since: this.dependencies.now() };
     // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it
     // with its report.
-    if (onMachine(binding.phase) && reason !== 'finished') this.stops.add(binding);
-    this.input.requestRound();
+    if (onMachine(binding.phase) && reason !== 'finished') this.stopsToSend.add(binding);
+    this.dependencies.requestRound();
   }
 
   graceOf(job: ShardJob): number {
@@ -237,7 +238,7 @@
   }
 
   /** A gang that lost a member is stopped whole and waits again, free to go anywhere. */
-  breakGang(job: ShardJob): void {
+  stopBrokenGang(job: ShardJob): void {
     for (const binding of job.bindings.values()) this.stop(binding, 'broken', 0);
   }
 
@@ -258,11 +259,11 @@
     if (binding.phase._tag === before._tag) return;
     const job = this.jobs.get(binding.job);
     if (binding.phase._tag === 'running' && binding.runningAt === null) {
-      binding.runningAt = this.input.now();
+      binding.runningAt = this.dependencies.now();
       if (job) this.noteImage(binding.machine, job.spec.image);
     }
     log.debug({
-      event: 'task.change',
+      event: 'task.phase_changed',
       task: `${binding.job}/${binding.index}`,
       attempt: binding.attempt,
       machine: binding.machine,
@@ -286,13 +287,13 @@
       machine.bound.delete(bindingKey(binding.job, binding.index, binding.attempt));
       machine.free = null;
     }
-    this.input.requestRound();
+    this.dependencies.requestRound();
     if (!job || job.bindings.get(binding.index) !== binding) return;
     job.bindings.delete(binding.index);
     const chunk = job.chunks.get(chunkOf(binding.index));
-    if (chunk) chunk.dirtyFrom ??= this.input.now();
+    if (chunk) chunk.dirtySince ??= this.dependencies.now();
     if (how._tag === 'exited' && how.cause === 'done' && job.spec.kind !== 'service') {
-      job.proven = true;
+      job.hasCompletedTask = true;
       // A gang completes together: one task done means all are.
       if (job.spec.kind === 'gang') {
         for (let index = 0; index < job.spec.tasks; index += 1) job.done.add(index);
@@ -303,25 +304,25 @@
     if (how._tag === 'exited' && (how.cause === 'error' || how.cause === 'unknown'))
       this.onError(binding, job, machine);
     if (how._tag === 'exited' && how.cause === 'noRoom')
-      job.backoffUntil = Math.max(job.backoffUntil, this.input.now() + NO_ROOM_BACKOFF_MS);
-    if (job.spec.kind === 'gang' && !isFinished(job)) this.breakGang(job);
+      job.backoffUntil = Math.max(job.backoffUntil, this.dependencies.now() + NO_ROOM_BACKOFF_MS);
+    if (job.spec.kind === 'gang' && !isFinished(job)) this.stopBrokenGang(job);
   }
 
   /**
    * A failure counts against the machine until the same job fails elsewhere too, and then against the job.
    */
   private onError(binding: Binding, job: ShardJob, machine: ShardMachine | undefined): void {
-    const now = this.input.now();
-    job.errors += 1;
+    const now = this.dependencies.now();
+    job.failures += 1;
     job.failedOn.add(binding.machine);
     log.info({
       event: 'task.failed',
       task: `${binding.job}/${binding.index}`,
       machine: binding.machine,
-      errors: job.errors,
+      errors: job.failures,
     });
-    const jobAtFault = !job.proven && job.failedOn.size >= FAULTY_JOB_MACHINES;
-    if (!job.proven) {
+    const jobAtFault = !job.hasCompletedTask && job.failedOn.size >= FAULTY_JOB_MACHINES;
+    if (!job.hasCompletedTask) {
       const pause = jobAtFault
         ? Math.min(
             MAX_JOB_BACKOFF_MS,
@@ -335,19 +336,20 @@
       for (const id of job.failedOn) {
         const other = this.machines.get(id);
         if (other?.health._tag === 'suspect' && other.health.job === job.spec.id)
-          other.health = { _tag: 'fine' };
+          other.health = { _tag: 'healthy' };
       }
       job.failedOn.clear();
       return;
     }
     if (!machine) return;
     if (machine.health._tag === 'suspect' && machine.health.job !== job.spec.id)
-      machine.health = { _tag: 'sick' };
-    else if (machine.health._tag === 'fine') {
-      machine.health = job.proven
-        ? { _tag: 'sick' }
+      machine.health = { _tag: 'quarantined' };
+    else if (machine.health._tag === 'healthy') {
+      machine.health = job.hasCompletedTask
+        ? { _tag: 'quarantined' }
         : { _tag: 'suspect', job: job.spec.id, until: now + SUSPECT_MACHINE_PAUSE_MS };
     }
-    if (machine.health._tag === 'sick') log.info({ event: 'machine.sick', machine: machine.id });
+    if (machine.health._tag === 'quarantined')
+      log.info({ event: 'machine.quarantined', machine: machine.id });
   }
 }
--- a/src/placement/shard-summary-builder.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -20,9 +20,9 @@
   /** ms since the epoch. */
   readonly wall: () => number;
   /** Is the machine free to go to another share? */
-  readonly movable: (machine: ShardMachine) => boolean;
+  readonly isTransferable: (machine: ShardMachine) => boolean;
   /** Something changed that the leader waits for. */
-  readonly changed: () => void;
+  readonly notifyLeader: () => void;
 }
 
 /** What the leader is told of a share: its unmet demand and its spare machines. */
@@ -31,7 +31,7 @@
   private plannedAt = 0;
   private lastSaid = '';
 
-  constructor(private readonly input: ShardSummaryBuilderDependencies) {}
+  constructor(private readonly dependencies: ShardSummaryBuilderDependencies) {}
 
   /** What the leader should know. */
   update(
@@ -40,26 +40,26 @@
     uses: Map<string, TeamUsage>,
     catalog: Catalog,
   ): void {
-    const now = this.input.now();
+    const now = this.dependencies.now();
     if (now - this.plannedAt < SHARD_SUMMARY_INTERVAL_MS) return;
     this.plannedAt = now;
     const needs = unmetDemand(
       left,
       capacities,
-      this.input.limits,
+      this.dependencies.limits,
       uses,
       catalog,
-      this.input.objectives,
-      this.input.wall(),
+      this.dependencies.objectives,
+      this.dependencies.wall(),
     );
-    const free = [...this.input.shardState.machines.values()].filter(
-      (machine) => machine.bound.size === 0 && this.input.movable(machine),
+    const free = [...this.dependencies.shardState.machines.values()].filter(
+      (machine) => machine.bound.size === 0 && this.dependencies.isTransferable(machine),
     );
     const spares = spareMachines(free, now);
     this.latest = {
-      shardId: this.input.shardId,
-      claim: this.input.claim,
-      revision: this.input.cache.revision,
+      shardId: this.dependencies.shardId,
+      claim: this.dependencies.claim,
+      revision: this.dependencies.cache.revision,
       needs,
       spares: spares.listed,
       unlisted: spares.unlisted,
@@ -69,7 +69,7 @@
       ...needs.map((need) => `${need.tasks}:${need.gangs.map((gang) => gang.job).join()}`),
       needs.length > 0 ? this.latest.spares.length : '',
     ].join('|');
-    if (said !== this.lastSaid) this.input.changed();
+    if (said !== this.lastSaid) this.dependencies.notifyLeader();
     this.lastSaid = said;
   }
 }
--- a/src/placement/shard.test.ts
+++ b/src/placement/shard.test.ts
@@ -95,7 +95,7 @@
   assert.ok(first);
   shardState.apply(first, { _tag: 'reported', state: { _tag: 'exited', cause: 'done', saved: false } });
   assert.equal(job.done.size, tasks);
-  assert.equal(shardState.stops.size, 0, 'nothing goes out directly');
+  assert.equal(shardState.stopsToSend.size, 0, 'nothing goes out directly');
   for (const other of others)
     assert.equal(other.stop?.reason, 'finished', 'a worker that missed it hears of it');
   // A gang that broke is still told at once, all of it.
@@ -108,6 +108,6 @@
     assert.ok(machine);
     shardState.bind(broken, index, 1, machine, { _tag: 'running' });
   }
-  shardState.breakGang(broken);
-  assert.equal(shardState.stops.size, tasks);
+  shardState.stopBrokenGang(broken);
+  assert.equal(shardState.stopsToSend.size, tasks);
 });
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -54,7 +54,7 @@
     requestRound: () => undefined,
   });
   readonly liveness = new MachineLiveness({
-    bootBound: () => false,
+    isBootBound: () => false,
     machines: this.shardState.machines,
     catalog: () => new Map([['g', type]]),
     workers: { lease_s: LEASE_S, report_s: 5, cancel_s: 2 * LEASE_S },
@@ -66,12 +66,10 @@
     claim: 50,
     now: () => this.now,
     leaseMs: this.liveness.leaseMs,
-    loaded: () => true,
+    isLoaded: () => true,
     isCancelled: () => false,
-    placing: () => true,
-    lost: () => false,
+    isPlacing: () => true,
     requestRound: () => undefined,
-    direct: () => new Promise(() => undefined),
   });
   readonly job = this.shardState.adoptJob(
     { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
@@ -112,7 +110,7 @@
       ...over,
     };
     if (this.sessions.onHeartbeat(heartbeat) === null) return false;
-    this.last = this.sessions.orders(heartbeat)?.commands ?? [];
+    this.last = this.sessions.commandsFor(heartbeat)?.commands ?? [];
     return true;
   }
   last: readonly Command[] = [];
@@ -120,8 +118,8 @@
     return this.job.bindings.get(index)?.phase._tag ?? 'none';
   }
   releases(): readonly string[] {
-    this.liveness.watch();
-    return this.liveness.toRelease(true).map(({ machine, why }) => `${machine.id} ${why}`);
+    this.liveness.updateAndFindExpired();
+    return this.liveness.machinesToRelease(true).map(({ machine, reason: why }) => `${machine.id} ${why}`);
   }
 }
 const running: readonly ReportedTask[] = [{ job: 'job-1', index: 0, attempt: 1, state: { _tag: 'running' } }];
@@ -202,7 +200,7 @@
     run: (story) => {
       story.machine('m-2', 0);
       const known = story.shardState.machines.get('m-2') as ShardMachine;
-      assert.equal(story.liveness.expected(known, story.now, story.now), false);
+      assert.equal(story.liveness.isExpectedSoon(known, story.now, story.now), false);
       story.now += (LEASE_S + 2) * 1_000;
       assert.deepEqual(story.releases(), ['m-2 never came up'], 'those that boot are given their time');
     },
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -66,7 +66,7 @@
   const now = 1_000_000;
   const shardState = new ShardState({ now: () => now, wall: () => now, requestRound: () => undefined });
   const liveness = new MachineLiveness({
-    bootBound: () => false,
+    isBootBound: () => false,
     machines: shardState.machines,
     catalog: () => catalog,
     workers: { lease_s: 24, report_s: 5, cancel_s: 45 },
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -14,7 +14,7 @@
   readonly now: () => number;
   /** The share with this number, if this node may answer for it now. */
   readonly shard: (shardId: number) => {
-    onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null;
+    onHeartbeat(heartbeat: WorkerHeartbeat): { readonly awaitRound: boolean } | null;
     nextRound(machine: string, ms: number): Promise<void>;
     orders(
       heartbeat: WorkerHeartbeat,
@@ -65,7 +65,7 @@
     }
     this.misroutedHeartbeats.delete(heartbeat.machine);
     const heard = this.input.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
-    if (heard?.hurry)
+    if (heard?.awaitRound)
       await this.input.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
     // Asked again after the wait: the claim may have gone meanwhile.
     const orders = heard ? (this.input.shard(shardId)?.orders(heartbeat) ?? null) : null;
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -15,10 +15,10 @@
   machine: 'i-1',
   phase,
   stop: null,
-  seen: null,
+  lastSeen: null,
   boundAt: 0,
   runningAt: null,
-  asked: 0,
+  runCommandsSent: 0,
   ...over,
 });
 const machineOf = (binding: Binding | null): ShardMachine => ({
@@ -27,27 +27,27 @@
   zone: 'x',
   spot: false,
   version: 5,
-  since: 0,
+  recordedAt: 0,
   releasing: false,
   cordoned: false,
   addr: 'a:1',
   agentEpoch: 1,
   sequenceNumber: 10,
   confirmedToken: 9,
-  tookOurToken: true,
+  everConfirmedToken: true,
   unconfirmedSince: null,
   takenAt: 0,
   answeredAt: 0,
-  noticeAt: null,
-  noticeS: null,
+  reclaimNoticeAt: null,
+  reclaimNoticeS: null,
   unacknowledgedRuns: new Map(),
   raiseToken: false,
-  answering: 0,
-  reported: [],
-  forgetFrom: 0,
+  heldAnswers: 0,
+  reportedTasks: [],
+  exitsPendingSince: 0,
   bound: new Map(binding ? [[bindingKey(binding.job, binding.index, binding.attempt), binding]] : []),
   images: new Set(),
-  health: { _tag: 'fine' },
+  health: { _tag: 'healthy' },
   idleSince: null,
   total: { cpus: 1, gpus: 1, memoryGb: 1 },
   free: null,
@@ -165,13 +165,13 @@
   test(`evidence: ${row.name}`, () => {
     const binding = bindingOf(row.phase, {
       stop: row.stop ? { reason: 'cancelled', graceS: 0, since: 0 } : null,
-      seen:
+      lastSeen:
         row.seenSequenceNumber === undefined
           ? null
           : { agentEpoch: 1, sequenceNumber: row.seenSequenceNumber },
     });
     const changes = readChanges(
-      { ...machineOf(binding), tookOurToken: row.heardUs ?? true },
+      { ...machineOf(binding), everConfirmedToken: row.heardUs ?? true },
       row.heartbeat,
       row.token ?? true,
       () => row.late ?? false,
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -28,7 +28,7 @@
   const newSession =
     machine.answeredAt !== null &&
     heartbeat.agentEpoch > machine.agentEpoch &&
-    (underToken || machine.tookOurToken);
+    (underToken || machine.everConfirmedToken);
   const reported = new Map(
     heartbeat.tasks.map((task) => [bindingKey(task.job, task.index, task.attempt), task]),
   );
@@ -36,10 +36,10 @@
     const task = reported.get(key);
     // A direct answer may have overtaken this report.
     const newer =
-      binding.seen !== null &&
-      (binding.seen.agentEpoch > heartbeat.agentEpoch ||
-        (binding.seen.agentEpoch === heartbeat.agentEpoch &&
-          binding.seen.sequenceNumber > heartbeat.sequenceNumber));
+      binding.lastSeen !== null &&
+      (binding.lastSeen.agentEpoch > heartbeat.agentEpoch ||
+        (binding.lastSeen.agentEpoch === heartbeat.agentEpoch &&
+          binding.lastSeen.sequenceNumber > heartbeat.sequenceNumber));
     if (newer) continue;
     if (task) changes.push({ binding, event: { _tag: 'reported', state: task.state } });
     else if (newSession || (underToken && !late(key))) {
@@ -106,6 +106,6 @@
   const wait =
     commands.length === 0 &&
     forgets.length < FORGET_BATCH_EXITS &&
-    (machine.forgetFrom === null || now - machine.forgetFrom < MAX_FORGET_DELAY_MS);
+    (machine.exitsPendingSince === null || now - machine.exitsPendingSince < MAX_FORGET_DELAY_MS);
   return wait ? commands : [...commands, ...forgets];
 };
