--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { TeamLimit } from '../placement/bin-packing.js';
 import { urgency, attainableObjective } from '../placement/urgency.js';
-import { readRunRecord, writeRunRecord } from '../placement/run-records.js';
+import { readRunRecord, writeRunRecord } from '../placement/run-codec.js';
 import { checkSettings } from '../settings/schema.js';
 import { divideTeams } from '../settings/teams.js';
 import { unplaceable, knownTypes } from './api.js';
--- a/src/kv-store/limits.test.ts
+++ b/src/kv-store/limits.test.ts
@@ -10,7 +10,8 @@
 import { KeyValueStoreRelay } from '../peers/store-relay.js';
 import { unpackIds } from '../pipelines/codec.js';
 import { FinalRecordCache } from '../pipelines/final-record-cache.js';
-import { partsOf, readRunRecord, storeRun, type RunRecord } from '../placement/run-records.js';
+import { partsOf, readRunRecord, storeRun } from '../placement/run-codec.js';
+import type { RunRecord } from '../placement/run-records.js';
 import { effectiveLimits } from '../settings/limits.js';
 import { submission } from '../testing/bodies.js';
 import { KeyValueStore, type StoredEntry } from './client.js';
@@ -78,7 +79,7 @@
 ];
 for (const row of runs) {
   test(`limits: a run, ${row.name}`, () => {
-    const { record, parts } = storeRun(row.record, 780, BYTES * VALUE_FILL_FRACTION, true);
+    const { record, parts: parts } = storeRun(row.record, 780, BYTES * VALUE_FILL_FRACTION, true);
     for (const value of [record, ...parts]) assert.ok(bytesOf(value) <= BYTES, `${bytesOf(value)} B`);
     assert.equal(partsOf(record), parts.length);
     assert.ok(1 + parts.length <= OPS);
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -5,7 +5,8 @@
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
-import { chunkOf, counts, partsOf, readRunRecord, validAttempt } from './run-records.js';
+import { isValid, partsOf, readRunRecord, validAttempt } from './run-codec.js';
+import { chunkOf } from './run-records.js';
 import { ClaimTransactions } from './claim-transactions.js';
 import { RunWriter } from './run-writer.js';
 
@@ -99,7 +100,7 @@
   const first = items.get(runKey(0, 'job-1', 0));
   for (const [key, value] of items) {
     const name = parseRunKey(key);
-    if (!name || name.part !== null || !counts(value, first)) continue;
+    if (!name || name.part !== null || !isValid(value, first)) continue;
     const parts = Array.from({ length: partsOf(value) }, (_, part) =>
       items.get(runPartKey(0, 'job-1', name.chunk, part)),
     );
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,104 +1,125 @@
+/**
+ * What becomes of a shard's machines: leases that expire, releases to the cloud, transfers to other shards. Owns
+ * when it last looked and last asked for an urgent release; `Shard` calls it once a round and on the leader's
+ * transfer orders.
+ */
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
 import type { MachineTransfer } from '../fleet/records.js';
 import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import type { MachineLiveness } from './machine-liveness.js';
+import type { MachineLiveness, MachineToRelease } from './machine-liveness.js';
+import type { ShardIdentity, StageQueries, SteadyClock } from './ports.js';
+import type { UrgentRelease } from './shard-context.js';
 import type { ShardState } from './shard-state.js';
 import { bindingKey, type ShardMachine } from './shard-model.js';
 import type { WorkerSessions } from './worker-sessions.js';
 import type { MachineAssignment, MachineRecordWriter } from './machine-record-writer.js';
 
-/** What the machine lifecycle needs of its share. */
-export interface MachineLifecycleDependencies {
-  readonly shardId: number;
-  readonly store: KeyValueStore;
+/** What the machine lifecycle needs of its shard. */
+export interface MachineLifecycleDependencies
+  extends
+    Pick<ShardIdentity, 'shardId'>,
+    SteadyClock,
+    Pick<StageQueries, 'isPlacing' | 'isLost'>,
+    UrgentRelease {
+  readonly store: Pick<KeyValueStore, 'batchWrites'>;
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
   readonly sessions: WorkerSessions;
   readonly records: MachineRecordWriter;
-  readonly now: () => number;
-  /** The share has been rebuilt, so it may place work and give machines away. */
-  readonly isPlacing: () => boolean;
-  /** The share's claim is no longer held by this process. */
-  readonly isLost: () => boolean;
-  /** Returns machines to the cloud at once, without a record of it; true: they are gone. */
-  readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
 }
 
-/** What becomes of a share's machines: leases that run out, returns to the cloud, moves to other shares. */
+/** Takes machines out of use or out of the shard. */
 export class MachineLifecycle {
   private checkedAt = 0;
   private urgentReleaseAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly dependencies: MachineLifecycleDependencies) {}
 
+  /** Acts on what only time changes, at most once in `MACHINE_CHECK_INTERVAL_MS`. */
   check(): void {
-    const now = this.dependencies.now();
-    if (now - this.checkedAt < MACHINE_CHECK_INTERVAL_MS) return;
-    this.checkedAt = now;
-    for (const machine of this.dependencies.liveness.updateAndFindExpired()) {
-      log.info({ event: 'machine.lease_expired', machine: machine.id, tasks: machine.bound.size });
-      for (const binding of [...machine.bound.values()])
-        this.dependencies.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
-    }
-    const overdue = this.dependencies.liveness.machinesWithOverdueCancellations(
-      this.dependencies.shardState.jobs.values(),
-    );
+    const { now, liveness, shardState } = this.dependencies;
+    const checkedAt = now();
+    if (checkedAt - this.checkedAt < MACHINE_CHECK_INTERVAL_MS) return;
+    this.checkedAt = checkedAt;
+    for (const machine of liveness.updateAndFindExpired()) this.onLeaseExpired(machine);
+    const overdue = liveness.machinesWithOverdueCancellations(shardState.jobs.values());
     this.releaseNow(overdue.map((machine) => machine.id));
-    const release = [
+    this.writeRecords(this.machinesToRelease(overdue), this.machinesToRenew());
+  }
+
+  private onLeaseExpired(machine: ShardMachine): void {
+    log.info({ event: 'machine.lease_expired', machine: machine.id, tasks: machine.bound.size });
+    for (const binding of [...machine.bound.values()])
+      this.dependencies.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'leaseOver' } });
+  }
+
+  private machinesToRelease(overdue: readonly ShardMachine[]): readonly MachineToRelease[] {
+    const { liveness, isPlacing } = this.dependencies;
+    return [
       ...overdue
         .filter((machine) => !machine.releasing)
         .map((machine) => ({ machine, reason: 'cancelled and not gone' })),
-      ...this.dependencies.liveness
-        .machinesToRelease(this.dependencies.isPlacing())
-        .filter(({ machine }) => !overdue.includes(machine)),
+      ...liveness.machinesToRelease(isPlacing()).filter(({ machine }) => !overdue.includes(machine)),
     ];
-    const raise = [...this.dependencies.shardState.machines.values()].filter(
+  }
+
+  /** Machines whose record is to be rewritten, for a higher token. */
+  private machinesToRenew(): readonly ShardMachine[] {
+    const machines = [...this.dependencies.shardState.machines.values()].filter(
       (machine) => machine.raiseToken && !machine.releasing,
     );
-    for (const machine of raise) machine.raiseToken = false;
-    const records = [
-      ...raise.map((machine): MachineAssignment => ({ machine, shardId: this.dependencies.shardId })),
+    for (const machine of machines) machine.raiseToken = false;
+    return machines;
+  }
+
+  private writeRecords(release: readonly MachineToRelease[], renew: readonly ShardMachine[]): void {
+    const { shardId, records, store } = this.dependencies;
+    const assignments = [
+      ...renew.map((machine): MachineAssignment => ({ machine, shardId })),
       ...release
-        .filter(({ machine }) => !raise.includes(machine))
+        .filter(({ machine }) => !renew.includes(machine))
         .map(({ machine, reason }): MachineAssignment => {
           log.info({ event: 'machine.release_requested', machine: machine.id, why: reason });
-          return { machine, shardId: this.dependencies.shardId, releaseReason: reason };
+          return { machine, shardId, releaseReason: reason };
         }),
     ];
-    while (records.length > 0)
-      void this.dependencies.records.assign(
-        records.splice(0, this.dependencies.store.batchWrites),
-        raise.length > 0 ? 'bind' : 'work',
-      );
+    const priority = renew.length > 0 ? 'bind' : 'work';
+    while (assignments.length > 0) void records.assign(assignments.splice(0, store.batchWrites), priority);
   }
 
   /**
-   * While the state service can't be written, the leader is asked directly; twice is no harm, nor is too
+   * While the key-value store can't be written, the leader is asked directly; twice is no harm, nor is too
    * early.
    */
-  private releaseNow(machines: readonly string[]): void {
-    const now = this.dependencies.now();
-    if (machines.length === 0 || now - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
-    this.urgentReleaseAt = now;
+  private releaseNow(ids: readonly string[]): void {
+    const { now, shardState, releaseNow, isLost } = this.dependencies;
+    const askedAt = now();
+    if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
+    this.urgentReleaseAt = askedAt;
     // The request may be carried out late, whatever its answer: nothing new goes there from now on.
-    for (const id of machines) {
-      const machine = this.dependencies.shardState.machines.get(id);
+    for (const id of ids) {
+      const machine = shardState.machines.get(id);
       if (machine) machine.cordoned = true;
     }
-    void this.dependencies.releaseNow(machines).then((returned) => {
-      if (this.dependencies.isLost() || !returned) return;
-      for (const id of machines) {
-        const machine = this.dependencies.shardState.machines.get(id);
-        for (const binding of [...(machine?.bound.values() ?? [])])
-          this.dependencies.shardState.apply(binding, { _tag: 'lost', how: { _tag: 'released' } });
-      }
+    void releaseNow(ids).then((released) => {
+      if (!isLost() && released) this.onReleased(ids);
     });
   }
 
+  private onReleased(ids: readonly string[]): void {
+    const { shardState } = this.dependencies;
+    for (const id of ids) {
+      const machine = shardState.machines.get(id);
+      for (const binding of [...(machine?.bound.values() ?? [])])
+        shardState.apply(binding, { _tag: 'lost', how: { _tag: 'released' } });
+    }
+  }
+
   /**
-   * Free for another share: nothing on it but exits that are settled, which any holder may have forgotten.
+   * Free for another shard: nothing on it but exits that are durably unbound, which any holder may tell its
+   * worker to forget.
    */
   isTransferable(machine: ShardMachine): boolean {
     return (
@@ -109,34 +130,29 @@
       machine.unacknowledgedRuns.size === 0 &&
       machine.reclaimNoticeAt === null &&
       machine.health._tag === 'healthy' &&
-      machine.reportedTasks.every((task) =>
-        this.dependencies.sessions.isDurablyUnbound(
-          bindingKey(task.job, task.index, task.attempt),
-          task.job,
-          task.index,
-        ),
+      machine.reportedTasks.every(({ job, index, attempt }) =>
+        this.dependencies.sessions.isDurablyUnbound(bindingKey(job, index, attempt), job, index),
       )
     );
   }
 
-  /** Moves free machines to other shares. Their new assignment raises the token beyond all that we sent. */
-  async transferMachines(moves: readonly MachineTransfer[]): Promise<boolean> {
-    if (!this.dependencies.isPlacing()) return false;
-    const records = moves.flatMap(({ machine: id, to }) => {
-      const machine = this.dependencies.shardState.machines.get(id);
+  /** Moves free machines to other shards. Their new assignment raises the token beyond all that this one sent. */
+  async transferMachines(transfers: readonly MachineTransfer[]): Promise<boolean> {
+    const { isPlacing, shardId, shardState, records, store } = this.dependencies;
+    if (!isPlacing()) return false;
+    const assignments = transfers.flatMap(({ machine: id, to }) => {
+      const machine = shardState.machines.get(id);
       return machine && this.isTransferable(machine) ? [{ machine, shardId: to }] : [];
     });
-    if (records.length === 0) return false;
+    if (assignments.length === 0) return false;
     log.info({
       event: 'machine.transfer_started',
-      from: this.dependencies.shardId,
-      moves: records.map(({ machine, shardId }) => `${machine.id}>${shardId}`),
+      from: shardId,
+      moves: assignments.map(({ machine, shardId: to }) => `${machine.id}>${to}`),
     });
     const batches: Promise<boolean>[] = [];
-    while (records.length > 0)
-      batches.push(
-        this.dependencies.records.assign(records.splice(0, this.dependencies.store.batchWrites), 'bind'),
-      );
+    while (assignments.length > 0)
+      batches.push(records.assign(assignments.splice(0, store.batchWrites), 'bind'));
     return (await Promise.all(batches)).some(Boolean);
   }
 }
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -1,3 +1,8 @@
+/**
+ * What may be concluded from a machine's heartbeats and its silence: alive, booting, idle, to be released. Owns
+ * when the shard was loaded; of machines it changes `total`, `health` once a suspicion is over, and `idleSince`.
+ * Rounds and `MachineLifecycle` ask it.
+ */
 import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
 import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
 import {
@@ -19,51 +24,48 @@
   WORKER_LEASE_MARGIN_MS,
 } from '../constants/machines.js';
 import { TAKEOVER_WAIT_REPORT_INTERVALS } from '../constants/placement.js';
-import type { Catalog } from '../jobs/model.js';
+import type { SteadyClock, WallClock } from './ports.js';
+import type { ShardContext } from './shard-context.js';
 import type { ShardJob, ShardMachine } from './shard-model.js';
 
-/**
- * What may be said of a share's machines from when they reported. Pure but for the clocks handed in, which
- * walks over all machines read once.
- */
-export interface MachineLivenessDependencies {
+/** What the judgement of machines needs of their shard. */
+export interface MachineLivenessDependencies
+  extends SteadyClock, WallClock, Pick<ShardContext, 'catalog' | 'workers' | 'isBootBound'> {
   readonly machines: ReadonlyMap<string, ShardMachine>;
-  readonly catalog: () => Catalog | null;
-  readonly workers: { readonly lease_s: number; readonly report_s: number; readonly cancel_s: number };
-  /** Some class misses every start target if a machine of this type has to be booted for it. */
-  readonly isBootBound: (type: string) => boolean;
-  readonly now: () => number;
-  readonly wall: () => number;
 }
 
-/** A machine that is to go back to the cloud. */
+/** A machine that is to go back to the cloud, with the reason as the record and the log give it. */
 export interface MachineToRelease {
   readonly machine: ShardMachine;
   readonly reason: string;
 }
 
+/** Whether silence speaks for a fault of machines, or of this controller. */
 interface Reachability {
-  /** This node hears at least half of its machines. */
+  /** This controller hears at least half of its machines. */
   readonly hearsMost: boolean;
   /** At least half of those that report take up its token. */
   readonly isHeardByMost: boolean;
-  /** The share was read long enough ago for its machines to have reported. */
+  /** The shard was loaded long enough ago for its machines to have reported. */
   readonly hasSettledIn: boolean;
 }
 
-/** What may be concluded from a machine's reports and its silence. */
+/** Judges the machines of one shard. */
 export class MachineLiveness {
-  /** ms: when this holder had read the share's runs; null: not yet. */
+  /** ms on the steady clock: when this holder had read the shard's runs; null: not yet. */
   loadedAt: number | null = null;
+  /** ms: when no machine is heard for as long, none reaches this controller. */
   readonly unreachableAfterMs: number;
+  /** ms after loading: machines that have not reported by then are not waited for. */
   readonly rebuildTimeoutMs: number;
+  /** ms: a spot machine that is silent for as long was most likely taken back. */
   private readonly spotSilenceMs: number;
   /**
    * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
    * cloud.
    */
   readonly cancelledReturnMs: number;
-  /** The full lease, with drift, that this holder must see pass after its last answer. */
+  /** ms: the full lease, with drift, that this holder must see pass after its last answer. */
   readonly leaseMs: number;
 
   constructor(private readonly dependencies: MachineLivenessDependencies) {
@@ -75,6 +77,7 @@
     this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
+  /** s; `unknown`: where the type is not in the catalogue. */
   private bootSecondsOf(machine: ShardMachine, unknown: number): number {
     return this.dependencies.catalog()?.get(machine.type)?.bootS ?? unknown;
   }
@@ -91,7 +94,7 @@
 
   /** Still within the time in which a machine usually comes up: its room counts as coming. */
   isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
-    // It came from another share, where it was up and free: its worker is just being told.
+    // It came from another shard, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
       return now - machine.takenAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
@@ -101,17 +104,20 @@
     );
   }
 
+  /** Its lease has expired, as far as this holder's answers go. */
   isSilent(machine: ShardMachine, now: number): boolean {
     const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.takenAt);
     return now - from > this.leaseMs;
   }
 
+  /** It has taken up the token, and answered lately enough to be given work. */
   isLive(machine: ShardMachine, now: number): boolean {
     return (
       machine.confirmedToken !== 0 && now - (machine.answeredAt ?? 0) < this.leaseMs * LIVE_LEASE_FRACTION
     );
   }
 
+  /** Nothing is bound to it, and nothing reported that has not exited. */
   isIdle(machine: ShardMachine): boolean {
     return (
       machine.confirmedToken !== 0 &&
@@ -133,7 +139,7 @@
     return { machines, heard };
   }
 
-  /** Have the machines of a share that was taken over said what is on them, or had their time to? */
+  /** Have the machines of a shard that was taken over said what is on them, or had their time to? */
   isRebuilt(): boolean {
     if (this.dependencies.catalog() === null || this.loadedAt === null) return false;
     if (this.dependencies.now() - this.loadedAt > this.rebuildTimeoutMs) return true;
@@ -195,7 +201,6 @@
     return list;
   }
 
-  /** Whether silence speaks for a fault of machines, or of this node. */
   private reachability(now: number): Reachability {
     let unconfirmed = 0;
     let reporting = 0;
@@ -226,7 +231,7 @@
      */
     const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilenceMs;
     if (spotSilent && hearing.hearsMost && hearing.hasSettledIn) return 'spot silent';
-    // It reports, and yet does not take up our token for longer than its lease: it does not hear us.
+    // It reports, and yet does not take up the token for longer than its lease: answers do not reach it.
     const { unconfirmedSince } = machine;
     if (
       unconfirmedSince !== null &&
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,7 +1,8 @@
 import type { OrphanedKey } from '@dalegate/fencing';
 import type { StoredEntry } from '../kv-store/client.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
-import { counts, durableKeys, partsOf, readRunRecord, validAttempt } from './run-records.js';
+import { isValid, partsOf, readRunRecord, validAttempt } from './run-codec.js';
+import { durableKeys } from './run-records.js';
 import type { ShardState } from './shard-state.js';
 
 /** What the run loader needs of its share. */
@@ -50,7 +51,7 @@
     const first = items.get(runKey(this.dependencies.shardId, name.job, 0))?.value;
     if (name.chunk === 0) job.validAttempt = validAttempt(first);
     // Prepared for a bind that never was: it counts for nothing, and is cleared.
-    const valid = counts(item.value, first);
+    const valid = isValid(item.value, first);
     const chunk = {
       version: item.version,
       parts: count,
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -11,15 +11,8 @@
 import { jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
-import {
-  durableKeys,
-  prepared,
-  runRecord,
-  storeRun,
-  validating,
-  type RunRecord,
-  type StoredRun,
-} from './run-records.js';
+import { prepared, storeRun, validating, type StoredRun } from './run-codec.js';
+import { durableKeys, runRecord, type RunRecord } from './run-records.js';
 import type { Chunk, ShardJob } from './shard-model.js';
 
 /** What the writer of runs needs of its share. */
--- /dev/null
+++ b/src/placement/shard-model-factories.ts
@@ -0,0 +1,71 @@
+/** New jobs and machines of a shard, as they are before anything has happened to them. No state. */
+import type { MachineRecord } from '../fleet/records.js';
+import type { Demand, JobRecord } from '../jobs/model.js';
+import type { ShardJob, ShardMachine } from './shard-model.js';
+
+/** A machine as its record shows it, before its worker has reported; `takenAt` in ms on the steady clock. */
+export const createMachine = (
+  id: string,
+  record: MachineRecord,
+  version: number,
+  total: Demand,
+  takenAt: number,
+): ShardMachine => ({
+  id,
+  type: record.type,
+  zone: record.zone,
+  spot: record.spot,
+  version,
+  recordedAt: record.at,
+  releasing: record.releasing,
+  cordoned: false,
+  addr: record.addr,
+  agentEpoch: 0,
+  sequenceNumber: 0,
+  confirmedToken: 0,
+  everConfirmedToken: false,
+  takenAt,
+  unconfirmedSince: null,
+  answeredAt: null,
+  reclaimNoticeAt: null,
+  reclaimNoticeS: null,
+  unacknowledgedRuns: new Map(),
+  heldAnswers: 0,
+  reportedTasks: [],
+  exitsPendingSince: null,
+  bound: new Map(),
+  images: new Set(record.images),
+  health: { _tag: 'healthy' },
+  idleSince: null,
+  total,
+  free: null,
+  raiseToken: false,
+});
+
+/** A job as its record shows it, before its runs are read; whether it is cancelled is the shard state's. */
+export const createJob = (record: JobRecord, version: number): ShardJob => ({
+  spec: record.spec,
+  submittedSpec: record.spec,
+  submittedAt: record.at,
+  waitingSince: record.at,
+  dependencyParts: record.parts,
+  readiness:
+    record.dependsOn.length + record.parts > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: record.at },
+  version,
+  cancelled: false,
+  cancelledAt: null,
+  done: new Set(),
+  firstUnfinished: 0,
+  bindings: new Map(),
+  attempt: 0,
+  validAttempt: 0,
+  chunks: new Map(),
+  failedOn: new Set(),
+  failures: 0,
+  backoffUntil: 0,
+  hasCompletedTask: false,
+  finishing: false,
+  recordGone: false,
+  finishSeparately: false,
+  writesUnderWay: 0,
+});
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -1,37 +1,32 @@
-import { SUSPECT_MACHINE_PAUSE_MS } from '../constants/machines.js';
-import {
-  FAULTY_JOB_MACHINES,
-  JOB_BACKOFF_MS,
-  MAX_JOB_BACKOFF_DOUBLINGS,
-  MAX_JOB_BACKOFF_MS,
-  NO_ROOM_BACKOFF_MS,
-} from '../constants/placement.js';
+/**
+ * Owns the jobs, machines and bindings of one shard; here alone jobs and machines come and go, and bindings are
+ * made, stopped and taken through their phases. Heartbeats, records and rounds call it.
+ */
 import { STOP_GRACE_EXTRA_S } from '../constants/workers.js';
 import type { MachineRecord } from '../fleet/records.js';
 import type { Demand, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { Readiness, EffectivePriority } from '../pipelines/graph.js';
+import type { EffectivePriority, Readiness } from '../pipelines/graph.js';
+import { nextPhase, onMachine, type Gone, type Phase, type PhaseEvent } from './attempt-phase.js';
+import { FailureAccounting } from './failure-accounting.js';
+import type { RoundTrigger, SteadyClock, WallClock } from './ports.js';
 import { chunkOf } from './run-records.js';
+import { createJob, createMachine } from './shard-model-factories.js';
 import {
   bindingKey,
   isFinished,
   type Binding,
   type ShardJob,
   type ShardMachine,
-  type Stop,
+  type StopReason,
 } from './shard-model.js';
-import { nextPhase, onMachine, type Gone, type Phase, type PhaseEvent } from './attempt-phase.js';
 
-/** What the state of a share needs of the rest of the controller. */
-export interface ShardStateDependencies {
-  readonly now: () => number;
-  /** ms since the epoch. */
-  readonly wall: () => number;
-  /** Something changed that a round should look at. */
-  readonly requestRound: () => void;
-}
+/** What the state of a shard needs of the rest of it. */
+export interface ShardStateDependencies extends SteadyClock, WallClock, RoundTrigger {}
+
+const attemptKeyOf = (binding: Binding): string => bindingKey(binding.job, binding.index, binding.attempt);
 
-/** Jobs, machines and bindings of one share, and the one place where a binding changes its state. */
+/** The state of one shard. */
 export class ShardState {
   readonly jobs = new Map<string, ShardJob>();
   readonly machines = new Map<string, ShardMachine>();
@@ -39,41 +34,14 @@
   readonly stopsToSend = new Set<Binding>();
   /** Cancellations heard of before their jobs, by the revision at which they became durable. */
   readonly acknowledged = new Map<string, number>();
+  private readonly failures = new FailureAccounting(this.machines);
 
   constructor(private readonly dependencies: ShardStateDependencies) {}
 
+  // ---- machines -------------------------------------------------------------------------------------------
+
   addMachine(id: string, record: MachineRecord, version: number, total: Demand): ShardMachine {
-    const machine: ShardMachine = {
-      id,
-      type: record.type,
-      zone: record.zone,
-      spot: record.spot,
-      version,
-      recordedAt: record.at,
-      releasing: record.releasing,
-      cordoned: false,
-      addr: record.addr,
-      agentEpoch: 0,
-      sequenceNumber: 0,
-      confirmedToken: 0,
-      everConfirmedToken: false,
-      takenAt: this.dependencies.now(),
-      unconfirmedSince: null,
-      answeredAt: null,
-      reclaimNoticeAt: null,
-      reclaimNoticeS: null,
-      unacknowledgedRuns: new Map(),
-      heldAnswers: 0,
-      reportedTasks: [],
-      exitsPendingSince: null,
-      bound: new Map(),
-      images: new Set(record.images),
-      health: { _tag: 'healthy' },
-      idleSince: null,
-      total,
-      free: null,
-      raiseToken: false,
-    };
+    const machine = createMachine(id, record, version, total, this.dependencies.now());
     this.machines.set(id, machine);
     return machine;
   }
@@ -84,46 +52,22 @@
     this.dependencies.requestRound();
   }
 
-  adoptJob(record: JobRecord, version: number): ShardJob {
-    let job = this.jobs.get(record.spec.id);
-    if (!job) {
-      job = {
-        spec: record.spec,
-        submittedSpec: record.spec,
-        submittedAt: record.at,
-        waitingSince: record.at,
-        dependencyParts: record.parts,
-        readiness:
-          record.dependsOn.length + record.parts > 0
-            ? { _tag: 'waiting' }
-            : { _tag: 'ready', since: record.at },
-        version,
-        cancelled: false,
-        cancelledAt: null,
-        done: new Set(),
-        firstUnfinished: 0,
-        bindings: new Map(),
-        attempt: 0,
-        validAttempt: 0,
-        chunks: new Map(),
-        failedOn: new Set(),
-        failures: 0,
-        backoffUntil: 0,
-        hasCompletedTask: false,
-        finishing: false,
-        recordGone: false,
-        finishSeparately: false,
-        writesUnderWay: 0,
-      };
-      this.jobs.set(record.spec.id, job);
-      log.debug({
-        event: 'job.adopted',
-        job: record.spec.id,
-        class: record.spec.jobClass,
-        tasks: record.spec.tasks,
-        ageMs: this.dependencies.wall() - record.at,
-      });
+  /** Work that can be saved leaves a machine that is about to go; the rest may still finish in time. */
+  drain(machine: ShardMachine): void {
+    for (const binding of machine.bound.values()) {
+      const job = this.jobs.get(binding.job);
+      if (!job || binding.stop || this.graceOf(job) === 0) continue;
+      if (job.spec.kind === 'gang')
+        for (const member of job.bindings.values()) this.stop(member, 'draining', this.graceOf(job));
+      else this.stop(binding, 'draining', this.graceOf(job));
     }
+  }
+
+  // ---- jobs -----------------------------------------------------------------------------------------------
+
+  /** Takes in a job's record; one older than what is known changes nothing. */
+  adoptJob(record: JobRecord, version: number): ShardJob {
+    const job = this.jobs.get(record.spec.id) ?? this.addJob(record, version);
     // The news of a change may come after a message about a later one.
     if (version < job.version) return job;
     job.version = version;
@@ -136,6 +80,19 @@
     return job;
   }
 
+  private addJob(record: JobRecord, version: number): ShardJob {
+    const job = createJob(record, version);
+    this.jobs.set(record.spec.id, job);
+    log.debug({
+      event: 'job.adopted',
+      job: record.spec.id,
+      class: record.spec.jobClass,
+      tasks: record.spec.tasks,
+      ageMs: this.dependencies.wall() - record.at,
+    });
+    return job;
+  }
+
   /** A job's record was deleted: its final record is durable. */
   onRecordGone(id: string): void {
     this.acknowledged.delete(id);
@@ -156,6 +113,20 @@
     if (this.jobs.get(job.spec.id) === job) this.jobs.delete(job.spec.id);
   }
 
+  /**
+   * A cancellation that is durable at this revision, told by another controller: the shared records may show
+   * it much later.
+   */
+  acknowledge(id: string, version: number): void {
+    const job = this.jobs.get(id);
+    if (!job) {
+      this.acknowledged.set(id, version);
+      return;
+    }
+    job.version = Math.max(job.version, version);
+    this.cancel(job, null);
+  }
+
   private cancel(job: ShardJob, at: number | null): void {
     job.cancelledAt ??= at ?? this.dependencies.wall();
     if (job.cancelled) return;
@@ -163,37 +134,27 @@
     for (const binding of job.bindings.values()) this.stop(binding, 'cancelled', 0);
   }
 
-  /** Where a job stands among those that it follows, and what it is worth for those that need it. */
+  /** Where a job stands among those that it depends on, and what it is worth for those that need it. */
   updateReadiness(id: string, readiness: Readiness, effectivePriority: EffectivePriority): void {
     const job = this.jobs.get(id);
     if (!job) return;
+    const { priority, dueAt } = effectivePriority;
     job.readiness = readiness;
     if (readiness._tag === 'ready') job.waitingSince = Math.max(job.submittedAt, readiness.since);
-    job.spec = {
-      ...job.submittedSpec,
-      priority: effectivePriority.priority,
-      deadlineS:
-        effectivePriority.dueAt === null ? null : (effectivePriority.dueAt - job.waitingSince) / 1000,
-    };
+    const deadlineS = dueAt === null ? null : (dueAt - job.waitingSince) / 1000;
+    job.spec = { ...job.submittedSpec, priority, deadlineS };
     // It has no task, and never will.
     if (readiness._tag === 'doomed') this.cancel(job, null);
     this.dependencies.requestRound();
   }
 
-  /**
-   * A cancellation that is durable at this revision, told by another node: the shared keys may show it much
-   * later.
-   */
-  acknowledge(id: string, version: number): void {
-    const job = this.jobs.get(id);
-    if (!job) {
-      this.acknowledged.set(id, version);
-      return;
-    }
-    job.version = Math.max(job.version, version);
-    this.cancel(job, null);
+  /** s: how long a task of the job may take to save its work when it is stopped; 0: it saves nothing. */
+  graceOf(job: ShardJob): number {
+    return job.spec.checkpointS > 0 ? job.spec.saveS + STOP_GRACE_EXTRA_S : 0;
   }
 
+  // ---- bindings -------------------------------------------------------------------------------------------
+
   bind(job: ShardJob, index: number, attempt: number, machine: ShardMachine, phase: Phase): Binding {
     const binding: Binding = {
       job: job.spec.id,
@@ -208,51 +169,42 @@
       runCommandsSent: 0,
     };
     job.bindings.set(index, binding);
-    machine.bound.set(bindingKey(job.spec.id, index, attempt), binding);
+    machine.bound.set(attemptKeyOf(binding), binding);
     machine.free = null;
     return binding;
   }
 
   /** Takes back a bind that surely was not carried out. */
   unbind(binding: Binding): void {
-    const machine = this.machines.get(binding.machine);
-    if (machine) {
-      machine.bound.delete(bindingKey(binding.job, binding.index, binding.attempt));
-      machine.free = null;
-    }
+    this.removeFromMachine(binding);
     const job = this.jobs.get(binding.job);
     if (job?.bindings.get(binding.index) === binding) job.bindings.delete(binding.index);
   }
 
-  stop(binding: Binding, reason: Stop['reason'], graceS: number): void {
+  private removeFromMachine(binding: Binding): ShardMachine | undefined {
+    const machine = this.machines.get(binding.machine);
+    if (!machine) return undefined;
+    machine.bound.delete(attemptKeyOf(binding));
+    machine.free = null;
+    return machine;
+  }
+
+  /** Orders a task's stop; an order with no shorter grace than an earlier one changes nothing. */
+  stop(binding: Binding, reason: StopReason, graceS: number): void {
     if (binding.stop && binding.stop.graceS <= graceS) return;
     binding.stop = { reason, graceS, since: this.dependencies.now() };
     // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it
-    // with its report.
+    // with its heartbeat.
     if (onMachine(binding.phase) && reason !== 'finished') this.stopsToSend.add(binding);
     this.dependencies.requestRound();
   }
 
-  graceOf(job: ShardJob): number {
-    return job.spec.checkpointS > 0 ? job.spec.saveS + STOP_GRACE_EXTRA_S : 0;
-  }
-
   /** A gang that lost a member is stopped whole and waits again, free to go anywhere. */
   stopBrokenGang(job: ShardJob): void {
     for (const binding of job.bindings.values()) this.stop(binding, 'broken', 0);
   }
 
-  /** Work that can be saved leaves a machine that is about to go; the rest may still finish in time. */
-  drain(machine: ShardMachine): void {
-    for (const binding of machine.bound.values()) {
-      const job = this.jobs.get(binding.job);
-      if (!job || binding.stop || this.graceOf(job) === 0) continue;
-      if (job.spec.kind === 'gang')
-        for (const member of job.bindings.values()) this.stop(member, 'draining', this.graceOf(job));
-      else this.stop(binding, 'draining', this.graceOf(job));
-    }
-  }
-
+  /** Takes a binding to its next phase, with all that follows from it. */
   apply(binding: Binding, event: PhaseEvent): void {
     const before = binding.phase;
     binding.phase = nextPhase(before, event);
@@ -282,74 +234,39 @@
   }
 
   private onGone(binding: Binding, how: Gone, job: ShardJob | undefined): void {
-    const machine = this.machines.get(binding.machine);
-    if (machine) {
-      machine.bound.delete(bindingKey(binding.job, binding.index, binding.attempt));
-      machine.free = null;
-    }
+    const machine = this.removeFromMachine(binding);
     this.dependencies.requestRound();
-    if (!job || job.bindings.get(binding.index) !== binding) return;
+    if (job?.bindings.get(binding.index) !== binding) return;
     job.bindings.delete(binding.index);
     const chunk = job.chunks.get(chunkOf(binding.index));
     if (chunk) chunk.dirtySince ??= this.dependencies.now();
     if (how._tag === 'exited' && how.cause === 'done' && job.spec.kind !== 'service') {
-      job.hasCompletedTask = true;
-      // A gang completes together: one task done means all are.
-      if (job.spec.kind === 'gang') {
-        for (let index = 0; index < job.spec.tasks; index += 1) job.done.add(index);
-        for (const other of job.bindings.values()) this.stop(other, 'finished', 0);
-      } else job.done.add(binding.index);
+      this.onTaskDone(binding, job);
       return;
     }
-    if (how._tag === 'exited' && (how.cause === 'error' || how.cause === 'unknown'))
-      this.onError(binding, job, machine);
-    if (how._tag === 'exited' && how.cause === 'noRoom')
-      job.backoffUntil = Math.max(job.backoffUntil, this.dependencies.now() + NO_ROOM_BACKOFF_MS);
+    if (how._tag === 'exited') this.onFailedExit(binding, how.cause, job, machine);
     if (job.spec.kind === 'gang' && !isFinished(job)) this.stopBrokenGang(job);
   }
 
-  /**
-   * A failure counts against the machine until the same job fails elsewhere too, and then against the job.
-   */
-  private onError(binding: Binding, job: ShardJob, machine: ShardMachine | undefined): void {
-    const now = this.dependencies.now();
-    job.failures += 1;
-    job.failedOn.add(binding.machine);
-    log.info({
-      event: 'task.failed',
-      task: `${binding.job}/${binding.index}`,
-      machine: binding.machine,
-      errors: job.failures,
-    });
-    const jobAtFault = !job.hasCompletedTask && job.failedOn.size >= FAULTY_JOB_MACHINES;
-    if (!job.hasCompletedTask) {
-      const pause = jobAtFault
-        ? Math.min(
-            MAX_JOB_BACKOFF_MS,
-            JOB_BACKOFF_MS *
-              2 ** Math.min(MAX_JOB_BACKOFF_DOUBLINGS, job.failedOn.size - FAULTY_JOB_MACHINES),
-          )
-        : 0;
-      job.backoffUntil = Math.max(job.backoffUntil, now + pause);
-    }
-    if (jobAtFault) {
-      for (const id of job.failedOn) {
-        const other = this.machines.get(id);
-        if (other?.health._tag === 'suspect' && other.health.job === job.spec.id)
-          other.health = { _tag: 'healthy' };
-      }
-      job.failedOn.clear();
+  private onTaskDone(binding: Binding, job: ShardJob): void {
+    job.hasCompletedTask = true;
+    if (job.spec.kind !== 'gang') {
+      job.done.add(binding.index);
       return;
     }
-    if (!machine) return;
-    if (machine.health._tag === 'suspect' && machine.health.job !== job.spec.id)
-      machine.health = { _tag: 'quarantined' };
-    else if (machine.health._tag === 'healthy') {
-      machine.health = job.hasCompletedTask
-        ? { _tag: 'quarantined' }
-        : { _tag: 'suspect', job: job.spec.id, until: now + SUSPECT_MACHINE_PAUSE_MS };
-    }
-    if (machine.health._tag === 'quarantined')
-      log.info({ event: 'machine.quarantined', machine: machine.id });
+    // A gang completes together: one task done means all are.
+    for (let index = 0; index < job.spec.tasks; index += 1) job.done.add(index);
+    for (const other of job.bindings.values()) this.stop(other, 'finished', 0);
+  }
+
+  private onFailedExit(
+    binding: Binding,
+    cause: Extract<Gone, { _tag: 'exited' }>['cause'],
+    job: ShardJob,
+    machine: ShardMachine | undefined,
+  ): void {
+    const now = this.dependencies.now();
+    if (cause === 'error' || cause === 'unknown') this.failures.onTaskFailed(binding, job, machine, now);
+    if (cause === 'noRoom') this.failures.onNoRoom(job, now);
   }
 }
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -24,7 +24,7 @@
   storeRun,
   validating,
   type StoredRun,
-} from '../placement/run-records.js';
+} from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
 import { leaderDuties } from '../testing/duties.js';
 import { messageOf, type Recording } from './fixtures.js';
@@ -139,7 +139,7 @@
 });
 
 const rereadRun = (stored: unknown): unknown => {
-  const { record, parts } = stored as StoredRun;
+  const { record, parts: parts } = stored as StoredRun;
   const marks = record as { readonly q?: number; readonly v?: number };
   const run = readRunRecord(record, RUN_CHUNK, parts);
   const again = storeRun(run, RUN_CHUNK, partsOf(record) > 0 ? LITTLE_ROOM : ROOM, true);
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -16,7 +16,8 @@
 import { MachineLiveness } from '../placement/machine-liveness.js';
 import { unmetDemand, spareMachines } from '../placement/unmet-demand.js';
 import { packRequests } from '../placement/bin-packing.js';
-import { readRunRecord, runRecord, writeRunRecord } from '../placement/run-records.js';
+import { readRunRecord, writeRunRecord } from '../placement/run-codec.js';
+import { runRecord } from '../placement/run-records.js';
 
 const SHARD_COUNT = 5;
 const ZONES = ['x', 'y', 'z'];
--- a/src/upgrade.test.ts
+++ b/src/upgrade.test.ts
@@ -3,7 +3,8 @@
 import { readMachineRecord, writeMachineRecord, type MachineRecord } from './fleet/records.js';
 import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
 import type { JobRecord, JobSpec } from './jobs/model.js';
-import { readRunRecord, storeRun, type RunRecord } from './placement/run-records.js';
+import { readRunRecord, storeRun } from './placement/run-codec.js';
+import type { RunRecord } from './placement/run-records.js';
 import { playDay, type Day, type Play } from './testing/day.js';
 import { buildProduction, type Production } from './testing/production.js';
 
@@ -62,7 +63,7 @@
   attempt: 7,
 };
 test('upgrade: a run that an earlier version may have to read is written in its layout, however long', () => {
-  const { record, parts } = storeRun(run, 1, 500, false);
+  const { record, parts: parts } = storeRun(run, 1, 500, false);
   assert.deepEqual(parts, []);
   assert.deepEqual(old.records.readRunRecord(stored(record), 1), run);
   assert.deepEqual(readRunRecord(stored(old.records.writeRunRecord(run, 1)), 1), run);
