--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -3,8 +3,9 @@
  * the controller is composed; every node that has the same settings works out the same.
  */
 import type { ClaimHolder } from '../claims/claim-decisions.js';
-import type { TeamLimit, TeamUsage } from '../placement/bin-packing.js';
-import { readObjectives, type Objectives } from '../placement/urgency.js';
+import type { TeamLimit, TeamUsage } from '../placement/team-limits.js';
+import { readObjectives } from '../placement/objectives-codec.js';
+import type { Objectives } from '../placement/urgency.js';
 import { effectiveLimits, type StateLimits } from '../settings/limits.js';
 import type { Settings } from '../settings/schema.js';
 import { divideTeams, nodeNames } from '../settings/teams.js';
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -8,7 +8,7 @@
 import { PROTOCOL_VERSION } from '../constants/protocol.js';
 import type { Reservation } from '../fleet/records.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
-import { abridgedSummary } from '../placement/unmet-demand.js';
+import { abridgedSummary } from '../placement/spare-machines.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { HeldShards } from './held-shards.js';
--- a/src/fleet/boot-bound-types.test.ts
+++ b/src/fleet/boot-bound-types.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog, JobSpec } from '../jobs/model.js';
-import { readObjectives } from '../placement/urgency.js';
+import { readObjectives } from '../placement/objectives-codec.js';
 import { jobSpec } from '../testing/bodies.js';
 import { BootBoundTypes } from './boot-bound-types.js';
 
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -7,7 +7,7 @@
 import { MAX_CONCURRENT_FINAL_RECORD_READS } from '../constants/pipelines.js';
 import { CANCELLATION_ATTEMPTS, MAX_ECHOED_ID_CHARS, RETRY_AFTER_S } from '../constants/users-api.js';
 import type { ServerRequest, ServerResponse } from '../http.js';
-import { quotaRoom, type TeamLimit } from '../placement/bin-packing.js';
+import { tasksWithinLimit, type TeamLimit } from '../placement/team-limits.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
 import type { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
@@ -73,7 +73,7 @@
   );
   if (!fits) return 'a task fits no allowed machine type';
   const together = spec.kind === 'array' ? 1 : spec.tasks;
-  if (quotaRoom(spec, limit, { cpus: 0, gpus: 0 }, together) < together)
+  if (tasksWithinLimit(spec, limit, { cpus: 0, gpus: 0 }, together) < together)
     return `more than the limit of team ${spec.team}`;
   return null;
 };
--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TeamLimit } from '../placement/bin-packing.js';
+import type { TeamLimit } from '../placement/team-limits.js';
 import { urgency, attainableObjective } from '../placement/urgency.js';
 import { readRunRecord, writeRunRecord } from '../placement/run-codec.js';
 import { checkSettings } from '../settings/schema.js';
--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { decode, encode } from '../http.js';
 import type { Reservation, ShardSummary } from '../fleet/records.js';
-import { abridgedSummary } from '../placement/unmet-demand.js';
+import { abridgedSummary } from '../placement/spare-machines.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
 import type { PeerHeartbeat } from './heartbeat.js';
 import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
--- a/src/placement/attempt-phase.ts
+++ b/src/placement/attempt-phase.ts
@@ -1,10 +1,14 @@
+/**
+ * The phases of one attempt of a task, from its bind until evidence that it is gone, and the one transition
+ * function between them. No state; `ShardState.apply` alone changes a binding's phase by it.
+ */
 import type { ExitCause, TaskState } from '../workers/model.js';
 
 /** One attempt of one task on one machine, from its durable bind until evidence that it is gone. */
 export type Phase =
   /** Bound, the bind not yet known to be durable: nothing may be sent. */
   | { readonly _tag: 'binding' }
-  /** Durable; `run` is sent with each answer until the worker reports the task. */
+  /** Durable; `run` is sent with each answer to a heartbeat until the worker reports the task. */
   | { readonly _tag: 'bound' }
   | { readonly _tag: 'fetching' }
   | { readonly _tag: 'waiting' }
@@ -16,7 +20,7 @@
 /** The evidence that an attempt is gone. */
 export type Gone =
   | { readonly _tag: 'exited'; readonly cause: ExitCause; readonly saved: boolean }
-  /** A newer report under the current token, without it. */
+  /** A newer heartbeat under the current token, without it. */
   | { readonly _tag: 'absent' }
   | { readonly _tag: 'newSession' }
   | { readonly _tag: 'released' }
--- a/src/placement/bin-packing.test.ts
+++ b/src/placement/bin-packing.test.ts
@@ -1,14 +1,11 @@
+/** Where tasks go: bin packing, limits and the order of requests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../jobs/model.js';
-import {
-  order,
-  packRequests,
-  quotaRoom,
-  type PlacementRequest,
-  type TeamLimit,
-  type AvailableCapacity,
-} from './bin-packing.js';
+import { packRequests } from './bin-packing.js';
+import type { PlacementRequest, AvailableCapacity } from './placement-model.js';
+import { inPlacementOrder } from './placement-order.js';
+import { tasksWithinLimit, type TeamLimit } from './team-limits.js';
 import { jobSpec } from '../testing/bodies.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec =>
@@ -32,7 +29,7 @@
     waiting: Array.from({ length: made.tasks }, (_, index) => index),
     inZones: new Map(),
     failedOn: new Set(),
-    at: 0,
+    waitingSince: 0,
     withinGuarantee: false,
     attainableObjective: 0,
     urgency: { place: false, provision: false },
@@ -57,7 +54,7 @@
   leftover: { cpus: 0, gpus: 0, memoryGb: 0 },
   images: new Set(),
   live: true,
-  withheldFromSpotWork: 'no',
+  withheldFromSpotWork: 'never',
   reservedFor: null,
   empty: false,
   ...over,
@@ -278,7 +275,8 @@
   },
 ];
 for (const row of quotas) {
-  test(`quota: ${row.name}`, () => assert.equal(quotaRoom(row.need, row.limit, row.use, 50), row.room));
+  test(`quota: ${row.name}`, () =>
+    assert.equal(tasksWithinLimit(row.need, row.limit, row.use, 50), row.room));
 }
 
 const orders: readonly { name: string; requests: readonly PlacementRequest[]; expect: readonly string[] }[] =
@@ -286,14 +284,14 @@
     {
       name: 'priority, then no spot to go to, then the guarantee, then targets, then the shortest, then the deadline, then the oldest',
       requests: [
-        ask({ id: 'old' }, { at: 1, attainableObjective: 1 }),
-        ask({ id: 'short', estimateS: 5 }, { at: 9 }),
-        ask({ id: 'older' }, { at: 2 }),
-        ask({ id: 'newer' }, { at: 3 }),
-        ask({ id: 'due', deadlineS: 60 }, { at: 7 }),
-        ask({ id: 'spot', spot: true }, { at: 0, withinGuarantee: true }),
-        ask({ id: 'owed' }, { at: 8, withinGuarantee: true, attainableObjective: 2 }),
-        ask({ id: 'urgent', priority: 2, spot: true }, { at: 99 }),
+        ask({ id: 'old' }, { waitingSince: 1, attainableObjective: 1 }),
+        ask({ id: 'short', estimateS: 5 }, { waitingSince: 9 }),
+        ask({ id: 'older' }, { waitingSince: 2 }),
+        ask({ id: 'newer' }, { waitingSince: 3 }),
+        ask({ id: 'due', deadlineS: 60 }, { waitingSince: 7 }),
+        ask({ id: 'spot', spot: true }, { waitingSince: 0, withinGuarantee: true }),
+        ask({ id: 'owed' }, { waitingSince: 8, withinGuarantee: true, attainableObjective: 2 }),
+        ask({ id: 'urgent', priority: 2, spot: true }, { waitingSince: 99 }),
       ],
       expect: ['urgent', 'owed', 'short', 'due', 'older', 'newer', 'old', 'spot'],
     },
@@ -301,7 +299,7 @@
 for (const row of orders) {
   test(`order: ${row.name}`, () =>
     assert.deepEqual(
-      order(row.requests).map((entry) => entry.job),
+      inPlacementOrder(row.requests).map((entry) => entry.job),
       row.expect,
     ));
 }
--- a/src/placement/binder.ts
+++ b/src/placement/binder.ts
@@ -1,68 +1,89 @@
-import type { Assignment } from './bin-packing.js';
+/**
+ * Makes the assignments of a round durable and starts the tasks once they are. No state of its own:
+ * bindings are the shard state's. `Shard` calls it in each round.
+ */
+import type { Assignment } from './placement-model.js';
 import type { DirectCommands } from './direct-commands.js';
+import type { RoundTrigger, StageQueries } from './ports.js';
 import { chunkOf } from './run-records.js';
-import type { ShardState } from './shard-state.js';
-import type { Binding, ShardJob } from './shard-model.js';
 import type { RunWrite, RunWriter } from './run-writer.js';
+import type { Binding, ShardJob } from './shard-model.js';
+import type { ShardState } from './shard-state.js';
 
-/** What the binder needs of its share. */
-export interface BinderDependencies {
+/** What the binder needs of its shard. */
+export interface BinderDependencies extends Pick<StageQueries, 'isLost'>, RoundTrigger {
   readonly shardState: ShardState;
   readonly runs: RunWriter;
   readonly directCommands: DirectCommands;
-  /** The share's claim is no longer held by this process. */
-  readonly isLost: () => boolean;
-  /** Asks for another placement round. */
-  readonly requestRound: () => void;
 }
 
-/** Makes the assignments of a round durable and starts the tasks once they are. */
+/** A run that is to be written, with the bindings that become durable by it. */
+interface BindingWrite {
+  readonly write: RunWrite;
+  readonly bindings: readonly Binding[];
+}
+
+/** Binds tasks to machines. */
 export class Binder {
   constructor(private readonly dependencies: BinderDependencies) {}
 
+  /** Resolves when all binds are durable or taken back. */
   bindAll(assignments: readonly Assignment[]): Promise<unknown> {
+    const commits: Promise<void>[] = [];
+    const ofArrays: BindingWrite[] = [];
+    for (const [job, bindings] of this.bindInMemory(assignments)) {
+      const writes = this.writesOf(job, bindings);
+      // A gang's bind is one conditional write.
+      if (job.spec.kind === 'gang') commits.push(this.commitGang(job, writes));
+      else ofArrays.push(...writes);
+    }
+    for (const batch of this.dependencies.runs.batches(ofArrays)) commits.push(this.commitBatch(batch));
+    return Promise.all(commits);
+  }
+
+  private bindInMemory(assignments: readonly Assignment[]): ReadonlyMap<ShardJob, readonly Binding[]> {
+    const { shardState } = this.dependencies;
     const byJob = new Map<ShardJob, Binding[]>();
-    for (const put of assignments) {
-      const job = this.dependencies.shardState.jobs.get(put.job);
-      const machine = this.dependencies.shardState.machines.get(put.machine);
+    for (const assignment of assignments) {
+      const job = shardState.jobs.get(assignment.job);
+      const machine = shardState.machines.get(assignment.machine);
       if (!job || !machine) continue;
-      let list = byJob.get(job);
-      if (!list) {
+      let bindings = byJob.get(job);
+      if (!bindings) {
         job.attempt += 1;
-        byJob.set(job, (list = []));
+        byJob.set(job, (bindings = []));
       }
-      list.push(this.dependencies.shardState.bind(job, put.index, job.attempt, machine, { _tag: 'binding' }));
+      bindings.push(shardState.bind(job, assignment.index, job.attempt, machine, { _tag: 'binding' }));
     }
-    const commits: Promise<void>[] = [];
-    const arrays: { write: RunWrite; bindings: readonly Binding[] }[] = [];
-    for (const [job, bindings] of byJob) {
-      const chunks = [...new Set(bindings.map((binding) => chunkOf(binding.index)))];
-      const entries = chunks.map((chunk) => ({
-        write: this.dependencies.runs.runWrite(job, chunk),
-        bindings: bindings.filter((binding) => chunkOf(binding.index) === chunk),
-      }));
-      // A gang's bind is one conditional write.
-      if (job.spec.kind === 'gang') commits.push(this.commitBinds(entries, job));
-      else arrays.push(...entries);
-    }
-    for (const batch of this.dependencies.runs.batches(arrays)) commits.push(this.commitBinds(batch));
-    return Promise.all(commits);
+    return byJob;
+  }
+
+  private writesOf(job: ShardJob, bindings: readonly Binding[]): readonly BindingWrite[] {
+    const chunks = [...new Set(bindings.map((binding) => chunkOf(binding.index)))];
+    return chunks.map((chunk) => ({
+      write: this.dependencies.runs.runWrite(job, chunk),
+      bindings: bindings.filter((binding) => chunkOf(binding.index) === chunk),
+    }));
   }
 
-  private async commitBinds(
-    entries: readonly { write: RunWrite; bindings: readonly Binding[] }[],
-    gang: ShardJob | null = null,
-  ): Promise<void> {
+  private async commitGang(job: ShardJob, entries: readonly BindingWrite[]): Promise<void> {
     const writes = entries.map((entry) => entry.write);
-    const committed = gang
-      ? await this.dependencies.runs.commitGang(gang, writes, 'bind')
-      : await this.dependencies.runs.commitRuns(writes, 'bind');
+    this.onCommitted(entries, await this.dependencies.runs.commitGang(job, writes, 'bind'));
+  }
+
+  private async commitBatch(entries: readonly BindingWrite[]): Promise<void> {
+    const writes = entries.map((entry) => entry.write);
+    this.onCommitted(entries, await this.dependencies.runs.commitRuns(writes, 'bind'));
+  }
+
+  private onCommitted(entries: readonly BindingWrite[], committed: boolean): void {
+    const { shardState, directCommands, isLost, requestRound } = this.dependencies;
     const bindings = entries.flatMap((entry) => entry.bindings);
     for (const binding of bindings) {
-      if (committed) this.dependencies.shardState.apply(binding, { _tag: 'durable' });
-      else this.dependencies.shardState.unbind(binding);
+      if (committed) shardState.apply(binding, { _tag: 'durable' });
+      else shardState.unbind(binding);
     }
-    if (committed && !this.dependencies.isLost()) this.dependencies.directCommands.sendRuns(bindings);
-    this.dependencies.requestRound();
+    if (committed && !isLost()) directCommands.sendRuns(bindings);
+    requestRound();
   }
 }
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,29 +1,62 @@
+/**
+ * Transactions of a shard: conditional on its claim, carried to a known end, a bounded number side by side.
+ * Owns the count of those under way and the queue of those that wait. The writers of records call it.
+ */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_TRANSACTIONS } from '../constants/placement.js';
 import type { Condition, KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
+import type { ShardIdentity, StageQueries } from './ports.js';
 
-/** What the transactions need of their share. */
-export interface ClaimTransactionsDependencies {
+/** What the transactions need of their shard. */
+export interface ClaimTransactionsDependencies extends ShardIdentity, Pick<StageQueries, 'isLost'> {
   readonly store: KeyValueStore;
-  readonly shardId: number;
-  readonly claim: number;
   /** Another holder's claim showed up in a condition. */
   readonly markLost: () => void;
-  readonly isLost: () => boolean;
 }
 
-/** Transactions of a share: conditional on its claim, carried to a known end, several side by side. */
+/** Changes that are made together or not at all, besides the condition that the claim is unchanged. */
+export interface ClaimTransaction {
+  readonly conditions: readonly Condition[];
+  readonly writes: readonly Write[];
+  /**
+   * One of the keys in the conditions: only this holder changes it, so it tells whether a copy was applied.
+   */
+  readonly witness: string;
+  readonly priority: RequestPriority;
+}
+
+type Conflict = Extract<TransactionResult, { _tag: 'conflict' }>;
+
+/** What became of one attempt. */
+type AttemptOutcome =
+  | { readonly _tag: 'ended'; readonly result: TransactionResult }
+  /** It may have been applied, or may be later. */
+  | { readonly _tag: 'unacknowledged' }
+  /** Nothing new is known. */
+  | { readonly _tag: 'undecided' };
+
+const UNACKNOWLEDGED: AttemptOutcome = { _tag: 'unacknowledged' };
+const UNDECIDED: AttemptOutcome = { _tag: 'undecided' };
+const ended = (result: TransactionResult): AttemptOutcome => ({ _tag: 'ended', result });
+const LOST: TransactionResult = { _tag: 'refused', why: 'lost' };
+
+/** The transactions of one shard. */
 export class ClaimTransactions {
   private running = 0;
   private readonly queue: (() => void)[] = [];
 
   constructor(private readonly dependencies: ClaimTransactionsDependencies) {}
 
-  private claimCondition(): Condition {
-    return { key: claimKey(String(this.dependencies.shardId)), version: this.dependencies.claim };
+  /**
+   * Carries a transaction to a known end. Without an answer it may still be applied later, so the same one
+   * is sent again until it is committed or can no longer be: every write is conditional on the version of the
+   * witness, which tells a late first copy from somebody else's change.
+   */
+  commit(transaction: ClaimTransaction): Promise<TransactionResult> {
+    return this.withSlot(() => Effect.runPromise(this.attempts(transaction)));
   }
 
   /** Transactions under way are few: each has its time limit, which waiting for a socket would use up. */
@@ -42,71 +75,79 @@
     }
   }
 
-  /**
-   * Carries a transaction to a known end. Without an answer it may still be applied later, so the same one
-   * is sent again until it is committed or can no longer be: every write is conditional on the version of a
-   * key that only this holder changes (`witness`), which tells a late first copy from somebody else's change.
-   */
-  commit(
-    when: readonly Condition[],
-    writes: readonly Write[],
-    witness: string,
-    rank: RequestPriority,
-  ): Promise<TransactionResult> {
-    return this.withSlot(() => Effect.runPromise(this.attempts(when, writes, witness, rank)));
-  }
-
-  private attempts(
-    when: readonly Condition[],
-    writes: readonly Write[],
-    witness: string,
-    rank: RequestPriority,
-  ): Effect.Effect<TransactionResult> {
+  private attempts(transaction: ClaimTransaction): Effect.Effect<TransactionResult> {
     return Effect.gen({ self: this }, function* () {
-      let unsure = false;
+      const { isLost } = this.dependencies;
+      /** An earlier copy may have been applied, or may be later. */
+      let unacknowledged = false;
       for (;;) {
-        if (this.dependencies.isLost() && !unsure) return { _tag: 'refused', why: 'lost' };
-        const result = yield* this.dependencies.store.compareAndSwap(
-          [this.claimCondition(), ...when],
-          writes,
-          rank,
-        );
-        switch (result._tag) {
-          case 'committed':
-            return result;
-          case 'noLease':
-            return result;
-          case 'refused':
-            if (!unsure) return result;
-            break;
-          case 'unknown':
-            unsure = true;
-            break;
-          case 'conflict': {
-            if (result.failed.includes(this.claimCondition().key)) {
-              this.dependencies.markLost();
-              return result;
-            }
-            if (!unsure) return result;
-            const now = yield* this.dependencies.store.get(witness, rank);
-            const before = when.find((condition) => condition.key === witness)?.version ?? 0;
-            if (now._tag === 'found' && now.item.version !== before) {
-              return { _tag: 'committed', revision: now.item.version };
-            }
-            if (now._tag === 'absent' && before !== 0) return { _tag: 'committed', revision: 0 };
-            if (now._tag !== 'failed') return result;
-            break;
-          }
-        }
-        if (this.dependencies.isLost()) return { _tag: 'refused', why: 'lost' };
+        if (isLost() && !unacknowledged) return LOST;
+        const outcome: AttemptOutcome = yield* this.attempt(transaction, unacknowledged);
+        if (outcome._tag === 'ended') return outcome.result;
+        unacknowledged ||= outcome._tag === 'unacknowledged';
+        if (isLost()) return LOST;
         yield* Effect.sleep(STORE_RETRY_DELAY_MS);
       }
     });
   }
 
+  private attempt(transaction: ClaimTransaction, unacknowledged: boolean): Effect.Effect<AttemptOutcome> {
+    return Effect.gen({ self: this }, function* () {
+      const { conditions, writes, priority } = transaction;
+      const result = yield* this.dependencies.store.compareAndSwap(
+        [this.claimCondition(), ...conditions],
+        writes,
+        priority,
+      );
+      switch (result._tag) {
+        case 'committed':
+        case 'noLease':
+          return ended(result);
+        case 'refused':
+          return unacknowledged ? UNDECIDED : ended(result);
+        case 'unknown':
+          return UNACKNOWLEDGED;
+        case 'conflict':
+          return yield* this.onConflict(transaction, result, unacknowledged);
+      }
+    });
+  }
+
+  /** A conflict after an unacknowledged copy may be that copy's own doing: the witness tells. */
+  private onConflict(
+    { conditions, witness, priority }: ClaimTransaction,
+    conflict: Conflict,
+    unacknowledged: boolean,
+  ): Effect.Effect<AttemptOutcome> {
+    return Effect.gen({ self: this }, function* () {
+      const { store, markLost } = this.dependencies;
+      if (conflict.failed.includes(this.claimCondition().key)) {
+        markLost();
+        return ended(conflict);
+      }
+      if (!unacknowledged) return ended(conflict);
+      const current = yield* store.get(witness, priority);
+      const before = conditions.find((condition) => condition.key === witness)?.version ?? 0;
+      switch (current._tag) {
+        case 'found':
+          if (current.item.version === before) return ended(conflict);
+          return ended({ _tag: 'committed', revision: current.item.version });
+        case 'absent':
+          return ended(before === 0 ? conflict : { _tag: 'committed', revision: 0 });
+        case 'failed':
+          return UNDECIDED;
+      }
+    });
+  }
+
+  private claimCondition(): Condition {
+    const { shardId, claim } = this.dependencies;
+    return { key: claimKey(String(shardId)), version: claim };
+  }
+
   /**
-   * Left-over keys, under the claim alone. They cost nothing but room, so a failure is simply tried again
-   * later.
+   * Deletes orphaned keys, under the claim alone. They cost nothing but room, so a failure is simply tried
+   * again later.
    */
   async remove(keys: readonly string[]): Promise<boolean> {
     const result = await Effect.runPromise(
--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -1,6 +1,6 @@
 /**
- * Commands that go straight to workers instead of waiting for their next heartbeat. Owns no state: it notes on
- * each machine which `run`s are unacknowledged. `Binder` sends runs, `Shard` sends stops, `ShardChanges`
+ * Commands that go straight to workers instead of waiting for their next heartbeat. Owns no state: it notes
+ * on each machine which `run`s are unacknowledged. `Binder` sends runs, `Shard` sends stops, `ShardChanges`
  * announces tokens.
  */
 import { log } from '../log.js';
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -1,3 +1,7 @@
+/**
+ * Writes the final records of jobs that are over, in place of everything else that is stored of them. No
+ * state of its own; of jobs it sets `finishing` and `finishSeparately`. `RecordFlusher` calls it.
+ */
 import type { OrphanedKey } from '@dalegate/fencing';
 import { writeFinalRecord } from '../jobs/codec.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
@@ -5,24 +9,34 @@
 import type { KeyValueStore, Write } from '../kv-store/client.js';
 import { finalKey, followsKey, jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { ClaimTransactions } from './claim-transactions.js';
+import type { ShardIdentity, WallClock } from './ports.js';
 import type { ShardJob } from './shard-model.js';
 
-/** Jobs whose final records are durable, and runs that are left to clear away. */
+/** A job that is over, with how it ended. */
+export interface FinishedJob {
+  readonly job: ShardJob;
+  readonly state: FinalState;
+}
+
+interface FinalWrite extends FinishedJob {
+  readonly final: FinalRecord;
+}
+
+/** Jobs whose final records are durable, and keys that are left to clear away. */
 export interface Finished {
   readonly done: readonly { readonly job: ShardJob; readonly final: FinalRecord }[];
   readonly orphanedKeys: readonly OrphanedKey[];
 }
 
-/** What the writer of final records needs of its share. */
-export interface FinalRecordWriterDependencies {
+/** What the writer of final records needs of its shard. */
+export interface FinalRecordWriterDependencies extends Pick<ShardIdentity, 'shardId'>, WallClock {
   readonly transactions: ClaimTransactions;
   readonly store: KeyValueStore;
-  readonly shardId: number;
-  /** ms since the epoch. */
-  readonly wall: () => number;
 }
 
-/** Writes the final records of jobs that are over, in place of everything else that is stored of them. */
+const NOTHING_FINISHED: Finished = { done: [], orphanedKeys: [] };
+
+/** The writer of final records of one shard. */
 export class FinalRecordWriter {
   constructor(private readonly dependencies: FinalRecordWriterDependencies) {}
 
@@ -33,51 +47,31 @@
     return 2 + parts;
   }
 
-  /**
-   * Final records of jobs in one transaction. Returns those that are durable, with runs left to clear away.
-   */
-  async finish(jobs: readonly { readonly job: ShardJob; readonly state: FinalState }[]): Promise<Finished> {
+  /** Final records of jobs in one transaction. Returns those that are durable, with the keys left over. */
+  async finish(jobs: readonly FinishedJob[]): Promise<Finished> {
     const first = jobs[0];
-    if (!first) return { done: [], orphanedKeys: [] };
-    const orphanedKeys: OrphanedKey[] = [];
-    const writes: Write[] = [];
-    const finals = jobs.map(({ job, state }) => ({
+    if (!first) return NOTHING_FINISHED;
+    const finals = jobs.map(({ job, state }): FinalWrite => ({
       job,
+      state,
       final: { state, at: this.dependencies.wall(), tasks: job.spec.tasks },
     }));
-    for (const { job, final } of finals) {
-      job.finishing = true;
-      writes.push(
-        { _tag: 'put', key: finalKey(job.spec.id), value: writeFinalRecord(final) },
-        { _tag: 'delete', key: jobKey(job.spec.id) },
-      );
-    }
-    for (const key of jobs.flatMap(({ job }) => this.keysOf(job))) {
-      if (writes.length < this.dependencies.store.maxTransactionWrites)
-        writes.push({ _tag: 'delete', key: key.key });
-      else orphanedKeys.push(key);
-    }
-    const result = await this.dependencies.transactions.commit(
-      jobs.flatMap(({ job }) => [
+    for (const { job } of finals) job.finishing = true;
+    const { writes, orphanedKeys } = this.changes(finals);
+    const result = await this.dependencies.transactions.commit({
+      conditions: jobs.flatMap(({ job }) => [
         { key: jobKey(job.spec.id), version: job.version },
         // Only the holder writes it, so it tells whether an unanswered copy was applied; a user's late
         // cancellation changes the job's record too, and would pass for it.
         { key: finalKey(job.spec.id), version: 0 },
       ]),
       writes,
-      finalKey(first.job.spec.id),
-      'bind',
-    );
+      witness: finalKey(first.job.spec.id),
+      priority: 'bind',
+    });
     if (result._tag !== 'committed') {
-      for (const { job } of jobs) {
-        job.finishing = false;
-        if (
-          result._tag === 'conflict' &&
-          result.failed.some((key) => key === jobKey(job.spec.id) || key === finalKey(job.spec.id))
-        )
-          job.finishSeparately = true;
-      }
-      return { done: [], orphanedKeys: [] };
+      this.onNotCommitted(jobs, result._tag === 'conflict' ? result.failed : []);
+      return NOTHING_FINISHED;
     }
     for (const { job, state } of jobs)
       log.info({
@@ -89,6 +83,33 @@
     return { done: finals, orphanedKeys };
   }
 
+  /** The final records, and as many of the deletions as fit in one transaction. */
+  private changes(finals: readonly FinalWrite[]): {
+    readonly writes: readonly Write[];
+    readonly orphanedKeys: readonly OrphanedKey[];
+  } {
+    const { maxTransactionWrites } = this.dependencies.store;
+    const writes = finals.flatMap(({ job, final }): readonly Write[] => [
+      { _tag: 'put', key: finalKey(job.spec.id), value: writeFinalRecord(final) },
+      { _tag: 'delete', key: jobKey(job.spec.id) },
+    ]);
+    const keys = finals.flatMap(({ job }) => this.keysOf(job));
+    const room = Math.max(0, maxTransactionWrites - writes.length);
+    for (const { key } of keys.slice(0, room)) writes.push({ _tag: 'delete', key });
+    return { writes, orphanedKeys: keys.slice(room) };
+  }
+
+  /**
+   * A job that was among the cause of a conflict is written alone from now on, or it would hold up others.
+   */
+  private onNotCommitted(jobs: readonly FinishedJob[], failedKeys: readonly string[]): void {
+    for (const { job } of jobs) {
+      job.finishing = false;
+      const { id } = job.spec;
+      if (failedKeys.includes(jobKey(id)) || failedKeys.includes(finalKey(id))) job.finishSeparately = true;
+    }
+  }
+
   /** Everything that is stored of a job beside its record. */
   private keysOf(job: ShardJob): readonly OrphanedKey[] {
     const runs = [...job.chunks].flatMap(([number, chunk]): readonly OrphanedKey[] => {
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -1,3 +1,4 @@
+/** Gangs whose bind takes several transactions are bound by the last one or not at all. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http.js';
@@ -100,7 +101,7 @@
   const first = items.get(runKey(0, 'job-1', 0));
   for (const [key, value] of items) {
     const name = parseRunKey(key);
-    if (!name || name.part !== null || !isValid(value, first)) continue;
+    if (name?.part !== null || !isValid(value, first)) continue;
     const parts = Array.from({ length: partsOf(value) }, (_, part) =>
       items.get(runPartKey(0, 'job-1', name.chunk, part)),
     );
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -1,3 +1,4 @@
+/** What work without alternatives leaves over on a machine. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog, JobSpec } from '../jobs/model.js';
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,7 +1,7 @@
 /**
- * What becomes of a shard's machines: leases that expire, releases to the cloud, transfers to other shards. Owns
- * when it last looked and last asked for an urgent release; `Shard` calls it once a round and on the leader's
- * transfer orders.
+ * What becomes of a shard's machines: leases that expire, releases to the cloud, transfers to other shards.
+ * Owns when it last looked and last asked for an urgent release; `Shard` calls it once a round and on the
+ * leader's transfer orders.
  */
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
@@ -136,7 +136,10 @@
     );
   }
 
-  /** Moves free machines to other shards. Their new assignment raises the token beyond all that this one sent. */
+  /**
+   * Moves free machines to other shards. Their new assignment raises the token beyond all that this one
+   * sent.
+   */
   async transferMachines(transfers: readonly MachineTransfer[]): Promise<boolean> {
     const { isPlacing, shardId, shardState, records, store } = this.dependencies;
     if (!isPlacing()) return false;
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -1,3 +1,4 @@
+/** How long an idle machine is held before it is released. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
@@ -19,39 +20,39 @@
 };
 
 /**
- * An idle machine is kept for as long as a boot would cost more than it saves; guards against renting it anew
- * at once.
+ * An idle machine is held for as long as a boot would cost more than it saves, so that it is not provisioned
+ * anew at once.
  */
 const cases: readonly {
   readonly name: string;
   readonly bootBound: boolean;
   readonly spot: boolean;
   readonly idleBoots: number;
-  readonly withheldFromSpotWork: boolean;
+  readonly isKept: boolean;
 }[] = [
   {
     name: 'idle for less than a boot',
     bootBound: false,
     spot: false,
     idleBoots: 1.4,
-    withheldFromSpotWork: true,
+    isKept: true,
   },
   {
     name: 'idle for longer than a boot',
     bootBound: false,
     spot: false,
     idleBoots: 1.6,
-    withheldFromSpotWork: false,
+    isKept: false,
   },
   {
     name: 'a boot misses every target',
     bootBound: true,
     spot: false,
     idleBoots: 9,
-    withheldFromSpotWork: true,
+    isKept: true,
   },
-  { name: 'not for ever', bootBound: true, spot: false, idleBoots: 11, withheldFromSpotWork: false },
-  { name: 'a spot machine', bootBound: true, spot: true, idleBoots: 1.6, withheldFromSpotWork: false },
+  { name: 'not for ever', bootBound: true, spot: false, idleBoots: 11, isKept: false },
+  { name: 'a spot machine', bootBound: true, spot: true, idleBoots: 1.6, isKept: false },
 ];
 for (const row of cases) {
   test(`idle machines: ${row.name}`, () => {
@@ -84,6 +85,6 @@
     machine.confirmedToken = 1;
     machine.idleSince = NOW - row.idleBoots * BOOT_S * 1000;
     const released = liveness.machinesToRelease(true).map(({ reason: why }) => why);
-    assert.deepEqual(released, row.withheldFromSpotWork ? [] : ['idle']);
+    assert.deepEqual(released, row.isKept ? [] : ['idle']);
   });
 }
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -1,7 +1,7 @@
 /**
- * What may be concluded from a machine's heartbeats and its silence: alive, booting, idle, to be released. Owns
- * when the shard was loaded; of machines it changes `total`, `health` once a suspicion is over, and `idleSince`.
- * Rounds and `MachineLifecycle` ask it.
+ * What may be concluded from a machine's heartbeats and its silence: alive, booting, idle, to be released.
+ * Owns when the shard was loaded; of machines it changes `total`, `health` once a suspicion is over, and
+ * `idleSince`. Rounds and `MachineLifecycle` ask it.
  */
 import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
 import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
--- a/src/placement/machine-record-writer.test.ts
+++ b/src/placement/machine-record-writer.test.ts
@@ -1,3 +1,4 @@
+/** Which images a machine record names. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { recentImages } from './machine-record-writer.js';
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -1,3 +1,7 @@
+/**
+ * Writes the records of a shard's machines: transferred to another shard, to be released, or renewed for a
+ * higher token. No state of its own; of machines it sets `releasing`. `MachineLifecycle` calls it.
+ */
 import {
   IMAGE_NAMES_VALUE_FRACTION,
   MAX_IMAGE_NAMES_BYTES,
@@ -7,6 +11,7 @@
 import { machineKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
+import type { ShardIdentity, ValueLimits } from './ports.js';
 import type { ShardMachine } from './shard-model.js';
 
 /** What a machine's record is to say. */
@@ -29,66 +34,81 @@
   return recent;
 };
 
-/** What the writer of machine records needs of its share. */
-export interface MachineRecordWriterDependencies {
+/** What the writer of machine records needs of its shard. */
+export interface MachineRecordWriterDependencies
+  extends Pick<ShardIdentity, 'claim'>, Pick<ValueLimits, 'valueBytes'> {
   readonly transactions: ClaimTransactions;
-  readonly claim: number;
-  /** bytes: the largest value that the state service takes, now and later. */
-  readonly valueBytes: number;
 }
 
-/**
- * Writes the records of a share's machines: moved to another share, to be released, or renewed for a higher
- * token.
- */
+/** An assignment, with the version of the record that it replaces. */
+interface PendingAssignment extends MachineAssignment {
+  readonly version: number;
+}
+
+/** The writer of machine records of one shard. */
 export class MachineRecordWriter {
   constructor(private readonly dependencies: MachineRecordWriterDependencies) {}
 
   /**
    * Machine records in one transaction. From its start nothing is placed on them, also while the end is open.
+   * True: written, or nothing was to be.
    */
-  async assign(assignments: readonly MachineAssignment[], rank: RequestPriority): Promise<boolean> {
+  async assign(assignments: readonly MachineAssignment[], priority: RequestPriority): Promise<boolean> {
     // No holder takes back a release intent: a late release request must not meet a machine that is in use
     // again.
-    const machines = assignments.filter(
-      ({ machine, releaseReason: release }) => release !== undefined || !machine.releasing,
-    );
-    const first = machines[0];
+    const pending = assignments
+      .filter(({ machine, releaseReason }) => releaseReason !== undefined || !machine.releasing)
+      .map((assignment): PendingAssignment => ({ ...assignment, version: assignment.machine.version }));
+    const first = pending[0];
     if (!first) return true;
-    const sent = machines.map((entry) => ({ ...entry, version: entry.machine.version }));
-    for (const { machine } of sent) machine.releasing = true;
-    const imageBytes = Math.min(
-      MAX_IMAGE_NAMES_BYTES,
-      this.dependencies.valueBytes * IMAGE_NAMES_VALUE_FRACTION,
-      MAX_RECORD_BATCH_BYTES / sent.length,
-    );
-    const result = await this.dependencies.transactions.commit(
-      sent.map(({ machine, version }) => ({ key: machineKey(machine.id), version })),
-      sent.map(({ machine, shardId, releaseReason: release }) => ({
+    for (const { machine } of pending) machine.releasing = true;
+    const imageBytes = this.imageBytes(pending.length);
+    const result = await this.dependencies.transactions.commit({
+      conditions: pending.map(({ machine, version }) => ({ key: machineKey(machine.id), version })),
+      writes: pending.map((assignment) => ({
         _tag: 'put',
-        key: machineKey(machine.id),
-        value: writeMachineRecord({
-          shardId,
-          type: machine.type,
-          zone: machine.zone,
-          spot: machine.spot,
-          at: machine.recordedAt,
-          releasing: release !== undefined,
-          ...(release === undefined ? {} : { release: { reason: release, token: this.dependencies.claim } }),
-          addr: machine.addr,
-          agentEpoch: machine.agentEpoch,
-          images: recentImages(machine.images, imageBytes),
-        }),
+        key: machineKey(assignment.machine.id),
+        value: this.recordOf(assignment, imageBytes),
       })),
-      machineKey(first.machine.id),
-      rank,
-    );
+      witness: machineKey(first.machine.id),
+      priority,
+    });
     if (result._tag === 'committed') return true;
-    for (const { machine, version } of sent) {
-      const failed = result._tag === 'conflict' && result.failed.includes(machineKey(machine.id));
+    this.onNotCommitted(pending, result._tag === 'conflict' ? result.failed : []);
+    return false;
+  }
+
+  /** bytes: what the images may take in each of so many records. */
+  private imageBytes(records: number): number {
+    return Math.min(
+      MAX_IMAGE_NAMES_BYTES,
+      this.dependencies.valueBytes * IMAGE_NAMES_VALUE_FRACTION,
+      MAX_RECORD_BATCH_BYTES / records,
+    );
+  }
+
+  private recordOf({ machine, shardId, releaseReason }: MachineAssignment, imageBytes: number): unknown {
+    const { claim } = this.dependencies;
+    const release = releaseReason === undefined ? {} : { release: { reason: releaseReason, token: claim } };
+    return writeMachineRecord({
+      shardId,
+      type: machine.type,
+      zone: machine.zone,
+      spot: machine.spot,
+      at: machine.recordedAt,
+      releasing: releaseReason !== undefined,
+      ...release,
+      addr: machine.addr,
+      agentEpoch: machine.agentEpoch,
+      images: recentImages(machine.images, imageBytes),
+    });
+  }
+
+  private onNotCommitted(pending: readonly PendingAssignment[], failedKeys: readonly string[]): void {
+    for (const { machine, version } of pending) {
       // One whose record has changed is set right by the change itself, when it is heard of.
-      if (!failed && machine.version === version) machine.releasing = false;
+      const changed = failedKeys.includes(machineKey(machine.id)) || machine.version !== version;
+      if (!changed) machine.releasing = false;
     }
-    return false;
   }
 }
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -1,23 +1,29 @@
+/**
+ * Removes keys of a shard that belong to nothing any more. Owns the list of such keys: here where fencing
+ * is off, else in the garbage collector of `@dalegate/fencing`. `RecordFlusher` and `ShardLoader` hand keys
+ * in.
+ */
 import { GarbageCollector, type Duty, type OrphanedKey, type Tombstone } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { fencedValue } from '../duties/fenced-store.js';
-import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { parseRunKey, tombstonesKey } from '../kv-store/keys.js';
+import { log } from '../log.js';
 import type { ClaimTransactions } from './claim-transactions.js';
+import type { ShardIdentity, ValueLimits, WallClock } from './ports.js';
 
-/** Keys of a share that belong to nothing any more. */
+/** Keys of a shard that belong to nothing any more. */
 export interface OrphanedKeys {
   /** Has these keys removed some time. */
   discard(keys: readonly OrphanedKey[]): void;
   /** Is there anything to do now? */
   readonly due: boolean;
-  /** Marks or removes a few. */
+  /** Writes tombstones for a few, or removes a few that have them. */
   step(): Promise<void>;
 }
 
-/** Removal under the claim alone, without a mark: what is done where fencing is off. */
+/** Removal under the claim alone, without a tombstone: what is done where fencing is off. */
 export class ImmediateRemoval implements OrphanedKeys {
   private readonly keys: string[] = [];
 
@@ -40,18 +46,13 @@
   }
 }
 
-/** What the removal in two steps needs of its share. */
-export interface TombstonedRemovalDependencies {
+/** What the removal in two steps needs of its shard. */
+export interface TombstonedRemovalDependencies
+  extends ShardIdentity, WallClock, Pick<ValueLimits, 'valueBytes'> {
   readonly store: KeyValueStore;
-  readonly shardId: number;
-  readonly claim: number;
   readonly duty: Duty;
-  /** bytes: the largest value that the state service takes, now and later. */
-  readonly valueBytes: number;
-  /** Does the share know this job, or do the shared keys show it? */
+  /** Does the shard know this job, or do the shared records show it? */
   readonly jobKnown: (job: string) => boolean;
-  /** ms since the epoch. */
-  readonly wall: () => number;
 }
 
 /** Removal in two steps, each under the duty's token and the revision of every key. */
@@ -64,7 +65,7 @@
       value: fencedValue(store, tombstonesKey(shardId), String(shardId), 'work'),
       begin: () => duty.begin('removal of left-over state'),
       inUse: (key) => this.inUse(key),
-      // The book of removals is one more change.
+      // The record of tombstones is one more change.
       batch: () => Math.max(1, store.batchWrites - 1),
       maxBytes: dependencies.valueBytes * VALUE_FILL_FRACTION,
       timeOfDay: dependencies.wall,
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -1,3 +1,4 @@
+/** What a round asks for: jobs that wait for others, and those that others wait for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
@@ -156,8 +157,10 @@
       requests.map((request) => [
         request.job,
         request.withinGuarantee,
-        (NOW - request.at) / 1000,
-        request.spec.deadlineS === null ? null : (request.at + request.spec.deadlineS * 1000 - NOW) / 1000,
+        (NOW - request.waitingSince) / 1000,
+        request.spec.deadlineS === null
+          ? null
+          : (request.waitingSince + request.spec.deadlineS * 1000 - NOW) / 1000,
       ]),
       row.expect,
     );
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -1,3 +1,7 @@
+/**
+ * What waits and where there is room, read from the shard's state for one round. Owns nothing; of machines
+ * it sets the cached `free`, of jobs `firstUnfinished`. `Shard` calls it at the start of each round.
+ */
 import {
   ESTIMATED_IMAGE_FETCH_S,
   GUARANTEED_ON_DEMAND_PATIENCE_S,
@@ -17,29 +21,30 @@
   type Demand,
   type JobSpec,
 } from '../jobs/model.js';
+import type { ShardContext } from './shard-context.js';
 import type { ShardState } from './shard-state.js';
 import type { MachineLiveness } from './machine-liveness.js';
-import { order, type PlacementRequest, type AvailableCapacity, type TeamUsage } from './bin-packing.js';
-import { bindingKey, isFinished, type Free, type ShardJob, type ShardMachine } from './shard-model.js';
-import { attainableObjective, urgency, type Objectives } from './urgency.js';
+import type { PlacementRequest, AvailableCapacity } from './placement-model.js';
+import { inPlacementOrder } from './placement-order.js';
+import type { TeamUsage } from './team-limits.js';
+import {
+  bindingKey,
+  isFinished,
+  type FreeCapacity,
+  type ShardJob,
+  type ShardMachine,
+} from './shard-model.js';
+import { attainableObjective, urgency } from './urgency.js';
 
-/**
- * What waits and where there is room, read from the shareState for one round. Changes nothing but the cached
- * room.
- */
-export interface ViewInput {
+/** What one round looks at. */
+export interface PlacementView extends Pick<ShardContext, 'scarceDemand' | 'guarantees' | 'objectives'> {
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
   readonly catalog: Catalog;
-  /**
-   * The most that one task takes of work that can't do without ordinary machines of this type; null: there is
-   * none.
-   */
-  readonly scarceDemand: (type: string) => Demand | null;
-  readonly guarantees: ReadonlyMap<string, TeamUsage>;
-  readonly objectives: ReadonlyMap<string, Objectives>;
   readonly reservations: readonly Reservation[];
+  /** ms on the steady clock. */
   readonly now: number;
+  /** ms since the epoch. */
   readonly wall: number;
 }
 
@@ -47,19 +52,19 @@
 
 /** What each team has on machines: everything bound, which includes whatever is not proven gone. */
 export const teamUsage = (shardState: ShardState): Map<string, TeamUsage> => {
-  const uses = new Map<string, TeamUsage>();
+  const usages = new Map<string, TeamUsage>();
   for (const job of shardState.jobs.values()) {
     const tasks = job.bindings.size;
     if (tasks === 0) continue;
-    const use = uses.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
+    const use = usages.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
     use.cpus += job.spec.cpus * tasks;
     use.gpus += job.spec.gpus * tasks;
-    uses.set(job.spec.team, use);
+    usages.set(job.spec.team, use);
   }
-  return uses;
+  return usages;
 };
 
-const freeOf = (shardState: ShardState, machine: ShardMachine, catalog: Catalog): Free => {
+const freeCapacityOf = (shardState: ShardState, machine: ShardMachine, catalog: Catalog): FreeCapacity => {
   let { cpus, gpus, memoryGb } = machine.total;
   const others = { cpus: 0, gpus: 0, memoryGb: 0 };
   let dependent = false;
@@ -81,61 +86,70 @@
   for (const task of machine.reportedTasks) {
     if (task.state._tag === 'exited' || machine.bound.has(bindingKey(task.job, task.index, task.attempt)))
       continue;
-    // On the machine, but not ours any more: it is being stopped, and its room is not free yet.
+    // On the machine, but not bound there any more: it is being stopped, and its room is not free yet.
     if (!subtract(task.job)) clear = false;
   }
-  return clear ? { _tag: 'free', cpus, gpus, memoryGb, others, dependent } : { _tag: 'unclear' };
+  return clear
+    ? { _tag: 'free', cpus, gpus, memoryGb, usedByFlexibleWork: others, hasDependentWork: dependent }
+    : { _tag: 'unclear' };
 };
 
 /**
  * Room beside the work that can't do without this type: what is over once as many of its largest tasks as the
- * machine holds have their room. Only where such work runs already: an empty machine stays free to move to
- * another share.
+ * machine holds have their room. Only where such work runs already: an empty machine stays free for
+ * another shard.
  */
-const leftoverOf = (machine: ShardMachine, free: Free, scarce: Demand | null): Demand => {
-  if (free._tag === 'unclear' || scarce === null || !free.dependent) return NOTHING;
+const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
+  if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NOTHING;
   const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
   const over = (field: keyof Demand): number =>
-    Math.max(0, Math.min(free[field], machine.total[field] - tasks * scarce[field] - free.others[field]));
+    Math.max(
+      0,
+      Math.min(free[field], machine.total[field] - tasks * scarce[field] - free.usedByFlexibleWork[field]),
+    );
   return { cpus: over('cpus'), gpus: over('gpus'), memoryGb: over('memoryGb') };
 };
 
 /**
- * Ordinary machines that some job can't do without are held back from work that can use spot: where that
+ * On-demand machines that some job can't do without are held back from work that can use spot: where that
  * work has other types to go to, always; where it has none, as long as it would take one of the last idle.
  */
 const withholdingOf = (
   machine: ShardMachine,
   idle: number,
-  input: ViewInput,
+  view: PlacementView,
 ): AvailableCapacity['withheldFromSpotWork'] => {
-  if (machine.spot || input.scarceDemand(machine.type) === null) return 'no';
-  if (input.catalog.size > 1) return 'always';
-  return machine.bound.size === 0 && idle <= RESERVED_IDLE_MACHINES ? 'reserve' : 'no';
+  if (machine.spot || view.scarceDemand(machine.type) === null) return 'never';
+  if (view.catalog.size > 1) return 'always';
+  return machine.bound.size === 0 && idle <= RESERVED_IDLE_MACHINES ? 'lastIdle' : 'never';
 };
 
-/** Room on each machine that may take tasks, now or once it is up. */
-export const availableCapacity = (input: ViewInput): AvailableCapacity[] => {
-  const { shardState, liveness } = input;
-  const capacities: AvailableCapacity[] = [];
+const mayTakeTasks = (machine: ShardMachine): boolean =>
+  !machine.releasing &&
+  !machine.cordoned &&
+  machine.reclaimNoticeAt === null &&
+  machine.health._tag === 'healthy' &&
+  !machine.raiseToken;
+
+const countIdleOnDemand = ({ shardState, liveness }: PlacementView): number => {
   let idle = 0;
   for (const machine of shardState.machines.values())
     if (!machine.spot && !machine.releasing && liveness.isIdle(machine)) idle += 1;
+  return idle;
+};
+
+/** Room on each machine that may take tasks, now or once it is up. */
+export const availableCapacity = (view: PlacementView): AvailableCapacity[] => {
+  const { shardState, liveness, now, wall } = view;
+  const capacities: AvailableCapacity[] = [];
+  const idle = countIdleOnDemand(view);
   for (const machine of shardState.machines.values()) {
-    if (
-      machine.releasing ||
-      machine.cordoned ||
-      machine.reclaimNoticeAt !== null ||
-      machine.health._tag !== 'healthy' ||
-      machine.raiseToken
-    )
-      continue;
-    const live = liveness.isLive(machine, input.now);
-    if (!live && !liveness.isExpectedSoon(machine, input.now, input.wall)) continue;
-    machine.free ??= freeOf(shardState, machine, input.catalog);
+    if (!mayTakeTasks(machine)) continue;
+    const live = liveness.isLive(machine, now);
+    if (!live && !liveness.isExpectedSoon(machine, now, wall)) continue;
+    machine.free ??= freeCapacityOf(shardState, machine, view.catalog);
     const { free } = machine;
     if (free._tag === 'unclear') continue;
-    const held = heldBy(input.reservations, machine);
     capacities.push({
       id: machine.id,
       type: machine.type,
@@ -143,19 +157,19 @@
       spot: machine.spot,
       total: machine.total,
       free: { cpus: free.cpus, gpus: free.gpus, memoryGb: free.memoryGb },
-      leftover: { ...leftoverOf(machine, free, input.scarceDemand(machine.type)) },
+      leftover: { ...leftoverCapacityOf(machine, free, view.scarceDemand(machine.type)) },
       images: machine.images,
       live,
-      withheldFromSpotWork: withholdingOf(machine, idle, input),
-      reservedFor: held,
+      withheldFromSpotWork: withholdingOf(machine, idle, view),
+      reservedFor: heldBy(view.reservations, machine),
       empty: machine.bound.size === 0,
     });
   }
   return capacities;
 };
 
-/** The shortest nominal boot among the types that the job may use. */
-const bootS = (spec: JobSpec, catalog: Catalog): number => {
+/** s: the shortest nominal boot among the types that the job may use. */
+const shortestBootS = (spec: JobSpec, catalog: Catalog): number => {
   let least = Number.POSITIVE_INFINITY;
   for (const type of catalog.values()) {
     if (typeAllowed(spec, type.name) && fitsIn(spec, type)) least = Math.min(least, type.bootS);
@@ -174,7 +188,7 @@
   return waiting;
 };
 
-const inZones = (job: ShardJob, shardState: ShardState): ReadonlyMap<string, number> => {
+const tasksByZone = (job: ShardJob, shardState: ShardState): ReadonlyMap<string, number> => {
   const zones = new Map<string, number>();
   // Only these two look at where the other tasks are.
   if (!job.spec.oneZone && !job.spec.spread) return zones;
@@ -185,49 +199,70 @@
   return zones;
 };
 
+/** A job of which a task may be placed now, as far as it alone goes; `left`: its tasks that are not done. */
+const mayBePlaced = (job: ShardJob, left: number, now: number): boolean =>
+  !job.cancelled &&
+  !job.finishing &&
+  job.writesUnderWay === 0 &&
+  now >= job.backoffUntil &&
+  job.bindings.size < left &&
+  !isFinished(job) &&
+  !(job.spec.kind === 'gang' && job.bindings.size > 0);
+
+const isWithinGuarantee = (usage: TeamUsage, guarantee: TeamUsage | undefined): boolean =>
+  guarantee !== undefined &&
+  usage.gpus <= guarantee.gpus &&
+  (guarantee.cpus === 0 || usage.cpus <= guarantee.cpus);
+
+const createRequest = (
+  view: PlacementView,
+  job: ShardJob,
+  waiting: readonly number[],
+  withinGuarantee: boolean,
+): PlacementRequest => {
+  const { shardState, catalog, reservations, wall } = view;
+  const { spec } = job;
+  const objectives = view.objectives.get(spec.jobClass);
+  const waitedS = (wall - job.waitingSince) / 1000;
+  const onDemandPatienceS = withinGuarantee ? GUARANTEED_ON_DEMAND_PATIENCE_S : ON_DEMAND_PATIENCE_S;
+  const bootS = shortestBootS(spec, catalog);
+  const jobUrgency = urgency(spec, objectives, waitedS, bootS, ESTIMATED_IMAGE_FETCH_S);
+  return {
+    job: spec.id,
+    spec,
+    waiting,
+    inZones: tasksByZone(job, shardState),
+    failedOn: job.failedOn,
+    waitingSince: job.waitingSince,
+    attainableObjective: attainableObjective(objectives, waitedS),
+    urgency: jobUrgency,
+    mayUseOnDemand: jobUrgency.place || waitedS > onDemandPatienceS,
+    withinGuarantee,
+    hasAlternatives: hasAlternatives(spec, catalog),
+    hasReservation: reservations.some((reservation) => reservation.job === spec.id),
+  };
+};
+
 /** Jobs with tasks that wait for room, in the order in which they are to be placed. */
-export const placementRequests = (input: ViewInput): readonly PlacementRequest[] => {
-  const { shardState, now, wall } = input;
+export const placementRequests = (view: PlacementView): readonly PlacementRequest[] => {
+  const { shardState, now, guarantees } = view;
   const requests: PlacementRequest[] = [];
-  const ahead = new Map<string, TeamUsage>();
+  /** What each team's jobs take that have waited for as long or longer. */
+  const usagesAhead = new Map<string, TeamUsage>();
   for (const job of [...shardState.jobs.values()].sort((a, b) => a.waitingSince - b.waitingSince)) {
     const { spec } = job;
     // What waits for others holds no part of its team's limit or guarantee.
     if (job.readiness._tag !== 'ready') continue;
-    const use = ahead.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    const usage = usagesAhead.get(spec.team) ?? { cpus: 0, gpus: 0 };
     const left = spec.tasks - job.done.size;
-    use.cpus += spec.cpus * left;
-    use.gpus += spec.gpus * left;
-    ahead.set(spec.team, use);
-    if (job.cancelled || job.finishing || job.writesUnderWay > 0 || now < job.backoffUntil) continue;
-    if (job.bindings.size >= left || isFinished(job)) continue;
-    if (spec.kind === 'gang' && job.bindings.size > 0) continue;
+    usage.cpus += spec.cpus * left;
+    usage.gpus += spec.gpus * left;
+    usagesAhead.set(spec.team, usage);
+    if (!mayBePlaced(job, left, now)) continue;
     const waiting = waitingTasks(job);
     if (waiting.length === 0) continue;
-    const guarantee = input.guarantees.get(spec.team);
-    const objectives = input.objectives.get(spec.jobClass);
-    const waitedS = (wall - job.waitingSince) / 1000;
-    const withinGuarantee =
-      guarantee !== undefined &&
-      use.gpus <= guarantee.gpus &&
-      (guarantee.cpus === 0 || use.cpus <= guarantee.cpus);
-    const pressing = urgency(spec, objectives, waitedS, bootS(spec, input.catalog), ESTIMATED_IMAGE_FETCH_S);
-    requests.push({
-      job: spec.id,
-      spec,
-      waiting,
-      inZones: inZones(job, shardState),
-      failedOn: job.failedOn,
-      at: job.waitingSince,
-      attainableObjective: attainableObjective(objectives, waitedS),
-      urgency: pressing,
-      mayUseOnDemand:
-        pressing.place ||
-        waitedS > (withinGuarantee ? GUARANTEED_ON_DEMAND_PATIENCE_S : ON_DEMAND_PATIENCE_S),
-      withinGuarantee,
-      hasAlternatives: hasAlternatives(spec, input.catalog),
-      hasReservation: input.reservations.some((reservation) => reservation.job === spec.id),
-    });
+    const withinGuarantee = isWithinGuarantee(usage, guarantees.get(spec.team));
+    requests.push(createRequest(view, job, waiting, withinGuarantee));
   }
-  return order(requests);
+  return inPlacementOrder(requests);
 };
--- a/src/placement/preemption.test.ts
+++ b/src/placement/preemption.test.ts
@@ -1,7 +1,8 @@
+/** Which groups are stopped for a job that finds no room. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../jobs/model.js';
-import { preempt, type Group, type OccupiedMachine, type PreemptingJob } from './preemption.js';
+import { preempt, type EvictableGroup, type OccupiedMachine, type PreemptingJob } from './preemption.js';
 import { jobSpec } from '../testing/bodies.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec =>
@@ -19,14 +20,19 @@
     estimateS: 1,
     ...over,
   });
-const group = (job: string, priority: number, gpus: number, gang = false): Group => ({
+const group = (job: string, priority: number, gpus: number, gang = false): EvictableGroup => ({
   job,
   priority,
   gang,
   tasks: gpus,
   demand: { cpus: gpus, gpus, memoryGb: gpus },
 });
-const machine = (id: string, zone: string, groups: readonly Group[], spot = false): OccupiedMachine => {
+const machine = (
+  id: string,
+  zone: string,
+  groups: readonly EvictableGroup[],
+  spot = false,
+): OccupiedMachine => {
   const used = groups.reduce((sum, entry) => sum + entry.demand.gpus, 0);
   return { id, type: 'g', zone, spot, free: { cpus: 64, gpus: 8 - used, memoryGb: 64 }, groups };
 };
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,12 +1,16 @@
+/**
+ * Which groups of lower priority to stop so that a job finds room: the last resort. Pure; `Preemptor` calls
+ * it for each job of a search, with the machines as the job before left them.
+ */
 import { SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { CPUS_PER_GPU_IN_GROUP_SIZE } from '../constants/preemption.js';
 import { howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
- * The last resort: whole groups of lower priority make room. A group is a gang with all its tasks wherever
+ * Tasks that are stopped together. A group is a gang with all its tasks wherever
  * they are, or what one array or service has on one machine, since those tasks are independent.
  */
-export interface Group {
+export interface EvictableGroup {
   readonly job: string;
   readonly priority: number;
   readonly gang: boolean;
@@ -21,7 +25,7 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly free: Demand;
-  readonly groups: readonly Group[];
+  readonly groups: readonly EvictableGroup[];
 }
 /** A group to be stopped: a whole gang, or the tasks of another job on one machine. */
 export interface Eviction {
@@ -29,30 +33,38 @@
   readonly job: string;
 }
 
-const size = (group: Group): number => group.demand.gpus + group.demand.cpus / CPUS_PER_GPU_IN_GROUP_SIZE;
-const keyOf = (machine: string, group: Group): string => (group.gang ? group.job : `${group.job}@${machine}`);
+const sizeOf = (group: EvictableGroup): number =>
+  group.demand.gpus + group.demand.cpus / CPUS_PER_GPU_IN_GROUP_SIZE;
+const keyOf = (machine: string, group: EvictableGroup): string =>
+  group.gang ? group.job : `${group.job}@${machine}`;
 
-interface Plan {
+/** How one machine would be cleared. */
+interface MachinePlan {
   readonly machine: OccupiedMachine;
-  readonly victims: readonly Group[];
+  readonly victims: readonly EvictableGroup[];
+  /** Tasks of the job that it has room for then. */
   readonly fits: number;
 }
 
 /** Fewest and smallest groups of the lowest priority whose end lets at least one more task in. */
-const clear = (spec: JobSpec, machine: OccupiedMachine, gone: ReadonlySet<string>): Plan | null => {
+const planMachine = (
+  spec: JobSpec,
+  machine: OccupiedMachine,
+  evicted: ReadonlySet<string>,
+): MachinePlan | null => {
   const free = { cpus: machine.free.cpus, gpus: machine.free.gpus, memoryGb: machine.free.memoryGb };
-  const add = (group: Group): void => {
+  const add = (group: EvictableGroup): void => {
     free.cpus += group.demand.cpus;
     free.gpus += group.demand.gpus;
     free.memoryGb += group.demand.memoryGb;
   };
-  const open: Group[] = [];
+  const open: EvictableGroup[] = [];
   for (const group of machine.groups) {
-    if (gone.has(keyOf(machine.id, group))) add(group);
+    if (evicted.has(keyOf(machine.id, group))) add(group);
     else if (group.priority < spec.priority) open.push(group);
   }
-  open.sort((a, b) => a.priority - b.priority || size(a) - size(b) || (a.job < b.job ? -1 : 1));
-  let victims: Group[] = [];
+  open.sort((a, b) => a.priority - b.priority || sizeOf(a) - sizeOf(b) || (a.job < b.job ? -1 : 1));
+  let victims: EvictableGroup[] = [];
   while (howMany(spec, free, spec.tasks) === 0) {
     const next = open.shift();
     if (!next) return null;
@@ -76,10 +88,10 @@
 /**
  * Lower goes first: the highest priority that a plan costs, then the number of its groups, then their size.
  */
-const costOf = (plan: Plan): readonly number[] => [
+const costOf = (plan: MachinePlan): readonly number[] => [
   Math.max(-1, ...plan.victims.map((victim) => victim.priority)),
   plan.victims.length,
-  plan.victims.reduce((sum, victim) => sum + size(victim), 0),
+  plan.victims.reduce((sum, victim) => sum + sizeOf(victim), 0),
 ];
 
 const isLess = (a: readonly number[], b: readonly number[]): boolean => {
@@ -91,39 +103,43 @@
 };
 
 /** Evictions on machines that a job may use together, with what they cost; null: they lead to no start. */
-interface Choice {
+interface EvictionChoice {
   readonly evictions: readonly Eviction[];
-  readonly rank: readonly number[];
+  /** Compared one after the other, lower first: the worst priority, the number of groups, their size. */
+  readonly cost: readonly number[];
   /** Keys of the groups that go. */
-  readonly gone: ReadonlySet<string>;
+  readonly evictedGroups: ReadonlySet<string>;
   /** Tasks of the job for which each machine is cleared. */
   readonly tasks: ReadonlyMap<string, number>;
 }
 
+/** A plan with what it costs, as `costOf` gives it. */
+interface PricedPlan {
+  readonly plan: MachinePlan;
+  readonly cost: readonly number[];
+}
+
 /** Plans of machines stay as they are until a group with tasks on them goes for another's sake. */
 class PlanCache {
-  private readonly plans = new Map<
-    OccupiedMachine,
-    { readonly plan: Plan; readonly cost: readonly number[] } | null
-  >();
+  private readonly plans = new Map<OccupiedMachine, PricedPlan | null>();
   constructor(
     private readonly spec: JobSpec,
-    private readonly gone: ReadonlySet<string>,
+    private readonly evicted: ReadonlySet<string>,
   ) {}
 
-  private of(machine: OccupiedMachine): { readonly plan: Plan; readonly cost: readonly number[] } | null {
+  private planOf(machine: OccupiedMachine): PricedPlan | null {
     let known = this.plans.get(machine);
     if (known === undefined) {
-      const plan = clear(this.spec, machine, this.gone);
+      const plan = planMachine(this.spec, machine, this.evicted);
       this.plans.set(machine, (known = plan ? { plan, cost: costOf(plan) } : null));
     }
     return known;
   }
 
-  cheapest(machines: readonly OccupiedMachine[]): Plan | null {
-    let best: { readonly plan: Plan; readonly cost: readonly number[] } | null = null;
+  cheapest(machines: readonly OccupiedMachine[]): MachinePlan | null {
+    let best: PricedPlan | null = null;
     for (const machine of machines) {
-      const known = this.of(machine);
+      const known = this.planOf(machine);
       if (known && (!best || isLess(known.cost, best.cost))) best = known;
     }
     return best?.plan ?? null;
@@ -164,11 +180,11 @@
   }
 }
 
-const chooseAmong = (job: PreemptingJob, machines: readonly OccupiedMachine[]): Choice | null => {
+const chooseAmong = (job: PreemptingJob, machines: readonly OccupiedMachine[]): EvictionChoice | null => {
   const { spec, count } = job;
   const zoneRoom = new ZoneRoom(job);
-  const gone = new Set<string>();
-  const plans = new PlanCache(spec, gone);
+  const evicted = new Set<string>();
+  const plans = new PlanCache(spec, evicted);
   const left = [...machines];
   const evictions: Eviction[] = [];
   const tasks = new Map<string, number>();
@@ -184,21 +200,21 @@
     zoneRoom.take(pick.machine.zone, here);
     for (const victim of pick.victims) {
       const key = keyOf(pick.machine.id, victim);
-      if (gone.has(key)) continue;
-      gone.add(key);
+      if (evicted.has(key)) continue;
+      evicted.add(key);
       if (victim.gang) plans.forgetGang(victim.job, left);
       evictions.push({ machine: pick.machine.id, job: victim.job });
-      sizes += size(victim);
+      sizes += sizeOf(victim);
       worst = Math.max(worst, victim.priority);
     }
     tasks.set(pick.machine.id, here);
     missing -= here;
   }
   const starts = spec.kind === 'gang' ? missing <= 0 : missing < count;
-  return starts ? { evictions, rank: [worst, evictions.length, sizes], gone, tasks } : null;
+  return starts ? { evictions, cost: [worst, evictions.length, sizes], evictedGroups: evicted, tasks } : null;
 };
 
-const bestChoice = (job: PreemptingJob, machines: readonly OccupiedMachine[]): Choice | null => {
+const bestChoice = (job: PreemptingJob, machines: readonly OccupiedMachine[]): EvictionChoice | null => {
   const { spec, inZones, failedOn } = job;
   const occupiedZones = spec.oneZone ? [...inZones].filter(([, tasks]) => tasks > 0) : [];
   const usable = machines.filter(
@@ -209,34 +225,34 @@
       occupiedZones.every(([zone]) => zone === machine.zone),
   );
   const zones = spec.oneZone ? [...new Set(usable.map((machine) => machine.zone))].sort() : [null];
-  let best: Choice | null = null;
+  let best: EvictionChoice | null = null;
   /**
    * It would fit without an eviction, in room that earlier jobs of this search had cleared, or that is kept
    * for others.
    */
-  let fitting: Choice | null = null;
+  let fitting: EvictionChoice | null = null;
   for (const zone of zones) {
     const choice = chooseAmong(
       job,
       usable.filter((machine) => zone === null || machine.zone === zone),
     );
     if (choice?.evictions.length === 0) fitting ??= choice;
-    else if (choice && (!best || isLess(choice.rank, best.rank))) best = choice;
+    else if (choice && (!best || isLess(choice.cost, best.cost))) best = choice;
   }
   return best ?? fitting;
 };
 
 /** The machine once the groups of a choice are gone and the job's tasks are on it. */
-const afterChoice = (spec: JobSpec, machine: OccupiedMachine, choice: Choice): OccupiedMachine => {
+const afterChoice = (spec: JobSpec, machine: OccupiedMachine, choice: EvictionChoice): OccupiedMachine => {
   const tasks = choice.tasks.get(machine.id) ?? 0;
   const free = {
     cpus: machine.free.cpus - spec.cpus * tasks,
     gpus: machine.free.gpus - spec.gpus * tasks,
     memoryGb: machine.free.memoryGb - spec.memoryGb * tasks,
   };
-  const groups: Group[] = [];
+  const groups: EvictableGroup[] = [];
   for (const group of machine.groups) {
-    if (!choice.gone.has(keyOf(machine.id, group))) {
+    if (!choice.evictedGroups.has(keyOf(machine.id, group))) {
       groups.push(group);
       continue;
     }
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -1,46 +1,67 @@
+/**
+ * Stops groups of lower priority for jobs that find no room, at a bounded pace. Owns when it last searched.
+ * `Shard` calls it after the bin packing of each round.
+ */
 import {
   MAX_JOBS_PER_PREEMPTION_SEARCH,
   PREEMPTION_DELAY_MS,
   PREEMPTION_SEARCH_INTERVAL_MS,
 } from '../constants/preemption.js';
-import type { JobSpec } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { AvailableCapacity } from './bin-packing.js';
-import { preempt, type Eviction, type OccupiedMachine } from './preemption.js';
+import type { AvailableCapacity } from './placement-model.js';
+import { preempt, type EvictableGroup, type Eviction, type OccupiedMachine } from './preemption.js';
+import type { ShardIdentity, SteadyClock, WallClock } from './ports.js';
+import type { ShardContext } from './shard-context.js';
 import type { ShardState } from './shard-state.js';
-import type { Binding, ShardJob } from './shard-model.js';
-import type { UnplacedRequest } from './unmet-demand.js';
+import type { Binding, ShardJob, ShardMachine } from './shard-model.js';
+import type { UnplacedRequest } from './placement-model.js';
 
-/** What the preemptor needs of its share. */
-export interface PreemptorDependencies {
-  readonly shardId: number;
+/** What the preemptor needs of its shard. */
+export interface PreemptorDependencies
+  extends Pick<ShardIdentity, 'shardId'>, SteadyClock, WallClock, Pick<ShardContext, 'spareElsewhere'> {
   readonly shardState: ShardState;
-  readonly now: () => number;
-  /** ms since the epoch. */
-  readonly wall: () => number;
-  /** Has another share a free machine that would do for this job? */
-  readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
 }
 
-/** Stops groups of lower priority for jobs that find no room, at a bounded pace. */
+/** Tasks of one job on one machine. */
+interface TasksOnMachine {
+  /** The last of them. */
+  readonly binding: Binding;
+  readonly job: ShardJob;
+  readonly tasks: number;
+}
+
+const groupOf = ({ job, tasks }: TasksOnMachine): EvictableGroup => ({
+  job: job.spec.id,
+  priority: job.spec.priority,
+  gang: job.spec.kind === 'gang',
+  tasks,
+  demand: {
+    cpus: job.spec.cpus * tasks,
+    gpus: job.spec.gpus * tasks,
+    memoryGb: job.spec.memoryGb * tasks,
+  },
+});
+
+/** The preemptor of one shard. */
 export class Preemptor {
+  /** ms on the steady clock. */
   private lastSearchAt = 0;
 
   constructor(private readonly dependencies: PreemptorDependencies) {}
 
   /**
-   * Whole groups of lower priority go when nothing else helps: no room here, no free machine in another share
+   * Whole groups of lower priority go when nothing else helps: no room here, no free machine in another shard
    * that would do, and nothing already on its way out. All jobs that need it are decided together, the most
    * important first, each only if it can start for it: after the loss of a zone, dozens of services wait for
    * room at once.
    */
-  run(left: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
+  run(unplaced: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
     const now = this.dependencies.now();
     if (now - this.lastSearchAt < PREEMPTION_SEARCH_INTERVAL_MS) return;
-    const candidates = left
+    const candidates = unplaced
       .filter(
         ({ request }) =>
-          request.spec.priority > 0 && this.dependencies.wall() - request.at >= PREEMPTION_DELAY_MS,
+          request.spec.priority > 0 && this.dependencies.wall() - request.waitingSince >= PREEMPTION_DELAY_MS,
       )
       .slice(0, MAX_JOBS_PER_PREEMPTION_SEARCH);
     if (candidates.length === 0 || this.evictionsUnderWay()) return;
@@ -75,41 +96,33 @@
   private occupied(capacities: readonly AvailableCapacity[]): readonly OccupiedMachine[] {
     const now = this.dependencies.now();
     const occupied: OccupiedMachine[] = [];
-    for (const capacity of capacities) {
-      const machine = this.dependencies.shardState.machines.get(capacity.id);
-      if (!machine || !capacity.live) continue;
-      const groups = new Map<string, { binding: Binding; job: ShardJob; tasks: number }>();
-      for (const binding of machine.bound.values()) {
-        const job = this.dependencies.shardState.jobs.get(binding.job);
-        if (!job || binding.stop) continue;
-        const known = groups.get(binding.job);
-        groups.set(binding.job, { binding, job, tasks: (known?.tasks ?? 0) + 1 });
-      }
-      occupied.push({
-        id: capacity.id,
-        type: capacity.type,
-        zone: capacity.zone,
-        spot: capacity.spot,
-        free: capacity.free,
-        groups: [...groups.values()]
-          // What ends before it could be stopped is not worth stopping.
-          .filter(({ binding, job }) => {
-            const leftS = job.spec.estimateS - (now - (binding.runningAt ?? now)) / 1000;
-            return leftS > this.dependencies.shardState.graceOf(job) || leftS < -job.spec.estimateS;
-          })
-          .map(({ job, tasks }) => ({
-            job: job.spec.id,
-            priority: job.spec.priority,
-            gang: job.spec.kind === 'gang',
-            tasks,
-            demand: {
-              cpus: job.spec.cpus * tasks,
-              gpus: job.spec.gpus * tasks,
-              memoryGb: job.spec.memoryGb * tasks,
-            },
-          })),
-      });
+    for (const { id, type, zone, spot, free, live } of capacities) {
+      const machine = this.dependencies.shardState.machines.get(id);
+      if (!machine || !live) continue;
+      const groups = this.tasksByJob(machine)
+        .filter((tasks) => this.isWorthStopping(tasks, now))
+        .map(groupOf);
+      occupied.push({ id, type, zone, spot, free, groups });
     }
     return occupied;
   }
+
+  /** The tasks on a machine that are not being stopped already. */
+  private tasksByJob(machine: ShardMachine): readonly TasksOnMachine[] {
+    const groups = new Map<string, TasksOnMachine>();
+    for (const binding of machine.bound.values()) {
+      const job = this.dependencies.shardState.jobs.get(binding.job);
+      if (!job || binding.stop) continue;
+      const known = groups.get(binding.job);
+      groups.set(binding.job, { binding, job, tasks: (known?.tasks ?? 0) + 1 });
+    }
+    return [...groups.values()];
+  }
+
+  /** What ends before it could be stopped is not worth stopping; an estimate that is far off says nothing. */
+  private isWorthStopping({ binding, job }: TasksOnMachine, now: number): boolean {
+    const { estimateS } = job.spec;
+    const leftS = estimateS - (now - (binding.runningAt ?? now)) / 1000;
+    return leftS > this.dependencies.shardState.graceOf(job) || leftS < -estimateS;
+  }
 }
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -1,3 +1,4 @@
+/** Final records: each is written once, whatever order the answers and the watch events come in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http.js';
@@ -10,7 +11,6 @@
 import { FinalRecordWriter } from './final-record-writer.js';
 import { RunWriter } from './run-writer.js';
 
-/** Final records: each is written once, whatever order the answers and the watch's events come in. */
 const spec: JobSpec = {
   id: 'job-1',
   jobClass: 'c',
--- a/src/placement/round-loop.ts
+++ b/src/placement/round-loop.ts
@@ -1,6 +1,7 @@
 /**
- * When placement rounds run: soon after something changed, at least at a fixed interval, and with rests that
- * bound their processor time. Owns the request for a round and the end of the rest; `Shard` hands in the round.
+ * When placement rounds run: soon after something changed, at least at a fixed interval, and with rests
+ * that bound their processor time. Owns the request for a round and the end of the rest; `Shard` hands in
+ * the round.
  */
 import * as Effect from 'effect/Effect';
 import { PLACEMENT_INTERVAL_MS } from '../constants/placement.js';
@@ -62,7 +63,10 @@
           const soon = (): void => {
             setTimeout(resolve, Math.max(1, this.restUntil - this.dependencies.now()));
           };
-          if (this.roundRequested) return soon();
+          if (this.roundRequested) {
+            soon();
+            return;
+          }
           const timer = setTimeout(resolve, PLACEMENT_INTERVAL_MS);
           this.wake = () => {
             clearTimeout(timer);
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -1,3 +1,7 @@
+/**
+ * How long placement rests between rounds, by the processor time that rounds take. Owns the running average;
+ * `RoundLoop` asks it after each round.
+ */
 import {
   MIN_PLACEMENT_ROUND_PAUSE_MS,
   PLACEMENT_ROUND_CORE_FRACTION,
@@ -5,8 +9,8 @@
 } from '../constants/placement.js';
 
 /**
- * ms of rest that a round of so much processor time earns: its node has a part of a core, and rounds a part
- * of that.
+ * ms of rest that a round of so much processor time (ms) earns: the process has a fraction of a core, and
+ * rounds a fraction of that.
  */
 export const restMs = (processorMs: number, coreFraction: number): number =>
   Math.max(
@@ -15,9 +19,9 @@
   );
 
 /**
- * How long placement rests between rounds. It goes by the processor time of the last rounds, averaged: a
- * single round during which the engine collected garbage, or which stood still because the node had used up
- * its part of a core, would else earn a rest of many seconds, in which nothing is placed.
+ * Paces rounds by the average over the last ones: a single round during which the engine collected garbage,
+ * or which stood still because the process had used up its part of a core, would else earn a rest of many
+ * seconds, in which nothing is placed.
  */
 export class RoundPacer {
   /** ms; null: no round yet. */
@@ -27,7 +31,7 @@
 
   /** Takes note of a round's processor time (ms); returns the rest before the next (ms). */
   restAfter(processorMs: number): number {
-    // The first is as dear as the next few: nothing is compiled yet, and everything waits.
+    // The first costs as much as the next few: nothing is compiled yet, and everything waits.
     const before = this.average ?? processorMs;
     this.average = before + (processorMs - before) * ROUND_AVERAGE_WEIGHT;
     return restMs(this.average, this.coreFraction);
--- a/src/placement/run-codec.ts
+++ b/src/placement/run-codec.ts
@@ -1,7 +1,7 @@
 /**
- * How a run of tasks is stored: a record, and parts of it where one value can't hold it all. Letters of the stored
- * form: `d` done tasks, `b` bindings in rows, `n` highest attempt, `p` number of parts, `q` prepared, `v` the
- * attempt that is valid. No state.
+ * How a run of tasks is stored: a record, and parts of it where one value can't hold it all. Letters of the
+ * stored form: `d` done tasks, `b` bindings in rows, `n` highest attempt, `p` number of parts, `q`
+ * prepared, `v` the attempt that is valid. No state.
  */
 import {
   JSON_COMMA_BYTES,
@@ -50,7 +50,7 @@
   const rows: Row[] = [];
   for (const { index, machine, attempt } of record.bindings) {
     const last = rows.at(-1);
-    if (last && last[1] === machine && last[2] === attempt && last[0] + (last[3] ?? 1) === index)
+    if (last?.[1] === machine && last[2] === attempt && last[0] + (last[3] ?? 1) === index)
       last[3] = (last[3] ?? 1) + 1;
     else rows.push([index, machine, attempt]);
   }
@@ -83,9 +83,9 @@
 export const writeRunRecord = (record: RunRecord, chunk: number): unknown => plainRecord(record, chunk);
 
 /**
- * A run within values of so many bytes: in its plain layout where that fits, or where a controller of an earlier
- * version may have to read it; else with rows for tasks side by side, and the rest in parts that are written in
- * the same transaction.
+ * A run within values of so many bytes: in its plain layout where that fits, or where a controller of an
+ * earlier version may have to read it; else with rows for tasks side by side, and the rest in parts that
+ * are written in the same transaction.
  */
 export const storeRun = (record: RunRecord, chunk: number, bytes: number, maySplit: boolean): StoredRun => {
   const plain = plainRecord(record, chunk);
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,78 +1,92 @@
+/**
+ * Rebuilds a shard's bindings from the runs that the key-value store holds, after a takeover. Owns, while
+ * it runs, the list of orphaned keys; `ShardLoader` uses one instance for one load.
+ */
 import type { OrphanedKey } from '@dalegate/fencing';
 import type { StoredEntry } from '../kv-store/client.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { isValid, partsOf, readRunRecord, validAttempt } from './run-codec.js';
-import { durableKeys } from './run-records.js';
+import { durableKeys, type RunRecord } from './run-records.js';
+import type { Chunk, ShardJob } from './shard-model.js';
+import type { ShardIdentity } from './ports.js';
 import type { ShardState } from './shard-state.js';
 
-/** What the run loader needs of its share. */
-export interface RunLoaderDependencies {
-  readonly shardId: number;
+/** What the run loader needs of its shard. */
+export interface RunLoaderDependencies extends Pick<ShardIdentity, 'shardId'> {
   readonly shardState: ShardState;
 }
 
-/** Rebuilds a share's bindings from the run records that the state service holds, at a takeover. */
+type Entries = ReadonlyMap<string, StoredEntry>;
+
+/** Takes in the stored runs of one shard. */
 export class RunLoader {
-  /** Keys that belong to no job any more. */
   private readonly orphanedKeys: OrphanedKey[] = [];
 
   constructor(private readonly dependencies: RunLoaderDependencies) {}
 
-  /** Takes in all runs of the share; returns the keys that are left over. */
+  /** Takes in all runs of the shard; returns the keys that belong to nothing any more. */
   loadAll(items: readonly StoredEntry[]): readonly OrphanedKey[] {
-    const byKey = new Map(items.map((item) => [item.key, item]));
-    for (const item of items) this.load(item, byKey);
+    const entries = new Map(items.map((item) => [item.key, item]));
+    for (const item of items) this.load(item, entries);
     return this.orphanedKeys;
   }
 
-  private load(item: StoredEntry, items: ReadonlyMap<string, StoredEntry>): void {
+  private load(item: StoredEntry, entries: Entries): void {
     const name = parseRunKey(item.key);
     const job = name ? this.dependencies.shardState.jobs.get(name.job) : undefined;
-    if (!name || !job) {
-      this.orphanedKeys.push({ key: item.key, revision: item.version, reason: 'belongs to no job' });
-      return;
-    }
-    // Parts are read with the record that they belong to; one that it doesn't name is left over.
-    if (name.part !== null) {
-      const whole = items.get(runKey(this.dependencies.shardId, name.job, name.chunk));
-      if (!whole || name.part >= partsOf(whole.value))
-        this.orphanedKeys.push({ key: item.key, revision: item.version, reason: 'part not named' });
-      return;
-    }
+    if (!name || !job) this.discard(item, 'belongs to no job');
+    else if (name.part === null) this.loadRun(item, job, name.chunk, entries);
+    else this.checkPart(item, name.job, name.chunk, name.part, entries);
+  }
+
+  private discard(item: StoredEntry, reason: OrphanedKey['reason']): void {
+    this.orphanedKeys.push({ key: item.key, revision: item.version, reason });
+  }
+
+  /** Parts are read with the record that they belong to; one that it doesn't name is orphaned. */
+  private checkPart(item: StoredEntry, job: string, chunk: number, part: number, entries: Entries): void {
+    const whole = entries.get(runKey(this.dependencies.shardId, job, chunk));
+    if (!whole || part >= partsOf(whole.value)) this.discard(item, 'part not named');
+  }
+
+  private loadRun(item: StoredEntry, job: ShardJob, chunkNumber: number, entries: Entries): void {
+    const { shardId } = this.dependencies;
+    const { id } = job.spec;
     const count = partsOf(item.value);
     const parts = Array.from(
       { length: count },
-      (_, part) =>
-        items.get(runPartKey(this.dependencies.shardId, name.job, name.chunk, part))?.value ?? { b: [] },
+      (_, part) => entries.get(runPartKey(shardId, id, chunkNumber, part))?.value ?? { b: [] },
     );
-    const record = readRunRecord(item.value, name.chunk, parts);
+    const record = readRunRecord(item.value, chunkNumber, parts);
     job.attempt = Math.max(job.attempt, record.attempt);
     for (const index of record.done) job.done.add(index);
-    const first = items.get(runKey(this.dependencies.shardId, name.job, 0))?.value;
-    if (name.chunk === 0) job.validAttempt = validAttempt(first);
+    const first = entries.get(runKey(shardId, id, 0))?.value;
+    if (chunkNumber === 0) job.validAttempt = validAttempt(first);
     // Prepared for a bind that never was: it counts for nothing, and is cleared.
     const valid = isValid(item.value, first);
-    const chunk = {
+    const chunk: Chunk = {
       version: item.version,
       parts: count,
-      durable: valid ? durableKeys(job.spec.id, record) : new Set<string>(),
-      dirtySince: null as number | null,
+      durable: valid ? durableKeys(id, record) : new Set<string>(),
+      dirtySince: valid ? null : 0,
     };
-    job.chunks.set(name.chunk, chunk);
-    if (!valid) chunk.dirtySince = 0;
-    for (const bound of valid ? record.bindings : []) {
-      const machine = this.dependencies.shardState.machines.get(bound.machine);
+    job.chunks.set(chunkNumber, chunk);
+    if (valid) this.bindAll(record, job, chunk);
+    if (job.spec.kind === 'gang' && job.bindings.size > 0 && job.bindings.size < job.spec.tasks)
+      this.dependencies.shardState.stopBrokenGang(job);
+  }
+
+  private bindAll(record: RunRecord, job: ShardJob, chunk: Chunk): void {
+    const { shardState } = this.dependencies;
+    for (const { index, attempt, machine: machineId } of record.bindings) {
+      const machine = shardState.machines.get(machineId);
       // No record of the machine: it was released, and that was answered 200.
       if (!machine) {
         chunk.dirtySince = 0;
         continue;
       }
-      const binding = this.dependencies.shardState.bind(job, bound.index, bound.attempt, machine, {
-        _tag: 'bound',
-      });
-      if (job.cancelled) this.dependencies.shardState.stop(binding, 'cancelled', 0);
+      const binding = shardState.bind(job, index, attempt, machine, { _tag: 'bound' });
+      if (job.cancelled) shardState.stop(binding, 'cancelled', 0);
     }
-    if (job.spec.kind === 'gang' && job.bindings.size > 0 && job.bindings.size < job.spec.tasks)
-      this.dependencies.shardState.stopBrokenGang(job);
   }
 }
--- a/src/placement/run-records.ts
+++ b/src/placement/run-records.ts
@@ -1,6 +1,6 @@
 /**
- * Which tasks of a job are done and which are bound where, in runs of `TASKS_PER_RUN_RECORD` tasks that are stored
- * together. No state; how a run is stored is the matter of `run-codec.ts`.
+ * Which tasks of a job are done and which are bound where, in runs of `TASKS_PER_RUN_RECORD` tasks that are
+ * stored together. No state; how a run is stored is the matter of `run-codec.ts`.
  */
 import { TASKS_PER_RUN_RECORD } from '../constants/key-value-store.js';
 import { bindingKey, type ShardJob } from './shard-model.js';
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -1,3 +1,8 @@
+/**
+ * Writes the runs of a shard's jobs: which task is bound to which machine, and which are done. No state of
+ * its own; of jobs it sets `writesUnderWay`, `validAttempt` and what is known of their stored runs.
+ * `Binder` and `RecordFlusher` call it.
+ */
 import {
   ESTIMATED_BINDING_BYTES,
   ESTIMATED_RUN_RECORD_BYTES,
@@ -7,23 +12,19 @@
   VALUE_FILL_FRACTION,
 } from '../constants/key-value-store.js';
 import { log } from '../log.js';
-import type { KeyValueStore, Write } from '../kv-store/client.js';
+import type { KeyValueStore, TransactionResult, Write } from '../kv-store/client.js';
 import { jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
+import type { ShardIdentity, ValueLimits } from './ports.js';
 import { prepared, storeRun, validating, type StoredRun } from './run-codec.js';
 import { durableKeys, runRecord, type RunRecord } from './run-records.js';
 import type { Chunk, ShardJob } from './shard-model.js';
 
-/** What the writer of runs needs of its share. */
-export interface RunWriterDependencies {
+/** What the writer of runs needs of its shard. */
+export interface RunWriterDependencies extends Pick<ShardIdentity, 'shardId'>, ValueLimits {
   readonly transactions: ClaimTransactions;
   readonly store: KeyValueStore;
-  readonly shardId: number;
-  /** bytes: the largest value that the state service takes, now and later. */
-  readonly valueBytes: number;
-  /** Every node reads runs that are parted. */
-  readonly maySplit: () => boolean;
 }
 
 /** One run of a job's tasks, as it is to be written now. */
@@ -45,7 +46,30 @@
     0,
   );
 
-/** Writes the runs of a share's jobs: which task is bound to which machine, and which are done. */
+/** What is known of the stored run, from now on without changes that wait: the write has them all. */
+const cleanChunkOf = ({ job, chunk: number }: RunWrite): Chunk => {
+  const known = job.chunks.get(number);
+  if (known) {
+    known.dirtySince = null;
+    return known;
+  }
+  const created: Chunk = { version: 0, parts: 0, durable: new Set(), dirtySince: null };
+  job.chunks.set(number, created);
+  return created;
+};
+
+/** Notes in what is known of a stored run how its write ended. */
+const noteWritten = (chunk: Chunk, write: RunWrite, result: TransactionResult): void => {
+  if (result._tag !== 'committed') {
+    chunk.dirtySince ??= 0;
+    return;
+  }
+  chunk.version = result.revision;
+  chunk.parts = write.stored.parts.length;
+  chunk.durable = durableKeys(write.job.spec.id, write.record);
+};
+
+/** The writer of runs of one shard. */
 export class RunWriter {
   constructor(private readonly dependencies: RunWriterDependencies) {}
 
@@ -88,45 +112,32 @@
   }
 
   /** Writes runs in one transaction; while it is under way nothing else writes runs of these jobs. */
-  async commitRuns(writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
+  async commitRuns(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const first = writes[0];
     if (!first) return true;
-    const key = (write: RunWrite): string =>
-      runKey(this.dependencies.shardId, write.job.spec.id, write.chunk);
     const jobs = new Set(writes.map((write) => write.job));
-    const chunks = writes.map((write): Chunk => {
-      const known = write.job.chunks.get(write.chunk);
-      if (known) {
-        known.dirtySince = null;
-        return known;
-      }
-      const fresh: Chunk = { version: 0, parts: 0, durable: new Set(), dirtySince: null };
-      write.job.chunks.set(write.chunk, fresh);
-      return fresh;
-    });
+    const chunks = writes.map(cleanChunkOf);
     for (const job of jobs) job.writesUnderWay += 1;
-    const result = await this.dependencies.transactions.commit(
-      [
+    const result = await this.dependencies.transactions.commit({
+      conditions: [
         ...[...jobs].map((job) => ({ key: jobKey(job.spec.id), version: job.version })),
-        ...writes.map((write, index) => ({ key: key(write), version: chunks[index]?.version ?? 0 })),
+        ...writes.map((write, index) => ({ key: this.keyOf(write), version: chunks[index]?.version ?? 0 })),
       ],
-      writes.flatMap((write, index) => this.changes(write, chunks[index]?.parts ?? 0)),
-      key(first),
-      rank,
-    );
+      writes: writes.flatMap((write, index) => this.changes(write, chunks[index]?.parts ?? 0)),
+      witness: this.keyOf(first),
+      priority,
+    });
     for (const job of jobs) job.writesUnderWay -= 1;
-    const committed = result._tag === 'committed';
     writes.forEach((write, index) => {
       const chunk = chunks[index];
-      if (!chunk) return;
-      if (committed) {
-        chunk.version = result.revision;
-        chunk.parts = write.stored.parts.length;
-        chunk.durable = durableKeys(write.job.spec.id, write.record);
-      } else chunk.dirtySince ??= 0;
+      if (chunk) noteWritten(chunk, write, result);
     });
     if (result._tag === 'conflict') log.debug({ event: 'runs.write_conflict', failed: result.failed });
-    return committed;
+    return result._tag === 'committed';
+  }
+
+  private keyOf({ job, chunk }: RunWrite): string {
+    return runKey(this.dependencies.shardId, job.spec.id, chunk);
   }
 
   private fitInOneTransaction(writes: readonly RunWrite[]): boolean {
@@ -143,41 +154,46 @@
    * Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was
    * prepared.
    */
-  async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
+  async commitGang(job: ShardJob, writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
-    if (!first || first.chunk !== 0 || this.fitInOneTransaction(writes)) return this.commitRuns(writes, rank);
+    if (first?.chunk !== 0 || this.fitInOneTransaction(writes)) return this.commitRuns(writes, priority);
     // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the
     // upgrade.
     if (!this.dependencies.maySplit()) return false;
     // Nothing else writes its runs in between.
     job.writesUnderWay += 1;
     try {
-      const entries = others.map((write) => ({ write: { ...write, stored: prepared(write.stored) } }));
-      for (const batch of this.batches(entries)) {
-        const ready = await this.commitRuns(
-          batch.map((entry) => entry.write),
-          rank,
-        );
-        if (!ready) return this.rewritePrepared(job);
-      }
-      const before = job.validAttempt;
-      job.validAttempt = job.attempt;
-      const bound = await this.commitRuns(
-        [{ ...first, stored: validating(first.stored, job.attempt) }],
-        rank,
-      );
-      if (bound) return true;
-      job.validAttempt = before;
-      return this.rewritePrepared(job);
+      const bound = (await this.prepare(others, priority)) && (await this.validate(job, first, priority));
+      if (!bound) this.rewritePrepared(job);
+      return bound;
     } finally {
       job.writesUnderWay -= 1;
     }
   }
 
+  /** Writes runs that count for nothing yet. */
+  private async prepare(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
+    const entries = writes.map((write) => ({ write: { ...write, stored: prepared(write.stored) } }));
+    for (const batch of this.batches(entries)) {
+      const batchWrites = batch.map((entry) => entry.write);
+      if (!(await this.commitRuns(batchWrites, priority))) return false;
+    }
+    return true;
+  }
+
+  /** Writes the first run, which makes those that were prepared for this attempt valid. */
+  private async validate(job: ShardJob, first: RunWrite, priority: RequestPriority): Promise<boolean> {
+    const before = job.validAttempt;
+    job.validAttempt = job.attempt;
+    const write = { ...first, stored: validating(first.stored, job.attempt) };
+    const bound = await this.commitRuns([write], priority);
+    if (!bound) job.validAttempt = before;
+    return bound;
+  }
+
   /** What was prepared and is not valid is written over. */
-  private rewritePrepared(job: ShardJob): false {
+  private rewritePrepared(job: ShardJob): void {
     for (const chunk of job.chunks.values()) chunk.dirtySince ??= 0;
-    return false;
   }
 
   /**
--- a/src/placement/shard-context.ts
+++ b/src/placement/shard-context.ts
@@ -1,6 +1,6 @@
 /**
- * What a shard needs of the rest of the controller, as a handful of ports. No state; the controller builds one
- * `ShardContext` for each claim.
+ * What a shard needs of the rest of the controller, as a handful of ports. No state; the controller builds
+ * one `ShardContext` for each claim.
  */
 import type { Duty } from '@dalegate/fencing';
 import type { Reservation } from '../fleet/records.js';
@@ -8,9 +8,10 @@
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { EffectivePriority, Readiness } from '../pipelines/graph.js';
+import type { Settings } from '../settings/schema.js';
 import type { Command } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
-import type { TeamLimit, TeamUsage } from './bin-packing.js';
+import type { TeamLimit, TeamUsage } from './team-limits.js';
 import type { SteadyClock, ValueLimits, WallClock } from './ports.js';
 import type { Objectives } from './urgency.js';
 
@@ -21,7 +22,7 @@
   readonly guarantees: ReadonlyMap<string, TeamUsage>;
   readonly objectives: ReadonlyMap<string, Objectives>;
   /** s: a worker's lease, the time between its reports, and the time by which a cancelled task is gone. */
-  readonly workers: { readonly lease_s: number; readonly report_s: number; readonly cancel_s: number };
+  readonly workers: Pick<Settings['facts']['workers'], 'lease_s' | 'report_s' | 'cancel_s'>;
   /** Fraction of a core that this process may use. */
   readonly coreFraction: number;
 }
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -1,3 +1,7 @@
+/**
+ * What a shard knows of its jobs, machines and bindings. No state; `ShardState` owns the objects, and the
+ * comments here say which other classes set a field.
+ */
 import type { Demand, JobSpec } from '../jobs/model.js';
 import type { ReportedTask } from '../workers/model.js';
 import type { Readiness } from '../pipelines/graph.js';
@@ -33,15 +37,16 @@
 
 /** What is known of one stored run record. */
 export interface Chunk {
-  /** What the state service holds, and in how many parts beside the record. */
+  /** Revision of what the key-value store holds, 0: nothing; and in how many parts beside the record. */
   version: number;
   parts: number;
+  /** Keys of the attempts that the stored run binds. */
   durable: ReadonlySet<string>;
-  /** What is known differs from what the state service holds, since then (ms); null: it does not. */
+  /** ms: since when what is known differs from what the key-value store holds; null: it does not. */
   dirtySince: number | null;
 }
 
-/** A job of the share, with its tasks. */
+/** A job of the shard, with its tasks. */
 export interface ShardJob {
   /**
    * As placement is to treat it: with the priority and the deadline that it has for the jobs that need it.
@@ -74,14 +79,20 @@
   readonly failedOn: Set<string>;
   failures: number;
   backoffUntil: number;
-  /** The job ran somewhere without failing at once. */
+  /** A task of it was completed somewhere, so that a failure is not the job's fault. */
   hasCompletedTask: boolean;
   finishing: boolean;
   /** Its record is deleted, which happens only together with the write of its final record. */
   recordGone: boolean;
-  /** Its final record failed in company: it is written alone, or it would hold up the others for ever. */
+  /**
+   * Its final record failed in company: it is written alone, or it would hold up the others for ever. Set
+   * by the writer of final records.
+   */
   finishSeparately: boolean;
-  /** Transactions under way that write its runs; nothing else may write them meanwhile. */
+  /**
+   * Transactions under way that write its runs; nothing else may write them meanwhile. Set by the run
+   * writer.
+   */
   writesUnderWay: number;
 }
 
@@ -90,15 +101,16 @@
   | { readonly _tag: 'healthy' }
   /** A task of `job` failed here; nothing new until it is clear whose fault that is. */
   | { readonly _tag: 'suspect'; readonly job: string; readonly until: number }
+  /** Nothing is placed on it any more; it is released once nothing is bound to it. */
   | { readonly _tag: 'quarantined' };
 
-/** A machine of the share, with what its worker last said. */
+/** A machine of the shard, with what its worker last said. */
 export interface ShardMachine {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Revision of the record that assigned it to this share. */
+  /** Revision of the record that assigned it to this shard. */
   version: number;
   /** ms since the epoch, when it was first recorded. */
   readonly recordedAt: number;
@@ -112,52 +124,62 @@
   addr: string;
   agentEpoch: number;
   sequenceNumber: number;
-  /** A report of this session named our current token. */
+  /** The current token, once a heartbeat of this session named it; 0: not yet. */
   confirmedToken: number;
   /** It has reported a token of this holder at some time: no command of an earlier one can reach it. */
   everConfirmedToken: boolean;
-  /** ms: when it came into this share under this holder. */
+  /** ms: when it came into this shard under this holder. */
   readonly takenAt: number;
-  /** ms: since when it reports without naming our token, so that it may not hear us; null: it names it. */
+  /**
+   * ms: since when it reports without naming the current token, so that answers may not reach it; null: it
+   * names it.
+   */
   unconfirmedSince: number | null;
-  /** ms: the last report that we answered 200; null: none by this holder. */
+  /** ms: the last heartbeat that this holder answered 200; null: none. */
   answeredAt: number | null;
+  /** ms: when the cloud's notice that it takes the machine back was first reported; null: none. */
   reclaimNoticeAt: number | null;
+  /** s until the machine is taken back, as last reported; null: no notice. */
   reclaimNoticeS: number | null;
   /**
    * Direct `run`s of unknown outcome, with the token they carried: such a command may still be carried out
    * until the worker has seen a higher token.
    */
   readonly unacknowledgedRuns: Map<string, number>;
-  /** Its record is to be rewritten, for a higher token that ends what is unsure. */
+  /**
+   * Its record is to be rewritten, for a higher token, under which no unacknowledged command is carried
+   * out.
+   */
   raiseToken: boolean;
-  /** Reports whose answer is being held for a placement round: direct commands are not needed. */
+  /** Heartbeats whose answer is held for a placement round: direct commands are not needed. */
   heldAnswers: number;
   reportedTasks: readonly ReportedTask[];
   /** ms: since when exits on it wait to be forgotten; null: none do. */
   exitsPendingSince: number | null;
   readonly bound: Map<string, Binding>;
   readonly images: Set<string>;
+  /** Set by the failure accounting; a suspicion ends with time, in `MachineLiveness`. */
   health: Health;
+  /** ms; null: it is not idle. */
   idleSince: number | null;
   total: Demand;
   /** What is free on it, worked out when asked for; null: to be worked out again. */
-  free: Free | null;
+  free: FreeCapacity | null;
 }
 
 /** Room on a machine. */
-export type Free =
+export type FreeCapacity =
   | {
       readonly _tag: 'free';
       readonly cpus: number;
       readonly gpus: number;
       readonly memoryGb: number;
       /** What work that has other types to go to takes of the machine. */
-      readonly others: Demand;
+      readonly usedByFlexibleWork: Demand;
       /** Work that has no other type to go to is on it. */
-      readonly dependent: boolean;
+      readonly hasDependentWork: boolean;
     }
-  /** Something is on it of which we don't know the size. */
+  /** Something is on it whose size is not known. */
   | { readonly _tag: 'unclear' };
 
 /** Names one attempt of one task. */
--- a/src/placement/shard-stage.ts
+++ b/src/placement/shard-stage.ts
@@ -1,6 +1,6 @@
 /**
- * How far a shard is between its claim and the claim's loss. Owns the stage; `Shard` sends the events, and the
- * shard's classes ask through `StageQueries`.
+ * How far a shard is between its claim and the claim's loss. Owns the stage; `Shard` sends the events, and
+ * the shard's classes ask through `StageQueries`.
  */
 import type { StageQueries } from './ports.js';
 
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -1,6 +1,6 @@
 /**
- * Owns the jobs, machines and bindings of one shard; here alone jobs and machines come and go, and bindings are
- * made, stopped and taken through their phases. Heartbeats, records and rounds call it.
+ * Owns the jobs, machines and bindings of one shard; here alone jobs and machines come and go, and bindings
+ * are made, stopped and taken through their phases. Heartbeats, records and rounds call it.
  */
 import { STOP_GRACE_EXTRA_S } from '../constants/workers.js';
 import type { MachineRecord } from '../fleet/records.js';
--- a/src/placement/shard.test.ts
+++ b/src/placement/shard.test.ts
@@ -1,3 +1,4 @@
+/** What rounds may cost, and what is not sent twice. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -8,7 +9,6 @@
 import { ShardState } from './shard-state.js';
 import { restMs, RoundPacer } from './round-pacer.js';
 
-/** What rounds may cost, and what is not sent twice. */
 const rests: readonly { name: string; roundMs: number; coreShare: number; partOfCore: number }[] = [
   { name: 'a short round', roundMs: 0.5, coreShare: 0.136, partOfCore: 0.002 },
   {
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -1,7 +1,8 @@
 /**
- * One shard of teams and machines, for as long as this process holds its claim: what the rest of the controller
- * calls, and what one placement round does. Owns the shard's stage; jobs, machines and bindings are the shard
- * state's. `HeldShards` creates it, and the heartbeat handler and the change dispatcher call it.
+ * One shard of teams and machines, for as long as this process holds its claim: what the rest of the
+ * controller calls, and what one placement round does. Owns the shard's stage; jobs, machines and bindings
+ * are the shard state's. `HeldShards` creates it, and the heartbeat handler and the change dispatcher call
+ * it.
  */
 import * as Effect from 'effect/Effect';
 import {
@@ -15,7 +16,7 @@
 import { log } from '../log.js';
 import type { WorkerHeartbeat } from '../workers/model.js';
 import { packRequests } from './bin-packing.js';
-import { availableCapacity, placementRequests, teamUsage, type ViewInput } from './placement-view.js';
+import { availableCapacity, placementRequests, teamUsage, type PlacementView } from './placement-view.js';
 import { RoundLoop } from './round-loop.js';
 import { RoundWaiters } from './round-waiters.js';
 import { composeShard, type ShardComponents } from './shard-composition.js';
@@ -204,12 +205,12 @@
       usage,
     );
     const bound = binder.bindAll(packed.assignments);
-    preemptor.run(packed.left, capacities);
-    summaryBuilder.update(packed.left, capacities, usage, catalog);
+    preemptor.run(packed.unplaced, capacities);
+    summaryBuilder.update(packed.unplaced, capacities, usage, catalog);
     return bound;
   }
 
-  private view(catalog: Catalog): ViewInput {
+  private view(catalog: Catalog): PlacementView {
     const { shardState, liveness } = this.components;
     return {
       shardState,
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,3 +1,7 @@
+/**
+ * Whether a waiting job is worth an on-demand machine, and which of its class's targets it can still meet.
+ * Pure; the placement view calls it for each waiting job.
+ */
 import {
   ON_DEMAND_PROVISIONING_PATIENCE_S,
   STARVATION_FACTOR,
@@ -6,7 +10,7 @@
 } from '../constants/placement.js';
 import type { JobSpec } from '../jobs/model.js';
 
-/** What the settings say is expected of a class of jobs, in seconds from submission. */
+/** What the settings say is expected of a class of jobs, in seconds from submission, ascending. */
 export interface Objectives {
   /** Start within. */
   readonly wait: readonly number[];
@@ -14,53 +18,26 @@
   readonly finished: readonly number[];
 }
 
-const RAW = { wait: 'wait', finished: 'finished' } as const;
-
-/** Reads the objectives of the settings, by class; those of unknown kind are left out. */
-export const readObjectives = (raw: readonly unknown[] | undefined): ReadonlyMap<string, Objectives> => {
-  const classes = new Map<string, { wait: number[]; finished: number[] }>();
-  for (const entry of raw ?? []) {
-    const {
-      kind,
-      class: jobClass,
-      within_s: within,
-    } = entry as { kind?: unknown; class?: unknown; within_s?: unknown };
-    if (
-      typeof jobClass !== 'string' ||
-      typeof within !== 'number' ||
-      (kind !== RAW.wait && kind !== RAW.finished)
-    )
-      continue;
-    const known = classes.get(jobClass) ?? { wait: [], finished: [] };
-    known[kind].push(within);
-    classes.set(jobClass, known);
-  }
-  for (const known of classes.values()) {
-    known.wait.sort((a, b) => a - b);
-    known.finished.sort((a, b) => a - b);
-  }
-  return classes;
-};
-
-/** The times by which a job should be done: those of its class and its own deadline. */
-const targets = (spec: JobSpec, objectives: Objectives | undefined): readonly number[] => {
+/** s from submission by which a job should be done: those of its class and its own deadline. */
+const finishTargets = (spec: JobSpec, objectives: Objectives | undefined): readonly number[] => {
   const list = [...(objectives?.finished ?? [])];
   if (spec.deadlineS !== null && list.length === 0) list.push(spec.deadlineS);
   return list;
 };
 
-/** Whether an ordinary machine is worth its price for work that may use spot machines. */
+/** Whether an on-demand machine is worth its price for work that may use spot machines. */
 export interface Urgency {
-  /** Taking an ordinary machine that is up now saves a target that waiting would miss. */
+  /** Taking an on-demand machine that is up now saves a target that waiting would miss. */
   readonly place: boolean;
   /**
-   * Renting an ordinary machine now still saves a target, and later won't; or spot is plainly not to be had.
+   * Provisioning an on-demand machine now still saves a target, and later won't; or spot is plainly not to
+   * be had.
    */
   readonly provision: boolean;
 }
 
 /**
- * Work that may use spot machines is worth an ordinary one, which costs a multiple, only where that saves a
+ * Work that may use spot machines is worth an on-demand one, which costs a multiple, only where that saves a
  * target: neither while there is slack to wait for a spot machine, nor once the target is lost anyway.
  */
 export const urgency = (
@@ -70,16 +47,17 @@
   bootS: number,
   fetchS: number,
 ): Urgency => {
-  const long = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
-  /** Time left before the work must begin, for each target. */
+  const waitedLong = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
+  /** s left before the work must begin, for each target. */
   const slacks = [
-    ...targets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
+    ...finishTargets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
     ...(objectives?.wait ?? []).map((target) => target - waitedS - fetchS),
   ];
-  if (slacks.length === 0) return { place: long, provision: long };
+  if (slacks.length === 0) return { place: waitedLong, provision: waitedLong };
   return {
     place: slacks.some((slack) => slack >= 0 && slack < URGENT_PLACEMENT_SLACK_S),
-    provision: long || slacks.some((slack) => slack >= bootS && slack < bootS + URGENT_PROVISIONING_SLACK_S),
+    provision:
+      waitedLong || slacks.some((slack) => slack >= bootS && slack < bootS + URGENT_PROVISIONING_SLACK_S),
   };
 };
 
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -1,3 +1,4 @@
+/** What heartbeats are taken for, in which order, and what is concluded from silence. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
@@ -8,9 +9,6 @@
 import { WorkerSessions } from './worker-sessions.js';
 import type { ShardMachine } from './shard-model.js';
 
-/**
- * What reports are taken for, in which order, and what is concluded from silence: a table of short stories.
- */
 const LEASE_S = 20;
 const spec: JobSpec = {
   id: 'job-1',
@@ -199,7 +197,8 @@
     name: 'a machine known only from a report that may be a late copy goes back after a lease of silence',
     run: (story) => {
       story.machine('m-2', 0);
-      const known = story.shardState.machines.get('m-2') as ShardMachine;
+      const known = story.shardState.machines.get('m-2');
+      assert.ok(known);
       assert.equal(story.liveness.isExpectedSoon(known, story.now, story.now), false);
       story.now += (LEASE_S + 2) * 1_000;
       assert.deepEqual(story.releases(), ['m-2 never came up'], 'those that boot are given their time');
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -1,7 +1,7 @@
 /**
  * What the workers of a shard report, and the commands that answer them. Owns the session fields of each
- * machine (epoch, sequence number, confirmed token, last report), which only `DirectCommands` sets as well, for
- * a machine that has not reported yet. `Shard` hands in each heartbeat.
+ * machine (epoch, sequence number, confirmed token, last report), which only `DirectCommands` sets as well,
+ * for a machine that has not reported yet. `Shard` hands in each heartbeat.
  */
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
@@ -122,8 +122,9 @@
   /** A `run` that went out with several answers and shows in no heartbeat after them did not arrive. */
   private detectIgnoredRuns(machine: ShardMachine): void {
     for (const { phase, stop, runCommandsSent } of machine.bound.values()) {
-      if (phase._tag === 'bound' && !stop && runCommandsSent >= MAX_RUN_COMMAND_ATTEMPTS)
-        return this.markUnreachable(machine, 'it starts nothing');
+      if (phase._tag !== 'bound' || stop || runCommandsSent < MAX_RUN_COMMAND_ATTEMPTS) continue;
+      this.markUnreachable(machine, 'it starts nothing');
+      return;
     }
   }
 
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -10,11 +10,12 @@
   placementRequests,
   availableCapacity,
   teamUsage,
-  type ViewInput,
+  type PlacementView,
 } from '../placement/placement-view.js';
 import { ShardState } from '../placement/shard-state.js';
 import { MachineLiveness } from '../placement/machine-liveness.js';
-import { unmetDemand, spareMachines } from '../placement/unmet-demand.js';
+import { spareMachines } from '../placement/spare-machines.js';
+import { unmetDemand } from '../placement/unmet-demand.js';
 import { packRequests } from '../placement/bin-packing.js';
 import { readRunRecord, writeRunRecord } from '../placement/run-codec.js';
 import { runRecord } from '../placement/run-records.js';
@@ -125,7 +126,7 @@
     }
   }
   for (let k = 0; k < machines / 8; k += 1) add(k % 2 === 0);
-  const view: ViewInput = {
+  const view: PlacementView = {
     shardState,
     liveness,
     catalog,
@@ -139,7 +140,7 @@
   return { shardState, view };
 };
 
-const round = (view: ViewInput) => {
+const round = (view: PlacementView) => {
   const requests = placementRequests(view);
   const capacities = availableCapacity(view);
   const uses = teamUsage(view.shardState);
@@ -166,7 +167,16 @@
   const { shardState, view } = shardOf(all / SHARD_COUNT);
   const needs = () => {
     const { packed, capacities, uses } = round(view);
-    return unmetDemand(packed.left, capacities, limits, uses, catalog, view.objectives, view.wall);
+    const { objectives, wall } = view;
+    return unmetDemand({
+      unplaced: packed.unplaced,
+      capacities,
+      limits,
+      usages: uses,
+      catalog,
+      objectives,
+      wall,
+    });
   };
   const free = spareMachines(
     [...shardState.machines.values()].filter((machine) => machine.bound.size === 0),
