--- a/src/placement/bin-packing.test.ts
+++ b/src/placement/bin-packing.test.ts
@@ -21,12 +21,12 @@
     estimateS: 10,
     ...over,
   });
-const ask = (over: Partial<JobSpec>, rest: Partial<PlacementRequest> = {}): PlacementRequest => {
-  const made = spec(over);
+const request = (over: Partial<JobSpec>, rest: Partial<PlacementRequest> = {}): PlacementRequest => {
+  const requested = spec(over);
   return {
-    job: made.id,
-    spec: made,
-    waiting: Array.from({ length: made.tasks }, (_, index) => index),
+    job: requested.id,
+    spec: requested,
+    waiting: Array.from({ length: requested.tasks }, (_, index) => index),
     inZones: new Map(),
     failedOn: new Set(),
     waitingSince: 0,
@@ -34,12 +34,12 @@
     attainableObjective: 0,
     urgency: { place: false, provision: false },
     mayUseOnDemand: true,
-    hasAlternatives: made.spot,
+    hasAlternatives: requested.spot,
     hasReservation: false,
     ...rest,
   };
 };
-const room = (
+const capacity = (
   id: string,
   zone: string,
   freeGpus: number,
@@ -71,159 +71,165 @@
 }[] = [
   {
     name: 'a gang with room for all but one of its tasks binds none',
-    requests: [ask({ kind: 'gang', tasks: 4, gpus: 8, cpus: 64 })],
-    capacities: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8)],
+    requests: [request({ kind: 'gang', tasks: 4, gpus: 8, cpus: 64 })],
+    capacities: [capacity('a', 'x', 8), capacity('b', 'x', 8), capacity('c', 'y', 8)],
     assignments: [],
   },
   {
     name: 'a one-zone gang does not add up room of two zones',
-    requests: [ask({ kind: 'gang', tasks: 3, gpus: 8, cpus: 64, oneZone: true })],
-    capacities: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8)],
+    requests: [request({ kind: 'gang', tasks: 3, gpus: 8, cpus: 64, oneZone: true })],
+    capacities: [capacity('a', 'x', 8), capacity('b', 'x', 8), capacity('c', 'y', 8)],
     assignments: [],
   },
   {
     name: 'a one-zone gang goes to the fullest zone in which it fits',
-    requests: [ask({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
-    capacities: [room('a', 'x', 8), room('b', 'x', 8), room('c', 'y', 8), room('d', 'y', 2)],
+    requests: [request({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
+    capacities: [capacity('a', 'x', 8), capacity('b', 'x', 8), capacity('c', 'y', 8), capacity('d', 'y', 2)],
     assignments: ['job-1/0@c'],
   },
   {
     name: 'equally full zones: by name',
-    requests: [ask({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
-    capacities: [room('b', 'y', 8), room('a', 'x', 8)],
+    requests: [request({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
+    capacities: [capacity('b', 'y', 8), capacity('a', 'x', 8)],
     assignments: ['job-1/0@a'],
   },
   {
     name: 'a spread job puts at most half, rounded up, in one zone',
-    requests: [ask({ kind: 'array', tasks: 5, spread: true })],
-    capacities: [room('a', 'x', 8), room('b', 'y', 1)],
+    requests: [request({ kind: 'array', tasks: 5, spread: true })],
+    capacities: [capacity('a', 'x', 8), capacity('b', 'y', 1)],
     assignments: ['job-1/0@b', 'job-1/1@a', 'job-1/2@a', 'job-1/3@a'],
   },
   {
     name: 'tasks that may still be in a zone count for a spread job',
-    requests: [ask({ tasks: 2, spread: true }, { waiting: [1], inZones: new Map([['x', 1]]) })],
-    capacities: [room('a', 'x', 8)],
+    requests: [request({ tasks: 2, spread: true }, { waiting: [1], inZones: new Map([['x', 1]]) })],
+    capacities: [capacity('a', 'x', 8)],
     assignments: [],
   },
   {
     name: 'a one-zone array stays in the zone that holds its tasks',
-    requests: [ask({ tasks: 2, oneZone: true }, { waiting: [1], inZones: new Map([['y', 1]]) })],
-    capacities: [room('a', 'x', 8), room('b', 'y', 1)],
+    requests: [request({ tasks: 2, oneZone: true }, { waiting: [1], inZones: new Map([['y', 1]]) })],
+    capacities: [capacity('a', 'x', 8), capacity('b', 'y', 1)],
     assignments: ['job-1/1@b'],
   },
   {
     name: 'no spot machine for a job that does not allow it, no machine on which it failed',
-    requests: [ask({ tasks: 2 }, { failedOn: new Set(['b']) })],
-    capacities: [room('a', 'x', 8, { spot: true }), room('b', 'x', 8), room('c', 'x', 1)],
+    requests: [request({ tasks: 2 }, { failedOn: new Set(['b']) })],
+    capacities: [capacity('a', 'x', 8, { spot: true }), capacity('b', 'x', 8), capacity('c', 'x', 1)],
     assignments: ['job-1/0@c'],
   },
   {
-    name: 'work that may use spot leaves ordinary machines alone until it may take them',
-    requests: [ask({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
-    capacities: [room('a', 'x', 8), room('b', 'x', 2, { spot: true })],
+    name: 'work that may use spot leaves on-demand machines alone until it may take them',
+    requests: [request({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
+    capacities: [capacity('a', 'x', 8), capacity('b', 'x', 2, { spot: true })],
     assignments: ['job-1/0@b', 'job-1/1@b'],
   },
   {
-    name: 'and those kept for others always',
-    requests: [ask({ tasks: 3, spot: true })],
-    capacities: [room('a', 'x', 8, { withheldFromSpotWork: 'always' }), room('b', 'x', 2, { spot: true })],
+    name: 'and those withheld for others always',
+    requests: [request({ tasks: 3, spot: true })],
+    capacities: [
+      capacity('a', 'x', 8, { withheldFromSpotWork: 'always' }),
+      capacity('b', 'x', 2, { spot: true }),
+    ],
     assignments: ['job-1/0@b', 'job-1/1@b'],
   },
   // CPU work stood on GPU machines that gangs need whole, or left what was over beside the gangs unused.
   {
-    name: 'beside work that has no other type, spot work takes what is over at once',
-    requests: [ask({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
+    name: 'what work that has no other type leaves over, spot work takes at once',
+    requests: [request({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
     capacities: [
-      room('a', 'x', 8, { withheldFromSpotWork: 'always', leftover: { cpus: 16, gpus: 2, memoryGb: 16 } }),
+      capacity('a', 'x', 8, {
+        withheldFromSpotWork: 'always',
+        leftover: { cpus: 16, gpus: 2, memoryGb: 16 },
+      }),
     ],
     assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
-    name: 'and other work with alternatives goes there before it takes machines that are kept',
-    requests: [ask({ tasks: 2 }, { hasAlternatives: true })],
+    name: 'and other work with alternatives goes there before it takes machines that are withheld',
+    requests: [request({ tasks: 2 }, { hasAlternatives: true })],
     capacities: [
-      room('a', 'x', 8, { withheldFromSpotWork: 'always' }),
-      room('b', 'x', 8, { withheldFromSpotWork: 'always', leftover: { cpus: 8, gpus: 1, memoryGb: 8 } }),
-      room('c', 'x', 1),
+      capacity('a', 'x', 8, { withheldFromSpotWork: 'always' }),
+      capacity('b', 'x', 8, { withheldFromSpotWork: 'always', leftover: { cpus: 8, gpus: 1, memoryGb: 8 } }),
+      capacity('c', 'x', 1),
     ],
     assignments: ['job-1/0@c', 'job-1/1@b'],
   },
   {
     name: 'but takes them where it finds no room otherwise',
-    requests: [ask({ tasks: 2 }, { hasAlternatives: true })],
-    capacities: [room('a', 'x', 8, { withheldFromSpotWork: 'always' }), room('c', 'x', 1)],
+    requests: [request({ tasks: 2 }, { hasAlternatives: true })],
+    capacities: [capacity('a', 'x', 8, { withheldFromSpotWork: 'always' }), capacity('c', 'x', 1)],
     assignments: ['job-1/0@c', 'job-1/1@a'],
   },
   {
     name: 'work that has no other type takes all that is free',
-    requests: [ask({ tasks: 2 })],
-    capacities: [room('a', 'x', 8, { withheldFromSpotWork: 'always' })],
+    requests: [request({ tasks: 2 })],
+    capacities: [capacity('a', 'x', 8, { withheldFromSpotWork: 'always' })],
     assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
     name: 'the limit counts what is used already',
-    requests: [ask({ tasks: 5 })],
-    capacities: [room('a', 'x', 8)],
+    requests: [request({ tasks: 5 })],
+    capacities: [capacity('a', 'x', 8)],
     limit: { cpusMax: 0, gpusMax: 6 },
     used: 4,
     assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
     name: 'a gang over its limit waits and leaves the room to others',
-    requests: [ask({ id: 'job-1', kind: 'gang', tasks: 4 }), ask({ id: 'job-2', tasks: 1 })],
-    capacities: [room('a', 'x', 8)],
+    requests: [request({ id: 'job-1', kind: 'gang', tasks: 4 }), request({ id: 'job-2', tasks: 1 })],
+    capacities: [capacity('a', 'x', 8)],
     limit: { cpusMax: 0, gpusMax: 3 },
     assignments: ['job-2/0@a'],
   },
   {
     name: 'a class that found no room is not tried again in the same round, another one is',
     requests: [
-      ask({ id: 'job-1', kind: 'gang', tasks: 9 }),
-      ask({ id: 'job-2', kind: 'gang', tasks: 9 }),
-      ask({ id: 'job-3', kind: 'gang', tasks: 2 }),
+      request({ id: 'job-1', kind: 'gang', tasks: 9 }),
+      request({ id: 'job-2', kind: 'gang', tasks: 9 }),
+      request({ id: 'job-3', kind: 'gang', tasks: 2 }),
     ],
-    capacities: [room('a', 'x', 8)],
+    capacities: [capacity('a', 'x', 8)],
     assignments: ['job-3/0@a', 'job-3/1@a'],
   },
   {
     name: 'the fullest machine first, among machines that have the image',
-    requests: [ask({ tasks: 2 })],
+    requests: [request({ tasks: 2 })],
     capacities: [
-      room('a', 'x', 8, { images: new Set(['img']) }),
-      room('b', 'x', 2),
-      room('c', 'x', 1, { images: new Set(['img']) }),
+      capacity('a', 'x', 8, { images: new Set(['img']) }),
+      capacity('b', 'x', 2),
+      capacity('c', 'x', 1, { images: new Set(['img']) }),
     ],
     assignments: ['job-1/0@c', 'job-1/1@a'],
   },
-  // Machines in use were filled again and again by small work, and gangs of whole machines never found one.
+  // Else machines in use would be filled again and again by small work, and no gang would find one empty.
   {
-    name: 'what is gathered for a gang is left alone: empty by all, in use by work that has spot to go to',
+    name: 'what is reserved for a gang is left alone: empty by all, in use by work that has spot to go to',
     requests: [
-      ask({ id: 'job-1', kind: 'gang' }),
-      ask({ id: 'job-2', kind: 'gang', tasks: 2, gpus: 8, cpus: 64 }),
-      ask({ id: 'job-3', spot: true }),
-      ask({ id: 'job-4', priority: 2 }),
+      request({ id: 'job-1', kind: 'gang' }),
+      request({ id: 'job-2', kind: 'gang', tasks: 2, gpus: 8, cpus: 64 }),
+      request({ id: 'job-3', spot: true }),
+      request({ id: 'job-4', priority: 2 }),
     ],
     capacities: [
-      room('a', 'x', 8, { empty: true, reservedFor: { job: 'job-9', priority: 1 } }),
-      room('b', 'x', 1, { reservedFor: { job: 'job-9', priority: 1 } }),
+      capacity('a', 'x', 8, { empty: true, reservedFor: { job: 'job-9', priority: 1 } }),
+      capacity('b', 'x', 1, { reservedFor: { job: 'job-9', priority: 1 } }),
     ],
     assignments: ['job-1/0@b', 'job-4/0@a'],
   },
   {
     name: 'the gang itself goes first',
     requests: [
-      ask({ id: 'job-1', kind: 'gang', gpus: 8, cpus: 64, estimateS: 1 }),
-      ask({ id: 'job-9', kind: 'gang', gpus: 8, cpus: 64 }, { hasReservation: true }),
+      request({ id: 'job-1', kind: 'gang', gpus: 8, cpus: 64, estimateS: 1 }),
+      request({ id: 'job-9', kind: 'gang', gpus: 8, cpus: 64 }, { hasReservation: true }),
     ],
-    capacities: [room('a', 'x', 8, { empty: true, reservedFor: { job: 'job-9', priority: 1 } })],
+    capacities: [capacity('a', 'x', 8, { empty: true, reservedFor: { job: 'job-9', priority: 1 } })],
     assignments: ['job-9/0@a'],
   },
 ];
 for (const row of rows) {
   test(`pack: ${row.name}`, () => {
-    const uses = new Map([['t', { cpus: 0, gpus: row.used ?? 0 }]]);
-    const packed = packRequests(row.requests, row.capacities, new Map([['t', row.limit ?? LIMIT]]), uses);
+    const usages = new Map([['t', { cpus: 0, gpus: row.used ?? 0 }]]);
+    const packed = packRequests(row.requests, row.capacities, new Map([['t', row.limit ?? LIMIT]]), usages);
     assert.deepEqual(
       packed.assignments.map((put) => `${put.job}/${put.index}@${put.machine}`),
       row.assignments,
@@ -284,14 +290,14 @@
     {
       name: 'priority, then no spot to go to, then the guarantee, then targets, then the shortest, then the deadline, then the oldest',
       requests: [
-        ask({ id: 'old' }, { waitingSince: 1, attainableObjective: 1 }),
-        ask({ id: 'short', estimateS: 5 }, { waitingSince: 9 }),
-        ask({ id: 'older' }, { waitingSince: 2 }),
-        ask({ id: 'newer' }, { waitingSince: 3 }),
-        ask({ id: 'due', deadlineS: 60 }, { waitingSince: 7 }),
-        ask({ id: 'spot', spot: true }, { waitingSince: 0, withinGuarantee: true }),
-        ask({ id: 'owed' }, { waitingSince: 8, withinGuarantee: true, attainableObjective: 2 }),
-        ask({ id: 'urgent', priority: 2, spot: true }, { waitingSince: 99 }),
+        request({ id: 'old' }, { waitingSince: 1, attainableObjective: 1 }),
+        request({ id: 'short', estimateS: 5 }, { waitingSince: 9 }),
+        request({ id: 'older' }, { waitingSince: 2 }),
+        request({ id: 'newer' }, { waitingSince: 3 }),
+        request({ id: 'due', deadlineS: 60 }, { waitingSince: 7 }),
+        request({ id: 'spot', spot: true }, { waitingSince: 0, withinGuarantee: true }),
+        request({ id: 'owed' }, { waitingSince: 8, withinGuarantee: true, attainableObjective: 2 }),
+        request({ id: 'urgent', priority: 2, spot: true }, { waitingSince: 99 }),
       ],
       expect: ['urgent', 'owed', 'short', 'due', 'older', 'newer', 'old', 'spot'],
     },
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -110,10 +110,7 @@
   return { bound, found, carriedOut, job, valid: validAttempt(first), writing: job.writesUnderWay };
 };
 
-/**
- * A gang of a task a machine on a park of 4,000 was answered 422, or its one transaction would have been too
- * large.
- */
+/** Gangs too large for one transaction, up to one task on each of 4,000 machines. */
 const limits: readonly Limits[] = [
   { name: '1,900 tasks, small transactions and values', tasks: 1_900, ops: 10, valueBytes: 2_048 },
   { name: '4,000 tasks, few changes a transaction', tasks: 4_000, ops: 16, valueBytes: 32 * 1024 },
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -18,20 +18,21 @@
 const small: Partial<JobSpec> = { kind: 'service', tasks: 1, cpus: 4, gpus: 0, memoryGb: 9 };
 
 /**
- * Guards the gangs that need a whole GPU machine: whatever is put beside one must leave room for the next.
+ * Guards the gangs that need a whole GPU machine: whatever is put on its machine must leave room for the
+ * next.
  */
 const cases: readonly {
   readonly name: string;
   readonly running: readonly Partial<JobSpec>[];
   readonly leftover: readonly [cpus: number, gpus: number, memoryGb: number];
 }[] = [
-  { name: 'nothing on an empty machine: it may move to another share', running: [], leftover: [0, 0, 0] },
+  { name: 'nothing on an empty machine: it may move to another shard', running: [], leftover: [0, 0, 0] },
   { name: 'what a gang leaves over', running: [training], leftover: [10, 0, 158] },
-  { name: 'less what is beside it already', running: [training, small], leftover: [6, 0, 149] },
+  { name: 'less what runs there already', running: [training, small], leftover: [6, 0, 149] },
   { name: 'nothing once the gang has ended', running: [small], leftover: [0, 0, 0] },
 ];
 for (const row of cases) {
-  test(`room beside: ${row.name}`, () => {
+  test(`leftover capacity: ${row.name}`, () => {
     const shardState = new ShardState({ now: () => NOW, wall: () => NOW, requestRound: () => undefined });
     const liveness = new MachineLiveness({
       machines: shardState.machines,
@@ -66,7 +67,7 @@
       );
       shardState.bind(job, 0, 1, machine, { _tag: 'running' });
     });
-    const [room] = availableCapacity({
+    const [capacity] = availableCapacity({
       shardState,
       liveness,
       catalog,
@@ -77,6 +78,9 @@
       now: NOW,
       wall: NOW,
     });
-    assert.deepEqual([room?.leftover.cpus, room?.leftover.gpus, room?.leftover.memoryGb], row.leftover);
+    assert.deepEqual(
+      [capacity?.leftover.cpus, capacity?.leftover.gpus, capacity?.leftover.memoryGb],
+      row.leftover,
+    );
   });
 }
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -167,7 +167,7 @@
   }
 
   /**
-   * ms: how long an idle machine is kept; `rank` counts the machines of its kind that have been idle for
+   * ms: how long an idle machine is held; `rank` counts the machines of its kind that have been idle for
    * longer.
    */
   private idleHoldMs(machine: ShardMachine, rank: number): number {
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -22,7 +22,7 @@
   readonly releaseReason?: string;
 }
 
-/** The most recently used images of a machine, as many as its record has room for beside the rest. */
+/** The most recently used images of a machine, as many as its record has room for besides the rest. */
 export const recentImages = (images: ReadonlySet<string>, room: number): readonly string[] => {
   const recent: string[] = [];
   let bytes = 0;
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
+import { jobSpec } from '../testing/bodies.js';
 import { PipelineIndex } from '../pipelines/graph.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { placementRequests, teamUsage } from './placement-view.js';
@@ -15,29 +16,17 @@
 const recordOf = (id: string, over: Partial<JobSpec> & { at?: number; follows?: readonly string[] }) => {
   const { at = 0, follows = [], ...spec } = over;
   return {
-    spec: {
-      id,
-      jobClass: 'c',
-      team: 'red',
+    spec: jobSpec(id, {
       kind: 'array',
       priority: 1,
       tasks: 4,
       cpus: 1,
       gpus: 1,
       memoryGb: 1,
-      types: null,
-      zone: null,
-      oneZone: false,
-      spread: false,
-      spot: false,
       image: 'i',
-      imageGb: 1,
       estimateS: 10,
-      checkpointS: 0,
-      saveS: 0,
-      deadlineS: null,
       ...spec,
-    },
+    }),
     at,
     cancelled: false,
     cancelledAt: null,
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -95,8 +95,8 @@
 };
 
 /**
- * Room beside the work that can't do without this type: what is over once as many of its largest tasks as the
- * machine holds have their room. Only where such work runs already: an empty machine stays free for
+ * What the work that can't do without this type leaves over: what is free once as many of its largest tasks
+ * as the machine holds have their room. Only where such work runs already: an empty machine stays free for
  * another shard.
  */
 const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -2,8 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http.js';
-import type { JobRecord, JobSpec } from '../jobs/model.js';
+import type { JobRecord } from '../jobs/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
+import { jobSpec } from '../testing/bodies.js';
 import { RecordFlusher } from './record-flusher.js';
 import { ShardState } from './shard-state.js';
 import { ImmediateRemoval } from './orphaned-keys.js';
@@ -11,34 +12,22 @@
 import { FinalRecordWriter } from './final-record-writer.js';
 import { RunWriter } from './run-writer.js';
 
-const spec: JobSpec = {
-  id: 'job-1',
-  jobClass: 'c',
+const spec = jobSpec('job-1', {
   team: 't',
   kind: 'array',
   priority: 1,
-  tasks: 2,
   cpus: 1,
   gpus: 1,
   memoryGb: 1,
-  types: null,
-  zone: null,
-  oneZone: false,
-  spread: false,
-  spot: false,
   image: 'i',
-  imageGb: 1,
   estimateS: 1,
-  checkpointS: 0,
-  saveS: 0,
-  deadlineS: null,
-};
+});
 const ACCEPTED_AT = 5;
 const CANCELLED_AT = 7;
 const record: JobRecord = { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 const cancelledRecord: JobRecord = { ...record, cancelled: true, cancelledAt: 1 };
 
-/** A share with one job, and a state service whose record of it has this revision; 0: it is gone. */
+/** A shard with one job, and a key-value store whose record of it has this revision; 0: it is gone. */
 const shardOf = () => {
   const state = { revision: CANCELLED_AT, transactions: 0 };
   const request = (): Promise<CallOutcome> => {
--- a/src/placement/shard-context.ts
+++ b/src/placement/shard-context.ts
@@ -70,7 +70,7 @@
   readonly mayAct: () => boolean;
   /** Has another shard a free machine that would do for this job? */
   readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
-  /** What the leader gathers machines for. */
+  /** Machines that the leader keeps free for gangs. */
   readonly reservations: () => readonly Reservation[];
   /** The duty of cleaning up this shard's orphaned keys; null: it is done without tombstones. */
   readonly cleanUp: Duty | null;
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -57,10 +57,10 @@
   /** ms since the epoch. */
   readonly submittedAt: number;
   /**
-   * ms since the epoch: from when its waiting counts, which is when the last job that it follows was done.
+   * ms since the epoch: from when its waiting counts, which is when the last job that it depends on was done.
    */
   waitingSince: number;
-  /** Parts in which the list of jobs that it follows stands, beside its record. */
+  /** Keys, besides its record, that hold the list of jobs it depends on. */
   readonly dependencyParts: number;
   readiness: Readiness;
   version: number;
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -169,7 +169,7 @@
 
   // ---- one round ------------------------------------------------------------------------------------------
 
-  /** Decisions only. What they write goes out beside the rounds, in transactions of its own. */
+  /** Decisions only. What they write goes out apart from the rounds, in transactions of its own. */
   private round(): void {
     const { directCommands, lifecycle, flusher } = this.components;
     const waiting = this.roundWaiters.current();
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
-import type { JobSpec } from '../jobs/model.js';
+import { jobSpec } from '../testing/bodies.js';
 import type { Command, WorkerHeartbeat, ReportedTask } from '../workers/model.js';
 import { ShardState } from './shard-state.js';
 import { MachineLiveness } from './machine-liveness.js';
@@ -10,28 +10,18 @@
 import type { ShardMachine } from './shard-model.js';
 
 const LEASE_S = 20;
-const spec: JobSpec = {
-  id: 'job-1',
+const spec = jobSpec('job-1', {
   jobClass: 'k',
   team: 't',
   kind: 'gang',
   priority: 1,
-  tasks: 2,
   cpus: 1,
   gpus: 1,
   memoryGb: 1,
-  types: null,
-  zone: null,
   oneZone: true,
-  spread: false,
-  spot: false,
   image: 'i',
-  imageGb: 1,
   estimateS: 10,
-  checkpointS: 0,
-  saveS: 0,
-  deadlineS: null,
-};
+});
 const type: MachineType = {
   name: 'g',
   cpus: 8,
@@ -44,7 +34,7 @@
   zones: ['x'],
 };
 
-class Story {
+class Scenario {
   now = 1_000_000;
   readonly shardState = new ShardState({
     now: () => this.now,
@@ -122,104 +112,109 @@
 }
 const running: readonly ReportedTask[] = [{ job: 'job-1', index: 0, attempt: 1, state: { _tag: 'running' } }];
 
-const stories: readonly { name: string; run: (story: Story) => void }[] = [
+const scenarios: readonly { name: string; run: (scenario: Scenario) => void }[] = [
   {
-    name: 'a late copy of a report is not the newest word, whatever its age',
-    run: (story) => {
-      story.bind();
-      assert.ok(story.report('m-0', 7, { tasks: running }));
-      for (const sequenceNumber of [7, 6, 1]) assert.equal(story.report('m-0', sequenceNumber), false);
-      assert.equal(story.at(0), 'running', 'absence in an old list is no evidence');
-      assert.ok(story.report('m-0', 1, { agentEpoch: 2 }));
-      assert.equal(story.report('m-0', 9, { tasks: running }), false, 'nor is one of an earlier session');
-      assert.equal(story.at(0), 'none');
+    name: 'a late copy of a heartbeat changes nothing, whatever its age',
+    run: (scenario) => {
+      scenario.bind();
+      assert.ok(scenario.report('m-0', 7, { tasks: running }));
+      for (const sequenceNumber of [7, 6, 1]) assert.equal(scenario.report('m-0', sequenceNumber), false);
+      assert.equal(scenario.at(0), 'running', 'absence in an old list is no evidence');
+      assert.ok(scenario.report('m-0', 1, { agentEpoch: 2 }));
+      assert.equal(scenario.report('m-0', 9, { tasks: running }), false, 'nor is one of an earlier session');
+      assert.equal(scenario.at(0), 'none');
     },
   },
   {
     name: 'to a new holder a late copy may come first: it proves nothing and confirms nothing',
-    run: (story) => {
-      story.bind();
-      assert.ok(story.report('m-0', 3, { token: 44 }));
-      assert.equal(story.at(0), 'bound');
-      assert.equal(story.machines[0]?.confirmedToken, 0, 'no work goes there yet');
-      assert.ok(story.report('m-0', 9, { token: 44, agentEpoch: 2, tasks: [] }));
-      assert.equal(story.at(0), 'bound', 'a session that the former holder may still command proves nothing');
-      assert.ok(story.report('m-0', 10, { agentEpoch: 2, tasks: running }));
-      assert.equal(story.at(0), 'running');
+    run: (scenario) => {
+      scenario.bind();
+      assert.ok(scenario.report('m-0', 3, { token: 44 }));
+      assert.equal(scenario.at(0), 'bound');
+      assert.equal(scenario.machines[0]?.confirmedToken, 0, 'no work goes there yet');
+      assert.ok(scenario.report('m-0', 9, { token: 44, agentEpoch: 2, tasks: [] }));
+      assert.equal(
+        scenario.at(0),
+        'bound',
+        'a session that the former holder may still command proves nothing',
+      );
+      assert.ok(scenario.report('m-0', 10, { agentEpoch: 2, tasks: running }));
+      assert.equal(scenario.at(0), 'running');
     },
   },
   {
-    name: 'a machine that starts nothing of what it is told does not hear: its gang goes elsewhere',
-    run: (story) => {
-      story.report('m-0', 1);
-      story.bind();
+    name: 'a machine that starts nothing of what it is told is unreachable: its gang goes elsewhere',
+    run: (scenario) => {
+      scenario.report('m-0', 1);
+      scenario.bind();
       for (let sequenceNumber = 2; sequenceNumber <= 4; sequenceNumber += 1) {
-        story.report('m-0', sequenceNumber);
+        scenario.report('m-0', sequenceNumber);
         assert.deepEqual(
-          story.last.map((command) => command._tag),
+          scenario.last.map((command) => command._tag),
           ['run'],
         );
       }
-      story.report('m-0', 5);
-      assert.deepEqual(story.last, [], 'no more of it');
-      assert.equal(story.machines[0]?.raiseToken, true, 'nothing new until it takes up a higher token');
+      scenario.report('m-0', 5);
+      assert.deepEqual(scenario.last, [], 'no more of it');
+      assert.equal(scenario.machines[0]?.raiseToken, true, 'nothing new until it takes up a higher token');
       assert.ok(
-        [...story.job.bindings.values()].every((binding) => binding.stop !== null),
+        [...scenario.job.bindings.values()].every((binding) => binding.stop !== null),
         'the whole gang is stopped',
       );
-      story.report('m-0', 6);
-      assert.equal(story.at(0), 'none', 'absent after its last run: free to start elsewhere');
+      scenario.report('m-0', 6);
+      assert.equal(scenario.at(0), 'none', 'absent after its last run: free to start elsewhere');
     },
   },
   {
-    name: 'a machine whose lease ran out although we answered does not hear either',
-    run: (story) => {
-      story.bind();
-      story.report('m-0', 1, { tasks: running });
-      story.now += 5_000;
-      story.report('m-0', 2, { agentEpoch: 2 });
-      assert.equal(story.at(0), 'none', 'its new session is the proof');
-      assert.equal(story.machines[0]?.raiseToken, true);
+    name: 'a machine whose lease ran out although it was answered is unreachable too',
+    run: (scenario) => {
+      scenario.bind();
+      scenario.report('m-0', 1, { tasks: running });
+      scenario.now += 5_000;
+      scenario.report('m-0', 2, { agentEpoch: 2 });
+      assert.equal(scenario.at(0), 'none', 'its new session is the proof');
+      assert.equal(scenario.machines[0]?.raiseToken, true);
     },
   },
   {
-    name: 'one that never takes up our token is released, unless most do not',
-    run: (story) => {
-      for (const machine of story.machines) story.report(machine.id, 1, { token: 44 });
-      story.now += LEASE_S * 2_500;
-      for (const machine of story.machines) story.report(machine.id, 2, { token: 44 });
-      assert.deepEqual(story.releases(), [], 'that speaks for a fault of this node');
-      story.report('m-1', 3);
-      assert.deepEqual(story.releases(), ['m-0 does not hear']);
+    name: 'one that never takes up the token is released, unless most do not',
+    run: (scenario) => {
+      for (const machine of scenario.machines) scenario.report(machine.id, 1, { token: 44 });
+      scenario.now += LEASE_S * 2_500;
+      for (const machine of scenario.machines) scenario.report(machine.id, 2, { token: 44 });
+      assert.deepEqual(scenario.releases(), [], 'that speaks for a fault of this controller');
+      scenario.report('m-1', 3);
+      assert.deepEqual(scenario.releases(), ['m-0 does not hear']);
     },
   },
   {
-    name: 'a machine known only from a report that may be a late copy goes back after a lease of silence',
-    run: (story) => {
-      story.machine('m-2', 0);
-      const known = story.shardState.machines.get('m-2');
+    name: 'a machine known only from a heartbeat that may be a late copy goes back after a lease of silence',
+    run: (scenario) => {
+      scenario.machine('m-2', 0);
+      const known = scenario.shardState.machines.get('m-2');
       assert.ok(known);
-      assert.equal(story.liveness.isExpectedSoon(known, story.now, story.now), false);
-      story.now += (LEASE_S + 2) * 1_000;
-      assert.deepEqual(story.releases(), ['m-2 never came up'], 'those that boot are given their time');
+      assert.equal(scenario.liveness.isExpectedSoon(known, scenario.now, scenario.now), false);
+      scenario.now += (LEASE_S + 2) * 1_000;
+      assert.deepEqual(scenario.releases(), ['m-2 never came up'], 'those that boot are given their time');
     },
   },
   {
-    name: 'a silent spot machine goes before its lease is over, an ordinary one after',
-    run: (story) => {
-      story.machine('m-2', story.now, true);
-      for (const id of ['m-0', 'm-1', 'm-2']) story.report(id, 1, { tasks: running });
-      story.now += 60_000;
-      for (const id of ['m-0', 'm-1', 'm-2']) story.report(id, 2, { tasks: running });
-      story.now += 17_000;
-      story.report('m-0', 3, { tasks: running });
-      assert.deepEqual(story.releases(), [], 'but not while this node hears few of its machines');
-      story.report('m-1', 3, { tasks: running });
-      assert.deepEqual(story.releases(), ['m-2 spot silent']);
-      story.now += 22_000;
-      story.report('m-0', 4, { tasks: running });
-      assert.deepEqual(story.releases(), ['m-1 silent', 'm-2 silent']);
+    name: 'a silent spot machine goes before its lease is over, an on-demand one after',
+    run: (scenario) => {
+      scenario.machine('m-2', scenario.now, true);
+      for (const id of ['m-0', 'm-1', 'm-2']) scenario.report(id, 1, { tasks: running });
+      scenario.now += 60_000;
+      for (const id of ['m-0', 'm-1', 'm-2']) scenario.report(id, 2, { tasks: running });
+      scenario.now += 17_000;
+      scenario.report('m-0', 3, { tasks: running });
+      assert.deepEqual(scenario.releases(), [], 'but not while this controller hears few of its machines');
+      scenario.report('m-1', 3, { tasks: running });
+      assert.deepEqual(scenario.releases(), ['m-2 spot silent']);
+      scenario.now += 22_000;
+      scenario.report('m-0', 4, { tasks: running });
+      assert.deepEqual(scenario.releases(), ['m-1 silent', 'm-2 silent']);
     },
   },
 ];
-for (const story of stories) test(`worker sessions: ${story.name}`, () => story.run(new Story()));
+for (const scenario of scenarios)
+  test(`worker sessions: ${scenario.name}`, () => scenario.run(new Scenario()));
