--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -6,7 +6,6 @@
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
-import { onMachine } from './attempt-phase.js';
 import { noteLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import type { CommandSender } from './shard-context.js';
@@ -46,11 +45,8 @@
    * anyway.
    */
   sendStops(): void {
-    const { stopsToSend } = this.dependencies.shardState;
-    if (stopsToSend.size === 0) return;
-    const waiting = [...stopsToSend].filter((binding) => binding.stop && onMachine(binding.phase));
-    stopsToSend.clear();
-    for (const [machine, bindings] of this.groupByMachine(waiting)) {
+    const stops = this.dependencies.shardState.takeStopsToSend();
+    for (const [machine, bindings] of this.groupByMachine(stops)) {
       void this.send(machine, bindings.map(stopCommand)).then((result) => {
         if (result._tag === 'executed') this.onResponse(machine, result.heartbeat);
       });
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -60,7 +60,7 @@
     return [
       ...overdue
         .filter((machine) => !machine.releasing)
-        .map((machine) => ({ machine, reason: 'cancelled and not gone' })),
+        .map((machine): MachineToRelease => ({ machine, reason: 'cancelled and not gone' })),
       ...liveness.machinesToRelease(isPlacing()).filter(({ machine }) => !overdue.includes(machine)),
     ];
   }
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -26,7 +26,7 @@
 import { TAKEOVER_WAIT_REPORT_INTERVALS } from '../constants/placement.js';
 import type { SteadyClock, WallClock } from './ports.js';
 import type { ShardContext } from './shard-context.js';
-import type { ShardJob, ShardMachine } from './shard-model.js';
+import type { ReleaseReason, ShardJob, ShardMachine } from './shard-model.js';
 
 /** What the judgement of machines needs of their shard. */
 export interface MachineLivenessDependencies
@@ -37,7 +37,7 @@
 /** A machine that is to go back to the cloud, with the reason as the record and the log give it. */
 export interface MachineToRelease {
   readonly machine: ShardMachine;
-  readonly reason: string;
+  readonly reason: ReleaseReason;
 }
 
 /** Whether silence speaks for a fault of machines, or of this controller. */
@@ -185,11 +185,11 @@
     const now = this.dependencies.now();
     const list: MachineToRelease[] = [];
     const idle = new Map<string, ShardMachine[]>();
-    const hearing = this.reachability(now);
+    const reachability = this.reachability(now);
     for (const machine of this.dependencies.machines.values()) {
       if (machine.releasing) continue;
-      const why = this.releaseReason(machine, now, hearing);
-      if (why !== null) list.push({ machine, reason: why });
+      const reason = this.releaseReason(machine, now, reachability);
+      if (reason !== null) list.push({ machine, reason });
       else if (placing && machine.answeredAt !== null && machine.idleSince !== null) {
         const key = `${machine.type}|${machine.spot}`;
         const known = idle.get(key);
@@ -219,7 +219,11 @@
   }
 
   /** Why a machine is to be released whatever else there is to do; null: it is not. */
-  private releaseReason(machine: ShardMachine, now: number, hearing: Reachability): string | null {
+  private releaseReason(
+    machine: ShardMachine,
+    now: number,
+    reachability: Reachability,
+  ): ReleaseReason | null {
     // Its return was asked for while nothing could be written: the request may still be carried out.
     if (machine.cordoned) return 'return was asked for';
     if (machine.answeredAt === null)
@@ -230,12 +234,12 @@
      * that its tasks are gone, long before its lease would be; if it was only cut off, little is lost.
      */
     const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilenceMs;
-    if (spotSilent && hearing.hearsMost && hearing.hasSettledIn) return 'spot silent';
+    if (spotSilent && reachability.hearsMost && reachability.hasSettledIn) return 'spot silent';
     // It reports, and yet does not take up the token for longer than its lease: answers do not reach it.
     const { unconfirmedSince } = machine;
     if (
       unconfirmedSince !== null &&
-      hearing.isHeardByMost &&
+      reachability.isHeardByMost &&
       now - unconfirmedSince > this.leaseMs * UNCONFIRMED_TOKEN_LEASES
     )
       return 'does not hear';
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -12,14 +12,14 @@
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import type { ShardIdentity, ValueLimits } from './ports.js';
-import type { ShardMachine } from './shard-model.js';
+import type { ReleaseReason, ShardMachine } from './shard-model.js';
 
 /** What a machine's record is to say. */
 export interface MachineAssignment {
   readonly machine: ShardMachine;
   readonly shardId: number;
   /** Why it is to be released; none: it stays in use. */
-  readonly releaseReason?: string;
+  readonly releaseReason?: ReleaseReason;
 }
 
 /** The most recently used images of a machine, as many as its record has room for besides the rest. */
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -101,7 +101,7 @@
     const { shardState, finalRecords, orphanedKeys, onFinalRecord, requestRound } = this.dependencies;
     const finished = await finalRecords.finish(jobs);
     for (const { job, final } of finished.done) {
-      shardState.jobs.delete(job.spec.id);
+      shardState.dropFinished(job);
       onFinalRecord(job.spec.id, final);
     }
     for (const { job } of jobs) shardState.dropIfOver(job);
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -104,6 +104,25 @@
   /** Nothing is placed on it any more; it is released once nothing is bound to it. */
   | { readonly _tag: 'quarantined' };
 
+/** Why a machine goes back to the cloud; these texts are stored in its record and logged. */
+export type ReleaseReason =
+  /** A task of a cancelled job is not proven gone in time. */
+  | 'cancelled and not gone'
+  /** It was cordoned for an urgent release, which may still be carried out. */
+  | 'return was asked for'
+  /** It was never heard from, for longer than a boot may take. */
+  | 'never came up'
+  /** Its lease has expired without a heartbeat. */
+  | 'silent'
+  /** A spot machine that missed several heartbeats: most likely the cloud took it back. */
+  | 'spot silent'
+  /** Its heartbeats come, and it does not take up the token: answers do not reach it. */
+  | 'does not hear'
+  /** It is quarantined, and nothing is bound to it. */
+  | 'sick'
+  /** It has been idle for longer than such a machine is held. */
+  | 'idle';
+
 /** A machine of the shard, with what its worker last said. */
 export interface ShardMachine {
   readonly id: string;
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -28,12 +28,17 @@
 
 /** The state of one shard. */
 export class ShardState {
-  readonly jobs = new Map<string, ShardJob>();
-  readonly machines = new Map<string, ShardMachine>();
+  private readonly jobsById = new Map<string, ShardJob>();
+  private readonly machinesById = new Map<string, ShardMachine>();
+  private readonly pendingStops = new Set<Binding>();
+  private readonly acknowledgedVersions = new Map<string, number>();
+
+  readonly jobs: ReadonlyMap<string, ShardJob> = this.jobsById;
+  readonly machines: ReadonlyMap<string, ShardMachine> = this.machinesById;
   /** Bindings whose stop is to go out directly. */
-  readonly stopsToSend = new Set<Binding>();
+  readonly stopsToSend: ReadonlySet<Binding> = this.pendingStops;
   /** Cancellations heard of before their jobs, by the revision at which they became durable. */
-  readonly acknowledged = new Map<string, number>();
+  readonly acknowledged: ReadonlyMap<string, number> = this.acknowledgedVersions;
   private readonly failures = new FailureAccounting(this.machines);
 
   constructor(private readonly dependencies: ShardStateDependencies) {}
@@ -42,13 +47,13 @@
 
   addMachine(id: string, record: MachineRecord, version: number, total: Demand): ShardMachine {
     const machine = createMachine(id, record, version, total, this.dependencies.now());
-    this.machines.set(id, machine);
+    this.machinesById.set(id, machine);
     return machine;
   }
 
   dropMachine(machine: ShardMachine, how: Gone): void {
     for (const binding of [...machine.bound.values()]) this.apply(binding, { _tag: 'lost', how });
-    this.machines.delete(machine.id);
+    this.machinesById.delete(machine.id);
     this.dependencies.requestRound();
   }
 
@@ -74,7 +79,7 @@
     const acknowledged = this.acknowledged.get(job.spec.id);
     if (record.cancelled || acknowledged !== undefined) {
       job.version = Math.max(version, acknowledged ?? 0);
-      this.acknowledged.delete(job.spec.id);
+      this.acknowledgedVersions.delete(job.spec.id);
       this.cancel(job, record.cancelledAt);
     }
     return job;
@@ -82,7 +87,7 @@
 
   private addJob(record: JobRecord, version: number): ShardJob {
     const job = createJob(record, version);
-    this.jobs.set(record.spec.id, job);
+    this.jobsById.set(record.spec.id, job);
     log.debug({
       event: 'job.adopted',
       job: record.spec.id,
@@ -95,7 +100,7 @@
 
   /** A job's record was deleted: its final record is durable. */
   onRecordGone(id: string): void {
-    this.acknowledged.delete(id);
+    this.acknowledgedVersions.delete(id);
     const job = this.jobs.get(id);
     if (!job) return;
     job.recordGone = true;
@@ -103,6 +108,11 @@
     if (job.bindings.size > 0) log.error({ event: 'job.record_vanished', job: id });
   }
 
+  /** Forgets a job whose final record this shard has written. */
+  dropFinished(job: ShardJob): void {
+    this.jobsById.delete(job.spec.id);
+  }
+
   /**
    * Forgets a job whose record is gone. A holder that is told of a cancellation directly may finish the job
    * before its watch shows the cancelled record; that older event then brings the job back, and its final
@@ -110,7 +120,7 @@
    */
   dropIfOver(job: ShardJob): void {
     if (!job.recordGone || job.finishing || job.bindings.size > 0) return;
-    if (this.jobs.get(job.spec.id) === job) this.jobs.delete(job.spec.id);
+    if (this.jobs.get(job.spec.id) === job) this.jobsById.delete(job.spec.id);
   }
 
   /**
@@ -120,7 +130,7 @@
   acknowledge(id: string, version: number): void {
     const job = this.jobs.get(id);
     if (!job) {
-      this.acknowledged.set(id, version);
+      this.acknowledgedVersions.set(id, version);
       return;
     }
     job.version = Math.max(job.version, version);
@@ -195,10 +205,18 @@
     binding.stop = { reason, graceS, since: this.dependencies.now() };
     // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it
     // with its heartbeat.
-    if (onMachine(binding.phase) && reason !== 'finished') this.stopsToSend.add(binding);
+    if (onMachine(binding.phase) && reason !== 'finished') this.pendingStops.add(binding);
     this.dependencies.requestRound();
   }
 
+  /** Hands over the stops that are to go out directly, of tasks that are still on their machines. */
+  takeStopsToSend(): readonly Binding[] {
+    if (this.pendingStops.size === 0) return [];
+    const stops = [...this.pendingStops].filter((binding) => binding.stop && onMachine(binding.phase));
+    this.pendingStops.clear();
+    return stops;
+  }
+
   /** A gang that lost a member is stopped whole and waits again, free to go anywhere. */
   stopBrokenGang(job: ShardJob): void {
     for (const binding of job.bindings.values()) this.stop(binding, 'broken', 0);
