--- a/eslint.config.js
+++ b/eslint.config.js
@@ -21,6 +21,7 @@
   'src/kv-store',
   'src/main.ts',
   'src/peers',
+  'src/placement',
   'src/repository-checks',
 ];
 
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -1,3 +1,4 @@
+/** Gangs whose bind takes several transactions are bound by the last one or not at all. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http.js';
@@ -5,7 +6,8 @@
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
-import { chunkOf, counts, partsOf, readRunRecord, validAttempt } from './run-records.js';
+import { isValid, partsOf, readRunRecord, validAttempt } from './run-codec.js';
+import { chunkOf } from './run-records.js';
 import { ClaimTransactions } from './claim-transactions.js';
 import { RunWriter } from './run-writer.js';
 
@@ -51,7 +53,7 @@
     store,
     shardId: 0,
     claim: 5,
-    lost: () => undefined,
+    markLost: () => undefined,
     isLost: () => false,
   });
   const writer = new RunWriter({
@@ -99,19 +101,16 @@
   const first = items.get(runKey(0, 'job-1', 0));
   for (const [key, value] of items) {
     const name = parseRunKey(key);
-    if (!name || name.part !== null || !counts(value, first)) continue;
+    if (name?.part !== null || !isValid(value, first)) continue;
     const parts = Array.from({ length: partsOf(value) }, (_, part) =>
       items.get(runPartKey(0, 'job-1', name.chunk, part)),
     );
     found += readRunRecord(value, name.chunk, parts).bindings.length;
   }
-  return { bound, found, carriedOut, job, valid: validAttempt(first), writing: job.writing };
+  return { bound, found, carriedOut, job, valid: validAttempt(first), writing: job.writesUnderWay };
 };
 
-/**
- * A gang of a task a machine on a park of 4,000 was answered 422, or its one transaction would have been too
- * large.
- */
+/** Gangs too large for one transaction, up to one task on each of 4,000 machines. */
 const limits: readonly Limits[] = [
   { name: '1,900 tasks, small transactions and values', tasks: 1_900, ops: 10, valueBytes: 2_048 },
   { name: '4,000 tasks, few changes a transaction', tasks: 4_000, ops: 16, valueBytes: 32 * 1024 },
@@ -126,7 +125,7 @@
       const part = await bindUntil(row, ended);
       assert.deepEqual([part.bound, part.found, part.writing], [false, 0, 0], `ended after ${ended}`);
       // Parts that are left behind are written over.
-      assert.ok([...part.job.chunks.values()].every((chunk) => chunk.dirtyFrom !== null));
+      assert.ok([...part.job.chunks.values()].every((chunk) => chunk.dirtySince !== null));
     }
   });
 }
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -1,6 +1,8 @@
+/** What a round asks for: jobs that wait for others, and those that others wait for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
+import { jobSpec } from '../testing/bodies.js';
 import { PipelineIndex } from '../pipelines/graph.js';
 import { MachineLiveness } from './machine-liveness.js';
 import { placementRequests, teamUsage } from './placement-view.js';
@@ -14,29 +16,17 @@
 const recordOf = (id: string, over: Partial<JobSpec> & { at?: number; follows?: readonly string[] }) => {
   const { at = 0, follows = [], ...spec } = over;
   return {
-    spec: {
-      id,
-      jobClass: 'c',
-      team: 'red',
+    spec: jobSpec(id, {
       kind: 'array',
       priority: 1,
       tasks: 4,
       cpus: 1,
       gpus: 1,
       memoryGb: 1,
-      types: null,
-      zone: null,
-      oneZone: false,
-      spread: false,
-      spot: false,
       image: 'i',
-      imageGb: 1,
       estimateS: 10,
-      checkpointS: 0,
-      saveS: 0,
-      deadlineS: null,
       ...spec,
-    },
+    }),
     at,
     cancelled: false,
     cancelledAt: null,
@@ -115,7 +105,7 @@
     const index = new PipelineIndex(STAGE_MS);
     const shardState = new ShardState({ now: () => NOW, wall: () => NOW, requestRound: () => undefined });
     const liveness = new MachineLiveness({
-      bootBound: () => false,
+      isBootBound: () => false,
       machines: shardState.machines,
       catalog: () => new Map(),
       workers: { lease_s: 18, report_s: 3, cancel_s: 48 },
@@ -139,7 +129,7 @@
     for (const { spec } of row.jobs) {
       const effectivePriority = index.effectivePriority(spec.id);
       assert.ok(effectivePriority);
-      shardState.stand(spec.id, index.readiness(spec.id), effectivePriority);
+      shardState.updateReadiness(spec.id, index.readiness(spec.id), effectivePriority);
     }
     const requests = placementRequests({
       shardState,
@@ -156,8 +146,10 @@
       requests.map((request) => [
         request.job,
         request.withinGuarantee,
-        (NOW - request.at) / 1000,
-        request.spec.deadlineS === null ? null : (request.at + request.spec.deadlineS * 1000 - NOW) / 1000,
+        (NOW - request.waitingSince) / 1000,
+        request.spec.deadlineS === null
+          ? null
+          : (request.waitingSince + request.spec.deadlineS * 1000 - NOW) / 1000,
       ]),
       row.expect,
     );
--- a/src/placement/run-records.test.ts
+++ b/src/placement/run-records.test.ts
@@ -4,7 +4,8 @@
 import { test } from 'node:test';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { bytesOf, SMALLEST_TRANSACTION, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
-import { partsOf, readRunRecord, storeRun, type RunRecord } from './run-records.js';
+import { partsOf, readRunRecord, storeRun } from './run-codec.js';
+import type { RunRecord } from './run-records.js';
 
 const runs: readonly { name: string; record: RunRecord }[] = [
   {
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -1,3 +1,8 @@
+/**
+ * Writes the runs of a shard's jobs: which task is bound to which machine, and which are done. No state of
+ * its own; of jobs it sets `writesUnderWay`, `validAttempt` and what is known of their stored runs.
+ * `Binder` and `RecordFlusher` call it.
+ */
 import {
   ESTIMATED_BINDING_BYTES,
   ESTIMATED_RUN_RECORD_BYTES,
@@ -8,30 +13,19 @@
 } from '../constants/key-value-store.js';
 import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
-import type { Write } from '../kv-store/model.js';
+import type { TransactionResult, Write } from '../kv-store/model.js';
 import { jobKey, runKey, runPartKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
-import {
-  durableKeys,
-  prepared,
-  runRecord,
-  storeRun,
-  validating,
-  type RunRecord,
-  type StoredRun,
-} from './run-records.js';
+import type { ShardIdentity, ValueLimits } from './ports.js';
+import { prepared, storeRun, validating, type StoredRun } from './run-codec.js';
+import { durableKeys, runRecord, type RunRecord } from './run-records.js';
 import type { Chunk, ShardJob } from './shard-model.js';
 
-/** What the writer of runs needs of its share. */
-export interface RunWriterInput {
+/** What the writer of runs needs of its shard. */
+export interface RunWriterDependencies extends Pick<ShardIdentity, 'shardId'>, ValueLimits {
   readonly transactions: ClaimTransactions;
   readonly store: KeyValueStore;
-  readonly shardId: number;
-  /** bytes: the largest value that the state service takes, now and later. */
-  readonly valueBytes: number;
-  /** Every node reads runs that are parted. */
-  readonly maySplit: () => boolean;
 }
 
 /** One run of a job's tasks, as it is to be written now. */
@@ -43,7 +37,7 @@
 }
 
 /** Guess of a run record's size on the wire: a binding is an index, a machine's name and an attempt. */
-const sizeOf = (record: RunRecord): number =>
+const estimatedBytes = (record: RunRecord): number =>
   ESTIMATED_RUN_RECORD_BYTES + record.bindings.length * ESTIMATED_BINDING_BYTES;
 
 /** bytes on the wire, as the protocol measures them, of a run with its parts, its keys and its condition. */
@@ -53,14 +47,37 @@
     0,
   );
 
-/** Writes the runs of a share's jobs: which task is bound to which machine, and which are done. */
+/** What is known of the stored run, from now on without changes that wait: the write has them all. */
+const cleanChunkOf = ({ job, chunk: number }: RunWrite): Chunk => {
+  const known = job.chunks.get(number);
+  if (known) {
+    known.dirtySince = null;
+    return known;
+  }
+  const created: Chunk = { version: 0, parts: 0, durable: new Set(), dirtySince: null };
+  job.chunks.set(number, created);
+  return created;
+};
+
+/** Notes in what is known of a stored run how its write ended. */
+const noteWritten = (chunk: Chunk, write: RunWrite, result: TransactionResult): void => {
+  if (result._tag !== 'committed') {
+    chunk.dirtySince ??= 0;
+    return;
+  }
+  chunk.version = result.revision;
+  chunk.parts = write.stored.parts.length;
+  chunk.durable = durableKeys(write.job.spec.id, write.record);
+};
+
+/** The writer of runs of one shard. */
 export class RunWriter {
-  constructor(private readonly input: RunWriterInput) {}
+  constructor(private readonly dependencies: RunWriterDependencies) {}
 
   runWrite(job: ShardJob, chunk: number): RunWrite {
     const record = runRecord(job, chunk);
-    const bytes = this.input.valueBytes * VALUE_FILL_FRACTION;
-    const stored = storeRun(record, chunk, bytes, this.input.maySplit());
+    const bytes = this.dependencies.valueBytes * VALUE_FILL_FRACTION;
+    const stored = storeRun(record, chunk, bytes, this.dependencies.maySplit());
     const keeps = chunk === 0 && job.validAttempt > 0;
     return { job, chunk, record, stored: keeps ? validating(stored, job.validAttempt) : stored };
   }
@@ -76,11 +93,11 @@
     let bytes = 0;
     let changes = 0;
     for (const entry of entries) {
-      const size = sizeOf(entry.write.record);
+      const size = estimatedBytes(entry.write.record);
       const more = this.changesOf(entry.write);
       if (
         batch.length > 0 &&
-        (changes + more > this.input.store.batchWrites || bytes + size > MAX_RECORD_BATCH_BYTES)
+        (changes + more > this.dependencies.store.batchWrites || bytes + size > MAX_RECORD_BATCH_BYTES)
       ) {
         batches.push(batch);
         batch = [];
@@ -96,95 +113,88 @@
   }
 
   /** Writes runs in one transaction; while it is under way nothing else writes runs of these jobs. */
-  async commitRuns(writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
+  async commitRuns(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const first = writes[0];
     if (!first) return true;
-    const key = (write: RunWrite): string => runKey(this.input.shardId, write.job.spec.id, write.chunk);
     const jobs = new Set(writes.map((write) => write.job));
-    const chunks = writes.map((write): Chunk => {
-      const known = write.job.chunks.get(write.chunk);
-      if (known) {
-        known.dirtyFrom = null;
-        return known;
-      }
-      const fresh: Chunk = { version: 0, parts: 0, durable: new Set(), dirtyFrom: null };
-      write.job.chunks.set(write.chunk, fresh);
-      return fresh;
-    });
-    for (const job of jobs) job.writing += 1;
-    const result = await this.input.transactions.commit(
-      [
+    const chunks = writes.map(cleanChunkOf);
+    for (const job of jobs) job.writesUnderWay += 1;
+    const result = await this.dependencies.transactions.commit({
+      conditions: [
         ...[...jobs].map((job) => ({ key: jobKey(job.spec.id), version: job.version })),
-        ...writes.map((write, index) => ({ key: key(write), version: chunks[index]?.version ?? 0 })),
+        ...writes.map((write, index) => ({ key: this.keyOf(write), version: chunks[index]?.version ?? 0 })),
       ],
-      writes.flatMap((write, index) => this.changes(write, chunks[index]?.parts ?? 0)),
-      key(first),
-      rank,
-    );
-    for (const job of jobs) job.writing -= 1;
-    const committed = result._tag === 'committed';
+      writes: writes.flatMap((write, index) => this.changes(write, chunks[index]?.parts ?? 0)),
+      witness: this.keyOf(first),
+      priority,
+    });
+    for (const job of jobs) job.writesUnderWay -= 1;
     writes.forEach((write, index) => {
       const chunk = chunks[index];
-      if (!chunk) return;
-      if (committed) {
-        chunk.version = result.revision;
-        chunk.parts = write.stored.parts.length;
-        chunk.durable = durableKeys(write.job.spec.id, write.record);
-      } else chunk.dirtyFrom ??= 0;
+      if (chunk) noteWritten(chunk, write, result);
     });
-    if (result._tag === 'conflict') log.debug({ event: 'bind.conflict', failed: result.failed });
-    return committed;
+    if (result._tag === 'conflict') log.debug({ event: 'runs.write_conflict', failed: result.failed });
+    return result._tag === 'committed';
   }
 
-  private fitOneTransaction(writes: readonly RunWrite[]): boolean {
+  private keyOf({ job, chunk }: RunWrite): string {
+    return runKey(this.dependencies.shardId, job.spec.id, chunk);
+  }
+
+  private fitInOneTransaction(writes: readonly RunWrite[]): boolean {
     let changes = 0;
     let bytes = 0;
     for (const write of writes) {
       changes += this.changesOf(write);
       bytes += storedBytes(write.stored);
     }
-    return changes <= this.input.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
+    return changes <= this.dependencies.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
   }
 
   /**
    * Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was
    * prepared.
    */
-  async commitGang(job: ShardJob, writes: readonly RunWrite[], rank: RequestPriority): Promise<boolean> {
+  async commitGang(job: ShardJob, writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
-    if (!first || first.chunk !== 0 || this.fitOneTransaction(writes)) return this.commitRuns(writes, rank);
+    if (first?.chunk !== 0 || this.fitInOneTransaction(writes)) return this.commitRuns(writes, priority);
     // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the
     // upgrade.
-    if (!this.input.maySplit()) return false;
+    if (!this.dependencies.maySplit()) return false;
     // Nothing else writes its runs in between.
-    job.writing += 1;
+    job.writesUnderWay += 1;
     try {
-      const entries = others.map((write) => ({ write: { ...write, stored: prepared(write.stored) } }));
-      for (const batch of this.batches(entries)) {
-        const ready = await this.commitRuns(
-          batch.map((entry) => entry.write),
-          rank,
-        );
-        if (!ready) return this.unprepared(job);
-      }
-      const before = job.validAttempt;
-      job.validAttempt = job.attempt;
-      const bound = await this.commitRuns(
-        [{ ...first, stored: validating(first.stored, job.attempt) }],
-        rank,
-      );
-      if (bound) return true;
-      job.validAttempt = before;
-      return this.unprepared(job);
+      const bound = (await this.prepare(others, priority)) && (await this.validate(job, first, priority));
+      if (!bound) this.rewritePrepared(job);
+      return bound;
     } finally {
-      job.writing -= 1;
+      job.writesUnderWay -= 1;
+    }
+  }
+
+  /** Writes runs that count for nothing yet. */
+  private async prepare(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
+    const entries = writes.map((write) => ({ write: { ...write, stored: prepared(write.stored) } }));
+    for (const batch of this.batches(entries)) {
+      const batchWrites = batch.map((entry) => entry.write);
+      if (!(await this.commitRuns(batchWrites, priority))) return false;
     }
+    return true;
+  }
+
+  /** Writes the first run, which makes those that were prepared for this attempt valid. */
+  private async validate(job: ShardJob, first: RunWrite, priority: RequestPriority): Promise<boolean> {
+    const before = job.validAttempt;
+    job.validAttempt = job.attempt;
+    const write = { ...first, stored: validating(first.stored, job.attempt) };
+    const bound = await this.commitRuns([write], priority);
+    if (!bound) job.validAttempt = before;
+    return bound;
   }
 
   /** What was prepared and is not valid is written over. */
-  private unprepared(job: ShardJob): false {
-    for (const chunk of job.chunks.values()) chunk.dirtyFrom ??= 0;
-    return false;
+  private rewritePrepared(job: ShardJob): void {
+    for (const chunk of job.chunks.values()) chunk.dirtySince ??= 0;
   }
 
   /**
@@ -193,9 +203,9 @@
    */
   private changes(write: RunWrite, before: number): readonly Write[] {
     const { job, chunk, stored } = write;
-    const partKey = (part: number): string => runPartKey(this.input.shardId, job.spec.id, chunk, part);
+    const partKey = (part: number): string => runPartKey(this.dependencies.shardId, job.spec.id, chunk, part);
     return [
-      { _tag: 'put', key: runKey(this.input.shardId, job.spec.id, chunk), value: stored.record },
+      { _tag: 'put', key: runKey(this.dependencies.shardId, job.spec.id, chunk), value: stored.record },
       ...stored.parts.map((value, part): Write => ({ _tag: 'put', key: partKey(part), value })),
       ...Array.from({ length: Math.max(0, before - stored.parts.length) }, (_, k): Write => ({
         _tag: 'delete',
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -24,7 +24,7 @@
   storeRun,
   validating,
   type StoredRun,
-} from '../placement/run-records.js';
+} from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
 import { leaderDuties } from '../testing/duties.js';
 import { messageOf, type Recording } from './fixtures.js';
