--- a/src/constants/fleet.ts
+++ b/src/constants/fleet.ts
@@ -1,10 +1,10 @@
-/** The leader and the cloud: scaling out and in, and moves of machines between shards. */
+/** The leader and the cloud: scaling out and in, and transfers of machines between shards. */
 
 /** Pause between two rounds of the leader. */
 export const LEADER_ROUND_INTERVAL_MS = 250;
-/** Pause between two looks of a node that does not lead. */
+/** Pause between two checks of a controller whether it leads now. */
 export const LEADERSHIP_CHECK_INTERVAL_MS = 1_000;
-/** Time after which a move that shows nowhere counts as not carried out. */
+/** Time after which a transfer that shows nowhere counts as not carried out. */
 export const MOVE_CONFIRMATION_TIMEOUT_MS = 4_000;
 /** What a machine in the same zone counts beyond the others: it only decides between equal shards. */
 export const SAME_ZONE_WEIGHT = 0.1;
@@ -15,7 +15,7 @@
 export const CLOUD_RETRY_DELAY_MS = 1_500;
 /** Sockets to the cloud. */
 export const CLOUD_SOCKETS = 4;
-/** Part of the cloud's rate that one of several nodes uses; those that don't lead seldom call. */
+/** Part of the cloud's rate that one of several controllers uses; those that don't lead seldom call. */
 export const CLOUD_RATE_FRACTION = 0.8;
 /** Pause between two reads of the catalog. */
 export const CATALOG_REFRESH_INTERVAL_MS = 60_000;
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -84,7 +84,7 @@
     catalog: state.catalog,
     actingRevision: () => leases.actingRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
-    move: (from, moves, permit) => transfers.order(from, moves, permit),
+    orderTransfers: (from, transferred, permit) => transfers.order(from, transferred, permit),
     now: clocks.steady,
     wall: clocks.wall,
   });
--- a/src/fleet/adoption-queue.ts
+++ b/src/fleet/adoption-queue.ts
@@ -1,10 +1,14 @@
-import type { MachineRecord } from './records.js';
+/**
+ * Machines that reported, were listed, or were provisioned without a record: each waits here until its record
+ * is written. Scale-out and the adopter add to the queue, the adopter empties it.
+ */
 import { ShardMachineCounts } from './machine-index.js';
+import type { MachineRecord, NewMachine } from './machine-record.js';
 
-/** Machines that reported, or were listed, without a record: each waits here until its record is written. */
+/** State: the machines that wait, with the records that they are to have. */
 export class AdoptionQueue {
   private readonly waiting = new Map<string, MachineRecord>();
-  /** What the shares will have once all that wait are recorded. */
+  /** What the shards will have once all that wait are recorded. */
   readonly counts = new ShardMachineCounts();
 
   has(id: string): boolean {
@@ -18,17 +22,17 @@
   }
 
   /** Takes out the first few. */
-  take(most: number): readonly (readonly [string, MachineRecord])[] {
-    const batch: (readonly [string, MachineRecord])[] = [];
-    for (const entry of this.waiting) {
+  take(most: number): readonly NewMachine[] {
+    const batch: NewMachine[] = [];
+    for (const [id, record] of this.waiting) {
       if (batch.length >= most) break;
-      batch.push(entry);
+      batch.push({ id, record });
     }
-    for (const [id] of batch) this.remove(id);
+    for (const { id } of batch) this.remove(id);
     return batch;
   }
 
-  /** Shares that machines in the queue are meant for. */
+  /** Shards that machines in the queue are meant for. */
   shardIds(): ReadonlySet<number> {
     return new Set([...this.waiting.values()].map((record) => record.shardId));
   }
--- a/src/fleet/boot-bound-types.test.ts
+++ b/src/fleet/boot-bound-types.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the machine types of which idle machines are kept. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog, JobSpec } from '../jobs/model.js';
--- a/src/fleet/catalog-codec.test.ts
+++ b/src/fleet/catalog-codec.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the stored catalog: its bytes, its parts, and what another version stored. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
--- a/src/fleet/catalog-codec.ts
+++ b/src/fleet/catalog-codec.ts
@@ -1,7 +1,6 @@
+/** The stored form of machine types in the catalog; names of the fields and their order are fixed. */
 import type { MachineType } from '../jobs/model.js';
 
-/** Machine types as the catalog stores them; the names of the fields and their order are fixed. */
-
 /** A stored machine type. */
 export interface StoredMachineType {
   readonly name: string;
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -1,3 +1,7 @@
+/**
+ * Keeps the stored copy of the cloud's catalog: the leader refreshes it, any controller stores it while there
+ * is none.
+ */
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { CATALOG_REFRESH_INTERVAL_MS, CLOUD_RETRY_DELAY_MS } from '../constants/fleet.js';
@@ -5,36 +9,30 @@
 import { fencedTransaction } from '../duties/fenced-store.js';
 import type { Catalog } from '../jobs/model.js';
 import { log } from '../log.js';
-import type { KeyValueStore, Write } from '../kv-store/client.js';
+import type { Write } from '../kv-store/client.js';
 import { CATALOG_KEY } from '../kv-store/keys.js';
-import type { WatchCache } from '../kv-store/watch-cache.js';
 import { isStored, storeCatalog } from './catalog.js';
-import type { Cloud } from './cloud.js';
+import type { FleetDependencies } from './dependencies.js';
 
 /** What the keeper needs of the leader. */
-export interface CatalogKeeperInput {
-  readonly store: KeyValueStore;
-  readonly cache: WatchCache;
-  readonly cloud: Cloud;
+export interface CatalogKeeperDependencies extends Omit<FleetDependencies, 'wall'> {
   readonly duty: Duty;
-  /** bytes: the largest value that the state service takes, now and later. */
+  /** The largest value that the key-value store takes, now and later, in bytes. */
   readonly valueBytes: number;
-  /** Every node reads records that are parted. */
+  /** Does every controller read a catalog that is stored in parts? */
   readonly maySplit: () => boolean;
+  /** Null: not known yet. */
   readonly catalog: () => Catalog | null;
-  readonly now: () => number;
 }
 
-/**
- * Keeps the durable copy of the cloud's catalog: the leader refreshes it, anyone makes it while there is
- * none.
- */
+/** State: when the cloud was last asked. */
 export class CatalogKeeper {
+  /** ms, by the steady clock; 0: never. */
   private readAt = 0;
 
-  constructor(private readonly input: CatalogKeeperInput) {}
+  constructor(private readonly input: CatalogKeeperDependencies) {}
 
-  private due(leads: boolean): boolean {
+  private isDue(leads: boolean): boolean {
     const known = this.input.catalog() !== null;
     if (!this.input.cache.ready || (known && !leads)) return false;
     return (
@@ -43,8 +41,9 @@
     );
   }
 
+  /** Reads the cloud's catalog if it is time to, and stores it if it differs. */
   readonly refresh: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    if (!this.due(this.input.duty.state._tag === 'held')) return;
+    if (!this.isDue(this.input.duty.state._tag === 'held')) return;
     this.readAt = this.input.now();
     const result = yield* this.input.cloud.catalog;
     if (result._tag === 'failed') {
@@ -74,7 +73,7 @@
         yield* fencedTransaction(this.input.store, permit, when, writes, 'user');
         permit.end();
       } else if (this.input.catalog() === null) {
-        // Without a catalog no node is ready, and there is nothing that a late copy could take the place of.
+        // Without a catalog no controller is ready, and there is nothing that a late copy could replace.
         yield* this.input.store.compareAndSwap(when, writes, 'user');
       }
     });
--- a/src/fleet/catalog-view.ts
+++ b/src/fleet/catalog-view.ts
@@ -1,9 +1,10 @@
+/** The catalog as this controller's copy of the shared keys shows it; read by all subsystems. */
 import type { Catalog } from '../jobs/model.js';
 import { CATALOG_KEY } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readStored, toCatalog } from './catalog.js';
 
-/** The catalog as this node's copy of the shared keys shows it. */
+/** State: the catalog last read, and its version. */
 export class CatalogView {
   private version = 0;
   private value: Catalog | null = null;
@@ -12,12 +13,12 @@
 
   /** Null: not known yet. */
   readonly current = (): Catalog | null => {
-    const item = this.cache.get(CATALOG_KEY);
-    if (item && item.version !== this.version) {
-      const types = readStored(item, (key) => this.cache.get(key));
-      // What was known before holds until all parts are there.
+    const entry = this.cache.get(CATALOG_KEY);
+    if (entry && entry.version !== this.version) {
+      const types = readStored(entry, (key) => this.cache.get(key));
+      // The earlier catalog stays in force until all parts are there.
       if (types === null) return this.value;
-      this.version = item.version;
+      this.version = entry.version;
       this.value = toCatalog(types);
     }
     return this.value;
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,3 +1,7 @@
+/**
+ * The stored catalog: one value, or, where one can't hold it, several of the same revision. No state; the
+ * catalog keeper writes it, every controller reads it.
+ */
 import { JSON_BRACKETS_BYTES, JSON_COMMA_BYTES } from '../constants/key-value-store.js';
 import type { Catalog, MachineType } from '../jobs/model.js';
 import type { StoredEntry, Write } from '../kv-store/client.js';
@@ -9,14 +13,12 @@
   type StoredPartCount,
 } from './catalog-codec.js';
 
-/**
- * The last known catalog as it is kept: one value, or, where one can't hold it, several of the same revision.
- */
 const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /**
- * null: it doesn't fit in one transaction. As one value where nodes of an earlier version may have to read
- * it.
+ * The writes that store a catalog; null: it doesn't fit in one transaction. `bytes` bounds each value;
+ * without `maySplit` the catalog is one value all the same, since controllers of an earlier version may have
+ * to read it.
  */
 export const storeCatalog = (
   types: readonly MachineType[],
@@ -45,16 +47,16 @@
   ];
 };
 
-/** The stored types as they are, or null while a part is not there yet. */
+/** The stored types in their stored form, or null while a part is not there yet. */
 const storedTypes = (
-  item: StoredEntry,
+  entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
 ): readonly StoredMachineType[] | null => {
-  if (Array.isArray(item.value)) return item.value as StoredMachineType[];
+  if (Array.isArray(entry.value)) return entry.value as StoredMachineType[];
   const types: StoredMachineType[] = [];
-  for (let part = 0; part < (item.value as StoredPartCount).p; part += 1) {
+  for (let part = 0; part < (entry.value as StoredPartCount).p; part += 1) {
     const found = get(catalogPartKey(part));
-    if (found?.version !== item.version) return null;
+    if (found?.version !== entry.version) return null;
     types.push(...(found.value as StoredMachineType[]));
   }
   return types;
@@ -62,17 +64,17 @@
 
 /** The stored types, or null while a part is not there yet. */
 export const readStored = (
-  item: StoredEntry,
+  entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
-): readonly MachineType[] | null => storedTypes(item, get)?.map(readMachineType) ?? null;
+): readonly MachineType[] | null => storedTypes(entry, get)?.map(readMachineType) ?? null;
 
-/** Does the state service hold exactly these types? What another version stored with other fields differs. */
+/** Are exactly these types stored? What another version stored with other fields differs. */
 export const isStored = (
   types: readonly MachineType[],
-  item: StoredEntry,
+  entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
 ): boolean => {
-  const stored = storedTypes(item, get);
+  const stored = storedTypes(entry, get);
   return stored !== null && JSON.stringify(stored) === JSON.stringify(types.map(writeMachineType));
 };
 
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the whole leader against stand-ins of the key-value store and the cloud, on a virtual clock. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
@@ -10,7 +11,7 @@
 import { StateStandIn } from '../testing/state-stand-in.js';
 import { Cloud } from './cloud.js';
 import { Leader } from './leader.js';
-import { writeMachineRecord } from './records.js';
+import { writeMachineRecord } from './machine-record-codec.js';
 
 const MACHINES = 230;
 const CHANGES_A_SECOND = 50;
@@ -70,7 +71,7 @@
       catalog: () => new Map(),
       actingRevision: () => (mayAct() ? 1 : null),
       summaries: () => [],
-      move: () => Effect.void,
+      orderTransfers: () => Effect.void,
       now,
       wall: now,
     });
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -1,10 +1,12 @@
+/** Tests of the counts over all machine records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { WatchEvent } from '../kv-store/client.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { MachineIndex } from './machine-index.js';
 import { machineRecord } from '../testing/bodies.js';
-import { writeMachineRecord, type MachineRecord } from './records.js';
+import { writeMachineRecord } from './machine-record-codec.js';
+import type { MachineRecord } from './machine-record.js';
 
 const put = (id: string, over: Partial<MachineRecord> = {}): WatchEvent => ({
   _tag: 'put',
@@ -68,7 +70,7 @@
   assert.ok(queue.counts.weight(1, 'g', 'x', false) > queue.counts.weight(1, 'g', 'z', false));
   assert.deepEqual([...queue.shardIds()], [1]);
   assert.deepEqual(
-    queue.take(5).map(([id]) => id),
+    queue.take(5).map(({ id }) => id),
     ['b', 'a'],
   );
   assert.equal(queue.counts.weight(1, 'g', 'x', false), 0);
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,12 +1,14 @@
+/**
+ * All machine records together, indexed by what the leader asks. Kept in step with the watch cache, event by
+ * event: to walk over thousands of machines several times a second would take much of a small core.
+ */
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
 import type { WatchEvent } from '../kv-store/client.js';
 import { parseSharedKey } from '../kv-store/keys.js';
-import { readMachineRecord, type MachineRecord } from './records.js';
-
-/** Names a type, zone and kind of machine. */
-export const kindKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
+import { readMachineRecord } from './machine-record-codec.js';
+import { kindKey, type MachineRecord } from './machine-record.js';
 
-/** Machines of each share by type, zone and kind. */
+/** State: how many machines of each kind each shard has. */
 export class ShardMachineCounts {
   private readonly counts = new Map<string, number>();
 
@@ -16,7 +18,7 @@
       this.counts.set(key, (this.counts.get(key) ?? 0) + change);
   }
 
-  /** How many machines of this type and kind the share has; those of the zone count a little more. */
+  /** How many machines of this type and kind the shard has; those of the zone count a little more. */
   weight(shardId: number, type: string, zone: string, spot: boolean): number {
     const all = this.counts.get(`${shardId}|${type}|${spot}`) ?? 0;
     const inZone = this.counts.get(`${shardId}|${kindKey(type, zone, spot)}`) ?? 0;
@@ -28,15 +30,12 @@
   }
 }
 
-/**
- * What the leader asks about all machines together, kept up with each change of a record: with thousands of
- * machines a walk over all of them several times a second would take much of a small core.
- */
+/** State: the records as the watch cache shows them, and counts over them. */
 export class MachineIndex {
   private readonly records = new Map<string, MachineRecord>();
   private readonly byKind = new Map<string, number>();
   readonly shards = new ShardMachineCounts();
-  /** Machines that their holders want released. */
+  /** Machines that the holders of their shards want released. */
   readonly releasing = new Set<string>();
 
   onEvent(event: WatchEvent): void {
@@ -66,7 +65,7 @@
     return this.records.get(id);
   }
 
-  /** Machines of this type, zone and kind, in any share, that are not being released. */
+  /** Machines of this kind, in any shard, that are not being released. */
   ofKind(type: string, zone: string, spot: boolean): number {
     return this.byKind.get(kindKey(type, zone, spot)) ?? 0;
   }
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -1,3 +1,7 @@
+/**
+ * Releases machines to the cloud, and deletes the records of those that are gone. Called by the leader; the
+ * holder of a shard decides which of its machines are released.
+ */
 import type { Duty, Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import {
@@ -8,45 +12,42 @@
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
 import { fencedTransaction } from '../duties/fenced-store.js';
 import { log } from '../log.js';
-import type { StoredEntry, KeyValueStore } from '../kv-store/client.js';
+import type { StoredEntry } from '../kv-store/client.js';
 import { machineKey } from '../kv-store/keys.js';
-import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
-import type { Cloud } from './cloud.js';
-import { kindKey, type MachineIndex } from './machine-index.js';
+import type { FleetDependencies } from './dependencies.js';
+import type { MachineIndex } from './machine-index.js';
+import { kindKey } from './machine-record.js';
 
-/** What the returner needs of the leader. */
-export interface ScaleInDependencies {
-  readonly store: KeyValueStore;
-  readonly cache: Pick<WatchCache, 'get'>;
-  readonly cloud: Cloud;
+/** What scale-in needs of the leader. */
+export interface ScaleInDependencies extends Omit<FleetDependencies, 'wall'> {
   readonly duty: Duty;
   readonly machines: MachineIndex;
   readonly refusals: CapacityRefusals;
-  readonly now: () => number;
 }
 
-/** Returns machines to the cloud, and removes the records of those that are gone. */
+/** State: machines that this process released lately. */
 export class ScaleIn {
+  /** By machine, ms by the steady clock. */
   private readonly releasedAt = new Map<string, number>();
 
   constructor(private readonly input: ScaleInDependencies) {}
 
-  /** Was the machine returned lately by this process? */
-  returned(machine: string): boolean {
+  /** Was the machine released lately by this process? */
+  wasReleased(machine: string): boolean {
     return this.releasedAt.has(machine);
   }
 
-  /** Lets go of what lists no longer show. */
-  forgetOlderThan(ms: number): void {
+  /** Forgets releases that are older, whose machines the cloud's list no longer shows. */
+  forgetReleasesOlderThan(ms: number): void {
     const now = this.input.now();
     for (const [id, at] of this.releasedAt) if (now - at > ms) this.releasedAt.delete(id);
   }
 
   /**
-   * Returns machines that their holder asks to be rid of while nothing can be written. Their records go the
-   * usual way later, and are released once more then, which changes nothing. Only who surely leads may say
-   * that they are gone.
+   * Releases machines at the request of their shard's holder while nothing can be written; true: they are
+   * gone. Their records are deleted as usual later, after one more release, which changes nothing. Only a
+   * controller that certainly leads may say that they are gone.
    */
   async releaseNow(machines: readonly string[]): Promise<boolean> {
     if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
@@ -54,7 +55,7 @@
     if (permit === null) return false;
     try {
       const released = await Effect.runPromise(this.input.cloud.release(machines, permit));
-      log.info({ event: 'machine.returned_at_once', machines, ok: released });
+      log.info({ event: 'machine.released_at_once', machines, ok: released });
       if (released) for (const id of machines) this.releasedAt.set(id, this.input.now());
       return released;
     } finally {
@@ -63,11 +64,11 @@
   }
 
   /**
-   * Returns the machines whose records ask for it: that record is the durable intent, which no holder
-   * contradicts.
+   * Releases the machines whose records ask for it: that record is the durable intent, which no holder of the
+   * shard takes back.
    */
   readonly releaseRequested: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    // As many as one call takes: the cloud's rate is the scarcest, and replacements need it too.
+    // As many as one call takes: the cloud's request rate is scarce, and provisioning needs it too.
     const ids = [...this.input.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
     const permit = this.input.duty.begin('release request');
@@ -77,38 +78,34 @@
 
   private release(permit: Permit, ids: readonly string[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const wanted = ids.flatMap((id) => this.input.cache.get(machineKey(id)) ?? []);
+      const entries = ids.flatMap((id) => this.input.cache.get(machineKey(id)) ?? []);
       const released = yield* this.input.cloud.release(ids, permit);
       log.info({ event: 'machine.released', machines: ids, ok: released });
       if (!released) return;
       for (const id of ids) {
         this.releasedAt.set(id, this.input.now());
         const record = this.input.machines.get(id);
-        // What we gave back may be had again.
-        if (record) this.input.refusals.lift(kindKey(record.type, record.zone, record.spot));
+        // What was released may be provisioned again.
+        if (record) this.input.refusals.clear(kindKey(record.type, record.zone, record.spot));
       }
-      while (wanted.length > 0)
-        yield* this.forget(
-          permit,
-          wanted.splice(
-            0,
-            Math.min(this.input.store.maxTransactionWrites, MAX_RECORD_DELETIONS_PER_TRANSACTION),
-          ),
-        );
+      const { maxTransactionWrites } = this.input.store;
+      const batchSize = Math.min(maxTransactionWrites, MAX_RECORD_DELETIONS_PER_TRANSACTION);
+      while (entries.length > 0) yield* this.deleteRecords(permit, entries.splice(0, batchSize));
     });
   }
 
   /**
-   * Records of machines that are gone; what is not deleted now is released once more, which changes nothing.
+   * Deletes records of machines that are gone. What is not deleted is released once more, which changes
+   * nothing.
    */
-  private forget(permit: Permit, gone: readonly StoredEntry[]): Effect.Effect<void> {
+  private deleteRecords(permit: Permit, entries: readonly StoredEntry[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      for (let tries = 0; tries < RECORD_DELETION_ATTEMPTS; tries += 1) {
+      for (let attempt = 0; attempt < RECORD_DELETION_ATTEMPTS; attempt += 1) {
         const result = yield* fencedTransaction(
           this.input.store,
           permit,
-          gone.map((item) => ({ key: item.key, version: item.version })),
-          gone.map((item) => ({ _tag: 'delete', key: item.key })),
+          entries.map(({ key, version }) => ({ key, version })),
+          entries.map(({ key }) => ({ _tag: 'delete', key })),
           'bind',
         );
         if (result._tag === 'committed' || result._tag === 'conflict') return;
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -1,3 +1,4 @@
+/** Tests of provisioning requests: answered, lost, repeated, and settled by the next leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -18,15 +19,15 @@
 import { CapacityRefusals } from './capacity-refusals.js';
 import { Cloud } from './cloud.js';
 import { MachineRecorder } from './machine-recorder.js';
-import { ScaleOut, type ProvisioningStep } from './scale-out.js';
+import { ScaleOut } from './scale-out.js';
+import type { ProvisioningStep } from './scaling-model.js';
 
 const SILENCE: CallOutcome = { _tag: 'noResponse', why: 'timeout' };
 const step: ProvisioningStep = {
-  _tag: 'rent',
+  _tag: 'provision',
   type: 'g',
   zone: 'x',
   spot: false,
-  count: 2,
   shardIds: [0, 1],
 };
 
@@ -36,7 +37,7 @@
  */
 type Fate = 'answered' | 'lost' | 'unanswered' | 'no capacity' | 'trouble';
 
-/** A renter against the stand-ins, with the fate of each of its requests drawn up beforehand. */
+/** Scale-out against the stand-ins, with the fate of each of its requests drawn up beforehand. */
 const setUp = async (fates: Fate[], wall = () => Date.now()) => {
   const state = new StateStandIn();
   const cloudStandIn = new CloudStandIn();
@@ -61,7 +62,7 @@
   const limits = { rps: 1e6, write_rps: 1e6, txn_ops: 16, nodes: 1 };
   const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, createHttpClient);
   const duty = leaderDuties(token, wall).leader('rent');
-  const adopting = new AdoptionQueue();
+  const adoptionQueue = new AdoptionQueue();
   const refusals = new CapacityRefusals(now);
   const scaleOut = new ScaleOut({
     store,
@@ -74,16 +75,16 @@
       sleep: (ms) => new Promise((resolve) => setTimeout(resolve, Math.min(ms, 20))),
     }),
     recorder: new MachineRecorder(store),
-    adopting,
+    adoptionQueue,
     refusals,
     wall,
   });
   const book = () => readProvisioningRecord(state.value('i/rent') ?? { t: 1, o: [] });
-  return { state, cloud: cloudStandIn, duty, scaleOut, adopting, refusals, book };
+  return { state, cloud: cloudStandIn, duty, scaleOut, adoptionQueue, refusals, book };
 };
 const settle = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 80));
 
-const rents: readonly {
+const requests: readonly {
   name: string;
   fates: Fate[];
   machines: number;
@@ -93,7 +94,7 @@
 }[] = [
   { name: 'answered', fates: [], machines: 2, recorded: 2, outcome: 'rented', refused: false },
   {
-    name: 'its answer lost: sent again under its name, and rented once',
+    name: 'its answer lost: sent again under its name, and carried out once',
     fates: ['unanswered'],
     machines: 2,
     recorded: 2,
@@ -126,8 +127,8 @@
     refused: true,
   },
 ];
-for (const row of rents) {
-  test(`renter: a request is ${row.name}`, async () => {
+for (const row of requests) {
+  test(`scale-out: a provisioning request is ${row.name}`, async () => {
     const { scaleOut, state, cloud, refusals, book } = await setUp([...row.fates]);
     await Effect.runPromise(scaleOut.settle);
     scaleOut.begin(step);
@@ -140,7 +141,7 @@
   });
 }
 
-const left = (at: number): ProvisioningIntent => ({
+const leftOpen = (at: number): ProvisioningIntent => ({
   name: 'r-1-1',
   machineType: 'g',
   zone: 'x',
@@ -166,15 +167,15 @@
   { name: 'left, if it is old', ageMs: 60_000, fates: [], machines: 0, outcome: 'abandoned' },
 ];
 for (const row of takeovers) {
-  test(`renter: what an earlier leader left open is ${row.name}`, async () => {
-    const { scaleOut, state, cloud, duty, adopting, book } = await setUp([...row.fates], () => 100_000);
+  test(`scale-out: what an earlier leader left open is ${row.name}`, async () => {
+    const { scaleOut, state, cloud, duty, adoptionQueue, book } = await setUp([...row.fates], () => 100_000);
     await state.handle('n0', 'POST', '/txn', {
       when: [],
       writes: [
         {
           write: 'i/rent',
           data: writeProvisioningRecord(
-            { token: null, open: [left(100_000 - row.ageMs)], settled: [], malformed: [] },
+            { token: null, open: [leftOpen(100_000 - row.ageMs)], settled: [], malformed: [] },
             tokenOf(1),
             16 * 1024,
           ),
@@ -182,12 +183,12 @@
       ],
     });
     scaleOut.begin(step);
-    assert.equal(cloud.actions.length, 0, 'nothing is rented before that is settled');
+    assert.equal(cloud.actions.length, 0, 'nothing is provisioned before that is settled');
     await Effect.runPromise(scaleOut.settle);
     assert.equal(duty.state._tag, 'held');
     await settle();
     assert.equal(cloud.machines.size, row.machines);
-    assert.equal(adopting.shardIds().has(2), row.machines === 1, 'for the share that it was meant for');
+    assert.equal(adoptionQueue.shardIds().has(2), row.machines === 1, 'for the shard that it was meant for');
     assert.deepEqual(
       book().settled.map(({ name, outcome }) => ({ name, outcome })),
       [{ name: 'r-1-1', outcome: row.outcome }],
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -1,3 +1,7 @@
+/**
+ * Provisions machines: sends the requests of the scaling plan, records the machines that come of them, and
+ * settles the requests that an earlier leader left open. Called by the leader.
+ */
 import {
   settlementsFor,
   type Duty,
@@ -14,32 +18,25 @@
   PROVISIONING_RETRIES,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
-import type { KeyValueStore } from '../kv-store/client.js';
 import type { AdoptionQueue } from './adoption-queue.js';
 import type { CapacityRefusals } from './capacity-refusals.js';
-import type { Cloud, ProvisioningRequest, ProvisioningResult } from './cloud.js';
-import { kindKey } from './machine-index.js';
-import type { MachineRecorder, NewMachine } from './machine-recorder.js';
-import type { Step } from './scaling-plan.js';
-import { newMachineRecord, type MachineRecord } from './records.js';
-
-/** A step of the leader's plan that rents machines. */
-export type ProvisioningStep = Step & { readonly _tag: 'rent' };
-
-/** What the renter needs of the leader. */
-export interface ScaleOutDependencies {
-  readonly store: KeyValueStore;
-  readonly cloud: Cloud;
+import type { ProvisioningRequest, ProvisioningResult } from './cloud-model.js';
+import type { FleetDependencies } from './dependencies.js';
+import { kindKey, newMachineRecord, type MachineKind, type NewMachine } from './machine-record.js';
+import type { MachineRecorder } from './machine-recorder.js';
+import type { ProvisioningStep } from './scaling-model.js';
+
+/** What scale-out needs of the leader. */
+export interface ScaleOutDependencies extends Pick<FleetDependencies, 'store' | 'cloud' | 'wall'> {
   readonly duty: Duty;
   /** Announces requests durably before they are sent; null: they are sent at once. */
   readonly journal: ProvisioningJournal | null;
   readonly recorder: MachineRecorder;
-  readonly adopting: AdoptionQueue;
+  readonly adoptionQueue: AdoptionQueue;
   readonly refusals: CapacityRefusals;
-  /** ms since the epoch. */
-  readonly wall: () => number;
 }
 
+/** Outcomes as the journal stores them. */
 const OUTCOMES: Readonly<Record<ProvisioningResult['_tag'], ProvisioningOutcome>> = {
   rented: 'rented',
   noCapacity: 'no capacity',
@@ -48,11 +45,7 @@
   unknown: 'unanswered',
 };
 
-const kindOf = ({
-  machineType,
-  zone,
-  spot,
-}: ProvisioningIntent): Pick<MachineRecord, 'type' | 'zone' | 'spot'> => ({
+const kindOf = ({ machineType, zone, spot }: ProvisioningIntent): MachineKind => ({
   type: machineType,
   zone,
   spot,
@@ -60,30 +53,60 @@
 
 const requestOf = (intent: ProvisioningIntent): ProvisioningRequest => ({
   name: intent.name,
-  type: intent.machineType,
-  zone: intent.zone,
-  spot: intent.spot,
+  ...kindOf(intent),
   count: intent.shardIds.length,
 });
 
-/** Rents machines: one request a kind at a time, each under a name that is never used for another. */
+const machinesOf = (result: ProvisioningResult): readonly string[] =>
+  result._tag === 'rented' ? result.machines : [];
+
+/**
+ * The machines that came of a request, each with the record that it is to have; `at` in ms since the epoch.
+ */
+const newMachines = (
+  intent: ProvisioningIntent,
+  machines: readonly string[],
+  at: number,
+): readonly NewMachine[] =>
+  machines.map((id, index) => ({
+    id,
+    record: newMachineRecord(intent.shardIds[index] ?? 0, kindOf(intent), at),
+  }));
+
+const logAnswer = (intent: ProvisioningIntent, result: ProvisioningResult): void => {
+  log.info({
+    event: 'provisioning.answered',
+    name: intent.name,
+    type: intent.machineType,
+    zone: intent.zone,
+    spot: intent.spot,
+    count: intent.shardIds.length,
+    shards: intent.shardIds.join(),
+    result: result._tag,
+    machines: result._tag === 'rented' ? result.machines : undefined,
+  });
+};
+
+/**
+ * State: the kinds that are asked for at the moment (one request each), and the number of requests so far.
+ */
 export class ScaleOut {
   private sequence = 0;
-  /** Kinds of machines that are being rented this very moment. */
-  private readonly renting = new Set<string>();
+  private readonly requestedKinds = new Set<string>();
 
   constructor(private readonly input: ScaleOutDependencies) {}
 
-  /** Rents what the plan asks for, beside what is under way already. */
+  /** Asks for what the plan wants, unless the same kind or too much is under way already. */
   begin(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
-    // What is asked for already shows in the next summaries.
-    if (this.renting.has(kind) || this.renting.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
+    // What is under way shows in later summaries.
+    if (this.requestedKinds.has(kind)) return;
+    if (this.requestedKinds.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
     const permit = this.input.duty.begin('rental request');
     if (permit === null) return;
-    this.renting.add(kind);
+    this.requestedKinds.add(kind);
     const done = Effect.sync(() => {
-      this.renting.delete(kind);
+      this.requestedKinds.delete(kind);
       permit.end();
     });
     Effect.runFork(Effect.ensuring(this.provision(permit, this.intentOf(permit, step)), done));
@@ -92,12 +115,12 @@
   private intentOf(permit: Permit, step: ProvisioningStep): ProvisioningIntent {
     this.sequence += 1;
     return {
-      // The claim's revision is durable and belongs to this process alone: such a name is never used twice.
+      // The claim's revision is durable and belongs to this process alone: no name is used twice.
       name: `r-${permit.token}-${this.sequence}`,
       machineType: step.type,
       zone: step.zone,
       spot: step.spot,
-      shardIds: Array.from({ length: step.count }, (_, index) => step.shardIds[index] ?? 0),
+      shardIds: step.shardIds,
       at: this.input.wall(),
     };
   }
@@ -105,60 +128,49 @@
   private provision(permit: Permit, intent: ProvisioningIntent): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const { journal } = this.input;
-      const kind = kindKey(intent.machineType, intent.zone, intent.spot);
       if (journal) {
         const announced = yield* Effect.promise(() => journal.open(intent));
         if (announced !== 'announced') {
-          log.info({ event: 'machine.rent_not_announced', name: intent.name, why: announced });
+          log.info({ event: 'provisioning.not_announced', name: intent.name, why: announced });
           return;
         }
       }
       const result = yield* this.request(permit, intent);
-      this.noteCapacity(kind, intent, result);
+      this.noteCapacity(intent, result);
       if (result._tag === 'rented') yield* this.record(permit, intent, result.machines);
       journal?.close(intent.name, OUTCOMES[result._tag], machinesOf(result).length);
     });
   }
 
   /**
-   * Without an answer the same request is sent again under its name: that rents nothing more, and tells what
-   * came of it.
+   * Without an answer the request is sent again under its name, which provisions nothing more and tells its
+   * outcome.
    */
   private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
       const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
-      for (let tries = 0; ; tries += 1) {
+      for (let attempt = 0; ; attempt += 1) {
         const result = yield* this.input.cloud.provision(requestOf(intent), permit);
-        const machines = machinesOf(result);
-        log.info({
-          event: 'machine.rent',
-          name: intent.name,
-          type: intent.machineType,
-          zone: intent.zone,
-          spot: intent.spot,
-          count: intent.shardIds.length,
-          shards: intent.shardIds.join(),
-          result: result._tag,
-          got: result._tag === 'rented' ? machines : undefined,
-        });
-        if (result._tag !== 'unknown' || tries >= repeats) return result;
+        logAnswer(intent, result);
+        if (result._tag !== 'unknown' || attempt >= repeats) return result;
       }
     });
   }
 
-  private noteCapacity(kind: string, intent: ProvisioningIntent, result: ProvisioningResult): void {
+  private noteCapacity(intent: ProvisioningIntent, result: ProvisioningResult): void {
     const { refusals } = this.input;
+    const kind = kindKey(intent.machineType, intent.zone, intent.spot);
     switch (result._tag) {
       case 'rented':
-        if (result.machines.length < intent.shardIds.length) refusals.refused(kind);
-        else refusals.lift(kind);
+        if (result.machines.length < intent.shardIds.length) refusals.recordRefusal(kind);
+        else refusals.clear(kind);
         return;
       case 'noCapacity':
-        refusals.refused(kind);
+        refusals.recordRefusal(kind);
         return;
       case 'refused':
       case 'unknown':
-        refusals.failed(kind);
+        refusals.recordFailure(kind);
         return;
       case 'withheld':
         return;
@@ -171,21 +183,21 @@
     machines: readonly string[],
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const at = this.input.wall();
-      const made = machines.map((id, index): NewMachine => [
-        id,
-        newMachineRecord(intent.shardIds[index] ?? 0, kindOf(intent), at),
-      ]);
-      while (made.length > 0) {
-        const batch = made.splice(0, this.input.store.batchWrites);
-        const written = yield* this.input.recorder.record(permit, batch);
-        // Without an answer they may be recorded yet; if they are, they are known before the next try.
-        if (written !== 'committed') for (const [id, record] of batch) this.input.adopting.add(id, record);
+      const { store, recorder, adoptionQueue, wall } = this.input;
+      const unrecorded = [...newMachines(intent, machines, wall())];
+      while (unrecorded.length > 0) {
+        const batch = unrecorded.splice(0, store.batchWrites);
+        const written = yield* recorder.record(permit, batch);
+        // Without an answer they may be recorded yet; if they are, that shows before the next attempt.
+        if (written !== 'committed') for (const { id, record } of batch) adoptionQueue.add(id, record);
       }
     });
   }
 
-  /** Settles what an earlier leader left open, before this one rents anything. Repeated until it succeeds. */
+  /**
+   * Settles what an earlier leader left open, before this one provisions anything. Repeated until it
+   * succeeds.
+   */
   readonly settle: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const { duty } = this.input;
     const permit = duty.beginSettlement('settlement of rental requests');
@@ -199,12 +211,13 @@
     return Effect.gen({ self: this }, function* () {
       const { journal } = this.input;
       if (journal === null) return true;
-      const book = yield* Effect.promise(() => journal.load(permit.token));
-      if (book === null) return false;
-      if (book.malformed.length > 0) log.error({ event: 'rental_intent.malformed', entries: book.malformed });
-      for (const settlement of settlementsFor(book, this.input.wall())) {
+      const record = yield* Effect.promise(() => journal.load(permit.token));
+      if (record === null) return false;
+      if (record.malformed.length > 0)
+        log.error({ event: 'provisioning.intents_malformed', entries: record.malformed });
+      for (const settlement of settlementsFor(record, this.input.wall())) {
         const outcome = yield* this.settleOne(permit, settlement);
-        // Not ours to settle any more: whoever is the holder now does it.
+        // This controller lost the leader claim: the new leader settles them.
         if (outcome === 'withheld') return false;
         journal.close(settlement.intent.name, outcome);
       }
@@ -214,20 +227,15 @@
 
   private settleOne(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<ProvisioningOutcome> {
     return Effect.gen({ self: this }, function* () {
-      log.info({ event: 'rental_intent.settled', how: _tag, name: intent.name });
+      log.info({ event: 'provisioning.intent_settled', how: _tag, name: intent.name });
       if (_tag === 'abandon') return 'abandoned';
       const result = yield* this.request(permit, intent);
       if (result._tag === 'withheld') return 'withheld';
       if (result._tag !== 'rented') return 'abandoned';
-      // Some may have been recorded by the earlier leader: the queue leaves out those that are known.
-      result.machines.forEach((id, index) => {
-        const shardId = intent.shardIds[index] ?? 0;
-        this.input.adopting.add(id, newMachineRecord(shardId, kindOf(intent), intent.at));
-      });
+      // Some may have been recorded by the earlier leader: the adopter leaves out those that have a record.
+      for (const { id, record } of newMachines(intent, result.machines, intent.at))
+        this.input.adoptionQueue.add(id, record);
       return 'repeated by successor';
     });
   }
 }
-
-const machinesOf = (result: ProvisioningResult): readonly string[] =>
-  result._tag === 'rented' ? result.machines : [];
--- a/src/fleet/scaling-plan.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -1,9 +1,12 @@
+/** Tests of the scaling plan, and of the rate limiter that bounds what follows from it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog } from '../jobs/model.js';
 import { RateLimiter } from '../kv-store/rate-limiter.js';
-import { planSteps, type PendingTransfer } from './scaling-plan.js';
-import type { Reservation, UnmetDemand, SpareMachine, ShardSummary, WaitingGang } from './records.js';
+import type { PendingTransfer } from './machine-transfer.js';
+import type { Reservation } from './reservation.js';
+import { planSteps } from './scaling-plan.js';
+import type { ShardSummary, SpareMachine, UnmetDemand, WaitingGang } from './shard-summary.js';
 
 const catalog: Catalog = new Map([
   [
@@ -102,8 +105,8 @@
   refused?: readonly string[];
   machines?: Readonly<Record<string, number>>;
   reservations?: readonly Reservation[];
-  behind?: readonly number[];
-  moving?: readonly PendingTransfer[];
+  outdatedShards?: readonly number[];
+  pendingTransfers?: readonly PendingTransfer[];
   expect: readonly string[];
 }[] = [
   {
@@ -260,7 +263,7 @@
       summary(0, [whole({ gangs: [gang(4, 20_000)] }), need({})]),
       summary(1, [whole({ gangs: [gang(3, 50_000)] })], [spare('m', { zone: 'b', spot: false })]),
     ],
-    behind: [0],
+    outdatedShards: [0],
     refused: full,
     machines: { 'large b': 6 },
     reservations: [reservation({})],
@@ -277,7 +280,7 @@
     refused: full,
     machines: { 'large a': 6, 'large b': 6 },
     reservations: [reservation({ job: 'job-2', tasks: 2 })],
-    moving: [
+    pendingTransfers: [
       { machine: 'm', to: 0, type: 'large', zone: 'b', spot: false },
       { machine: 'x', to: 0, type: 'large', zone: 'b', spot: false },
     ],
@@ -294,18 +297,18 @@
     const { steps, reservations } = planSteps({
       summaries: row.summaries,
       catalog,
-      refused: (type, zone, spot) => row.refused?.includes(`${type} ${zone} ${spot}`) ?? false,
-      machines: (type, zone) => row.machines?.[`${type} ${zone}`] ?? 0,
+      isRefused: (type, zone, spot) => row.refused?.includes(`${type} ${zone} ${spot}`) ?? false,
+      machineCount: (type, zone) => row.machines?.[`${type} ${zone}`] ?? 0,
       reservations: row.reservations ?? [],
-      behind: new Set(row.behind ?? []),
-      moving: row.moving ?? [],
+      outdatedShards: new Set(row.outdatedShards ?? []),
+      pendingTransfers: row.pendingTransfers ?? [],
     });
     assert.deepEqual(
       [
         ...steps.map((step) =>
-          step._tag === 'move'
+          step._tag === 'transfer'
             ? `move ${step.machine} ${step.from}>${step.to}`
-            : `rent ${step.shardIds.join()} ${step.type} ${step.zone} ${step.spot ? 'spot' : 'ordinary'} ${step.count}`,
+            : `rent ${step.shardIds.join()} ${step.type} ${step.zone} ${step.spot ? 'spot' : 'ordinary'} ${step.shardIds.length}`,
         ),
         ...reservations.map(
           (reservation) => `hold ${reservation.zone} ${reservation.shardId} ${reservation.job}`,
--- a/src/fleet/scarce-types.ts
+++ b/src/fleet/scarce-types.ts
@@ -1,8 +1,12 @@
+/**
+ * Machine types that some job can't do without. Every controller has one set, which grows as jobs are
+ * submitted; work that has alternatives leaves such machines to the jobs that have none.
+ */
 import { fitsIn, fittingTypes, type Catalog, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
- * Machine types without an alternative for some job seen since this process began; jobs on spot machines
- * don't count.
+ * State: types that are the only one for some job seen since this process began; jobs on spot machines don't
+ * count.
  */
 export class ScarceTypes {
   /** The most that one task of such jobs takes, by type. */
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -6,7 +6,7 @@
   RESERVED_IDLE_MACHINES,
 } from '../constants/placement.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { heldBy } from '../fleet/scaling-plan.js';
+import { findReservation } from '../fleet/reservation.js';
 import type { Reservation } from '../fleet/records.js';
 import {
   fitsIn,
@@ -135,7 +135,7 @@
     machine.free ??= freeOf(shardState, machine, input.catalog);
     const { free } = machine;
     if (free._tag === 'unclear') continue;
-    const held = heldBy(input.reservations, machine);
+    const held = findReservation(input.reservations, machine);
     capacities.push({
       id: machine.id,
       type: machine.type,
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -61,8 +61,7 @@
 
 /** Where the words of the wire belong. */
 const isWireModule = (path: string): boolean =>
-  path.endsWith('codec.ts') ||
-  ['src/settings/schema.ts', 'src/kv-store/client.ts', 'src/fleet/cloud.ts'].includes(path);
+  path.endsWith('codec.ts') || ['src/settings/schema.ts', 'src/kv-store/client.ts'].includes(path);
 
 /**
  * Modules that are yet to be cleaned, with the words that they still use. The list only shrinks: a word that
