--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -35,7 +35,7 @@
     cache: state.cache,
     finalRecords: state.finalRecords,
     ownsTeam: (team) => shards.holds(deployment.shardOf(team)),
-    changed: (jobs) => {
+    onChange: (jobs) => {
       for (const job of jobs) shards.forEach((shard) => shard.onEffectivePriority(job));
     },
   });
--- a/src/pipelines/graph.test.ts
+++ b/src/pipelines/graph.test.ts
@@ -1,14 +1,20 @@
+/**
+ * Tests of the pipeline index, as tables of events and what the index then tells, and of packed lists of ids.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Priority } from '../jobs/model.js';
 import { packIds, splitIds, unpackIds } from './codec.js';
-import { PipelineIndex, type Member } from './graph.js';
+import { PipelineIndex, type PipelineJob } from './graph.js';
 
-/** Pipelines as a table of events: a job, what became of one, and what the index then says. */
 const STAGE_MS = 1_000;
-const job = (id: string, follows: readonly string[] = [], over: Partial<Member> = {}): Member => ({
+const job = (
+  id: string,
+  dependsOn: readonly string[] = [],
+  over: Partial<PipelineJob> = {},
+): PipelineJob => ({
   id,
-  follows,
+  dependsOn,
   priority: 0,
   dueAt: null,
   estimateMs: 10_000,
@@ -16,13 +22,13 @@
   ...over,
 });
 type Event =
-  | { readonly put: Member }
+  | { readonly put: PipelineJob }
   | { readonly gone: string }
   | { readonly done: string; readonly at: number }
   | { readonly cancelled: string };
 const put = (...args: Parameters<typeof job>): Event => ({ put: job(...args) });
 
-const play = (events: readonly Event[]): PipelineIndex => {
+const indexAfter = (events: readonly Event[]): PipelineIndex => {
   const index = new PipelineIndex(STAGE_MS);
   for (const event of events) {
     if ('put' in event) index.put(event.put);
@@ -113,17 +119,17 @@
 ];
 for (const row of rows) {
   test(`readiness: ${row.name}`, () => {
-    const found = play(row.events).readiness(row.of);
+    const found = indexAfter(row.events).readiness(row.of);
     assert.equal(found._tag === 'ready' ? `ready ${found.since}` : found._tag, row.says);
   });
 }
 
 const urgent = (
   id: string,
-  follows: readonly string[],
+  dependsOn: readonly string[],
   dueAt: number | null,
   priority: Priority = 2,
-): Event => put(id, follows, { priority, dueAt });
+): Event => put(id, dependsOn, { priority, dueAt });
 const effectivePriorities: readonly {
   name: string;
   events: readonly Event[];
@@ -174,16 +180,16 @@
   },
 ];
 for (const row of effectivePriorities) {
-  test(`standing: ${row.name}`, () =>
-    assert.deepEqual(play(row.events).effectivePriority(row.of), {
+  test(`effective priority: ${row.name}`, () =>
+    assert.deepEqual(indexAfter(row.events).effectivePriority(row.of), {
       priority: row.priority,
       dueAt: row.dueAt,
     }));
 }
 
 // Each dependant that comes or goes costs what it changes, not the whole index.
-test('standing: only what changes is told', () => {
-  const index = play([put('a'), put('b', ['a']), put('other'), urgent('c', ['b'], 100_000)]);
+test('effective priority: only what changes is told', () => {
+  const index = indexAfter([put('a'), put('b', ['a']), put('other'), urgent('c', ['b'], 100_000)]);
   assert.deepEqual([...index.put(job('d', ['b'], { priority: 1 }))], ['d']);
   assert.deepEqual([...index.remove('c')].sort(), ['a', 'b']);
 });
@@ -195,7 +201,7 @@
   Array.from({ length: 3_000 }, (_, k) => `job-${String(k * 337).padStart(7, '0')}`),
 ];
 for (const ids of lists) {
-  test(`followed ids of ${ids.length}: kept whole, also in parts, each below its size`, () => {
+  test(`packed ids of ${ids.length}: kept whole, also in parts, each below its size`, () => {
     const wanted = [...new Set(ids)].sort();
     assert.deepEqual([...unpackIds(packIds(ids))].sort(), wanted);
     const parts = splitIds(ids, 400);
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -1,211 +1,226 @@
-import type { Priority } from '../jobs/model.js';
-
 /**
- * Which jobs wait for which, kept as an index over all jobs that are not over. A job names only jobs that
- * were accepted before it and never changes what it names, so there are no cycles; still every walk here
- * visits a job once.
+ * Which jobs depend on which, as an index over all jobs that are not over, with readiness and effective
+ * priority of each. A job names only jobs that were accepted before it and never changes what it names, so
+ * there are no cycles; still every walk here visits a job once. No I/O: `src/pipelines/pipelines.ts` feeds
+ * the index.
  */
-export interface Member {
+import type { Priority } from '../jobs/model.js';
+
+/** A job as the index needs it. */
+export interface PipelineJob {
   readonly id: string;
-  readonly follows: readonly string[];
+  readonly dependsOn: readonly string[];
   readonly priority: Priority;
-  /** ms since the epoch, when it should be done; null: whenever. */
+  /** When it should be done, ms since the epoch; null: no deadline. */
   readonly dueAt: number | null;
   readonly estimateMs: number;
   readonly cancelled: boolean;
 }
 
-/** Where a job stands with those that it follows. */
+/** How far the jobs that a job depends on are. */
 export type Readiness =
   /** Some are not known to be done. */
   | { readonly _tag: 'waiting' }
   /**
-   * All have their durable final record `done`, the last since then (ms since the epoch; 0: it follows none).
+   * All have a durable final record `done`, the last since then (ms since the epoch; 0: it depends on none).
    */
   | { readonly _tag: 'ready'; readonly since: number }
-  /** One is cancelled: it never runs. */
+  /** One is cancelled: the job never runs. */
   | { readonly _tag: 'doomed' };
 
-/** What a job is worth for the jobs that need it. */
+/** Priority and deadline of a job, with regard to the jobs that depend on it. */
 export interface EffectivePriority {
   readonly priority: Priority;
-  /** ms since the epoch: when it should be done at the latest for all that comes after to be in time. */
+  /** When it must be done for all dependants to be in time, ms since the epoch; null: no deadline. */
   readonly dueAt: number | null;
 }
 
-/** What became of a job that a member follows. */
-export type Outcome = { readonly _tag: 'done'; readonly at: number } | { readonly _tag: 'cancelled' };
+/** How a job ended that others depend on; `at` in ms since the epoch. */
+export type DependencyOutcome =
+  { readonly _tag: 'done'; readonly at: number } | { readonly _tag: 'cancelled' };
 
-interface Node {
-  member: Member;
-  /** Followed jobs that are not known to be done. */
-  readonly open: Set<string>;
-  /** When the last of the others was done. */
-  since: number;
+interface IndexedJob {
+  job: PipelineJob;
+  /** Dependencies that are not known to be done. */
+  readonly unresolved: Set<string>;
+  /** When the last of the others was done, ms since the epoch. */
+  lastDoneAt: number;
   doomed: boolean;
   effectivePriority: EffectivePriority;
 }
 
-const earliest = (a: number | null, b: number | null): number | null =>
-  a === null ? b : b === null ? a : Math.min(a, b);
+const newIndexedJob = (job: PipelineJob): IndexedJob => ({
+  job,
+  unresolved: new Set(),
+  lastDoneAt: 0,
+  doomed: false,
+  effectivePriority: { priority: job.priority, dueAt: job.dueAt },
+});
+
+const earliest = (a: number | null, b: number | null): number | null => {
+  if (a === null) return b;
+  return b === null ? a : Math.min(a, b);
+};
+
+/** Notes the outcome of a dependency. */
+const applyOutcome = (dependency: string, outcome: DependencyOutcome, dependant: IndexedJob): void => {
+  if (outcome._tag === 'cancelled') {
+    dependant.doomed = true;
+    return;
+  }
+  dependant.unresolved.delete(dependency);
+  dependant.lastDoneAt = Math.max(dependant.lastDoneAt, outcome.at);
+};
 
-/** The index of which job follows which, with readiness and standing of each. */
+/** State: the jobs that are not over, who depends on whom, and outcomes of jobs that others depend on. */
 export class PipelineIndex {
-  private readonly nodes = new Map<string, Node>();
-  /** Who follows a job; also of jobs that are over, as long as somebody does. */
+  private readonly jobs = new Map<string, IndexedJob>();
+  /** By job, also of jobs that are over, as long as there are any. */
   private readonly dependants = new Map<string, Set<string>>();
-  private readonly outcomes = new Map<string, Outcome>();
+  private readonly outcomes = new Map<string, DependencyOutcome>();
 
-  /** `stageMs`: what lies between the end of one stage and the start of the next, images included. */
+  /** `stageMs`: time between the end of one stage and the start of the next, images included. */
   constructor(private readonly stageMs: number) {}
 
   has(id: string): boolean {
-    return this.nodes.has(id);
-  }
-  /** Does anybody follow it? */
-  needed(id: string): boolean {
-    return this.dependants.has(id);
+    return this.jobs.has(id);
   }
+
   dependantsOf(id: string): Iterable<string> {
     return this.dependants.get(id) ?? [];
   }
-  /** Followed jobs that are not known to be done, for looking them up. */
-  openOf(id: string): Iterable<string> {
-    return this.nodes.get(id)?.open ?? [];
+
+  /** Dependencies of the job that are not known to be done. */
+  unresolvedDependencies(id: string): Iterable<string> {
+    return this.jobs.get(id)?.unresolved ?? [];
   }
 
   readiness(id: string): Readiness {
-    const node = this.nodes.get(id);
-    if (!node) return { _tag: 'waiting' };
-    if (node.doomed) return { _tag: 'doomed' };
-    return node.open.size > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: node.since };
+    const indexed = this.jobs.get(id);
+    if (!indexed) return { _tag: 'waiting' };
+    if (indexed.doomed) return { _tag: 'doomed' };
+    return indexed.unresolved.size > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: indexed.lastDoneAt };
   }
 
+  /** Null: the job is not in the index. */
   effectivePriority(id: string): EffectivePriority | null {
-    return this.nodes.get(id)?.effectivePriority ?? null;
+    return this.jobs.get(id)?.effectivePriority ?? null;
   }
 
-  /** A job's record, new or changed. Returns the jobs whose readiness or standing changed. */
-  put(member: Member): ReadonlySet<string> {
+  /** Takes in a job, new or changed. Returns the jobs whose readiness or effective priority changed. */
+  put(job: PipelineJob): ReadonlySet<string> {
     const changed = new Set<string>();
-    const known = this.nodes.get(member.id);
-    if (known) known.member = member;
+    let indexed = this.jobs.get(job.id);
+    if (indexed) indexed.job = job;
     else {
-      const node: Node = {
-        member,
-        open: new Set(),
-        since: 0,
-        doomed: false,
-        effectivePriority: { priority: member.priority, dueAt: member.dueAt },
-      };
-      this.nodes.set(member.id, node);
-      changed.add(member.id);
-      for (const dep of member.follows) {
-        let list = this.dependants.get(dep);
-        if (!list) this.dependants.set(dep, (list = new Set()));
-        list.add(member.id);
-        node.open.add(dep);
-        const outcome = this.outcomes.get(dep);
-        if (outcome) this.apply(dep, outcome, node);
-        else if (this.isDoomed(dep)) node.doomed = true;
-      }
+      indexed = this.add(job);
+      changed.add(job.id);
     }
-    const node = this.nodes.get(member.id);
-    if (node && (node.doomed || member.cancelled)) this.doomAfter(member.id, changed);
-    this.restand([member.id, ...member.follows], changed);
+    if (indexed.doomed || job.cancelled) this.doomDependants(job.id, changed);
+    this.updateEffectivePriorities([job.id, ...job.dependsOn], changed);
     return changed;
   }
 
-  /** It is over; what became of it may be known only later. */
+  private add(job: PipelineJob): IndexedJob {
+    const indexed = newIndexedJob(job);
+    this.jobs.set(job.id, indexed);
+    for (const dependency of job.dependsOn) {
+      this.addDependant(dependency, job.id);
+      indexed.unresolved.add(dependency);
+      const outcome = this.outcomes.get(dependency);
+      if (outcome) applyOutcome(dependency, outcome, indexed);
+      else if (this.neverRuns(dependency)) indexed.doomed = true;
+    }
+    return indexed;
+  }
+
+  private addDependant(dependency: string, dependant: string): void {
+    let dependants = this.dependants.get(dependency);
+    if (!dependants) this.dependants.set(dependency, (dependants = new Set()));
+    dependants.add(dependant);
+  }
+
+  /** Takes out a job that is over; how it ended may be known only later. Returns the jobs that changed. */
   remove(id: string): ReadonlySet<string> {
     const changed = new Set<string>();
-    const node = this.nodes.get(id);
-    if (!node) return changed;
-    this.nodes.delete(id);
-    for (const dep of node.member.follows) {
-      const list = this.dependants.get(dep);
-      list?.delete(id);
-      if (list?.size !== 0) continue;
-      this.dependants.delete(dep);
-      this.outcomes.delete(dep);
-    }
-    // What was cancelled stays so, whoever asks later.
-    if (this.dependants.has(id) && (node.doomed || node.member.cancelled))
+    const indexed = this.jobs.get(id);
+    if (!indexed) return changed;
+    this.jobs.delete(id);
+    for (const dependency of indexed.job.dependsOn) this.removeDependant(dependency, id);
+    // What was cancelled stays so, whoever depends on it later.
+    if (this.dependants.has(id) && (indexed.doomed || indexed.job.cancelled))
       this.outcomes.set(id, { _tag: 'cancelled' });
-    this.restand(node.member.follows, changed);
+    this.updateEffectivePriorities(indexed.job.dependsOn, changed);
     return changed;
   }
 
-  /** What became of a job is durable. */
-  settle(id: string, outcome: Outcome): ReadonlySet<string> {
+  private removeDependant(dependency: string, dependant: string): void {
+    const dependants = this.dependants.get(dependency);
+    dependants?.delete(dependant);
+    if (dependants?.size !== 0) return;
+    this.dependants.delete(dependency);
+    this.outcomes.delete(dependency);
+  }
+
+  /** The outcome of a job is durable. Returns the jobs that changed. */
+  settle(id: string, outcome: DependencyOutcome): ReadonlySet<string> {
     const changed = new Set<string>();
     if (!this.dependants.has(id)) return changed;
     this.outcomes.set(id, outcome);
-    for (const dependant of this.dependants.get(id) ?? []) {
-      const node = this.nodes.get(dependant);
-      if (!node) continue;
+    for (const dependant of this.dependantsOf(id)) {
+      const indexed = this.jobs.get(dependant);
+      if (!indexed) continue;
       changed.add(dependant);
-      this.apply(id, outcome, node);
-      if (node.doomed) this.doomAfter(dependant, changed);
+      applyOutcome(id, outcome, indexed);
+      if (indexed.doomed) this.doomDependants(dependant, changed);
     }
     return changed;
   }
 
-  private apply(dep: string, outcome: Outcome, node: Node): void {
-    if (outcome._tag === 'cancelled') {
-      node.doomed = true;
-      return;
-    }
-    node.open.delete(dep);
-    node.since = Math.max(node.since, outcome.at);
-  }
-
-  private isDoomed(id: string): boolean {
-    const node = this.nodes.get(id);
-    return node !== undefined && (node.doomed || node.member.cancelled);
+  private neverRuns(id: string): boolean {
+    const indexed = this.jobs.get(id);
+    return indexed !== undefined && (indexed.doomed || indexed.job.cancelled);
   }
 
-  /** All that need a job that is cancelled, directly or through others. */
-  private doomAfter(id: string, changed: Set<string>): void {
+  /** Dooms all jobs that depend on one that is cancelled, directly or through others. */
+  private doomDependants(id: string, changed: Set<string>): void {
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
-      for (const dependant of this.dependants.get(next) ?? []) {
-        const node = this.nodes.get(dependant);
-        if (!node || node.doomed) continue;
-        node.doomed = true;
+      for (const dependant of this.dependantsOf(next)) {
+        const indexed = this.jobs.get(dependant);
+        if (!indexed || indexed.doomed) continue;
+        indexed.doomed = true;
         changed.add(dependant);
         stack.push(dependant);
       }
     }
   }
 
-  private effectivePriorityOf(node: Node): EffectivePriority {
-    let { priority, dueAt } = node.member;
-    for (const id of this.dependants.get(node.member.id) ?? []) {
-      const after = this.nodes.get(id);
-      if (!after || after.doomed || after.member.cancelled) continue;
-      if (after.effectivePriority.priority > priority) priority = after.effectivePriority.priority;
-      const due = after.effectivePriority.dueAt;
-      dueAt = earliest(dueAt, due === null ? null : due - after.member.estimateMs - this.stageMs);
+  private effectivePriorityOf({ job }: IndexedJob): EffectivePriority {
+    let { priority, dueAt } = job;
+    for (const id of this.dependantsOf(job.id)) {
+      const dependant = this.jobs.get(id);
+      if (!dependant || dependant.doomed || dependant.job.cancelled) continue;
+      const inherited = dependant.effectivePriority;
+      if (inherited.priority > priority) priority = inherited.priority;
+      if (inherited.dueAt !== null)
+        dueAt = earliest(dueAt, inherited.dueAt - dependant.job.estimateMs - this.stageMs);
     }
     return { priority, dueAt };
   }
 
-  /** Works out these anew, and what comes before them as far as anything changes. */
-  private restand(from: Iterable<string>, changed: Set<string>): void {
-    const queue = [...from];
+  /** Works out these jobs anew, and their dependencies as far as anything changes. */
+  private updateEffectivePriorities(ids: Iterable<string>, changed: Set<string>): void {
+    const queue = [...ids];
     for (let id = queue.shift(); id !== undefined; id = queue.shift()) {
-      const node = this.nodes.get(id);
-      if (!node) continue;
-      const effectivePriority = this.effectivePriorityOf(node);
-      if (
-        effectivePriority.priority === node.effectivePriority.priority &&
-        effectivePriority.dueAt === node.effectivePriority.dueAt
-      )
-        continue;
-      node.effectivePriority = effectivePriority;
+      const indexed = this.jobs.get(id);
+      if (!indexed) continue;
+      const before = indexed.effectivePriority;
+      const after = this.effectivePriorityOf(indexed);
+      if (after.priority === before.priority && after.dueAt === before.dueAt) continue;
+      indexed.effectivePriority = after;
       changed.add(id);
-      queue.push(...node.member.follows);
+      queue.push(...indexed.job.dependsOn);
     }
   }
 }
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -123,11 +123,11 @@
       wall: () => NOW,
     });
     row.jobs.forEach((record, version) => {
-      const { spec, dependsOn: follows } = record;
+      const { spec, dependsOn } = record;
       shardState.adoptJob(record, version + 1);
       index.put({
         id: spec.id,
-        follows,
+        dependsOn,
         priority: spec.priority,
         dueAt: spec.deadlineS === null ? null : record.at + spec.deadlineS * 1000,
         estimateMs: spec.estimateS * 1000,
