--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -305,7 +305,7 @@
     processorMs: () => 0,
     incarnation: 'n0.1',
     createHttpClient: () => ({ request: () => Promise.resolve({ _tag: 'noResponse', why: 'none' }) }),
-    workerClient: { send: () => Promise.resolve({ _tag: 'unsure' }) },
+    workerClient: { send: () => Promise.resolve({ _tag: 'unknown' }) },
   });
   const reply = await controller.peerRoute({
     method: 'POST',
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -2,7 +2,7 @@
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
-import { answer, readChanges } from '../workers/reconcile.js';
+import { answerCommands, readChanges } from '../workers/reconcile.js';
 import type { ShardState } from './shard-state.js';
 import { chunkOf } from './run-records.js';
 import { bindingKey, type Binding, type ShardMachine } from './shard-model.js';
@@ -197,7 +197,7 @@
             }
             if (result._tag === 'executed') this.onDirectResponse(machine, result.heartbeat);
             return;
-          case 'unsure':
+          case 'unknown':
             machine.raiseToken = true;
             log.info({ event: 'direct.unsure', machine: machine.id, tasks: list.length });
             this.input.requestRound();
@@ -266,7 +266,7 @@
       return null;
     const token = this.token(machine);
     if (!this.input.loaded()) return { token, commands: this.stopsOfCancelled(heartbeat) };
-    const commands = answer(
+    const commands = answerCommands(
       machine,
       heartbeat,
       heartbeat.token === token,
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -75,7 +75,6 @@
   'src/peers/network.ts': ['beat', 'sibling'],
   'src/peers/peer-requests.ts': ['heed'],
   'src/settings/teams.ts': ['sibling', 'siblings'],
-  'src/workers/worker-client.ts': ['stint'],
 };
 
 test('wire words: they stand in codecs and clients only, or are listed as yet to be cleaned', () => {
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -115,7 +115,7 @@
             { crook: token, stint: agentEpoch, calls },
             1_500,
           );
-          if (answer._tag === 'noResponse') return { _tag: 'unsure' };
+          if (answer._tag === 'noResponse') return { _tag: 'unknown' };
           const heartbeat = readWorkerHeartbeat(answer.body);
           return answer.status === 200 && heartbeat
             ? { _tag: 'executed', heartbeat }
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -116,8 +116,8 @@
         _tag: 'refused',
         report: result.heartbeat === null ? null : toEarlierHeartbeat(result.heartbeat),
       };
-    case 'unsure':
-      return result;
+    case 'unknown':
+      return { _tag: 'unsure' };
   }
 };
 
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -1,18 +1,19 @@
+/**
+ * The wire form of workers' reports and of the commands to them. Reports are by far the most frequent
+ * message, so they are checked by hand.
+ */
 import { parseTaskName, taskName } from '../jobs/codec.js';
 import type { Command, ExitCause, WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
 
-/**
- * The workers' wire words. Reports are by far the most frequent message: they are checked by hand, since a
- * schema library took six times as long for each (docs/measurements.md).
- */
-interface Head {
+interface WireTask {
   readonly head: string;
   readonly try: number;
   readonly status: string;
   readonly cause?: string | null;
   readonly saved?: boolean | null;
 }
-interface Hello {
+
+interface WireHeartbeat {
   readonly drover: string;
   readonly addr: string;
   readonly breed: string;
@@ -22,7 +23,7 @@
   readonly tally: number;
   readonly crook: number;
   readonly warningS?: number | null;
-  readonly heads: readonly Head[];
+  readonly heads: readonly WireTask[];
 }
 
 const isMap = (value: unknown): value is Record<string, unknown> =>
@@ -31,28 +32,29 @@
 const isOptional = (value: unknown, type: 'string' | 'boolean' | 'number'): boolean =>
   value === undefined || value === null || typeof value === type;
 
-const isHead = (value: unknown): value is Head =>
+const isWireTask = (value: unknown): value is WireTask =>
   isMap(value) &&
-  isText(value['head']) &&
-  Number.isInteger(value['try']) &&
-  isText(value['status']) &&
-  isOptional(value['cause'], 'string') &&
-  isOptional(value['saved'], 'boolean');
+  isText(value.head) &&
+  Number.isInteger(value.try) &&
+  isText(value.status) &&
+  isOptional(value.cause, 'string') &&
+  isOptional(value.saved, 'boolean');
 
-const isHello = (value: unknown): value is Hello =>
+const isWireHeartbeat = (value: unknown): value is WireHeartbeat =>
   isMap(value) &&
-  isText(value['drover']) &&
-  isText(value['addr']) &&
-  isText(value['breed']) &&
-  isText(value['paddock']) &&
-  typeof value['agistment'] === 'boolean' &&
-  Number.isInteger(value['stint']) &&
-  Number.isInteger(value['tally']) &&
-  Number.isInteger(value['crook']) &&
-  isOptional(value['warningS'], 'number') &&
-  Array.isArray(value['heads']) &&
-  value['heads'].every(isHead);
+  isText(value.drover) &&
+  isText(value.addr) &&
+  isText(value.breed) &&
+  isText(value.paddock) &&
+  typeof value.agistment === 'boolean' &&
+  Number.isInteger(value.stint) &&
+  Number.isInteger(value.tally) &&
+  Number.isInteger(value.crook) &&
+  isOptional(value.warningS, 'number') &&
+  Array.isArray(value.heads) &&
+  value.heads.every(isWireTask);
 
+/** Causes by the worker's words. */
 const CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
@@ -64,8 +66,8 @@
   unknown: 'unknown',
 };
 
-const readState = (head: Head): TaskState => {
-  switch (head.status) {
+const readState = ({ status, cause, saved }: WireTask): TaskState => {
+  switch (status) {
     case 'pulling':
       return { _tag: 'fetching' };
     case 'gathering':
@@ -73,8 +75,8 @@
     case 'saving':
       return { _tag: 'saving' };
     case 'exited':
-      return { _tag: 'exited', cause: CAUSES[head.cause ?? ''] ?? 'error', saved: head.saved === true };
-    // A state that we don't know still occupies its machine: it counts as running.
+      return { _tag: 'exited', cause: CAUSES[cause ?? ''] ?? 'error', saved: saved === true };
+    // A task in a state of a later version still occupies its machine: it counts as running.
     default:
       return { _tag: 'running' };
   }
@@ -82,28 +84,27 @@
 
 /** Reads a worker's report; null: malformed. */
 export const readWorkerHeartbeat = (value: unknown): WorkerHeartbeat | null => {
-  if (!isHello(value)) return null;
-  const hello = value;
+  if (!isWireHeartbeat(value)) return null;
   const tasks: ReportedTask[] = [];
-  for (const head of hello.heads) {
+  for (const head of value.heads) {
     const name = parseTaskName(head.head);
     if (name) tasks.push({ ...name, attempt: head.try, state: readState(head) });
   }
   return {
-    machine: hello.drover,
-    addr: hello.addr,
-    type: hello.breed,
-    zone: hello.paddock,
-    spot: hello.agistment,
-    agentEpoch: hello.stint,
-    sequenceNumber: hello.tally,
-    token: hello.crook,
-    noticeS: hello.warningS ?? null,
+    machine: value.drover,
+    addr: value.addr,
+    type: value.breed,
+    zone: value.paddock,
+    spot: value.agistment,
+    agentEpoch: value.stint,
+    sequenceNumber: value.tally,
+    token: value.crook,
+    noticeS: value.warningS ?? null,
     tasks,
   };
 };
 
-/** One command as the worker expects it. */
+/** Writes one command. */
 const writeCommand = (command: Command): unknown => {
   const head = taskName(command.job, command.index);
   switch (command._tag) {
@@ -116,13 +117,23 @@
   }
 };
 
-/** The answer to a report. */
-export const writeOrders = (token: number, commands: readonly Command[]): unknown => ({
+/** Writes the answer to a report. */
+export const writeOrders = (token: number, commands: readonly Command[]): object => ({
   crook: token,
   calls: commands.map(writeCommand),
 });
 
-/** Sends a worker to the controller that answers for it; undefined: that one is not known. */
+/** Writes commands that are sent straight to one session of a worker. */
+export const writeDirectCommands = (
+  token: number,
+  agentEpoch: number,
+  commands: readonly Command[],
+): object => ({ ...writeOrders(token, commands), stint: agentEpoch });
+
+/**
+ * Writes the answer that sends a worker to the controller that holds its shard; undefined: that one is not
+ * known.
+ */
 export const writeRedirect = (holder: string | undefined): unknown =>
   holder === undefined ? {} : { boss: holder };
 
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,75 +1,115 @@
+/**
+ * Where workers report. Answers reports of machines in this controller's shards, names the responsible
+ * controller to the others, and has the leader adopt machines without a record. The router calls it for each
+ * report.
+ */
 import { readClaim } from '../claims/codec.js';
+import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
+import { readMachineRecord } from '../fleet/machine-record-codec.js';
 import type { ServerResponse } from '../http.js';
 import { claimKey, machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import { readMachineRecord } from '../fleet/records.js';
 import { readWorkerHeartbeat, writeOrders, writeRedirect } from './codec.js';
 import type { Command, WorkerHeartbeat } from './model.js';
 
-/** Where workers report: answers those of our shares, shows the others the way. */
+/** What the handler needs of a shard. */
+interface ReportingShard {
+  /**
+   * Takes in a report; `hurry`: the next round may have commands for it. Null: the machine is not the
+   * shard's.
+   */
+  onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null;
+  /** Resolves with the next round that concerns the machine, or after so many ms. */
+  nextRound(machine: string, ms: number): Promise<void>;
+  /** The answer to a report; null: the machine is not the shard's. */
+  orders(
+    heartbeat: WorkerHeartbeat,
+  ): { readonly token: number; readonly commands: readonly Command[] } | null;
+}
+
+/** What the handler needs of the rest of the controller. */
 export interface WorkerHeartbeatHandlerDependencies {
+  /** Name of this controller. */
   readonly me: string;
   readonly cache: WatchCache;
+  /** The steady clock, ms. */
   readonly now: () => number;
-  /** The share with this number, if this node may answer for it now. */
-  readonly shard: (shardId: number) => {
-    onHeartbeat(heartbeat: WorkerHeartbeat): { readonly hurry: boolean } | null;
-    nextRound(machine: string, ms: number): Promise<void>;
-    orders(
-      heartbeat: WorkerHeartbeat,
-    ): { readonly token: number; readonly commands: readonly Command[] } | null;
-  } | null;
+  /** The shard, if this controller may answer for it now; else null. */
+  readonly shard: (shardId: number) => ReportingShard | null;
+  /** Has the leader adopt the machine; false: this controller does not lead. */
   readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
-const elsewhere = (holderNode: string | undefined): ServerResponse => ({
+interface MisroutedHeartbeat {
+  readonly shardId: number;
+  /** ms, by the steady clock. */
+  readonly at: number;
+}
+
+const MALFORMED: ServerResponse = { status: 400, body: { error: 'malformed report' } };
+/** The worker reports again soon. */
+const NOT_NOW: ServerResponse = { status: 503 };
+
+const redirectTo = (holder: string | undefined): ServerResponse => ({
   status: 421,
-  body: writeRedirect(holderNode),
+  body: writeRedirect(holder),
 });
 
-/** Answers reports of workers, or names the node that does. */
+/** State: for each machine its last report that came here although another controller holds its shard. */
 export class WorkerHeartbeatHandler {
-  private readonly misroutedHeartbeats = new Map<string, { shardId: number; at: number }>();
+  private readonly misroutedHeartbeats = new Map<string, MisroutedHeartbeat>();
+
   constructor(private readonly input: WorkerHeartbeatHandlerDependencies) {}
 
-  /** Machines of other nodes' shares that reported here lately, by share: their holder can't hear them. */
+  /**
+   * By shard: machines of other controllers' shards that reported here lately, as their holder can't be
+   * reached.
+   */
   misroutedCounts(withinMs: number): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const [id, misrouted] of this.misroutedHeartbeats) {
-      if (this.input.now() - misrouted.at > withinMs) this.misroutedHeartbeats.delete(id);
-      else counts[misrouted.shardId] = (counts[misrouted.shardId] ?? 0) + 1;
+    for (const [machine, { shardId, at }] of this.misroutedHeartbeats) {
+      if (this.input.now() - at > withinMs) this.misroutedHeartbeats.delete(machine);
+      else counts[shardId] = (counts[shardId] ?? 0) + 1;
     }
     return counts;
   }
 
-  private holder(claimName: string): string | undefined {
-    const item = this.input.cache.get(claimKey(claimName));
-    return item && readClaim(item.value).node;
-  }
-
-  async handle(value: unknown): Promise<ServerResponse> {
-    const heartbeat = readWorkerHeartbeat(value);
-    if (!heartbeat) return { status: 400, body: { error: 'malformed report' } };
-    const item = this.input.cache.get(machineKey(heartbeat.machine));
-    if (!item) {
-      const holderNode = this.holder('L');
-      if (this.input.adopt(heartbeat) || holderNode === this.input.me) return { status: 503 };
-      return elsewhere(holderNode);
-    }
-    const { shardId } = readMachineRecord(item.value);
+  /** Answers the body of a report. */
+  async handle(body: unknown): Promise<ServerResponse> {
+    const heartbeat = readWorkerHeartbeat(body);
+    if (!heartbeat) return MALFORMED;
+    const entry = this.input.cache.get(machineKey(heartbeat.machine));
+    if (!entry) return this.answerUnknownMachine(heartbeat);
+    const { shardId } = readMachineRecord(entry.value);
     const holder = this.holder(String(shardId));
     if (holder !== this.input.me) {
       this.misroutedHeartbeats.set(heartbeat.machine, { shardId, at: this.input.now() });
-      return elsewhere(holder);
+      return redirectTo(holder);
     }
     this.misroutedHeartbeats.delete(heartbeat.machine);
-    const heard = this.input.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
-    if (heard?.hurry)
+    return this.answerOwnMachine(shardId, heartbeat);
+  }
+
+  private answerUnknownMachine(heartbeat: WorkerHeartbeat): ServerResponse {
+    const leader = this.holder(LEADER_CLAIM);
+    if (this.input.adopt(heartbeat) || leader === this.input.me) return NOT_NOW;
+    return redirectTo(leader);
+  }
+
+  private async answerOwnMachine(shardId: number, heartbeat: WorkerHeartbeat): Promise<ServerResponse> {
+    const received = this.input.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
+    if (received?.hurry)
       await this.input.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
     // Asked again after the wait: the claim may have gone meanwhile.
-    const orders = heard ? (this.input.shard(shardId)?.orders(heartbeat) ?? null) : null;
-    if (!orders) return { status: 503 };
+    const orders = received ? (this.input.shard(shardId)?.orders(heartbeat) ?? null) : null;
+    if (!orders) return NOT_NOW;
     return { status: 200, body: writeOrders(orders.token, orders.commands) };
   }
+
+  /** The controller that has the claim; undefined: none. */
+  private holder(claimName: string): string | undefined {
+    const entry = this.input.cache.get(claimKey(claimName));
+    return entry && readClaim(entry.value).node;
+  }
 }
--- a/src/workers/model.ts
+++ b/src/workers/model.ts
@@ -1,4 +1,9 @@
-/** What workers say and are told, in the field's terms. */
+/**
+ * What workers report and are told, in the terms of this service. Plain data; the wire form is
+ * `src/workers/codec.ts`.
+ */
+
+/** Why a task is no longer running. */
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'noRoom' | 'busy' | 'unknown';
 
 /** The state of a task as its worker reports it. */
@@ -9,37 +14,41 @@
   | { readonly _tag: 'saving' }
   | { readonly _tag: 'exited'; readonly cause: ExitCause; readonly saved: boolean };
 
-/** One task of a report. */
-export interface ReportedTask {
+/** One attempt of a task. */
+export interface TaskAttempt {
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
+}
+
+/** One task of a report. */
+export interface ReportedTask extends TaskAttempt {
   readonly state: TaskState;
 }
 
 /** A worker's report. */
 export interface WorkerHeartbeat {
   readonly machine: string;
+  /** Address (`host:port`) at which the worker takes direct commands. */
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** Number of the session: it grows each time the worker starts. */
   readonly agentEpoch: number;
+  /** Number of the report in its session. */
   readonly sequenceNumber: number;
   /** Highest token the worker has seen. */
   readonly token: number;
+  /** Time until the cloud takes a spot machine back, in s; null: no notice was given. */
   readonly noticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
 /** A command to a worker. */
 export type Command =
-  | { readonly _tag: 'run'; readonly job: string; readonly index: number; readonly attempt: number }
-  | {
-      readonly _tag: 'stop';
-      readonly job: string;
-      readonly index: number;
-      readonly attempt: number;
-      readonly graceS: number;
-    }
-  | { readonly _tag: 'forget'; readonly job: string; readonly index: number; readonly attempt: number };
+  | ({ readonly _tag: 'run' } & TaskAttempt)
+  /** `graceS`: time in which the task may save its state, in s. */
+  | ({ readonly _tag: 'stop'; readonly graceS: number } & TaskAttempt)
+  /** The exit is recorded: the worker need not report it any more. */
+  | ({ readonly _tag: 'forget' } & TaskAttempt);
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,3 +1,4 @@
+/** Tests of what reports mean for bound tasks, of the answers to them, and of reading them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
@@ -5,7 +6,7 @@
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
 import type { WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
-import { answer, readChanges } from './reconcile.js';
+import { answerCommands, readChanges } from './reconcile.js';
 import { readWorkerHeartbeat } from './codec.js';
 
 const bindingOf = (phase: Phase, over: Partial<Binding> = {}): Binding => ({
@@ -268,7 +269,7 @@
 ];
 for (const row of answers) {
   test(`answer: ${row.name}`, () => {
-    const commands = answer(
+    const commands = answerCommands(
       machineOf(row.binding),
       row.heartbeat,
       row.token ?? true,
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,74 +1,111 @@
+/**
+ * Reconciliation: what a report means for the tasks that are bound to its machine, and what the worker is
+ * told. Pure, without state: placement applies the changes and sends the commands.
+ *
+ * Apart from direct ones, commands travel in answers to reports, and a worker that sends a new report has the
+ * answer to the one before, or dropped it: so a task missing from a newer report is not there, and no `run`
+ * of it is under way.
+ */
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
+import { onMachine, type Gone, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
-import { nextPhase, type Gone } from '../placement/attempt-phase.js';
-import type { Command, WorkerHeartbeat } from './model.js';
+import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
 
-/** What one report means for the tasks bound to its machine. Pure: the caller applies the changes. */
-export interface Change {
+/** What a report means for one task. */
+export interface PhaseChange {
   readonly binding: Binding;
-  readonly event: Parameters<typeof nextPhase>[1];
+  readonly event: PhaseEvent;
 }
 
+const keyOf = ({ job, index, attempt }: TaskAttempt): string => bindingKey(job, index, attempt);
+
+/**
+ * Did the worker begin a new session that commands of earlier ones can't reach? Our commands name the session
+ * they are for. Those of an earlier holder may not, until the worker has seen our token.
+ */
+const isNewSession = (machine: ShardMachine, heartbeat: WorkerHeartbeat, underToken: boolean): boolean =>
+  machine.answeredAt !== null &&
+  heartbeat.agentEpoch > machine.agentEpoch &&
+  (underToken || machine.tookOurToken);
+
+/** Has a direct answer told more about the task than this report, which it overtook? */
+const isOvertaken = ({ seen }: Binding, heartbeat: WorkerHeartbeat): boolean =>
+  seen !== null &&
+  (seen.agentEpoch > heartbeat.agentEpoch ||
+    (seen.agentEpoch === heartbeat.agentEpoch && seen.sequenceNumber > heartbeat.sequenceNumber));
+
+/** Is a task gone that a report doesn't show? One that never showed may not have arrived yet. */
+const isGone = ({ phase, stop }: Binding, newSession: boolean): boolean => {
+  if (onMachine(phase)) return true;
+  // A machine that began a new session may not reach us at all: what it never took up goes elsewhere.
+  return phase._tag === 'bound' && (stop !== null || newSession);
+};
+
 /**
- * `late`: a direct `run` of this attempt may still arrive, since the worker has not seen a token above the
- * one that it carried; then absence proves nothing. `underToken`: the worker has said that it saw our current
- * token, so nothing of an earlier holder can still reach it. Apart from direct ones, commands travel in
- * answers to reports, and a worker that sends a new report has or dropped the answer to the one before: so a
- * task missing from a newer report is not there, and no `run` of it is under way.
+ * The changes that a report shows.
+ *
+ * @param underToken - The worker has said that it saw our current token, so that nothing of an earlier holder
+ * can reach it any more. @param mayBeLate - Can a direct `run` of this attempt still arrive, since the worker
+ * has not seen a token above the one that it carried? Then absence proves nothing.
  */
 export const readChanges = (
   machine: ShardMachine,
   heartbeat: WorkerHeartbeat,
   underToken: boolean,
-  late: (key: string) => boolean,
-): readonly Change[] => {
-  const changes: Change[] = [];
-  // Commands of ours name the old session. Those of an earlier holder may not, until the worker has seen our
-  // token.
-  const newSession =
-    machine.answeredAt !== null &&
-    heartbeat.agentEpoch > machine.agentEpoch &&
-    (underToken || machine.tookOurToken);
-  const reported = new Map(
-    heartbeat.tasks.map((task) => [bindingKey(task.job, task.index, task.attempt), task]),
-  );
+  mayBeLate: (key: string) => boolean,
+): readonly PhaseChange[] => {
+  const changes: PhaseChange[] = [];
+  const newSession = isNewSession(machine, heartbeat, underToken);
+  const how: Gone = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
+  const reported = new Map(heartbeat.tasks.map((task) => [keyOf(task), task]));
   for (const [key, binding] of machine.bound) {
+    if (isOvertaken(binding, heartbeat)) continue;
     const task = reported.get(key);
-    // A direct answer may have overtaken this report.
-    const newer =
-      binding.seen !== null &&
-      (binding.seen.agentEpoch > heartbeat.agentEpoch ||
-        (binding.seen.agentEpoch === heartbeat.agentEpoch &&
-          binding.seen.sequenceNumber > heartbeat.sequenceNumber));
-    if (newer) continue;
-    if (task) changes.push({ binding, event: { _tag: 'reported', state: task.state } });
-    else if (newSession || (underToken && !late(key))) {
-      const how: Gone = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
-      switch (binding.phase._tag) {
-        case 'fetching':
-        case 'waiting':
-        case 'running':
-        case 'saving':
-          changes.push({ binding, event: { _tag: 'lost', how } });
-          break;
-        case 'bound':
-          // A machine that began a new session may not hear us at all: what it never took up goes elsewhere.
-          if (binding.stop || newSession) changes.push({ binding, event: { _tag: 'lost', how } });
-          break;
-        case 'binding':
-        case 'gone':
-          break;
-      }
+    if (task) {
+      changes.push({ binding, event: { _tag: 'reported', state: task.state } });
+      continue;
     }
+    const absenceProves = newSession || (underToken && !mayBeLate(key));
+    if (absenceProves && isGone(binding, newSession)) changes.push({ binding, event: { _tag: 'lost', how } });
   }
   return changes;
 };
 
+const nameOf = ({ job, index, attempt }: TaskAttempt): TaskAttempt => ({
+  job,
+  index,
+  attempt,
+});
+
+/** The `stop` for a task that shows and has not exited; null: it may go on, or is stopping already. */
+const stopOf = (task: ReportedTask, binding: Binding | undefined, now: number): Command | null => {
+  if (!binding) return { _tag: 'stop', ...nameOf(task), graceS: 0 };
+  if (!binding.stop) return null;
+  const { since, graceS } = binding.stop;
+  const overdue = now - since > graceS * 1_000 + STOP_GRACE_OVERRUN_MS;
+  if (task.state._tag === 'saving' && !overdue && graceS !== 0) return null;
+  return { _tag: 'stop', ...nameOf(task), graceS: overdue ? 0 : graceS };
+};
+
+/** Each makes the worker report anew, so they go with other commands or several at once, within bounds. */
+const mayForgetLater = (
+  { forgetFrom }: ShardMachine,
+  commands: readonly Command[],
+  forgets: readonly Command[],
+  now: number,
+): boolean =>
+  commands.length === 0 &&
+  forgets.length < FORGET_BATCH_EXITS &&
+  (forgetFrom === null || now - forgetFrom < MAX_FORGET_DELAY_MS);
+
 /**
- * The answer to a report, after its changes are applied. `settled`: the state service no longer binds this
- * attempt to this machine, so that a later holder won't start it again once it is forgotten.
+ * The commands in the answer to a report, after its changes are applied.
+ *
+ * @param underToken - As for `readChanges`. @param settled - Does the store no longer bind this attempt to
+ * this machine, so that a later holder won't start it again once it is forgotten? @param now - The steady
+ * clock, ms.
  */
-export const answer = (
+export const answerCommands = (
   machine: ShardMachine,
   heartbeat: WorkerHeartbeat,
   underToken: boolean,
@@ -77,35 +114,22 @@
 ): readonly Command[] => {
   const commands: Command[] = [];
   const forgets: Command[] = [];
-  const seen = new Set<string>();
+  const reported = new Set<string>();
   for (const task of heartbeat.tasks) {
-    const key = bindingKey(task.job, task.index, task.attempt);
-    seen.add(key);
-    const name = { job: task.job, index: task.index, attempt: task.attempt };
+    const key = keyOf(task);
+    reported.add(key);
     const binding = machine.bound.get(key);
     if (task.state._tag === 'exited') {
       if (!binding && underToken && settled(key, task.job, task.index))
-        forgets.push({ _tag: 'forget', ...name });
-      continue;
-    }
-    if (!binding) {
-      commands.push({ _tag: 'stop', ...name, graceS: 0 });
+        forgets.push({ _tag: 'forget', ...nameOf(task) });
       continue;
     }
-    if (!binding.stop) continue;
-    const overdue = now - binding.stop.since > binding.stop.graceS * 1000 + STOP_GRACE_OVERRUN_MS;
-    if (task.state._tag !== 'saving' || overdue || binding.stop.graceS === 0) {
-      commands.push({ _tag: 'stop', ...name, graceS: overdue ? 0 : binding.stop.graceS });
-    }
+    const stop = stopOf(task, binding, now);
+    if (stop) commands.push(stop);
   }
   for (const [key, binding] of machine.bound) {
-    if (seen.has(key) || binding.phase._tag !== 'bound' || binding.stop) continue;
-    commands.push({ _tag: 'run', job: binding.job, index: binding.index, attempt: binding.attempt });
+    if (reported.has(key) || binding.phase._tag !== 'bound' || binding.stop) continue;
+    commands.push({ _tag: 'run', ...nameOf(binding) });
   }
-  // Each makes the worker report anew, so they go with other commands or several at once, within bounds.
-  const wait =
-    commands.length === 0 &&
-    forgets.length < FORGET_BATCH_EXITS &&
-    (machine.forgetFrom === null || now - machine.forgetFrom < MAX_FORGET_DELAY_MS);
-  return wait ? commands : [...commands, ...forgets];
+  return mayForgetLater(machine, commands, forgets, now) ? commands : [...commands, ...forgets];
 };
