--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,15 @@
  * Folders and files that meet the stricter rules. Modules are cleaned one after the other; the list only grows, and
  * once it names every module the stricter rules hold for the whole tree and it goes.
  */
-const cleanedModules = ['src/fleet', 'src/pipelines', 'src/repository-checks', 'src/workers'];
+const cleanedModules = [
+  'src/fleet',
+  'src/http',
+  'src/http.test.ts',
+  'src/http.ts',
+  'src/pipelines',
+  'src/repository-checks',
+  'src/workers',
+];
 
 /** A glob for each entry: a folder stands for all that is below it. */
 const cleanedFiles = cleanedModules.map((path) => (path.endsWith('.ts') ? path : `${path}/**/*.ts`));
--- a/src/http.test.ts
+++ b/src/http.test.ts
@@ -1,13 +1,13 @@
+/**
+ * Tests of HTTP client and server over sockets on loopback: limits of connections, and bodies as they were
+ * sent.
+ */
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { test } from 'node:test';
 import { PooledHttpClient, decode, encode, parseTarget, serve, WITHHELD } from './http.js';
 import { MAX_SINGLE_WRITE_BYTES } from './constants/http.js';
 
-/**
- * Sockets on loopback: what a node does at its limit of connections, and that bodies arrive as they were
- * sent.
- */
 const portOf = (server: http.Server): number => (server.address() as { port: number }).port;
 const failed = (error: unknown): void => assert.fail(String(error));
 
@@ -24,8 +24,8 @@
     req.on('error', reject);
   });
 
-test('http: a node left for all workers keeps room for users, health checks and siblings', async () => {
-  // Guards against a node whose sockets are all taken by workers that came over from others: users were
+test('http: a controller left for all workers keeps room for users, health checks and siblings', async () => {
+  // Guards against a controller whose sockets are all taken by workers that came over from others: users were
   // refused.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
@@ -36,13 +36,13 @@
   );
   const port = portOf(server);
   const workers = Array.from({ length: 60 }, () => new http.Agent({ keepAlive: true, maxSockets: 1 }));
-  const withheldFromSpotWork: (string | undefined)[] = [];
+  const connectionHeaders: (string | undefined)[] = [];
   for (const agent of workers) {
     const answer = await ask(port, '/hello', agent);
     assert.equal(answer.status, 200);
-    withheldFromSpotWork.push(answer.connection);
+    connectionHeaders.push(answer.connection);
   }
-  assert.equal(withheldFromSpotWork.filter((connection) => connection === 'keep-alive').length, 17);
+  assert.equal(connectionHeaders.filter((connection) => connection === 'keep-alive').length, 17);
   const users = [new http.Agent({ keepAlive: true }), new http.Agent({ keepAlive: true })];
   for (const agent of users) {
     const answer = await ask(port, '/ready', agent);
--- /dev/null
+++ b/src/http/client.ts
@@ -0,0 +1,124 @@
+/**
+ * HTTP client for one address, used for the key-value store, the cloud and other controllers. Direct commands
+ * to workers have a client of their own, `src/workers/worker-client.ts`.
+ */
+import * as http from 'node:http';
+import type { Socket } from 'node:net';
+import { MAX_IDLE_SOCKETS_PER_ADDRESS, MAX_RESPONSE_BYTES } from '../constants/http.js';
+import { WITHHELD, type CallOutcome, type HttpClient, type Target } from './model.js';
+import { decodeParts, encode, oneWrite } from './msgpack.js';
+
+type End = (outcome: CallOutcome) => void;
+
+/** One request, ready to be sent. */
+interface Exchange {
+  readonly options: http.RequestOptions;
+  readonly payload: Buffer | undefined;
+  readonly timeoutMs: number;
+  readonly maySend: (() => boolean) | undefined;
+}
+
+const CONTENT_TYPE = 'application/msgpack';
+
+const headersFor = (payload: Buffer | undefined): http.OutgoingHttpHeaders =>
+  payload ? { 'content-type': CONTENT_TYPE, 'content-length': payload.length } : { accept: CONTENT_TYPE };
+
+/** The value of a response; null: it has none, or none that can be unpacked. */
+const readValue = (parts: readonly Buffer[]): unknown => {
+  if (parts.length === 0) return null;
+  try {
+    return decodeParts(parts);
+  } catch {
+    // The status says what became of the request; callers check the value that they expect.
+    return null;
+  }
+};
+
+const receive = (request: http.ClientRequest, response: http.IncomingMessage, end: End): void => {
+  const parts: Buffer[] = [];
+  let size = 0;
+  response.on('data', (part: Buffer) => {
+    size += part.length;
+    if (size > MAX_RESPONSE_BYTES) request.destroy(new Error('answer too large'));
+    else parts.push(part);
+  });
+  response.on('end', () =>
+    end({ _tag: 'response', status: response.statusCode ?? 0, body: readValue(parts) }),
+  );
+  response.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
+  response.on('aborted', () => end({ _tag: 'noResponse', why: 'aborted' }));
+};
+
+/** Calls back once the request has an open connection. */
+const whenConnected = (request: http.ClientRequest, connected: () => void): void => {
+  request.once('socket', (socket: Socket) => {
+    if (socket.connecting) socket.once('connect', connected);
+    else connected();
+  });
+};
+
+/** Makes one request; resolves once, with what happens first. */
+const exchange = ({ options, payload, timeoutMs, maySend }: Exchange, resolve: End): void => {
+  let isOver = false;
+  const end: End = (outcome) => {
+    if (isOver) return;
+    isOver = true;
+    clearTimeout(timer);
+    resolve(outcome);
+  };
+  const request = http.request(options, (response) => receive(request, response, end));
+  const timer = setTimeout(() => {
+    end({ _tag: 'noResponse', why: 'timeout' });
+    request.destroy();
+  }, timeoutMs);
+  request.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
+  const send = (): void => {
+    if (payload) request.end(...oneWrite(payload));
+    else request.end();
+  };
+  if (!maySend) {
+    send();
+    return;
+  }
+  // Requests queue for connections inside the agent: nothing is handed over before the right is asked for.
+  whenConnected(request, () => {
+    if (isOver) return;
+    if (maySend()) {
+      send();
+      return;
+    }
+    end(WITHHELD);
+    request.destroy();
+  });
+};
+
+/** State: the connections to one address, which are kept open. */
+export class PooledHttpClient implements HttpClient {
+  private readonly agent: http.Agent;
+
+  constructor(
+    private readonly target: Target,
+    sockets: number,
+  ) {
+    this.agent = new http.Agent({
+      keepAlive: true,
+      maxSockets: sockets,
+      maxFreeSockets: Math.min(MAX_IDLE_SOCKETS_PER_ADDRESS, sockets),
+    });
+  }
+
+  request(
+    method: string,
+    path: string,
+    body: unknown,
+    timeoutMs: number,
+    maySend?: () => boolean,
+  ): Promise<CallOutcome> {
+    return new Promise((resolve) => {
+      const payload = body === undefined ? undefined : encode(body);
+      const { host, port } = this.target;
+      const options = { host, port, method, path, agent: this.agent, headers: headersFor(payload) };
+      exchange({ options, payload, timeoutMs, maySend }, resolve);
+    });
+  }
+}
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -161,7 +161,7 @@
         send: (
           ...[addr, token, agentEpoch, commands]: SendArguments
         ): Promise<{ _tag: 'refused'; heartbeat: null }> => {
-          const body = { ...(writeOrders(token, commands) as object), stint: agentEpoch };
+          const body = { ...writeOrders(token, commands), stint: agentEpoch };
           this.commands.push({ address: addr, body: messageOf(body) });
           return Promise.resolve({ _tag: 'refused', heartbeat: null });
         },
