--- a/src/fleet/boot-bound-types.test.ts
+++ b/src/fleet/boot-bound-types.test.ts
@@ -12,11 +12,11 @@
   ['gpu', { ...machineType, name: 'gpu', cpus: 96, gpus: 8, bootS: 30 }],
 ]);
 const waits = (...seconds: readonly number[]): readonly unknown[] =>
-  seconds.map((within) => ({ kind: 'wait', class: 'c', within_s: within, shardId: 0.9 }));
+  seconds.map((within) => ({ kind: 'wait', class: 'c', within_s: within, share: 0.9 }));
 
 /**
- * Guards that idle machines are kept where a boot is always too late: a park of machines that was up at the
- * start was returned idle and rented again all day, without the images that it had had.
+ * Guards that idle machines are kept where a boot is always too late: else they are released idle and
+ * provisioned again all day, without the images that they had.
  */
 const cases: readonly {
   readonly name: string;
@@ -32,7 +32,7 @@
   },
   { name: 'the loosest target decides', objectives: waits(1, 7), spec: {}, types: ['gpu'] },
   { name: 'a boot meets the loosest target', objectives: waits(10, 70), spec: {}, types: [] },
-  // Idle machines that were kept for a target of 25 s with a boot of 35 s cost far more than they saved.
+  // With a target of 25 s and a boot of 35 s, idle machines cost more than they save.
   { name: 'targets about as long as a boot', objectives: waits(20), spec: {}, types: [] },
   { name: 'only types that fit', objectives: waits(1), spec: { gpus: 8 }, types: ['gpu'] },
   { name: 'only types that are allowed', objectives: waits(1), spec: { types: ['cpu'] }, types: ['cpu'] },
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -96,22 +96,20 @@
   Array.from({ length: count }, (_, n) => `i-${String(n).padStart(6, '0')}`);
 
 /**
- * Parks of today, and of 4,000 machines: neither may need more calls or changes than there are machines to
- * name.
+ * Neither number of machines may need more calls or changes than there are machines to name.
  */
 for (const machines of [MACHINES, 4_000]) {
   const seconds = (machines / CHANGES_A_SECOND) * 2;
 
   test(`leader: ${machines} machines lost together go back in as few calls as the cloud allows`, async () => {
-    // A handful a call, at two calls a second, took minutes in which replacements had to wait for the cloud's
-    // rate.
+    // With a few a call, replacements would wait for the cloud's request rate.
     const { calls, state } = await withLeader(ids(machines), () => undefined, seconds + 10);
     assert.equal(calls.filter((path) => path === '/machines/release').length, Math.ceil(machines / 100));
     assert.deepEqual(state.keys('w/m/'), [], 'and their records are gone');
   });
 
-  test(`leader: ${machines} machines that are up at the start are taken over at the rate of the state service`, async () => {
-    // Each asks around once a second until it is recorded; a few a transaction took half a minute of that.
+  test(`leader: ${machines} machines that are up at the start are adopted at the rate of the state service`, async () => {
+    // Each worker reports to all controllers once a second until its machine is recorded.
     const { state } = await withLeader(
       [],
       (leader) => {
@@ -124,8 +122,8 @@
   });
 }
 
-test('leader: after its lease was in doubt it returns machines again under the same claim', async () => {
-  // Guards against duties that stayed where they were after an outage: nothing was returned until the next
+test('leader: after its lease was in doubt it releases machines again under the same claim', async () => {
+  // Guards against duties that stay where they are after an outage: nothing would be released until the next
   // leader.
   const doubtful = (): boolean => Date.now() > 3_000 && Date.now() < 6_000;
   const inDoubt: boolean[] = [];
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -3,7 +3,7 @@
  * Every controller has one; it acts only while this controller holds the leader claim. Each part owns its
  * state: the leader itself has none but the loop.
  */
-import type { Permit, ProvisioningJournal } from '@dalegate/fencing';
+import type { ProvisioningJournal } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { LEADERSHIP_CHECK_INTERVAL_MS, LEADER_ROUND_INTERVAL_MS } from '../constants/fleet.js';
 import type { ReleaseIntentView } from '../duties/admin-api.js';
@@ -18,14 +18,13 @@
 import { MachineIndex } from './machine-index.js';
 import { kindKey } from './machine-record.js';
 import { MachineRecorder } from './machine-recorder.js';
-import type { MachineTransfer } from './machine-transfer.js';
 import type { Reservation } from './reservation.js';
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 import type { ScalingStep } from './scaling-model.js';
 import { planSteps } from './scaling-plan.js';
 import type { ShardSummary } from './shard-summary.js';
-import { TransferOrders } from './transfer-orders.js';
+import { TransferOrders, type SendTransferOrder } from './transfer-orders.js';
 
 /** What the leader needs of the rest of the controller. */
 export interface LeaderDependencies extends FleetDependencies {
@@ -44,12 +43,7 @@
   /** Revision of this controller's leader claim; null: it must not act as the leader now. */
   readonly actingRevision: () => number | null;
   readonly summaries: () => readonly ShardSummary[];
-  /** Sends an order to the holder of the shard that has the machines. */
-  readonly orderTransfers: (
-    from: number,
-    transfers: readonly MachineTransfer[],
-    permit: Permit,
-  ) => Effect.Effect<unknown>;
+  readonly orderTransfers: SendTransferOrder;
 }
 
 /** Composes the parts, and runs their rounds while this controller leads. */
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -62,7 +62,7 @@
   });
 }
 
-test('machine index: machines that wait for their record count for the share that they are meant for', () => {
+test('machine index: machines that wait for their record count for the shard that they are meant for', () => {
   const queue = new AdoptionQueue();
   queue.add('a', machineRecord({ shardId: 1 }));
   queue.add('b', machineRecord({ shardId: 1, zone: 'y' }));
--- a/src/fleet/scaling-plan.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -115,13 +115,13 @@
     expect: ['rent 0 large a spot 1'],
   },
   {
-    name: 'a free machine of another share first',
+    name: 'a spare machine of another shard first',
     summaries: [summary(0, [need({})]), summary(1, [], [spare('m')])],
     expect: ['move m 1>0'],
   },
-  // A share names a few dozen spares of a kind; thousands of free machines beyond those were rented anew.
+  // A summary names a few dozen spares of a kind; those beyond must not be provisioned anew.
   {
-    name: 'also where the other share has more than it names',
+    name: 'also where the other shard has more than it names',
     summaries: [
       summary(0, [need({ tasks: 1_000 })]),
       {
@@ -132,7 +132,7 @@
     expect: ['move m 1>0'],
   },
   {
-    name: 'and rents what is missing beyond those',
+    name: 'and new ones for what is missing beyond those',
     summaries: [
       summary(0, [need({ tasks: 20 })]),
       {
@@ -184,7 +184,7 @@
     expect: ['rent 0 large b ordinary 1'],
   },
   {
-    name: 'a gang larger than any share is gathered from several',
+    name: 'a gang larger than any shard is gathered from several',
     summaries: [
       summary(0, [
         need({
@@ -202,7 +202,7 @@
     ],
     expect: ['move m 1>0', 'move n 2>0', 'hold a 0 job-3'],
   },
-  // Smaller jobs of its priority took whatever came free first, and the largest gangs waited for ever.
+  // Else smaller jobs of its priority take whatever comes free first, and the largest gangs wait for ever.
   {
     name: 'a gang that no zone has room for, nor the cloud, has machines gathered in one',
     summaries: [
@@ -250,15 +250,15 @@
     expect: ['hold a 0 job-4'],
   },
   {
-    name: 'a zone that could never hold it is not held',
+    name: 'a zone that could never run it is not reserved',
     summaries: [summary(0, [whole({ gangs: [gang(4, 20_000)] })])],
     refused: full,
     machines: { 'large a': 3, 'large b': 3 },
     expect: [],
   },
-  // What was gathered for a gang went to the next one each time machines were rented for its share.
+  // Else what was gathered for a gang goes to the next one each time machines are provisioned for its shard.
   {
-    name: 'a share that has not heard of its new machines keeps its hold, and gets no more',
+    name: 'a shard whose summary does not show its new machines keeps its reservation, and gets no more',
     summaries: [
       summary(0, [whole({ gangs: [gang(4, 20_000)] }), need({})]),
       summary(1, [whole({ gangs: [gang(3, 50_000)] })], [spare('m', { zone: 'b', spot: false })]),
@@ -269,7 +269,7 @@
     reservations: [reservation({})],
     expect: ['move m 1>0', 'hold b 0 job-4'],
   },
-  // A gang of eight changed its zone 46 times in 240 s: each time machines on their way showed nowhere.
+  // Else a gang changes its zone each time machines on their way show nowhere.
   {
     name: 'machines on their way count where they go, and are not ordered elsewhere',
     summaries: [
@@ -287,7 +287,7 @@
     expect: ['hold b 0 job-2'],
   },
   {
-    name: 'shares rent together',
+    name: 'shards get machines of one kind in one request',
     summaries: [summary(0, [need({})]), summary(1, [need({})])],
     expect: ['rent 0,1 large a spot 2'],
   },
@@ -319,8 +319,8 @@
   });
 }
 
-// As much was asked for as the bucket holds, and users and renewals never left it full: finished tasks,
-// releases and arrays were refused for minutes, and machines stood idle beside waiting work.
+// Users and renewals never leave the bucket full: a batch as large as it would be refused for minutes, and
+// machines would stand idle beside waiting work.
 test('budget: a batch as large as the bucket passes beside steady small calls, and is paid for', () => {
   let now = 0;
   const budget = new RateLimiter(12, 0.35, 2_000, () => now);
