--- a/src/constants/http.ts
+++ b/src/constants/http.ts
@@ -21,7 +21,7 @@
 export const LISTEN_BACKLOG_CONNECTIONS = 1024;
 /** Timeout of an unused incoming connection: the other end of one to a dead machine never closes. */
 export const CONNECTION_IDLE_TIMEOUT_MS = 60_000;
-/** Looks for unused connections in one idle timeout. */
+/** Checks for unused connections in one idle timeout. */
 export const IDLE_CHECKS_PER_TIMEOUT = 4;
 /** Timeout of the head of a request. */
 export const REQUEST_HEAD_TIMEOUT_MS = 30_000;
--- a/src/http/model.ts
+++ b/src/http/model.ts
@@ -32,8 +32,9 @@
   /**
    * Sends one request and resolves with its outcome; it never rejects for what happens on the wire.
    *
-   * @param body - Packed as MessagePack; undefined: the request has no body. @param maySend - Asked when a
-   * connection is there, immediately before the first byte leaves; false: the request is withheld.
+   * @param body - Packed as MessagePack; undefined: the request has no body.
+   * @param maySend - Asked when a connection is there, immediately before the first byte leaves; false: the
+   *   request is withheld.
    */
   request(
     method: string,
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -45,8 +45,9 @@
  * The changes that a report shows.
  *
  * @param underToken - The worker has said that it saw our current token, so that nothing of an earlier holder
- * can reach it any more. @param mayBeLate - Can a direct `run` of this attempt still arrive, since the worker
- * has not seen a token above the one that it carried? Then absence proves nothing.
+ *   can reach it any more.
+ * @param mayBeLate - Can a direct `run` of this attempt still arrive, since the worker has not seen a token
+ *   above the one that it carried? Then absence proves nothing.
  */
 export const readChanges = (
   machine: ShardMachine,
@@ -101,9 +102,10 @@
 /**
  * The commands in the answer to a report, after its changes are applied.
  *
- * @param underToken - As for `readChanges`. @param settled - Does the store no longer bind this attempt to
- * this machine, so that a later holder won't start it again once it is forgotten? @param now - The steady
- * clock, ms.
+ * @param underToken - As for `readChanges`.
+ * @param settled - Does the store no longer bind this attempt to this machine, so that a later holder won't
+ *   start it again once it is forgotten?
+ * @param now - The steady clock, ms.
  */
 export const answerCommands = (
   machine: ShardMachine,
