--- a/eslint.config.js
+++ b/eslint.config.js
@@ -18,11 +18,17 @@
   'src/constants/leases.ts',
   'src/controller',
   'src/duties',
+  'src/fleet',
+  'src/http',
+  'src/http.test.ts',
+  'src/http.ts',
   'src/kv-store',
   'src/main.ts',
   'src/peers',
+  'src/pipelines',
   'src/placement',
   'src/repository-checks',
+  'src/workers',
 ];
 
 /** A glob for each entry: a folder stands for all that is below it. */
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -6,7 +6,7 @@
  */
 import * as Effect from 'effect/Effect';
 import { readClaim } from '../claims/codec.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey, acknowledgementKey } from '../kv-store/keys.js';
 import type { LinearizableReads } from '../kv-store/linearizable-reads.js';
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -1,7 +1,7 @@
 /** Which subscribers each change of the shared keys is passed on to, and in which order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { newMachineRecord } from '../fleet/records.js';
+import { newMachineRecord } from '../fleet/machine-record.js';
 import { writeJobRecord } from '../jobs/codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { packIds } from '../pipelines/codec.js';
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -6,7 +6,7 @@
 import type { LeaseManager } from '../claims/lease-manager.js';
 import { MISROUTED_HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 import { PROTOCOL_VERSION } from '../constants/protocol.js';
-import type { Reservation } from '../fleet/records.js';
+import type { Reservation } from '../fleet/reservation.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { abridgedSummary } from '../placement/spare-machines.js';
 import type { KeyValueStore } from '../kv-store/client.js';
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -7,7 +7,7 @@
 import * as Fiber from 'effect/Fiber';
 import type { Cancellation } from '../cancellation/model.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import { log } from '../log.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import type { Shard } from '../placement/shard.js';
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -7,7 +7,7 @@
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { Cloud } from '../fleet/cloud.js';
 import { Leader } from '../fleet/leader.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import { parseTarget } from '../http.js';
 import { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { WorkerHeartbeat } from '../workers/model.js';
@@ -99,7 +99,7 @@
     catalog: storeAccess.catalog,
     actingRevision: () => leases.actingRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
-    move: (from, moves, permit) => transfers.order(from, moves, permit),
+    orderTransfers: (from, transferred, permit) => transfers.order(from, transferred, permit),
     now: clocks.steady,
     wall: clocks.wall,
   });
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -2,7 +2,7 @@
  * Finds the leader's reservations. No state; heartbeats announce them, shards leave reserved machines alone.
  */
 import type { Leader } from '../fleet/leader.js';
-import type { Reservation } from '../fleet/records.js';
+import type { Reservation } from '../fleet/reservation.js';
 import type { PeerView } from '../peers/peer-view.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { Coordination } from './coordination.js';
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -36,7 +36,7 @@
     cache: storeAccess.cache,
     finalRecords: storeAccess.finalRecords,
     ownsTeam: (team) => shards.isHeld(deployment.shardOf(team)),
-    changed: (jobs) => {
+    onChange: (jobs) => {
       for (const job of jobs) shards.forEach((shard) => shard.onEffectivePriority(job));
     },
   });
--- a/src/controller/spare-capacity.ts
+++ b/src/controller/spare-capacity.ts
@@ -1,7 +1,7 @@
 /**
  * Whether other shards have free machines for a job. No state; shards ask before they preempt for the job.
  */
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import { fitsIn, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 
 /** What the answer depends on. */
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -1,6 +1,6 @@
 /** What the leader knows of each shard. No state; the leader asks for it with each plan. */
 import type { LeaseManager } from '../claims/lease-manager.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { PeerView } from '../peers/peer-view.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -5,7 +5,8 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import type { LeaseManager } from '../claims/lease-manager.js';
-import type { MachineTransfer, Reservation } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
+import type { Reservation } from '../fleet/reservation.js';
 import type { PeerNetwork } from '../peers/network.js';
 import type { PeerView } from '../peers/peer-view.js';
 import { writeTransferOrder } from '../peers/order-codec.js';
--- a/src/fencing.test.ts
+++ b/src/fencing.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { writeMachineRecord } from './fleet/records.js';
+import { writeMachineRecord } from './fleet/machine-record-codec.js';
 import { machineRecord } from './testing/bodies.js';
 import { LeaderScenario } from './testing/leader-scenario.js';
 import type { LoopbackOptions, SeenRequest } from './testing/loopback.js';
--- a/src/kv-store/change-feed.test.ts
+++ b/src/kv-store/change-feed.test.ts
@@ -2,7 +2,8 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { writeMachineRecord, type MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
+import { writeMachineRecord } from '../fleet/machine-record-codec.js';
 import { writeJobRecord } from '../jobs/codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { decodeChange, type Change } from './change-feed.js';
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -2,7 +2,8 @@
  * Decodes the watch events of the shared keys into typed changes, each event once. No state; called by the
  * controller's change dispatcher.
  */
-import { readMachineRecord, type MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
+import { readMachineRecord } from '../fleet/machine-record-codec.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { JobRecord } from '../jobs/model.js';
 import type { StoredEntry, WatchEvent } from './model.js';
--- a/src/layout.test.ts
+++ b/src/layout.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readMachineRecord, writeMachineRecord, type MachineRecord } from './fleet/records.js';
+import type { MachineRecord } from './fleet/machine-record.js';
+import { readMachineRecord, writeMachineRecord } from './fleet/machine-record-codec.js';
 import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
 import type { JobRecord, JobSpec } from './jobs/model.js';
 import type { WireHeartbeat } from './peers/heartbeat-codec.js';
@@ -306,7 +307,7 @@
     processorMs: () => 0,
     incarnation: 'n0.1',
     createHttpClient: () => ({ request: () => Promise.resolve({ _tag: 'noResponse', why: 'none' }) }),
-    workerClient: { send: () => Promise.resolve({ _tag: 'unsure' }) },
+    workerClient: { send: () => Promise.resolve({ _tag: 'unknown' }) },
   });
   const reply = await controller.peerRoute({
     method: 'POST',
--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -5,7 +5,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decode, encode } from '../http.js';
-import type { Reservation, ShardSummary } from '../fleet/records.js';
+import type { Reservation } from '../fleet/reservation.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import { abridgedSummary } from '../placement/spare-machines.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
 import type { PeerHeartbeat } from './heartbeat.js';
--- a/src/peers/heartbeat.ts
+++ b/src/peers/heartbeat.ts
@@ -2,7 +2,8 @@
  * What controllers tell each other about once a second; `heartbeat-codec.ts` has the form in which it
  * travels. Types only: `controller/heartbeat.ts` builds heartbeats, `peer-view.ts` keeps those of the peers.
  */
-import type { Reservation, ShardSummary } from '../fleet/records.js';
+import type { Reservation } from '../fleet/reservation.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 
 /** Requests and changes a second that a controller asks of the key-value store. */
 export interface StoreDemand {
--- a/src/peers/order-codec.ts
+++ b/src/peers/order-codec.ts
@@ -2,7 +2,7 @@
  * Reads and writes orders between controllers and their answers, as they travel; the names of the fields and
  * their order are fixed. No state.
  */
-import type { MachineTransfer } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import type { TransferOrder, ReleaseOrder } from './orders.js';
 
 /** A transfer of one machine on the wire. */
--- a/src/peers/orders.ts
+++ b/src/peers/orders.ts
@@ -2,7 +2,8 @@
  * What controllers order each other to do; `order-codec.ts` and `relay-codec.ts` have the forms on the wire.
  * Types only.
  */
-import type { MachineTransfer, Reservation } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
+import type { Reservation } from '../fleet/reservation.js';
 
 /** The leader's order to the holder of a shard: machines that are to go to other shards. */
 export interface TransferOrder {
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -7,7 +7,7 @@
 import type { Cancellation } from '../cancellation/model.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import type { OrderVerifier, OrderVerdict } from '../duties/order-verifier.js';
-import type { MachineTransfer } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import type { ServerResponse } from '../http.js';
 import {
   readTransferOrder,
--- a/src/peers/peer-view.ts
+++ b/src/peers/peer-view.ts
@@ -4,7 +4,7 @@
  */
 import type { PeerStatus } from '../claims/claim-decisions.js';
 import { HEARTBEAT_FRESHNESS_MS, MAX_STEADY_HEARTBEAT_GAP_MS } from '../constants/peers.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { PeerHeartbeat, ShardTaskCounts, StoreDemand } from './heartbeat.js';
 
 /** The version of a controller whose heartbeat names none. */
--- a/src/peers/relay-codec.test.ts
+++ b/src/peers/relay-codec.test.ts
@@ -1,7 +1,7 @@
 /** Relayed orders and summaries with their exact stored texts, which must not change with names here. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { RelayedOrders } from './orders.js';
 import { readRelayedOrders, readRelayedSummary, writeRelayedOrders } from './relay-codec.js';
 import { writeSummary } from './summary-codec.js';
--- a/src/peers/relay-codec.ts
+++ b/src/peers/relay-codec.ts
@@ -2,7 +2,7 @@
  * Reads and writes what the relay stores in the key-value store; the names of the fields and their order are
  * fixed. No state.
  */
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import { readTransfer, writeTransfer, type WireTransfer } from './order-codec.js';
 import type { RelayedOrders } from './orders.js';
 import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
--- a/src/peers/relay-size.ts
+++ b/src/peers/relay-size.ts
@@ -4,7 +4,7 @@
  */
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { MAX_RELAYED_GANGS_PER_DEMAND, MIN_RELAYED_RESERVATIONS } from '../constants/peers.js';
-import type { ShardSummary, UnmetDemand } from '../fleet/records.js';
+import type { ShardSummary, UnmetDemand } from '../fleet/shard-summary.js';
 import type { RelayedOrders } from './orders.js';
 import { writeRelayedOrders } from './relay-codec.js';
 import { writeSummary } from './summary-codec.js';
--- a/src/peers/reservation-codec.ts
+++ b/src/peers/reservation-codec.ts
@@ -2,7 +2,7 @@
  * Reads and writes reservations as they travel in heartbeats and in relayed orders; the names of the fields
  * are fixed. No state.
  */
-import type { Reservation } from '../fleet/records.js';
+import type { Reservation } from '../fleet/reservation.js';
 
 /** A reservation on the wire. */
 export interface WireReservation {
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -7,7 +7,9 @@
 import * as Effect from 'effect/Effect';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { RELAY_CHECK_INTERVAL_MS, RELAY_FRESHNESS_MS, RELAY_INTERVAL_MS } from '../constants/peers.js';
-import type { MachineTransfer, Reservation, ShardSummary } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
+import type { Reservation } from '../fleet/reservation.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey, ordersKey, summaryKey } from '../kv-store/keys.js';
 import type { RelayedOrders } from './orders.js';
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -9,7 +9,7 @@
   UnlistedSpares,
   UnmetDemand,
   WaitingGang,
-} from '../fleet/records.js';
+} from '../fleet/shard-summary.js';
 import { readEntries } from './wire-values.js';
 
 /** A job that waits whole, on the wire. */
--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -82,7 +82,7 @@
         }
         if (result._tag === 'executed') this.onResponse(machine, result.heartbeat);
         return;
-      case 'unsure':
+      case 'unknown':
         machine.raiseToken = true;
         log.info({ event: 'direct_commands.unacknowledged', machine: machine.id, tasks: bindings.length });
         this.dependencies.requestRound();
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -5,7 +5,7 @@
  */
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
-import type { MachineTransfer } from '../fleet/records.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { MachineLiveness, MachineToRelease } from './machine-liveness.js';
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -7,7 +7,7 @@
   MAX_IMAGE_NAMES_BYTES,
   MAX_RECORD_BATCH_BYTES,
 } from '../constants/key-value-store.js';
-import { writeMachineRecord } from '../fleet/records.js';
+import { writeMachineRecord } from '../fleet/machine-record-codec.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -10,8 +10,8 @@
   RESERVED_IDLE_MACHINES,
 } from '../constants/placement.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { heldBy } from '../fleet/scaling-plan.js';
-import type { Reservation } from '../fleet/records.js';
+import { findReservation } from '../fleet/reservation.js';
+import type { Reservation } from '../fleet/reservation.js';
 import {
   fitsIn,
   hasAlternatives,
@@ -161,7 +161,7 @@
       images: machine.images,
       live,
       withheldFromSpotWork: withholdingOf(machine, idle, view),
-      reservedFor: heldBy(view.reservations, machine),
+      reservedFor: findReservation(view.reservations, machine),
       empty: machine.bound.size === 0,
     });
   }
--- a/src/placement/shard-changes.ts
+++ b/src/placement/shard-changes.ts
@@ -2,7 +2,7 @@
  * Takes changes of the shared records into a shard's state: machines, jobs, cancellations that other
  * controllers acknowledged. No state of its own; `Shard` hands on what the watch and other controllers say.
  */
-import type { MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
 import { readJobRecord } from '../jobs/codec.js';
 import type { JobRecord } from '../jobs/model.js';
 import { jobKey } from '../kv-store/keys.js';
--- a/src/placement/shard-context.ts
+++ b/src/placement/shard-context.ts
@@ -3,7 +3,7 @@
  * one `ShardContext` for each claim.
  */
 import type { Duty } from '@dalegate/fencing';
-import type { Reservation } from '../fleet/records.js';
+import type { Reservation } from '../fleet/reservation.js';
 import type { Catalog, Demand, FinalRecord, JobSpec } from '../jobs/model.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
--- a/src/placement/shard-model-factories.ts
+++ b/src/placement/shard-model-factories.ts
@@ -1,5 +1,5 @@
 /** New jobs and machines of a shard, as they are before anything has happened to them. No state. */
-import type { MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
 import type { Demand, JobRecord } from '../jobs/model.js';
 import type { ShardJob, ShardMachine } from './shard-model.js';
 
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -3,7 +3,7 @@
  * are made, stopped and taken through their phases. Heartbeats, records and rounds call it.
  */
 import { STOP_GRACE_EXTRA_S } from '../constants/workers.js';
-import type { MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
 import type { Demand, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { EffectivePriority, Readiness } from '../pipelines/graph.js';
--- a/src/placement/shard-summary-builder.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -3,7 +3,7 @@
  * what of it the leader was last notified of. `Shard` calls it at the end of each round.
  */
 import { SHARD_SUMMARY_INTERVAL_MS } from '../constants/peers.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { Catalog } from '../jobs/model.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { AvailableCapacity, UnplacedRequest } from './placement-model.js';
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -5,12 +5,10 @@
  * it.
  */
 import * as Effect from 'effect/Effect';
-import {
-  readMachineRecord,
-  type MachineRecord,
-  type MachineTransfer,
-  type ShardSummary,
-} from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
+import { readMachineRecord } from '../fleet/machine-record-codec.js';
+import type { MachineTransfer } from '../fleet/machine-transfer.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { Catalog, JobRecord } from '../jobs/model.js';
 import { MACHINE_PREFIX, machineOfKey } from '../kv-store/keys.js';
 import { log } from '../log.js';
--- a/src/placement/spare-machines.ts
+++ b/src/placement/spare-machines.ts
@@ -3,7 +3,7 @@
  * `ShardSummaryBuilder` and the heartbeat between controllers call it.
  */
 import { MAX_SPARES_PER_KIND } from '../constants/peers.js';
-import type { ShardSummary, SpareMachine, UnlistedSpares } from '../fleet/records.js';
+import type { ShardSummary, SpareMachine, UnlistedSpares } from '../fleet/shard-summary.js';
 import type { ShardMachine } from './shard-model.js';
 
 /** Free machines that may go to another shard. */
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -11,7 +11,7 @@
   RESERVE_DELAY_TARGET_FRACTION,
 } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import type { UnmetDemand, WaitingGang } from '../fleet/records.js';
+import type { UnmetDemand, WaitingGang } from '../fleet/shard-summary.js';
 import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import { packRequests } from './bin-packing.js';
 import type { AvailableCapacity, PlacementRequest, UnplacedRequest } from './placement-model.js';
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -6,7 +6,7 @@
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
-import { answer, readChanges } from '../workers/reconcile.js';
+import { answerCommands, readChanges } from '../workers/reconcile.js';
 import { isNewer, noteLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import { chunkOf } from './run-records.js';
@@ -163,7 +163,7 @@
       return null;
     const token = this.token(machine);
     if (!this.dependencies.isLoaded()) return { token, commands: this.stopsOfCancelled(heartbeat) };
-    const commands = answer(
+    const commands = answerCommands(
       machine,
       heartbeat,
       heartbeat.token === token,
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -4,7 +4,7 @@
  * follow.
  */
 import { tokenOf, type TombstoneRecord, type ProvisioningRecord } from '@dalegate/fencing';
-import type { MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
 import type { FinalRecord, JobRecord, JobSpec, MachineType } from '../jobs/model.js';
 import type { RunRecord } from '../placement/run-records.js';
 import type { Command } from '../workers/model.js';
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -8,7 +8,7 @@
 import { readDurableAcknowledgement, writeDurableAcknowledgement } from '../cancellation/codec.js';
 import { releaseWithoutIntent } from '../duties/release-without-intent.js';
 import { readStored, storeCatalog } from '../fleet/catalog.js';
-import { readMachineRecord, writeMachineRecord } from '../fleet/records.js';
+import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
 import {
   readFinalRecord,
   readJobRecord,
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -61,7 +61,7 @@
 
 /** Where the words of the wire belong. */
 const isWireModule = (path: string): boolean =>
-  path.endsWith('codec.ts') || ['src/settings/schema.ts', 'src/fleet/cloud.ts'].includes(path);
+  path.endsWith('codec.ts') || path === 'src/settings/schema.ts';
 
 /**
  * Modules that are yet to be cleaned, with the words that they still use. The list only shrinks: a word that
@@ -69,7 +69,6 @@
  */
 const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {
   'src/settings/teams.ts': ['sibling', 'siblings'],
-  'src/workers/worker-client.ts': ['stint'],
 };
 
 test('wire words: they stand in codecs and clients only, or are listed as yet to be cleaned', () => {
--- a/src/testing/bodies.ts
+++ b/src/testing/bodies.ts
@@ -1,4 +1,4 @@
-import type { MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
 import type { JobSpec } from '../jobs/model.js';
 
 /** A submission as users send it; what a test is about goes over it. */
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -8,7 +8,7 @@
 import { buildSync } from 'esbuild';
 import type { compose } from '../controller/compose.js';
 import type { Controller, Ports } from '../controller/ports.js';
-import type { MachineRecord } from '../fleet/records.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
 import type { CallOutcome, HttpClient } from '../http.js';
 import type { FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
 import type { RunRecord } from '../placement/run-records.js';
@@ -130,8 +130,8 @@
         _tag: 'refused',
         report: result.heartbeat === null ? null : toEarlierHeartbeat(result.heartbeat),
       };
-    case 'unsure':
-      return result;
+    case 'unknown':
+      return { _tag: 'unsure' };
   }
 };
 
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -4,7 +4,7 @@
  * plan of the leader's and one takeover.
  */
 import { planSteps } from '../fleet/scaling-plan.js';
-import type { ShardSummary } from '../fleet/records.js';
+import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { Catalog, JobSpec } from '../jobs/model.js';
 import {
   placementRequests,
@@ -201,11 +201,11 @@
       planSteps({
         summaries,
         catalog,
-        refused: () => true,
-        machines: () => all / 6,
+        isRefused: () => true,
+        machineCount: () => all / 6,
         reservations: [],
-        behind: new Set(),
-        moving: [],
+        outdatedShards: new Set(),
+        pendingTransfers: [],
       }),
     ).toFixed(2),
     'takeover ms': timed(() => records.map((record) => readRunRecord(record, 0))).toFixed(2),
