--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -5,6 +5,7 @@
  * several runs.
  */
 import { decode } from '../http.js';
+import { readHeartbeat } from '../peers/heartbeat-codec.js';
 import { PeerNetwork } from '../peers/network.js';
 import { peersOf, prepared, SETTLED_MS } from '../recorded-formats/deployment.js';
 import { recordedValue } from '../recorded-formats/fixtures.js';
@@ -66,11 +67,12 @@
 
 /** A peer that hears the heartbeats of `n1`, and has nothing to work out for its answers. */
 const listener = (): PeerNetwork => {
-  const answer = recordedValue('first-beats', 'n0 to n1');
+  const answer = readHeartbeat(recordedValue('first-beats', 'n0 to n1'));
+  if (answer === null) throw new Error('the recorded heartbeat names no sender');
   return new PeerNetwork({
     me: 'n0',
     peers: [{ node: 'n1', endpoint: 'n1:2' }],
-    heartbeat: () => answer as never,
+    heartbeat: () => answer,
     leader: () => undefined,
     now: () => START_MS,
     createHttpClient: () => ({ request: () => Promise.resolve({ _tag: 'noResponse', why: 'none' }) }),
