--- a/src/recorded-formats/command-line.ts
+++ b/src/recorded-formats/command-line.ts
@@ -10,12 +10,13 @@
 const PROGRAM = 'target/app/main.js';
 /** A port at which nobody listens. */
 const CLOSED_PORT = 9;
-/** The recorded answers, by path. */
-const ANSWERS: Readonly<Record<string, string>> = {
-  '/admin/v1/duties': 'GET /admin/v1/duties from 10.1.2.3: answer',
-  '/admin/v1/duties/move': 'GET /admin/v1/duties/move from 10.1.2.3: answer',
-  '/admin/v1/duties/lease-out': 'GET /admin/v1/duties/lease-out from 10.1.2.3: answer',
-  '/admin/v1/duties/rent%2Fx': 'GET /admin/v1/duties/rent/x from 10.1.2.3: answer',
+/** The recorded answers, by path; that of an outage stands where one of a duty would. */
+const ANSWERS: Readonly<Record<string, readonly [fixture: string, entry: string]>> = {
+  '/admin/v1/duties': ['leader', 'GET /admin/v1/duties from 10.1.2.3: answer'],
+  '/admin/v1/duties/move': ['leader', 'GET /admin/v1/duties/move from 10.1.2.3: answer'],
+  '/admin/v1/duties/adopt': ['users', 'duties in an outage: answer'],
+  '/admin/v1/duties/lease-out': ['leader', 'GET /admin/v1/duties/lease-out from 10.1.2.3: answer'],
+  '/admin/v1/duties/rent%2Fx': ['leader', 'GET /admin/v1/duties/rent/x from 10.1.2.3: answer'],
 };
 
 const run = (args: readonly string[], port: number): Promise<object> =>
@@ -33,7 +34,7 @@
 export const recordCommandLine = async (): Promise<Recording> => {
   const server = createServer((request, response) => {
     const entry = ANSWERS[request.url ?? ''];
-    const { status, text } = (entry === undefined ? {} : recordedJson('leader', entry)) as {
+    const { status, text } = (entry === undefined ? {} : recordedJson(...entry)) as {
       status?: number;
       text?: string;
     };
@@ -48,6 +49,7 @@
     ['duties', '--node', node, '--json'],
     ['duties', 'move', '--node', node],
     ['duties', 'move', '--node', node, '--json'],
+    ['duties', 'adopt', '--node', node],
     ['duties', 'lease-out', '--node', node],
     ['duties', 'rent/x', '--node', node],
     ['duties', 'unexpected', '--node', node],
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -318,7 +318,7 @@
   changes: 0.5,
   idleS: 3.25,
   ageMs: 250,
-  revision: 60,
+  revision: 900,
 };
 
 /** A message with fixed numbers for what follows the clock, all else and the order of fields kept. */
@@ -342,30 +342,11 @@
 });
 
 /** The machine types of all recordings, as they are stored. */
-export const CATALOG_JSON = JSON.stringify([
-  {
-    name: 'g8',
-    cpus: 64,
-    gpus: 8,
-    memoryGb: 256,
-    cacheGb: 100,
-    price: 8.5,
-    spotPrice: 2.25,
-    bootS: 40,
-    zones: ['x', 'y'],
-  },
-  {
-    name: 'c16',
-    cpus: 16,
-    gpus: 0,
-    memoryGb: 64,
-    cacheGb: 50,
-    price: 1,
-    spotPrice: 0.25,
-    bootS: 20,
-    zones: ['y'],
-  },
-]);
+export const CATALOG_JSON =
+  '[{"name":"g8","cpus":64,"gpus":8,"memoryGb":256,"cacheGb":100,"price":8.5,"spotPrice":2.25,"bootS":40,' +
+  '"zones":["x","y"]},' +
+  '{"name":"c16","cpus":16,"gpus":0,"memoryGb":64,"cacheGb":50,"price":1,"spotPrice":0.25,"bootS":20,' +
+  '"zones":["y"]}]';
 
 /** A worker that reports to the controller, in the protocol's words. */
 export class ReportingWorker {
@@ -415,7 +396,7 @@
   owner: 'blue',
   shape: 'group',
   urgency: 'urgent',
-  heads: 29,
+  heads: 55,
   vcpus: 8,
   accelerators: 8,
   memoryGb: 64.5,
--- a/src/recorded-formats/holder.ts
+++ b/src/recorded-formats/holder.ts
@@ -20,15 +20,18 @@
 /** ms between reports of all machines, and how often until the idle ones are returned. */
 const REPORT_MS = 3_000;
 const REPORTS_UNTIL_IDLE = 9;
-/** ms after which peers that say nothing are no longer heard, and a relayed summary is written. */
-const UNHEARD_MS = 6_000;
+/** ms in which a relayed summary and a mark are written. */
+const UNHEARD_MS = 5_000;
 /** ms without any report after which a share is handed over. */
 const DEAF_MS = 13_000;
 /** Revisions move with each relayed summary. */
-const RELAYED = { idleS: 3.25, waitedMs: 3_000, revision: 60 };
+const RELAYED = { idleS: 3.25, waitedMs: 3_000, revision: 900 };
 const MARKED = { r: 60 };
 
+/** The one machine in the zone of the jobs that are placed, so that it is known beforehand. */
+const PLACED_ON = 'i-000040';
 const ARRAY = {
+  paddock: 'y',
   shape: 'sweep',
   urgency: 'standard',
   together: false,
@@ -38,25 +41,46 @@
 };
 const ARRAY_TASKS = 14;
 
+/** Jobs that are submitted: two that find no machine, and three that are placed or follow. */
+const SUBMISSIONS: readonly object[] = [
+  submissionOf({}),
+  submissionOf({ ...ARRAY, uid: 'job-000413', heads: ARRAY_TASKS }),
+  submissionOf({
+    ...ARRAY,
+    uid: 'job-000414',
+    shape: 'service',
+    heads: 2,
+    vcpus: 12.5,
+    breeds: ['c16'],
+    paddock: 'y',
+    agistment: false,
+    dueS: null,
+  }),
+  submissionOf({ ...ARRAY, uid: 'job-000415', heads: 1, follows: ['job-000413'] }),
+  submissionOf({ ...ARRAY, uid: 'job-000416', heads: 1, vcpus: 1 }),
+];
+
 const headOf = (job: string, index: number, state: object): object => ({
   head: `${job}/${index}`,
   try: 1,
   ...state,
 });
 
-/** The worker on which the first task of a job was placed. */
-const workerOf = (controller: HarnessedController, workers: readonly ReportingWorker[], job: string) => {
-  const { b: rows } = controller.stored(`r/1/${job}/0`) as { b: [number, string, number][] };
-  const found = workers.find((worker) => worker.id === rows[0]?.[1]);
-  if (!found) throw new Error(`${job} is on no machine`);
+/** The worker on which the jobs are placed. */
+const placedOn = (workers: readonly ReportingWorker[]): ReportingWorker => {
+  const found = workers.find(({ id }) => id === PLACED_ON);
+  if (!found) throw new Error('no machine to place anything on');
   return found;
 };
 
-/** Records the holder of share 1. */
-export const recordHolder = async (): Promise<Recording> => {
+/** The holder while its peers answer. */
+const recordHeard = async (): Promise<Recording> => {
   const controller = await prepared('n1');
   return recordWith(controller, async (recording) => {
-    const workers = machineNames(1, 27).map((id) => new ReportingWorker(controller, id));
+    const workers = [
+      ...machineNames(1, 27).map((id) => new ReportingWorker(controller, id)),
+      new ReportingWorker(controller, PLACED_ON, 'y'),
+    ];
     const reportAll = async (): Promise<void> => {
       for (const worker of workers) await worker.report();
     };
@@ -79,12 +103,14 @@
 
     await recordSubmissions(controller, recording);
     await controller.advance(WAITED_MS, true);
-    await recordTasks(controller, workers, recording);
+    const worker = placedOn(workers);
+    await recordTasks(controller, worker, recording);
     await reportAll();
     await controller.advance(PLACED_MS);
     recording['beat to the leader'] = controller.lastBeat('n0');
     recording['beat to a peer'] = controller.lastBeat('n2');
-    await recordExits(controller, workers, recording);
+    await recordExits(controller, worker, recording);
+    await recordCancellation(controller, worker, recording);
 
     const claim = controller.state.version('w/c/1');
     recording['question for cancellations: answer'] = await controller.askPeer('/heed', [
@@ -98,7 +124,6 @@
     const released = workers.find(({ id }) => (controller.stored(`w/m/${id}`) as { r: boolean }).r);
     if (!released) throw new Error('no machine is returned');
     recording['machine record with a release intent'] = controller.stored(`w/m/${released.id}`);
-    await recordUnheard(controller, recording);
     await recordDeaf(controller, recording);
   });
 };
@@ -107,24 +132,7 @@
   controller: HarnessedController,
   recording: Record<string, unknown>,
 ): Promise<void> => {
-  const submissions: readonly object[] = [
-    submissionOf({}),
-    submissionOf({ ...ARRAY, uid: 'job-000413', heads: ARRAY_TASKS }),
-    submissionOf({
-      ...ARRAY,
-      uid: 'job-000414',
-      shape: 'service',
-      heads: 2,
-      vcpus: 12.5,
-      breeds: ['c16'],
-      paddock: 'y',
-      agistment: false,
-      dueS: null,
-    }),
-    submissionOf({ ...ARRAY, uid: 'job-000415', heads: 1, follows: ['job-000413'] }),
-    submissionOf({ ...ARRAY, uid: 'job-000416', heads: 1, vcpus: 1 }),
-  ];
-  for (const submission of submissions) {
+  for (const submission of SUBMISSIONS) {
     const { uid } = submission as { uid: string };
     recording[`submission of ${uid}: answer`] = await controller.ask('POST', '/v2/runs', submission);
     recording[`record w/j/${uid}`] = controller.stored(`w/j/${uid}`);
@@ -133,25 +141,20 @@
 
 const recordTasks = async (
   controller: HarnessedController,
-  workers: readonly ReportingWorker[],
+  worker: ReportingWorker,
   recording: Record<string, unknown>,
 ): Promise<void> => {
   recording['run record r/1/job-000413/0'] = controller.stored('r/1/job-000413/0');
   recording['direct commands'] = controller.commands.find(
     ({ body }) => (body.json as { calls: unknown[] }).calls.length > 0,
   );
-  const worker = workerOf(controller, workers, 'job-000413');
   recording['report of an idle machine: answer with tasks to run'] = await worker.report();
-  const tasks = Array.from({ length: ARRAY_TASKS }, (_, index) =>
-    headOf('job-000413', index, { status: index % 2 === 0 ? 'running' : 'pulling' }),
-  );
-  const other = workerOf(controller, workers, 'job-000416');
-  if (other === worker) worker.heads = [...tasks, headOf('job-000416', 0, { status: 'running' })];
-  else {
-    worker.heads = tasks;
-    other.heads = [headOf('job-000416', 0, { status: 'running' })];
-    await other.report();
-  }
+  worker.heads = [
+    ...Array.from({ length: ARRAY_TASKS }, (_, index) =>
+      headOf('job-000413', index, { status: index % 2 === 0 ? 'running' : 'pulling' }),
+    ),
+    headOf('job-000416', 0, { status: 'running' }),
+  ];
   recording['report of tasks: answer'] = await worker.report();
   recording['question for a running job: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
   recording['question for a waiting job: answer'] = await controller.ask('GET', '/v2/runs/job-000415');
@@ -159,32 +162,31 @@
 
 const recordExits = async (
   controller: HarnessedController,
-  workers: readonly ReportingWorker[],
+  worker: ReportingWorker,
   recording: Record<string, unknown>,
 ): Promise<void> => {
-  const worker = workerOf(controller, workers, 'job-000413');
-  const other = workerOf(controller, workers, 'job-000416');
   const done = { status: 'exited', cause: 'done' };
-  const exits = Array.from({ length: ARRAY_TASKS }, (_, index) =>
-    headOf('job-000413', index, index + 1 < ARRAY_TASKS ? done : { status: 'saving' }),
-  );
-  const single = headOf('job-000416', 0, done);
-  worker.heads = other === worker ? [...exits, single] : exits;
-  if (other !== worker) {
-    other.heads = [single];
-    await other.report();
-  }
+  worker.heads = [
+    ...Array.from({ length: ARRAY_TASKS }, (_, index) =>
+      headOf('job-000413', index, index + 1 < ARRAY_TASKS ? done : { status: 'saving' }),
+    ),
+    headOf('job-000416', 0, done),
+  ];
   await worker.report();
   await controller.advance(WRITTEN_MS);
   recording['run record with finished tasks'] = controller.stored('r/1/job-000413/0');
   recording['report of exits: answer that forgets them'] = await worker.report();
   recording['final record f/job-000416'] = controller.stored('f/job-000416');
   recording['question for a finished job: answer'] = await controller.ask('GET', '/v2/runs/job-000416');
-  const last = headOf('job-000413', ARRAY_TASKS - 1, { status: 'running' });
-  worker.heads = [last];
-  other.heads = other === worker ? [last] : [];
+  worker.heads = [headOf('job-000413', ARRAY_TASKS - 1, { status: 'running' })];
   await worker.report();
+};
 
+const recordCancellation = async (
+  controller: HarnessedController,
+  worker: ReportingWorker,
+  recording: Record<string, unknown>,
+): Promise<void> => {
   recording['cancellation: answer'] = await controller.ask('POST', '/v2/runs/job-000413/abort');
   recording['record of a cancelled job'] = controller.stored('w/j/job-000413');
   recording['report of a cancelled task: answer'] = await worker.report();
@@ -205,20 +207,26 @@
   );
 };
 
-/** Connections between controllers are refused. */
-const recordUnheard = async (
-  controller: HarnessedController,
-  recording: Record<string, unknown>,
-): Promise<void> => {
-  controller.respond = () => null;
-  await controller.advance(UNHEARD_MS);
-  recording['cancellation while no peer is heard: answer'] = await controller.ask(
-    'POST',
-    '/v2/runs/job-000414/abort',
-  );
-  await controller.advance(UNHEARD_MS);
-  recording['relayed summary w/s/1'] = masked(controller.stored('w/s/1'), RELAYED);
-  recording['mark w/k/1'] = masked(controller.stored('w/k/1'), MARKED);
+/** Connections between controllers are refused from the beginning. */
+const recordUnheard = async (): Promise<Recording> => {
+  const controller = await prepared('n1');
+  return recordWith(controller, async (recording) => {
+    const workers = machineNames(1, 27).map((id) => new ReportingWorker(controller, id));
+    for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
+    controller.start();
+    await controller.advance(SETTLED_MS);
+    for (const worker of [...workers, ...workers]) await worker.report();
+    for (const submission of SUBMISSIONS) await controller.ask('POST', '/v2/runs', submission);
+    await controller.advance(WAITED_MS, true);
+    for (const worker of workers) await worker.report();
+    recording['cancellation while no peer is heard: answer'] = await controller.ask(
+      'POST',
+      '/v2/runs/job-000413/abort',
+    );
+    await controller.advance(UNHEARD_MS);
+    recording['relayed summary w/s/1'] = masked(controller.stored('w/s/1'), RELAYED);
+    recording['mark w/k/1'] = masked(controller.stored('w/k/1'), MARKED);
+  });
 };
 
 /** No worker is heard here any more, while another controller hears them. */
@@ -240,3 +248,9 @@
   recording['beat of a node that workers do not reach'] = controller.lastBeat('n0');
   recording['claim taken'] = recordRequest(controller.firstTransaction('w/c/1'));
 };
+
+/** Records the holder of share 1. */
+export const recordHolder = async (): Promise<Recording> => ({
+  ...(await recordHeard()),
+  ...(await recordUnheard()),
+});
--- a/src/recorded-formats/leader.ts
+++ b/src/recorded-formats/leader.ts
@@ -19,12 +19,14 @@
 
 /** ms in which requests left open are settled, the machine list is read and a plan is made. */
 const PLANNED_MS = 4_000;
+/** ms in which a change of the shared keys shows. */
+const SHOWN_MS = 500;
 /** ms in which outcomes are written. */
 const OUTCOMES_MS = 4_000;
 /** ms after which a peer that says nothing is no longer heard. */
 const UNHEARD_MS = 3_000;
 /** ms in which moves that showed nowhere are ordered once more, by the relay. */
-const RELAYED_MS = 3_000;
+const RELAYED_MS = 6_000;
 
 /** Requests that an earlier leader left open: one to repeat, one to abandon, and one that cannot be read. */
 const BOOK_JSON = JSON.stringify({
@@ -57,6 +59,7 @@
   private readonly rentable: Promise<void>;
   private open: () => void = () => undefined;
   releases = false;
+  private rented = false;
   readonly silent = new Set<string>();
 
   constructor() {
@@ -88,6 +91,8 @@
     const { hire, howMany } = valueOf(request) as { hire: string; howMany: number };
     if (hire === 'r-1-7') return { status: 200, body: { drovers: ['i-000600', 'i-000601'] } };
     await this.rentable;
+    if (this.rented) return { status: 503, body: { error: 'no capacity' } };
+    this.rented = true;
     return { status: 200, body: { drovers: machineNames(700, howMany) } };
   }
 
@@ -106,7 +111,7 @@
   const controller = await prepared('n0', { level: false });
   for (const id of machineNames(1, 27))
     await controller.seed(`w/m/${id}`, new ReportingWorker(controller, id).recordJson(1));
-  for (const id of machineNames(28, 4))
+  for (const id of machineNames(28, 30))
     await controller.seed(`w/m/${id}`, new ReportingWorker(controller, id).recordJson(2));
   await controller.seed('w/m/i-000800', RELEASED_JSON);
   await controller.seed('w/m/i-000801', RELEASED_EARLIER_JSON);
@@ -123,6 +128,8 @@
     controller.start();
     await controller.advance(SETTLED_MS + PLANNED_MS);
     await recordOrdersToLeader(controller, surroundings, recording);
+    await controller.seed('w/c/2', '{"n":"n2","i":"n2.2"}');
+    await controller.advance(SHOWN_MS);
     await recordDuties(controller, recording);
     recording['book of rental requests i/rent, with an open one'] = controller.stored('i/rent');
     surroundings.answerRentals();
@@ -159,6 +166,9 @@
     'rental request of its own',
     (request) => request.path === '/machines' && (valueOf(request) as { hire: string }).hire !== 'r-1-7',
   );
+  recording['cloud: all rental requests'] = controller.sent
+    .filter(({ to, method, path }) => to === 'cloud' && method === 'POST' && path === '/machines')
+    .map(valueOf);
   recording['cloud: release'] = cloud('release', ({ path }) => path === '/machines/release');
   recording['cloud: list'] = cloud('list', ({ path }) => path.startsWith('/machines?'));
   recording['cloud: next page of the list'] = cloud('next page', ({ path }) => path.includes('since='));
@@ -191,10 +201,6 @@
   await ask('with malformed rows', '/heed', [[1, holder], 'job-000412', [1, holder, 'job-000412', 900]]);
   await ask('with another body', '/heed', { job: 'job-000412' });
   await ask('that does not exist', '/nothing', {});
-  for (const from of ['n1', 'n9'])
-    recording[`/beat of ${from}: answer`] = maskedReply(
-      await controller.askPeer('/beat', { ...(recordedValue('first-beats', 'n1 to n0') as object), from }),
-    );
 };
 
 const recordDuties = async (
@@ -234,4 +240,8 @@
   recording['relayed orders w/o/2'] = masked(controller.stored('w/o/2'));
   const { when } = valueOf(controller.firstTransaction('w/o/2')) as { when: unknown };
   recording['relayed orders: conditions'] = messageOf(when);
+  for (const from of ['n1', 'n9'])
+    recording[`/beat of ${from}: answer`] = maskedReply(
+      await controller.askPeer('/beat', { ...(recordedValue('first-beats', 'n1 to n0') as object), from }),
+    );
 };
--- a/src/recorded-formats/other-holder.ts
+++ b/src/recorded-formats/other-holder.ts
@@ -16,13 +16,13 @@
 
 /** The machines of share 1, and those of share 2. */
 const MACHINES_OF_SHARE_1 = machineNames(1, 27);
-const MACHINES_OF_SHARE_2 = machineNames(28, 4);
+const MACHINES_OF_SHARE_2 = machineNames(28, 30);
 /** ms until what was reported shows in the heartbeats. */
 const SHOWN_MS = 1_500;
 /** ms after which a peer that says nothing is no longer heard, and a relayed summary is written. */
 const UNHEARD_MS = 6_000;
 /** The revision that a summary reflects moves with each relayed one. */
-const RELAYED = { idleS: 3.25, waitedMs: 0, revision: 60 };
+const RELAYED = { idleS: 3.25, waitedMs: 0, revision: 900 };
 
 /** A job of share 1's team, as it is stored. */
 const JOB_JSON =
--- a/src/recorded-formats/users.ts
+++ b/src/recorded-formats/users.ts
@@ -166,6 +166,12 @@
     '/v2/runs',
     submissionOf({ uid: 'job-000418' }),
   );
+  recording['duties in an outage: answer'] = await controller.ask(
+    'GET',
+    '/admin/v1/duties',
+    undefined,
+    ADMIN_ADDRESS,
+  );
   recording['readiness in an outage of this node alone: answer'] = await controller.ask('GET', '/ready');
 };
 
