--- a/src/clocks.test.ts
+++ b/src/cluster-tests/clock-jumps.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { playDay, type Day, type Play } from './testing/day.js';
+import { playDay, type Day, type Play } from '../testing/scenario.js';
 
 /**
  * Somebody sets the time of day of one host. The protocol bounds it, so this is beyond what a deployment
--- a/src/meetings.test.ts
+++ b/src/cluster-tests/concurrent-faults.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NODES } from './testing/cluster.js';
-import { playDay, type Day, type Play } from './testing/day.js';
-import { TROUBLES } from './testing/troubles.js';
-import { Luck } from './testing/luck.js';
+import { NODES } from '../testing/cluster.js';
+import { playDay, type Day, type Play } from '../testing/scenario.js';
+import { TROUBLES } from '../testing/faults.js';
+import { Luck } from '../testing/seeded-random.js';
 
 /** A trouble from the list, beginning at this second, drawn from a seed of its own. */
 const at = (start: number, name: keyof typeof TROUBLES, seed: number): Day['troubles'] =>
--- a/src/service.test.ts
+++ b/src/cluster-tests/controllers.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import type { CallOutcome } from './http.js';
-import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from './testing/cluster.js';
-import { Luck } from './testing/luck.js';
-import { World } from './testing/world.js';
-import type { StandInJob } from './testing/worker-stand-in.js';
+import type { CallOutcome } from '../http.js';
+import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from '../testing/cluster.js';
+import { Luck } from '../testing/seeded-random.js';
+import { World } from '../testing/simulated-environment.js';
+import type { StandInJob } from '../testing/worker-stand-in.js';
 
 /**
  * The service's main path, end to end, against our stand-ins: loss, delay, restarts; one seed, virtual time.
--- a/src/fencing-queue.test.ts
+++ b/src/cluster-tests/frozen-leader-queue.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { LateAction } from './testing/late-actions.js';
-import { LeaderScenario } from './testing/leader-scenario.js';
-import type { SeenRequest } from './testing/loopback.js';
+import type { LateAction } from '../testing/late-actions.js';
+import { LeaderScenario } from '../testing/leader-scenario.js';
+import type { SeenRequest } from '../testing/loopback.js';
 
 const TIMEOUT_MS = 150_000;
 /** Freezes until one has to let a late action land where fencing is off. */
--- a/src/fencing.test.ts
+++ b/src/cluster-tests/frozen-leader.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { writeMachineRecord } from './fleet/machine-record-codec.js';
-import { machineRecord } from './testing/bodies.js';
-import { LeaderScenario } from './testing/leader-scenario.js';
-import type { LoopbackOptions, SeenRequest } from './testing/loopback.js';
+import { writeMachineRecord } from '../fleet/machine-record-codec.js';
+import { machineRecord } from '../testing/bodies.js';
+import { LeaderScenario } from '../testing/leader-scenario.js';
+import type { LoopbackOptions, SeenRequest } from '../testing/loopback.js';
 
 /**
  * Three real controllers on loopback. The leader is stopped by SIGSTOP in each window of renting and
--- a/src/badinput.test.ts
+++ b/src/cluster-tests/invalid-input.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NODES } from './testing/cluster.js';
-import { submission } from './testing/bodies.js';
-import { Play, type Day } from './testing/day.js';
+import { NODES } from '../testing/cluster.js';
+import { submission } from '../testing/bodies.js';
+import { Play, type Day } from '../testing/scenario.js';
 
 /**
  * What is malformed, can never run or is not known gets its own answer at once, under full load, right after
--- a/src/upgrade.test.ts
+++ b/src/cluster-tests/rolling-upgrade.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { before, test } from 'node:test';
-import type { MachineRecord } from './fleet/machine-record.js';
-import { readMachineRecord, writeMachineRecord } from './fleet/machine-record-codec.js';
-import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
-import type { JobRecord, JobSpec } from './jobs/model.js';
-import { readRunRecord, storeRun } from './placement/run-codec.js';
-import type { RunRecord } from './placement/run-records.js';
-import { playDay, type Day, type Play } from './testing/day.js';
-import { buildBeforeRenaming, buildProduction, type Production } from './testing/production.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
+import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
+import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from '../jobs/codec.js';
+import type { JobRecord, JobSpec } from '../jobs/model.js';
+import { readRunRecord, storeRun } from '../placement/run-codec.js';
+import type { RunRecord } from '../placement/run-records.js';
+import { playDay, type Day, type Play } from '../testing/scenario.js';
+import { buildBeforeRenaming, buildProduction, type Production } from '../testing/earlier-versions.js';
 
 /** The version in production and this one side by side: on each other's records, and on the same day. */
 let old: Production;
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -8,7 +8,7 @@
 import { WatchCache } from '../kv-store/watch-cache.js';
 import { machineRecord } from '../testing/bodies.js';
 import { leaderDuties } from '../testing/duties.js';
-import { StateStandIn } from '../testing/state-stand-in.js';
+import { StateStandIn } from '../testing/key-value-store-stand-in.js';
 import { Cloud } from './cloud.js';
 import { Leader } from './leader.js';
 import { writeMachineRecord } from './machine-record-codec.js';
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -14,7 +14,7 @@
 import { KeyValueStore } from '../kv-store/client.js';
 import { leaderDuties } from '../testing/duties.js';
 import { CloudStandIn } from '../testing/cloud-stand-in.js';
-import { reply, StateStandIn } from '../testing/state-stand-in.js';
+import { reply, StateStandIn } from '../testing/key-value-store-stand-in.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { CapacityRefusals } from './capacity-refusals.js';
 import { Cloud } from './cloud.js';
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -6,7 +6,7 @@
 import * as Fiber from 'effect/Fiber';
 import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
 import { answering, TIMED_OUT } from '../testing/answering-client.js';
-import { StateStandIn } from '../testing/state-stand-in.js';
+import { StateStandIn } from '../testing/key-value-store-stand-in.js';
 import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
 
--- a/src/layout.test.ts
+++ b/src/recorded-formats/earlier-layouts.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineRecord } from './fleet/machine-record.js';
-import { readMachineRecord, writeMachineRecord } from './fleet/machine-record-codec.js';
-import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
-import type { JobRecord, JobSpec } from './jobs/model.js';
-import type { WireHeartbeat } from './peers/heartbeat-codec.js';
-import type { WireReservation } from './peers/reservation-codec.js';
-import type { WireSpareMachine, WireSummary, WireUnmetDemand } from './peers/summary-codec.js';
-import { prepared, readRunRecord, storeRun, validating } from './placement/run-codec.js';
-import type { RunRecord } from './placement/run-records.js';
-import { compose } from './controller/compose.js';
-import * as keys from './kv-store/keys.js';
-import { settingsOf } from './testing/cluster.js';
+import type { MachineRecord } from '../fleet/machine-record.js';
+import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
+import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from '../jobs/codec.js';
+import type { JobRecord, JobSpec } from '../jobs/model.js';
+import type { WireHeartbeat } from '../peers/heartbeat-codec.js';
+import type { WireReservation } from '../peers/reservation-codec.js';
+import type { WireSpareMachine, WireSummary, WireUnmetDemand } from '../peers/summary-codec.js';
+import { prepared, readRunRecord, storeRun, validating } from '../placement/run-codec.js';
+import type { RunRecord } from '../placement/run-records.js';
+import { compose } from '../controller/compose.js';
+import * as keys from '../kv-store/keys.js';
+import { settingsOf } from '../testing/cluster.js';
 
 /**
  * Recorded fixtures of what earlier versions store and send: 79bc3b2, the last without pipelines, and
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -12,7 +12,7 @@
 import { ALL_FEATURES } from '../settings/features.js';
 import { checkNetworks } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
-import { StateStandIn } from '../testing/state-stand-in.js';
+import { StateStandIn } from '../testing/key-value-store-stand-in.js';
 import { writeOrders } from '../workers/codec.js';
 import { messageOf, type RecordedMessage } from './fixtures.js';
 
--- a/src/testing/cloud-stand-in.ts
+++ b/src/testing/cloud-stand-in.ts
@@ -3,7 +3,7 @@
  * effect.
  */
 import type { CallOutcome } from '../http.js';
-import { reply } from './state-stand-in.js';
+import { reply } from './key-value-store-stand-in.js';
 
 /** A rental or release as it reached the cloud. */
 export interface CloudAction {
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -7,7 +7,7 @@
 import type { Settings } from '../settings/schema.js';
 import { readWorkerHeartbeat } from '../workers/codec.js';
 import type { StandInJob } from './worker-stand-in.js';
-import type { World } from './world.js';
+import type { World } from './simulated-environment.js';
 
 /** Three composed controllers among the stand-ins, as processes that end and come back. */
 export const NODES = ['n0', 'n1', 'n2'] as const;
--- a/src/testing/troubles.ts
+++ b/src/testing/faults.ts
@@ -1,5 +1,5 @@
-import type { Luck } from './luck.js';
-import type { Play } from './day.js';
+import type { Luck } from './seeded-random.js';
+import type { Play } from './scenario.js';
 
 /** One trouble: what happens when, in s from its begin. */
 export type Trouble = (luck: Luck) => readonly (readonly [number, (day: Play) => void])[];
--- a/src/testing/hunt.ts
+++ b/src/testing/hunt.ts
@@ -2,9 +2,9 @@
  * Days drawn from pairs of troubles against our own stand-ins, for days beyond those of the tests:
  * `node target/testing/hunt.js FROM TO [trouble trouble]` plays the seeds and prints those that broke a rule.
  */
-import { Play, type Day } from './day.js';
-import { TROUBLES } from './troubles.js';
-import { Luck } from './luck.js';
+import { Play, type Day } from './scenario.js';
+import { TROUBLES } from './faults.js';
+import { Luck } from './seeded-random.js';
 
 /** A day with troubles drawn from a seed. */
 export const drawDay = (seed: number, wanted: readonly string[] = []): Day & { readonly names: string } => {
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -21,7 +21,7 @@
   type ServerResponse,
 } from '../http.js';
 import { CATALOG } from './cloud-stand-in.js';
-import { StateStandIn } from './state-stand-in.js';
+import { StateStandIn } from './key-value-store-stand-in.js';
 
 const [machinesText, secondsText, nodesText, ...flags] = process.argv.slice(2);
 const MACHINES = Number(machinesText ?? 300);
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -19,7 +19,7 @@
   type ServerResponse,
 } from '../http.js';
 import { CloudStandIn } from './cloud-stand-in.js';
-import { StateStandIn } from './state-stand-in.js';
+import { StateStandIn } from './key-value-store-stand-in.js';
 
 const HOST = '127.0.0.1';
 /** ms: between looks at a condition that is waited for. */
--- a/src/testing/day.ts
+++ b/src/testing/scenario.ts
@@ -2,8 +2,8 @@
 import type { CallOutcome } from '../http.js';
 import type { compose } from '../controller/compose.js';
 import { CANCEL_MS, Cluster, jobOf, LEASE_MS, NODES, REPORT_MS, STEP_MS, tick } from './cluster.js';
-import { Luck } from './luck.js';
-import { World } from './world.js';
+import { Luck } from './seeded-random.js';
+import { World } from './simulated-environment.js';
 import type { StandInJob } from './worker-stand-in.js';
 
 /** A drawn day of users, controllers and troubles, from one seed, with the rules checked as it goes. */
--- a/src/testing/world.ts
+++ b/src/testing/simulated-environment.ts
@@ -4,8 +4,8 @@
  */
 import type { CallOutcome } from '../http.js';
 
-import { Luck } from './luck.js';
-import { StateStandIn, copy, reply, type WireRecord } from './state-stand-in.js';
+import { Luck } from './seeded-random.js';
+import { StateStandIn, copy, reply, type WireRecord } from './key-value-store-stand-in.js';
 import { WorkerStandIn, type OnMachine, type StandInJob } from './worker-stand-in.js';
 /** The network, the cloud, and what the rules say. */
 export class World {
--- a/src/testing/worker-stand-in.ts
+++ b/src/testing/worker-stand-in.ts
@@ -3,8 +3,8 @@
  */
 
 import { readRedirect } from '../workers/codec.js';
-import { type WireRecord } from './state-stand-in.js';
-import type { World } from './world.js';
+import { type WireRecord } from './key-value-store-stand-in.js';
+import type { World } from './simulated-environment.js';
 /** A job with what its user knows of it. */
 export interface StandInJob {
   readonly body: WireRecord;
