--- a/src/cluster-tests/clock-jumps.test.ts
+++ b/src/cluster-tests/clock-jumps.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { playDay, type Day, type Play } from '../testing/scenario.js';
+import { runScenario, type Scenario, type ScenarioRun } from '../testing/scenario.js';
 
 /**
  * Somebody sets the time of day of one host. The protocol bounds it, so this is beyond what a deployment
@@ -10,17 +10,17 @@
 
 const setTime =
   (claimName: string, ms: number) =>
-  (day: Play): void => {
+  (day: ScenarioRun): void => {
     day.cluster.timeOfDayOffsets.set(day.holder(claimName), ms);
   };
-const mend = (day: Play): void => day.cluster.timeOfDayOffsets.clear();
+const mend = (day: ScenarioRun): void => day.cluster.timeOfDayOffsets.clear();
 
-const rows: readonly (Day & { readonly name: string })[] = [
+const rows: readonly (Scenario & { readonly name: string })[] = [
   {
     name: "the leader's time jumps an hour forward, and back",
     seed: 301,
     jobs: 10,
-    troubles: [
+    faults: [
       [30, setTime('L', HOUR_MS)],
       [60, mend],
     ],
@@ -29,7 +29,7 @@
     name: "the leader's time jumps an hour back while jobs are cancelled",
     seed: 302,
     jobs: 10,
-    troubles: [
+    faults: [
       [30, setTime('L', -HOUR_MS)],
       [40, (day) => day.cancelRunning(2)],
       [60, mend],
@@ -39,7 +39,7 @@
     name: 'the time of the holder of a share jumps forward in an outage',
     seed: 303,
     jobs: 10,
-    troubles: [
+    faults: [
       [30, (day) => day.world.state.outage(true)],
       [33, setTime('0', HOUR_MS)],
       [45, (day) => day.world.state.outage(false)],
@@ -48,5 +48,5 @@
   },
 ];
 for (const row of rows) {
-  test(`clocks: ${row.name}`, { timeout: 240_000 }, async () => assert.deepEqual(await playDay(row), []));
+  test(`clocks: ${row.name}`, { timeout: 240_000 }, async () => assert.deepEqual(await runScenario(row), []));
 }
--- a/src/cluster-tests/concurrent-faults.test.ts
+++ b/src/cluster-tests/concurrent-faults.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { NODES } from '../testing/cluster.js';
-import { playDay, type Day, type Play } from '../testing/scenario.js';
-import { TROUBLES } from '../testing/faults.js';
-import { Luck } from '../testing/seeded-random.js';
+import { runScenario, type Scenario, type ScenarioRun } from '../testing/scenario.js';
+import { FAULTS } from '../testing/faults.js';
+import { SeededRandom } from '../testing/seeded-random.js';
 
 /** A trouble from the list, beginning at this second, drawn from a seed of its own. */
-const at = (start: number, name: keyof typeof TROUBLES, seed: number): Day['troubles'] =>
-  (TROUBLES[name]?.(new Luck(seed)) ?? []).map(([offset, happen]) => [start + offset, happen] as const);
+const at = (start: number, name: keyof typeof FAULTS, seed: number): Scenario['faults'] =>
+  (FAULTS[name]?.(new SeededRandom(seed)) ?? []).map(([offset, happen]) => [start + offset, happen] as const);
 
 /** Troubles that meet, each brought about against our own stand-ins. */
 /** The gap again, with its times drawn: refusal, cancellations, outage, and a crash or a takeover in it. */
-const drawnGap = (seed: number): Day & { readonly name: string } => {
-  const luck = new Luck(seed);
-  const tenths = (below: number): number => luck.below(below * 10) / 10;
+const drawnGap = (seed: number): Scenario & { readonly name: string } => {
+  const random = new SeededRandom(seed);
+  const tenths = (below: number): number => random.below(below * 10) / 10;
   const refused = 36 + tenths(8);
   const outage = refused + 0.3 + tenths(5);
   const over = outage + 20 + tenths(40);
@@ -23,21 +23,22 @@
     seed,
     jobs: 9,
     runS: [90, 140],
-    troubles: [
+    faults: [
       [refused, (day) => day.world.state.refused.add(day.busiest())],
       ...[0, 1, 2].map(
-        () => [refused - 1 + tenths(4), (day: Play) => day.cancelRunning(1 + luck.below(3))] as const,
+        () =>
+          [refused - 1 + tenths(4), (day: ScenarioRun) => day.cancelRunning(1 + random.below(3))] as const,
       ),
       [outage, (day) => day.world.state.outage(true)],
       [refused + 1 + tenths(30), (day) => day.world.state.refused.clear()],
       [crash, (day) => day.cluster.down(NODES[seed % 3] ?? 'n0')],
-      [crash + (luck.chance(0.5) ? 0.1 : 4), (day) => day.cluster.up(NODES[seed % 3] ?? 'n0')],
+      [crash + (random.chance(0.5) ? 0.1 : 4), (day) => day.cluster.up(NODES[seed % 3] ?? 'n0')],
       [over, (day) => day.world.state.outage(false)],
     ],
   };
 };
 
-const rows: readonly (Day & { readonly name: string })[] = [
+const rows: readonly (Scenario & { readonly name: string })[] = [
   // The holder never saw the cancellation, and rode out the outage that followed, answering its workers all
   // the while.
   ...[21, 22, 23].map((seed) => ({
@@ -45,13 +46,13 @@
     seed,
     jobs: 9,
     runS: [90, 140] as const,
-    troubles: [
+    faults: [
       [40, (day) => day.world.state.refused.add(day.busiest())],
       [40.1, (day) => day.cancelRunning(8)],
       [41, (day) => day.world.state.outage(true)],
       [55, (day) => day.world.state.refused.clear()],
       [98, (day) => day.world.state.outage(false)],
-    ] satisfies Day['troubles'],
+    ] satisfies Scenario['faults'],
   })),
   ...[71, 72, 73, 74].map(drawnGap),
 
@@ -62,7 +63,7 @@
     seed: 31,
     jobs: 10,
     runS: [60, 120],
-    troubles: [
+    faults: [
       ...at(35, 'slowState', 1),
       [40, (day) => day.cancelRunning(3)],
       [44, (day) => day.world.state.refused.add(day.busiest())],
@@ -78,7 +79,7 @@
     name: 'reports held back until a new holder has acted, then delivered there',
     seed: 32,
     runS: [20, 60],
-    troubles: [
+    faults: [
       [35, (day) => day.world.hold('n0', day.working())],
       [36, (day) => day.cluster.down('n0')],
       [36.1, (day) => day.cluster.up('n0')],
@@ -92,7 +93,7 @@
     name: 'transactions without an answer, carried out after newer ones of the same controller',
     seed: 33,
     runS: [10, 40],
-    troubles: [
+    faults: [
       [15, (day) => (day.world.lateWrites = 0.25)],
       [45, (day) => day.cancelRunning(3)],
       [60, (day) => day.cluster.down(day.busiest())],
@@ -106,9 +107,9 @@
     name: 'commands held up with their machines, which then go on',
     seed: 34,
     runS: [15, 50],
-    troubles: [10, 20, 30, 42, 54].flatMap((start, k) => [
+    faults: [10, 20, 30, 42, 54].flatMap((start, k) => [
       ...at(start, 'hang', k),
-      [start + 1, (day: Play) => day.cancelRunning(1)] as const,
+      [start + 1, (day: ScenarioRun) => day.cancelRunning(1)] as const,
     ]),
   },
   // 6. What is not proven gone counts, cancelled or not, from before the first bind of a takeover.
@@ -119,7 +120,7 @@
     everyS: 1,
     tasks: 16,
     runS: [25, 60],
-    troubles: [
+    faults: [
       ...at(40, 'cut', 3),
       [40.5, (day) => day.cluster.down(day.busiest())],
       [41, (day) => day.cancelRunning(3)],
@@ -132,7 +133,7 @@
     name: 'all controllers away for longer than a lease',
     seed: 37,
     runS: [15, 60],
-    troubles: [
+    faults: [
       [40, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
       [59, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
     ],
@@ -143,7 +144,7 @@
     seed: 38,
     jobs: 10,
     runS: [80, 120],
-    troubles: [
+    faults: [
       ...at(40, 'isolated', 2),
       [41, (day) => day.cancelRunning(4)],
       [50, (day) => day.cancelRunning(3)],
@@ -154,7 +155,7 @@
     name: 'workers that reach no controller while direct commands reach them',
     seed: 39,
     runS: [15, 60],
-    troubles: [...at(30, 'mute', 1), ...at(45, 'mute', 7), [50, (day) => day.cancelRunning(2)]],
+    faults: [...at(30, 'mute', 1), ...at(45, 'mute', 7), [50, (day) => day.cancelRunning(2)]],
   },
   // 10. The final record and the cancellation are conditional on the same key: one of them comes first, for
   //     everybody.
@@ -164,14 +165,14 @@
     jobs: 16,
     runS: [6, 14],
     cancelAtEnd: 0.6,
-    troubles: [],
+    faults: [],
   },
   // 11. Whatever lives in a holder's memory only (sick, deaf, waited) is lost ten times.
   {
     name: 'ten changes of holder in two minutes, an outage among them',
     seed: 41,
     runS: [15, 60],
-    troubles: [
+    faults: [
       ...at(20, 'changes', 1),
       [70, (day) => day.world.state.outage(true)],
       [88, (day) => day.world.state.outage(false)],
@@ -185,7 +186,7 @@
     seed: 42,
     jobs: 8,
     runS: [70, 110],
-    troubles: [
+    faults: [
       ...at(35, 'deaf', 5),
       ...at(36, 'cut', 6),
       [38, (day) => day.cluster.down(day.busiest())],
@@ -198,7 +199,7 @@
     name: 'old reports after newer ones, from earlier sessions and attempts, across takeovers',
     seed: 43,
     runS: [10, 40],
-    troubles: [
+    faults: [
       [10, (day) => (day.world.lateReports = 0.5)],
       ...at(30, 'cut', 2),
       [45, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
@@ -215,7 +216,7 @@
     jobs: 12,
     runS: [5, 25],
     apart: true,
-    troubles: [20, 34, 48, 62].flatMap((start, k) => at(start, 'crashBusiest', k)),
+    faults: [20, 34, 48, 62].flatMap((start, k) => at(start, 'crashBusiest', k)),
   },
   // 15. More than there is room for, over links that lose much: nothing is bound twice or waits for ever.
   {
@@ -225,7 +226,7 @@
     everyS: 1,
     runS: [15, 40],
     loss: 0.02,
-    troubles: [
+    faults: [
       [10, (day) => (day.world.stateSlowMs = 600)],
       [90, (day) => (day.world.stateSlowMs = 0)],
       [91, (day) => (day.world.loss = 0)],
@@ -236,7 +237,7 @@
     name: 'controllers hand over and back, all end, and one returns within a second',
     seed: 46,
     runS: [15, 50],
-    troubles: [
+    faults: [
       ...at(25, 'roll', 4),
       [60, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
       [60.4, (day) => day.cluster.up('n1')],
@@ -254,7 +255,7 @@
     jobs: 16,
     everyS: 2,
     runS: [20, 50],
-    troubles: [
+    faults: [
       ...at(25, 'cut', 8),
       ...at(28, 'dies', 1),
       ...at(45, 'dies', 2),
@@ -269,7 +270,7 @@
     name: 'a zone with workers and a controller is cut off for longer than a lease, its messages come late',
     seed: 48,
     runS: [20, 70],
-    troubles: [
+    faults: [
       [
         35,
         (day) => {
@@ -293,7 +294,7 @@
     seed: 81,
     jobs: 6,
     pipelines: 6,
-    troubles: [18, 30, 41, 53].flatMap((start, k) => at(start, 'crashBusiest', k)),
+    faults: [18, 30, 41, 53].flatMap((start, k) => at(start, 'crashBusiest', k)),
   },
   {
     name: 'pipelines called off while holders are cut off, refused and replaced, then an outage',
@@ -301,7 +302,7 @@
     jobs: 5,
     pipelines: 7,
     everyS: 2,
-    troubles: [
+    faults: [
       [18, (day) => day.cancelPipelines(1)],
       ...at(24, 'isolated', 3),
       [25, (day) => day.cancelPipelines(2)],
@@ -317,7 +318,7 @@
     seed: 83,
     jobs: 5,
     pipelines: 6,
-    troubles: [
+    faults: [
       ...at(10, 'lateWrites', 2),
       ...at(12, 'lateReports', 3),
       ...at(14, 'copies', 4),
@@ -330,4 +331,6 @@
 ];
 
 for (const row of rows)
-  test(`meeting: ${row.name}`, { timeout: 240_000 }, async () => assert.deepEqual(await playDay(row), []));
+  test(`meeting: ${row.name}`, { timeout: 240_000 }, async () =>
+    assert.deepEqual(await runScenario(row), []),
+  );
--- a/src/cluster-tests/controllers.test.ts
+++ b/src/cluster-tests/controllers.test.ts
@@ -2,8 +2,8 @@
 import { mock, test } from 'node:test';
 import type { CallOutcome } from '../http.js';
 import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from '../testing/cluster.js';
-import { Luck } from '../testing/seeded-random.js';
-import { World } from '../testing/simulated-environment.js';
+import { SeededRandom } from '../testing/seeded-random.js';
+import { SimulatedEnvironment } from '../testing/simulated-environment.js';
 import type { StandInJob } from '../testing/worker-stand-in.js';
 
 /**
@@ -14,23 +14,23 @@
   ['blue', 16],
 ]);
 
-type Trouble = (world: World, cluster: Cluster) => void;
+type Fault = (world: SimulatedEnvironment, cluster: Cluster) => void;
 const days: readonly {
   name: string;
   seed: number;
   loss: number;
-  troubles: readonly (readonly [number, Trouble])[];
+  faults: readonly (readonly [number, Fault])[];
   copies?: number;
   /** Starts of one task at most. */
   most?: number;
 }[] = [
-  { name: 'a quiet day', seed: 1, loss: 0, troubles: [] },
-  { name: 'messages lost, and some delivered long after', seed: 2, loss: 0.01, troubles: [] },
+  { name: 'a quiet day', seed: 1, loss: 0, faults: [] },
+  { name: 'messages lost, and some delivered long after', seed: 2, loss: 0.01, faults: [] },
   {
     name: 'one controller killed and back at once, then all three',
     seed: 3,
     loss: 0.002,
-    troubles: [
+    faults: [
       [15, (_, cluster) => cluster.down('n0')],
       [15.3, (_, cluster) => cluster.up('n0')],
       [30, (_, cluster) => NODES.forEach((node) => cluster.down(node))],
@@ -41,7 +41,7 @@
     name: 'a state outage longer than a lease, a controller refused by the state alone, machines dying',
     seed: 4,
     loss: 0.002,
-    troubles: [
+    faults: [
       [20, (world) => world.state.outage(true)],
       [40, (world) => world.state.outage(false)],
       [50, (world) => world.state.refused.add('n1')],
@@ -60,7 +60,7 @@
     name: 'machines cut off at work: for less than their lease, then for longer',
     seed: 5,
     loss: 0.001,
-    troubles: [
+    faults: [
       [24, (world) => world.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
       [36, (world) => world.machines.forEach((machine) => (machine.cut = false))],
       [48, (world) => world.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
@@ -72,7 +72,7 @@
     name: 'a machine whose reports arrive but which hears nothing, at work and then for long',
     seed: 6,
     loss: 0,
-    troubles: [
+    faults: [
       [
         24,
         (world) =>
@@ -92,7 +92,7 @@
     seed: 8,
     loss: 0.001,
     copies: 0.15,
-    troubles: [
+    faults: [
       [22, (_, cluster) => cluster.down('n1')],
       [22.1, (_, cluster) => cluster.up('n1')],
       [40, (_, cluster) => cluster.down('n0')],
@@ -106,7 +106,7 @@
     name: 'a controller that loses the state and its siblings, but not its workers; then another',
     seed: 9,
     loss: 0,
-    troubles: [
+    faults: [
       [20, (world) => world.sever('n0', ['state', 'mesh-n1', 'mesh-n2'])],
       [50, (world) => world.sever('n0', [])],
       [62, (world) => world.sever('n1', ['state', 'mesh-n0', 'mesh-n2'])],
@@ -117,11 +117,11 @@
     name: 'processes back within 0.1 s, several times in a row, also while claims are taken over',
     seed: 10,
     loss: 0.001,
-    troubles: [20, 20.4, 21, 25, 25.3, 26, 30.2, 30.4].flatMap((at, k) => {
+    faults: [20, 20.4, 21, 25, 25.3, 26, 30.2, 30.4].flatMap((at, k) => {
       const node = NODES[k % 2] ?? 'n0';
       return [
-        [at, (_: World, cluster: Cluster) => cluster.down(node)],
-        [at + 0.1, (_: World, cluster: Cluster) => cluster.up(node)],
+        [at, (_: SimulatedEnvironment, cluster: Cluster) => cluster.down(node)],
+        [at + 0.1, (_: SimulatedEnvironment, cluster: Cluster) => cluster.up(node)],
       ] as const;
     }),
   },
@@ -129,7 +129,7 @@
     name: 'connections between controllers refused for long',
     seed: 11,
     loss: 0,
-    troubles: [
+    faults: [
       [
         18,
         (world) =>
@@ -148,7 +148,14 @@
 for (const day of days) {
   test(`service: ${day.name}`, { timeout: 120_000 }, async () => {
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-    const world = new World(NODES, new Luck(day.seed), 15_000, 3_000, LIMITS, CANCEL_MS);
+    const world = new SimulatedEnvironment(
+      NODES,
+      new SeededRandom(day.seed),
+      15_000,
+      3_000,
+      LIMITS,
+      CANCEL_MS,
+    );
     const cluster = new Cluster(world);
     try {
       const begin = Date.now();
@@ -175,7 +182,7 @@
       const user = async (job: StandInJob, order: number): Promise<void> => {
         await new Promise((resolve) => setTimeout(resolve, 3_000 + order * 4_000));
         const ask = (method: string, path: string, body?: unknown): Promise<CallOutcome> =>
-          world.call('user', NODES[world.luck.below(3)] ?? 'n0', method, path, body, 2_000);
+          world.call('user', NODES[world.random.below(3)] ?? 'n0', method, path, body, 2_000);
         world.jobs.set(job.id, job);
         for (;;) {
           const answer = await ask('POST', '/v2/runs', job.body);
@@ -231,20 +238,19 @@
           }
         }
       };
-      const troubles = [...day.troubles];
+      const faults = [...day.faults];
       const end = begin + 400_000;
-      const lastTrouble = begin + (troubles.at(-1)?.[0] ?? 0) * 1000;
+      const lastFault = begin + (faults.at(-1)?.[0] ?? 0) * 1000;
       let asked = false;
       while (Date.now() < end && !(asked && jobs.every((job) => job.doneTold))) {
-        if (!asked && Date.now() > lastTrouble + 60_000) {
+        if (!asked && Date.now() > lastFault + 60_000) {
           asked = true;
           void askAll();
         }
         mock.timers.tick(STEP_MS);
         await tick();
         world.step();
-        while (troubles[0] && Date.now() - begin >= troubles[0][0] * 1000)
-          troubles.shift()?.[1](world, cluster);
+        while (faults[0] && Date.now() - begin >= faults[0][0] * 1000) faults.shift()?.[1](world, cluster);
       }
       assert.deepEqual(world.broken, []);
       assert.deepEqual(
@@ -255,7 +261,7 @@
       assert.ok(
         world.starts.length >= jobs.reduce((sum, job) => sum + (job.cancelledAt === null ? job.tasks : 0), 0),
       );
-      assert.equal(troubles.length, 0, 'the day was long enough for its troubles');
+      assert.equal(faults.length, 0, 'the day was long enough for its troubles');
       const starts = new Map<string, number>();
       for (const start of world.starts) {
         const task = start.slice(0, start.indexOf('@'));
@@ -285,9 +291,9 @@
 // Smaller jobs of their priority took whatever came free first, and the largest gangs never began.
 test('service: of a saturated mix the largest gangs begin within 240 s, and each class and team is half served', async () => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-  const world = new World(
+  const world = new SimulatedEnvironment(
     NODES,
-    new Luck(13),
+    new SeededRandom(13),
     15_000,
     3_000,
     new Map([
@@ -370,7 +376,7 @@
 
 test('service: a late report of a machine that was released does not bring it back for good', async () => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-  const world = new World(NODES, new Luck(12), 15_000, 3_000, LIMITS, CANCEL_MS);
+  const world = new SimulatedEnvironment(NODES, new SeededRandom(12), 15_000, 3_000, LIMITS, CANCEL_MS);
   const cluster = new Cluster(world);
   const pass = async (ms: number): Promise<void> => {
     for (const end = Date.now() + ms; Date.now() < end;) {
@@ -405,7 +411,7 @@
   { timeout: 120_000 },
   async () => {
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-    const world = new World(NODES, new Luck(7), 15_000, 3_000, LIMITS, CANCEL_MS);
+    const world = new SimulatedEnvironment(NODES, new SeededRandom(7), 15_000, 3_000, LIMITS, CANCEL_MS);
     const cluster = new Cluster(world);
     const pass = async (ms: number): Promise<void> => {
       for (const end = Date.now() + ms; Date.now() < end;) {
--- a/src/cluster-tests/invalid-input.test.ts
+++ b/src/cluster-tests/invalid-input.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { NODES } from '../testing/cluster.js';
 import { submission } from '../testing/bodies.js';
-import { Play, type Day } from '../testing/scenario.js';
+import { ScenarioRun, type Scenario } from '../testing/scenario.js';
 
 /**
  * What is malformed, can never run or is not known gets its own answer at once, under full load, right after
@@ -46,7 +46,7 @@
 test('bad input: its own answer at once, whatever else goes on', { timeout: 240_000 }, async () => {
   const wrong: string[] = [];
   const answers = new Map<string, number>();
-  const askAll = (day: Play, when: string): void => {
+  const askAll = (day: ScenarioRun, when: string): void => {
     for (const node of NODES) {
       for (const row of rows) {
         day.askNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
@@ -70,12 +70,12 @@
       day.askNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
     }
   };
-  const day: Day = {
+  const day: Scenario = {
     seed: 91,
     jobs: 18,
     everyS: 1,
     runS: [8, 20],
-    troubles: [
+    faults: [
       [12, (play) => askAll(play, 'under load')],
       [30, (play) => play.cluster.down(play.busiest())],
       [36, (play) => askAll(play, 'right after a takeover')],
@@ -87,7 +87,7 @@
       [75, (play) => askAll(play, 'afterwards')],
     ],
   };
-  assert.deepEqual(await new Play(day).run(), []);
+  assert.deepEqual(await new ScenarioRun(day).run(), []);
   assert.deepEqual(wrong, []);
   // At rest and under load every node can know.
   for (const row of rows) {
--- a/src/cluster-tests/rolling-upgrade.test.ts
+++ b/src/cluster-tests/rolling-upgrade.test.ts
@@ -6,7 +6,7 @@
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { readRunRecord, storeRun } from '../placement/run-codec.js';
 import type { RunRecord } from '../placement/run-records.js';
-import { playDay, type Day, type Play } from '../testing/scenario.js';
+import { runScenario, type Scenario, type ScenarioRun } from '../testing/scenario.js';
 import { buildBeforeRenaming, buildProduction, type Production } from '../testing/earlier-versions.js';
 
 /** The version in production and this one side by side: on each other's records, and on the same day. */
@@ -93,16 +93,16 @@
 
 const upgrade =
   (node: string) =>
-  (day: Play): void =>
+  (day: ScenarioRun): void =>
     day.upgrade(node);
-const rows: readonly (Omit<Day, 'production'> & { readonly name: string })[] = [
+const rows: readonly (Omit<Scenario, 'production'> & { readonly name: string })[] = [
   {
     name: 'a roll from the one to the other, with pipelines once all are new, and the limits lowered',
     seed: 61,
     pipelines: 6,
     pipelinesFromS: 62,
     runS: [10, 40],
-    troubles: [
+    faults: [
       [30, upgrade('n0')],
       [42, upgrade('n1')],
       [55, upgrade('n2')],
@@ -118,7 +118,7 @@
     pipelines: 5,
     pipelinesFromS: 28,
     runS: [10, 40],
-    troubles: [
+    faults: [
       [30, upgrade('n1')],
       [38, upgrade('n0')],
       // Its turn has not come: it comes back old, and takes over what a new one held.
@@ -135,7 +135,7 @@
     seed: 63,
     jobs: 12,
     runS: [40, 80],
-    troubles: [
+    faults: [
       [35, upgrade('n0')],
       [40, (day) => day.cancelRunning(2)],
       [46, (day) => day.cluster.down('n1')],
@@ -153,10 +153,10 @@
 ];
 for (const row of rows) {
   test(`upgrade: ${row.name}`, { timeout: 240_000 }, async () =>
-    assert.deepEqual(await playDay({ ...row, production: old.compose }), []),
+    assert.deepEqual(await runScenario({ ...row, production: old.compose }), []),
   );
   test(`upgrade from ba59fc1: ${row.name}`, { timeout: 240_000 }, async () =>
-    assert.deepEqual(await playDay({ ...row, production: beforeRenaming }), []),
+    assert.deepEqual(await runScenario({ ...row, production: beforeRenaming }), []),
   );
 }
 
@@ -168,7 +168,7 @@
 for (const [name, compose] of versions)
   test(`upgrade: ${name} by itself serves a day among the stand-ins`, { timeout: 240_000 }, async () =>
     assert.deepEqual(
-      await playDay({ seed: 64, jobs: 10, runS: [10, 40], troubles: [], production: compose() }),
+      await runScenario({ seed: 64, jobs: 10, runS: [10, 40], faults: [], production: compose() }),
       [],
     ),
   );
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -8,7 +8,7 @@
 import { WatchCache } from '../kv-store/watch-cache.js';
 import { machineRecord } from '../testing/bodies.js';
 import { leaderDuties } from '../testing/duties.js';
-import { StateStandIn } from '../testing/key-value-store-stand-in.js';
+import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
 import { Cloud } from './cloud.js';
 import { Leader } from './leader.js';
 import { writeMachineRecord } from './machine-record-codec.js';
@@ -24,13 +24,13 @@
 /** The leader alone, against the state stand-in and a cloud that counts, on a virtual clock. */
 const withLeader = async (
   known: readonly string[],
-  work: (leader: Leader, state: StateStandIn) => void,
+  work: (leader: Leader, state: KeyValueStoreStandIn) => void,
   seconds: number,
   mayAct: () => boolean = () => true,
-): Promise<{ calls: string[]; state: StateStandIn }> => {
+): Promise<{ calls: string[]; state: KeyValueStoreStandIn }> => {
   mock.timers.enable({ apis: ['setTimeout', 'Date', 'setInterval'] });
   try {
-    const state = new StateStandIn();
+    const state = new KeyValueStoreStandIn();
     const calls: string[] = [];
     const createHttpClient: HttpClientFactory = (target) => ({
       request: (method, path, body) => {
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -14,7 +14,7 @@
 import { KeyValueStore } from '../kv-store/client.js';
 import { leaderDuties } from '../testing/duties.js';
 import { CloudStandIn } from '../testing/cloud-stand-in.js';
-import { reply, StateStandIn } from '../testing/key-value-store-stand-in.js';
+import { reply, KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
 import { AdoptionQueue } from './adoption-queue.js';
 import { CapacityRefusals } from './capacity-refusals.js';
 import { Cloud } from './cloud.js';
@@ -39,7 +39,7 @@
 
 /** Scale-out against the stand-ins, with the fate of each of its requests drawn up beforehand. */
 const setUp = async (fates: Fate[], wall = () => Date.now()) => {
-  const state = new StateStandIn();
+  const state = new KeyValueStoreStandIn();
   const cloudStandIn = new CloudStandIn();
   const claim = await state.handle('n0', 'POST', '/txn', {
     when: [],
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -6,7 +6,7 @@
 import * as Fiber from 'effect/Fiber';
 import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
 import { answering, TIMED_OUT } from '../testing/answering-client.js';
-import { StateStandIn } from '../testing/key-value-store-stand-in.js';
+import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
 import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
 
@@ -27,7 +27,7 @@
 for (const row of rows) {
   test(`cache: ${row.name}`, async () => {
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_000_000 });
-    const state = new StateStandIn();
+    const state = new KeyValueStoreStandIn();
     const now = (): number => Date.now();
     const store = new KeyValueStore(TARGET, LIMITS, now, () => ({
       request: (method, path, body) => state.handle('n0', method, path, body),
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -12,7 +12,7 @@
 import { ALL_FEATURES } from '../settings/features.js';
 import { checkNetworks } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
-import { StateStandIn } from '../testing/key-value-store-stand-in.js';
+import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
 import { writeOrders } from '../workers/codec.js';
 import { messageOf, type RecordedMessage } from './fixtures.js';
 
@@ -108,7 +108,7 @@
 
 /** A controller between stand-ins. */
 export class HarnessedController {
-  readonly state = new StateStandIn();
+  readonly state = new KeyValueStoreStandIn();
   readonly sent: SentRequest[] = [];
   /** Commands sent straight to workers, as `POST /commands` carries them. */
   readonly commands: { readonly address: string; readonly body: RecordedMessage }[] = [];
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -7,7 +7,7 @@
 import type { Settings } from '../settings/schema.js';
 import { readWorkerHeartbeat } from '../workers/codec.js';
 import type { StandInJob } from './worker-stand-in.js';
-import type { World } from './simulated-environment.js';
+import type { SimulatedEnvironment } from './simulated-environment.js';
 
 /** Three composed controllers among the stand-ins, as processes that end and come back. */
 export const NODES = ['n0', 'n1', 'n2'] as const;
@@ -80,7 +80,7 @@
   readonly versions = new Map<string, typeof compose>();
   /** ms by which somebody set a node's time of day. */
   readonly timeOfDayOffsets = new Map<string, number>();
-  constructor(private readonly world: World) {}
+  constructor(private readonly world: SimulatedEnvironment) {}
 
   up(name: string): void {
     this.down(name);
--- a/src/testing/key-value-store-stand-in.ts
+++ b/src/testing/key-value-store-stand-in.ts
@@ -16,7 +16,7 @@
 export const copy = <T>(value: T): T => structuredClone(value);
 
 /** The state service. */
-export class StateStandIn {
+export class KeyValueStoreStandIn {
   private epoch = 0;
   private readonly data = new Map<string, { value: unknown; version: number; lease: number | null }>();
   private readonly leases = new Map<number, { until: number; ttl: number }>();
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -21,7 +21,7 @@
   type ServerResponse,
 } from '../http.js';
 import { CATALOG } from './cloud-stand-in.js';
-import { StateStandIn } from './key-value-store-stand-in.js';
+import { KeyValueStoreStandIn } from './key-value-store-stand-in.js';
 
 const [machinesText, secondsText, nodesText, ...flags] = process.argv.slice(2);
 const MACHINES = Number(machinesText ?? 300);
@@ -219,7 +219,7 @@
   Number(/VmRSS:\s+(\d+)/.exec(readFileSync(`/proc/${pid}/status`, 'utf8'))?.[1] ?? 0) / 1024;
 
 const main = async (): Promise<void> => {
-  const state = new StateStandIn();
+  const state = new KeyValueStoreStandIn();
   state.limits.ops = 48;
   const failed = (error: unknown): void => console.error(error);
   await serve(
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -19,7 +19,7 @@
   type ServerResponse,
 } from '../http.js';
 import { CloudStandIn } from './cloud-stand-in.js';
-import { StateStandIn } from './key-value-store-stand-in.js';
+import { KeyValueStoreStandIn } from './key-value-store-stand-in.js';
 
 const HOST = '127.0.0.1';
 /** ms: between looks at a condition that is waited for. */
@@ -82,7 +82,7 @@
 /** The deployment; {@link stop} ends its own processes and listeners. */
 export class Loopback {
   static readonly nodes = ['n0', 'n1', 'n2'] as const;
-  readonly state = new StateStandIn();
+  readonly state = new KeyValueStoreStandIn();
   readonly cloud = new CloudStandIn();
   private readonly holds: Hold[] = [];
   private readonly refusals = new Set<(request: SeenRequest) => boolean>();
--- a/src/testing/scenario.ts
+++ b/src/testing/scenario.ts
@@ -2,15 +2,15 @@
 import type { CallOutcome } from '../http.js';
 import type { compose } from '../controller/compose.js';
 import { CANCEL_MS, Cluster, jobOf, LEASE_MS, NODES, REPORT_MS, STEP_MS, tick } from './cluster.js';
-import { Luck } from './seeded-random.js';
-import { World } from './simulated-environment.js';
+import { SeededRandom } from './seeded-random.js';
+import { SimulatedEnvironment } from './simulated-environment.js';
 import type { StandInJob } from './worker-stand-in.js';
 
 /** A drawn day of users, controllers and troubles, from one seed, with the rules checked as it goes. */
-export interface Day {
+export interface Scenario {
   readonly seed: number;
   /** s from the begin, and what happens then. */
-  readonly troubles: readonly (readonly [number, (day: Play) => void])[];
+  readonly faults: readonly (readonly [number, (day: ScenarioRun) => void])[];
   /** Probability that a message gets lost. */
   readonly loss?: number;
   readonly jobs?: number;
@@ -42,9 +42,9 @@
 ]);
 
 /** One day against the stand-ins. */
-export class Play {
-  readonly luck: Luck;
-  readonly world: World;
+export class ScenarioRun {
+  readonly random: SeededRandom;
+  readonly world: SimulatedEnvironment;
   readonly cluster: Cluster;
   readonly jobs: StandInJob[] = [];
   private readonly answeredAt = new Map<string, number>();
@@ -54,9 +54,16 @@
   private calm = Number.POSITIVE_INFINITY;
   private over = false;
 
-  constructor(private readonly day: Day) {
-    this.luck = new Luck(day.seed);
-    this.world = new World(NODES, new Luck(day.seed + 1_000), LEASE_MS, REPORT_MS, LIMITS, CANCEL_MS);
+  constructor(private readonly day: Scenario) {
+    this.random = new SeededRandom(day.seed);
+    this.world = new SimulatedEnvironment(
+      NODES,
+      new SeededRandom(day.seed + 1_000),
+      LEASE_MS,
+      REPORT_MS,
+      LIMITS,
+      CANCEL_MS,
+    );
     this.world.loss = day.loss ?? 0;
     this.cluster = new Cluster(this.world);
   }
@@ -95,7 +102,7 @@
   }
 
   private ask(method: string, path: string, body?: unknown): Promise<CallOutcome> {
-    return this.world.call('user', NODES[this.luck.below(3)] ?? 'n0', method, path, body, 2_000);
+    return this.world.call('user', NODES[this.random.below(3)] ?? 'n0', method, path, body, 2_000);
   }
   /** Asks one node something; what it answers is handed on with the time that it took (ms). */
   askNode(
@@ -177,7 +184,7 @@
       (job) => job.accepted && !job.doneTold && this.jobs.some((other) => other.follows?.includes(job)),
     );
     for (let k = 0; k < count && open.length > 0; k += 1) {
-      const [job] = open.splice(this.luck.below(open.length), 1);
+      const [job] = open.splice(this.random.below(open.length), 1);
       if (job) void this.cancel(job);
     }
   }
@@ -192,7 +199,7 @@
   /** Nothing new is asked of an earlier version, which would take it and understand half of it. */
   private submit(job: StandInJob): Promise<CallOutcome> {
     const nodes = NODES.filter((node) => job.follows === undefined || !this.cluster.versions.has(node));
-    const node = nodes[this.luck.below(Math.max(1, nodes.length))];
+    const node = nodes[this.random.below(Math.max(1, nodes.length))];
     if (node === undefined) return Promise.resolve({ _tag: 'noResponse', why: 'no node of this version' });
     return this.world.call('user', node, 'POST', '/v2/runs', job.body, 2_000);
   }
@@ -213,7 +220,7 @@
     this.answeredAt.set(job.id, Date.now());
     // One ask more after the end: an answer must not go back.
     for (let after = 0; after < 2 && !this.over;) {
-      const repeat = this.luck.chance(0.1);
+      const repeat = this.random.chance(0.1);
       const answer = repeat ? await this.submit(job) : await this.ask('GET', `/v2/runs/${job.id}`);
       this.noteState(job, answer);
       if (job.doneTold) after += 1;
@@ -223,7 +230,7 @@
 
   private draw(n: number): StandInJob {
     const [least, most] = this.day.runS ?? [8, 30];
-    const runMs = (least + this.luck.below(most - least + 1)) * 1_000;
+    const runMs = (least + this.random.below(most - least + 1)) * 1_000;
     if (this.day.apart === true) return { ...jobOf(n, { heads: 2 + (n % 2) }, runMs), apartMs: 25_000 };
     switch (n % 4) {
       case 1:
@@ -250,7 +257,7 @@
       ...jobOf(
         1_000 + n * 10 + k,
         { ...over, follows: follows.map((job) => job.id) },
-        (3 + this.luck.below(8)) * 1_000,
+        (3 + this.random.below(8)) * 1_000,
       ),
       follows,
     });
@@ -290,7 +297,7 @@
     for (const job of this.jobs) {
       if (this.cancelling.has(job.id) || this.ended.has(job.id) || !this.world.allDone(job)) continue;
       this.ended.add(job.id);
-      if (this.luck.chance(this.day.cancelAtEnd ?? 0)) void this.cancel(job);
+      if (this.random.chance(this.day.cancelAtEnd ?? 0)) void this.cancel(job);
     }
   }
 
@@ -345,8 +352,8 @@
       NODES.forEach((node) => cluster.up(node));
       for (let k = 0; k < 4; k += 1) world.boot(k % 2 === 0 ? 'x' : 'y', false, 100);
       this.submitAll();
-      const troubles = [...day.troubles].sort((a, b) => a[0] - b[0]);
-      this.calm = begin + (troubles.at(-1)?.[0] ?? 0) * 1_000 + 1_000;
+      const faults = [...day.faults].sort((a, b) => a[0] - b[0]);
+      this.calm = begin + (faults.at(-1)?.[0] ?? 0) * 1_000 + 1_000;
       const end = begin + 700_000;
       let nextCheck = begin;
       let doneAt = 0;
@@ -355,12 +362,12 @@
         await tick();
         world.step();
         if (day.cancelAtEnd !== undefined) this.cancelEnding();
-        while (troubles[0] && Date.now() - begin >= troubles[0][0] * 1_000) troubles.shift()?.[1](this);
+        while (faults[0] && Date.now() - begin >= faults[0][0] * 1_000) faults.shift()?.[1](this);
         if (Date.now() >= nextCheck) {
           nextCheck += 1_000;
           this.check();
         }
-        if (troubles.length === 0 && this.jobs.every((job) => job.doneTold)) {
+        if (faults.length === 0 && this.jobs.every((job) => job.doneTold)) {
           if (doneAt === 0) doneAt = Date.now();
           // What was cancelled must be gone in time, and what was told must stay.
           if (Date.now() - doneAt > CANCEL_MS + 5_000) break;
@@ -379,4 +386,4 @@
 }
 
 /** Plays a day; returns the rules that were broken. */
-export const playDay = (day: Day): Promise<readonly string[]> => new Play(day).run();
+export const runScenario = (day: Scenario): Promise<readonly string[]> => new ScenarioRun(day).run();
--- a/src/testing/seeded-random.ts
+++ b/src/testing/seeded-random.ts
@@ -1,7 +1,7 @@
 import * as prand from 'pure-rand';
 
 /** Random numbers from a seed. */
-export class Luck {
+export class SeededRandom {
   private readonly generator: prand.RandomGenerator;
   constructor(seed: number) {
     this.generator = prand.xoroshiro128plus(seed);
--- a/src/testing/simulated-environment.ts
+++ b/src/testing/simulated-environment.ts
@@ -4,12 +4,12 @@
  */
 import type { CallOutcome } from '../http.js';
 
-import { Luck } from './seeded-random.js';
-import { StateStandIn, copy, reply, type WireRecord } from './key-value-store-stand-in.js';
+import { SeededRandom } from './seeded-random.js';
+import { KeyValueStoreStandIn, copy, reply, type WireRecord } from './key-value-store-stand-in.js';
 import { WorkerStandIn, type OnMachine, type StandInJob } from './worker-stand-in.js';
 /** The network, the cloud, and what the rules say. */
-export class World {
-  readonly state = new StateStandIn();
+export class SimulatedEnvironment {
+  readonly state = new KeyValueStoreStandIn();
   readonly machines = new Map<string, WorkerStandIn>();
   readonly jobs = new Map<string, StandInJob>();
   readonly broken: string[] = [];
@@ -40,7 +40,7 @@
 
   constructor(
     readonly nodes: readonly string[],
-    readonly luck: Luck,
+    readonly random: SeededRandom,
     readonly leaseMs: number,
     readonly reportMs: number,
     readonly limits: ReadonlyMap<string, number>,
@@ -131,8 +131,8 @@
     if (this.isSevered(from, to)) return Promise.resolve({ _tag: 'noResponse', why: 'refused' });
     return new Promise((resolve) => {
       setTimeout(() => resolve({ _tag: 'noResponse', why: 'timeout' }), timeoutMs);
-      const again = this.luck.chance(this.copies)
-        ? (this.copyAfter[this.luck.below(this.copyAfter.length)] ?? 1_000)
+      const again = this.random.chance(this.copies)
+        ? (this.copyAfter[this.random.below(this.copyAfter.length)] ?? 1_000)
         : null;
       /** What was answered 503 or 429 was not carried out, and never will be: of the rest a copy may come. */
       const repeat = (answer: CallOutcome): void => {
@@ -140,14 +140,17 @@
         if (again === null || (refused && to === 'state')) return;
         setTimeout(() => void this.deliver(from, to, method, path, copy(sent)), again);
       };
-      if (path === '/hello' && this.luck.chance(this.lateReports))
+      if (path === '/hello' && this.random.chance(this.lateReports))
         setTimeout(
           () => void this.deliver(from, to, method, path, copy(sent)),
-          2_000 + this.luck.below(2 * this.leaseMs),
+          2_000 + this.random.below(2 * this.leaseMs),
         );
-      if (path === '/txn' && this.luck.chance(this.lateWrites)) {
+      if (path === '/txn' && this.random.chance(this.lateWrites)) {
         if ((sent as { writes: unknown[] }).writes.length > 0) {
-          setTimeout(() => void this.deliver(from, to, method, path, sent), 2_000 + this.luck.below(10_000));
+          setTimeout(
+            () => void this.deliver(from, to, method, path, sent),
+            2_000 + this.random.below(10_000),
+          );
           return;
         }
       }
@@ -156,15 +159,16 @@
         held.push(() => void this.deliver(from, to, method, path, sent));
         return;
       }
-      const late = this.luck.chance(this.loss);
-      const slow = to === 'state' && !path.startsWith('/follow') ? this.luck.below(this.stateSlowMs + 1) : 0;
-      const delay = slow + (late ? timeoutMs + this.luck.below(20_000) : 1 + this.luck.below(10));
+      const late = this.random.chance(this.loss);
+      const slow =
+        to === 'state' && !path.startsWith('/follow') ? this.random.below(this.stateSlowMs + 1) : 0;
+      const delay = slow + (late ? timeoutMs + this.random.below(20_000) : 1 + this.random.below(10));
       setTimeout(() => {
         void this.deliver(from, to, method, path, sent).then((answer) => {
           repeat(answer);
           if (path === '/hello' && answer._tag === 'response' && answer.status === 200) this.checkSilence(to);
-          if (this.luck.chance(this.loss) || this.machines.get(from)?.deaf) return;
-          setTimeout(() => resolve(copy(answer)), 1 + this.luck.below(10));
+          if (this.random.chance(this.loss) || this.machines.get(from)?.deaf) return;
+          setTimeout(() => resolve(copy(answer)), 1 + this.random.below(10));
         });
       }, delay);
     });
--- a/src/testing/worker-stand-in.ts
+++ b/src/testing/worker-stand-in.ts
@@ -4,7 +4,7 @@
 
 import { readRedirect } from '../workers/codec.js';
 import { type WireRecord } from './key-value-store-stand-in.js';
-import type { World } from './simulated-environment.js';
+import type { SimulatedEnvironment } from './simulated-environment.js';
 /** A job with what its user knows of it. */
 export interface StandInJob {
   readonly body: WireRecord;
@@ -60,7 +60,7 @@
     readonly id: string,
     readonly zone: string,
     readonly spot: boolean,
-    private readonly world: World,
+    private readonly world: SimulatedEnvironment,
   ) {}
 
   report(): WireRecord {
