--- a/eslint.config.js
+++ b/eslint.config.js
@@ -20,8 +20,6 @@
   'src/duties',
   'src/fleet',
   'src/http',
-  'src/http.test.ts',
-  'src/http.ts',
   'src/kv-store',
   'src/main.ts',
   'src/peers',
--- a/src/cli/duties-command.ts
+++ b/src/cli/duties-command.ts
@@ -2,7 +2,7 @@
 import * as http from 'node:http';
 import { ADMIN_ANSWER_TIMEOUT_MS, EXIT_FAILED, EXIT_OK } from '../constants/command-line.js';
 import { readDuties } from '../duties/admin-codec.js';
-import { parseTarget } from '../http.js';
+import { parseTarget } from '../http/model.js';
 import { formatDuties } from './duties-text.js';
 
 interface TextResponse {
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -4,7 +4,7 @@
  */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { DutiesApi } from '../duties/admin-api.js';
-import type { ServerRequest, ServerResponse } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http/model.js';
 import { UsersApi } from '../jobs/api.js';
 import { PeerRequests } from '../peers/peer-requests.js';
 import type { AdminAccess } from '../settings/networks.js';
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -8,7 +8,7 @@
 import { outageGrace } from '../claims/outage-grace.js';
 import { FENCED_ORDERS_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { composeDuties, type Duties } from '../duties/compose.js';
-import type { ServerResponse } from '../http.js';
+import type { ServerResponse } from '../http/model.js';
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 import { PeerNetwork } from '../peers/network.js';
 import type { PeerView } from '../peers/peer-view.js';
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -8,7 +8,7 @@
 import { Cloud } from '../fleet/cloud.js';
 import { Leader } from '../fleet/leader.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
-import { parseTarget } from '../http.js';
+import { parseTarget } from '../http/model.js';
 import { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { WorkerHeartbeat } from '../workers/model.js';
 import type { ControllerContext } from './context.js';
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -1,6 +1,6 @@
 /** The controller's interface to its process: what it is given, and what it offers. No state. */
 import type * as Effect from 'effect/Effect';
-import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http.js';
+import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http/model.js';
 import type { DirectCommands } from '../workers/worker-client.js';
 
 /** What a controller needs of the world outside; tests put stand-ins here. */
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -5,7 +5,7 @@
 import * as Effect from 'effect/Effect';
 import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from '../constants/users-api.js';
 import type { DutiesApi } from '../duties/admin-api.js';
-import type { ServerRequest, ServerResponse } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http/model.js';
 import type { UsersApi } from '../jobs/api.js';
 import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import { READINESS_PATH, WORKER_HEARTBEAT_PATH } from './route-codec.js';
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -8,7 +8,9 @@
   WORKER_CLIENT_SOCKET_FRACTION,
 } from '../constants/http.js';
 import { MAX_INCOMING_SOCKETS_PER_NODE } from '../constants/peers.js';
-import { PooledHttpClient, parseTarget, serve } from '../http.js';
+import { PooledHttpClient } from '../http/client.js';
+import { parseTarget } from '../http/model.js';
+import { serve } from '../http/server.js';
 import { log } from '../log.js';
 import type { Features } from '../settings/features.js';
 import type { AdminAccess } from '../settings/networks.js';
--- a/src/controller/store-access.ts
+++ b/src/controller/store-access.ts
@@ -3,7 +3,7 @@
  * through them. Owns these objects; built once by the context and used by every subsystem.
  */
 import { CatalogView } from '../fleet/catalog-view.js';
-import { parseTarget, type HttpClientFactory } from '../http.js';
+import { parseTarget, type HttpClientFactory } from '../http/model.js';
 import type { Catalog } from '../jobs/model.js';
 import { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import { KeyValueStore } from '../kv-store/client.js';
--- a/src/duties/admin-api.test.ts
+++ b/src/duties/admin-api.test.ts
@@ -6,7 +6,7 @@
   readProvisioningRecord,
   type ProvisioningRecord,
 } from '@dalegate/fencing';
-import type { ServerRequest, ServerResponse } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http/model.js';
 import { leaderDuties } from '../testing/duties.js';
 import { DutiesApi } from './admin-api.js';
 import type { WireDutiesOverview } from './admin-codec.js';
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -3,7 +3,7 @@
  * effects. Only reads. The controller's router calls it with the path below `/admin/v1/duties`.
  */
 import { DUTY_NAMES, parseDutyName, type DutyName, type ProvisioningRecord } from '@dalegate/fencing';
-import type { ServerRequest, ServerResponse } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http/model.js';
 import type { AdminAccess } from '../settings/networks.js';
 import { writeDuties, writeDutiesOverview } from './admin-codec.js';
 import { reportDuty, type DutiesReport, type DutyReport, type ReleaseIntent } from './duties-report.js';
--- a/src/fleet/cloud-codec.ts
+++ b/src/fleet/cloud-codec.ts
@@ -1,6 +1,6 @@
 /** The wire form of requests to the cloud and of its answers; no other module knows the cloud's words. */
 import { MACHINE_LIST_PAGE_ITEMS } from '../constants/fleet.js';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import type { MachineType } from '../jobs/model.js';
 import type {
   CatalogResult,
--- a/src/fleet/cloud.test.ts
+++ b/src/fleet/cloud.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import { WITHHELD, type CallOutcome, type HttpClientFactory } from '../http.js';
+import { WITHHELD, type CallOutcome, type HttpClientFactory } from '../http/model.js';
 import { answering, status, TIMED_OUT } from '../testing/answering-client.js';
 import { permitWhile } from '../testing/duties.js';
 import { Cloud } from './cloud.js';
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -6,7 +6,7 @@
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { CLOUD_RATE_FRACTION, CLOUD_REQUEST_TIMEOUT_MS, CLOUD_SOCKETS } from '../constants/fleet.js';
-import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http.js';
+import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http/model.js';
 import { RateLimiter } from '../kv-store/rate-limiter.js';
 import {
   machinePagePath,
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -3,7 +3,7 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { HttpClientFactory } from '../http.js';
+import type { HttpClientFactory } from '../http/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
 import { WatchCache } from '../kv-store/watch-cache.js';
 import { machineRecord } from '../testing/bodies.js';
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -10,7 +10,7 @@
 } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
 import { fencedValue } from '../duties/fenced-store.js';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
 import { leaderDuties } from '../testing/duties.js';
 import { CloudStandIn } from '../testing/cloud-stand-in.js';
--- a/src/http.test.ts
+++ b/src/http/http.test.ts
@@ -5,8 +5,11 @@
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { test } from 'node:test';
-import { PooledHttpClient, decode, encode, parseTarget, serve, WITHHELD } from './http.js';
-import { MAX_SINGLE_WRITE_BYTES } from './constants/http.js';
+import { PooledHttpClient } from './client.js';
+import { parseTarget, WITHHELD } from './model.js';
+import { decode, encode } from './msgpack.js';
+import { serve } from './server.js';
+import { MAX_SINGLE_WRITE_BYTES } from '../constants/http.js';
 
 const portOf = (server: http.Server): number => (server.address() as { port: number }).port;
 const failed = (error: unknown): void => assert.fail(String(error));
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -6,7 +6,7 @@
 } from '../constants/key-value-store.js';
 import { MAX_CONCURRENT_FINAL_RECORD_READS } from '../constants/pipelines.js';
 import { CANCELLATION_ATTEMPTS, MAX_ECHOED_ID_CHARS, RETRY_AFTER_S } from '../constants/users-api.js';
-import type { ServerRequest, ServerResponse } from '../http.js';
+import type { ServerRequest, ServerResponse } from '../http/model.js';
 import { tasksWithinLimit, type TeamLimit } from '../placement/team-limits.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
 import type { FinalRecordCache } from '../pipelines/final-record-cache.js';
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import { FinalRecordCache } from '../pipelines/final-record-cache.js';
 import type { Readiness } from '../pipelines/graph.js';
 import { KeyValueStore } from '../kv-store/client.js';
--- a/src/jobs/record-limits.test.ts
+++ b/src/jobs/record-limits.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import type { StoredEntry } from '../kv-store/model.js';
--- a/src/kv-store/client.test.ts
+++ b/src/kv-store/client.test.ts
@@ -3,7 +3,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import { answering, status, TIMED_OUT } from '../testing/answering-client.js';
 import { KeyValueStore } from './client.js';
 
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -23,7 +23,7 @@
   WATCH_TIMEOUT_MS,
 } from '../constants/key-value-store.js';
 import { SHARD_LEASE_TTL_MS } from '../constants/leases.js';
-import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http.js';
+import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http/model.js';
 import type { StateLimits } from '../settings/limits.js';
 import {
   entryPath,
--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decode, encode } from '../http.js';
+import { decode, encode } from '../http/msgpack.js';
 import type { Reservation } from '../fleet/reservation.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import { abridgedSummary } from '../placement/spare-machines.js';
--- a/src/peers/network.test.ts
+++ b/src/peers/network.test.ts
@@ -3,7 +3,7 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { CallOutcome, ServerResponse } from '../http.js';
+import type { CallOutcome, ServerResponse } from '../http/model.js';
 import { heartbeatFrom } from '../testing/peer-heartbeats.js';
 import { PeerNetwork } from './network.js';
 
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -4,7 +4,7 @@
  * which serves `handle` on the peer address.
  */
 import type * as Effect from 'effect/Effect';
-import type { HttpClientFactory, ServerRequest, ServerResponse } from '../http.js';
+import type { HttpClientFactory, ServerRequest, ServerResponse } from '../http/model.js';
 import { readHeartbeat, readSender, writeHeartbeat } from './heartbeat-codec.js';
 import { HeartbeatExchange } from './heartbeat-exchange.js';
 import type { PeerHeartbeat } from './heartbeat.js';
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -3,7 +3,7 @@
  * peer; the heartbeat exchange and whoever gives orders or asks for acknowledgements call it.
  */
 import { MAX_SOCKETS_PER_PEER, PEER_REQUEST_TIMEOUT_MS } from '../constants/peers.js';
-import { parseTarget, type HttpClient, type HttpClientFactory } from '../http.js';
+import { parseTarget, type HttpClient, type HttpClientFactory } from '../http/model.js';
 
 /** Where a peer takes requests of other controllers. */
 export interface PeerAddress {
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -8,7 +8,7 @@
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import type { OrderVerifier, OrderVerdict } from '../duties/order-verifier.js';
 import type { MachineTransfer } from '../fleet/machine-transfer.js';
-import type { ServerResponse } from '../http.js';
+import type { ServerResponse } from '../http/model.js';
 import {
   readTransferOrder,
   readOrderToken,
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -1,7 +1,7 @@
 /** Gangs whose bind takes several transactions are bound by the last one or not at all. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -1,7 +1,7 @@
 /** Final records: each is written once, whatever order the answers and the watch events come in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import type { JobRecord } from '../jobs/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
 import { jobSpec } from '../testing/bodies.js';
--- a/src/recorded-formats/fixtures.ts
+++ b/src/recorded-formats/fixtures.ts
@@ -8,7 +8,7 @@
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { decode, encode } from '../http.js';
+import { decode, encode } from '../http/msgpack.js';
 
 /** The version whose output is recorded. */
 const RECORDED_VERSION = 'ba59fc1';
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -6,7 +6,8 @@
 import { mock } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import { decode, encode, WITHHELD, type CallOutcome, type ServerResponse } from '../http.js';
+import { WITHHELD, type CallOutcome, type ServerResponse } from '../http/model.js';
+import { decode, encode } from '../http/msgpack.js';
 import { compose } from '../controller/compose.js';
 import type { Controller } from '../controller/ports.js';
 import { ALL_FEATURES } from '../settings/features.js';
--- a/src/recorded-formats/http-bytes.ts
+++ b/src/recorded-formats/http-bytes.ts
@@ -1,6 +1,8 @@
 /** Whole HTTP messages as they stand on the wire: requests of the clients, and answers of the server. */
 import { createServer, connect, type AddressInfo, type Server, type Socket } from 'node:net';
-import { PooledHttpClient, encode, serve } from '../http.js';
+import { PooledHttpClient } from '../http/client.js';
+import { encode } from '../http/msgpack.js';
+import { serve } from '../http/server.js';
 import { WorkerClient } from '../workers/worker-client.js';
 import { recordWith } from './deployment.js';
 import type { Recording } from './fixtures.js';
--- a/src/recorded-formats/receivers.ts
+++ b/src/recorded-formats/receivers.ts
@@ -1,6 +1,6 @@
 /** What controllers make of the leader's recorded orders and reservations. */
 import { peersOf, prepared, recordedJson, recordWith, SETTLED_MS } from './deployment.js';
-import { decode } from '../http.js';
+import { decode } from '../http/msgpack.js';
 import { recordedValue, type Recording } from './fixtures.js';
 import {
   machineNames,
--- a/src/service.test.ts
+++ b/src/service.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import type { CallOutcome } from './http.js';
+import type { CallOutcome } from './http/model.js';
 import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from './testing/cluster.js';
 import { Luck } from './testing/luck.js';
 import { World } from './testing/world.js';
--- a/src/testing/answering-client.ts
+++ b/src/testing/answering-client.ts
@@ -1,5 +1,5 @@
 /** HTTP clients for tests of one client: whatever is asked, the answer is the same. No state. */
-import type { CallOutcome, HttpClientFactory } from '../http.js';
+import type { CallOutcome, HttpClientFactory } from '../http/model.js';
 
 /** Answers every request with this outcome. */
 export const answering =
--- a/src/testing/cloud-stand-in.ts
+++ b/src/testing/cloud-stand-in.ts
@@ -2,7 +2,7 @@
  * Stand-in for the cloud, written to the published protocol, that logs every request which may have an
  * effect.
  */
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import { reply } from './state-stand-in.js';
 
 /** A rental or release as it reached the cloud. */
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -1,6 +1,6 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import type { CallOutcome, ServerRequest, ServerResponse } from '../http.js';
+import type { CallOutcome, ServerRequest, ServerResponse } from '../http/model.js';
 import { compose } from '../controller/compose.js';
 import type { Controller, Ports } from '../controller/ports.js';
 import { ALL_FEATURES } from '../settings/features.js';
--- a/src/testing/day.ts
+++ b/src/testing/day.ts
@@ -1,5 +1,5 @@
 import { mock } from 'node:test';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import type { compose } from '../controller/compose.js';
 import { CANCEL_MS, Cluster, jobOf, LEASE_MS, NODES, REPORT_MS, STEP_MS, tick } from './cluster.js';
 import { Luck } from './luck.js';
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -4,7 +4,7 @@
  * others run two jobs of one task each. Prints processor milliseconds of one heartbeat, the median of
  * several runs.
  */
-import { decode } from '../http.js';
+import { decode } from '../http/msgpack.js';
 import { readHeartbeat } from '../peers/heartbeat-codec.js';
 import { PeerNetwork } from '../peers/network.js';
 import { peersOf, prepared, SETTLED_MS } from '../recorded-formats/deployment.js';
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -11,15 +11,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { MAX_BODY_BYTES } from '../constants/http.js';
-import {
-  PooledHttpClient,
-  decode,
-  encode,
-  parseTarget,
-  serve,
-  type ServerRequest,
-  type ServerResponse,
-} from '../http.js';
+import { PooledHttpClient } from '../http/client.js';
+import { parseTarget, type ServerRequest, type ServerResponse } from '../http/model.js';
+import { decode, encode } from '../http/msgpack.js';
+import { serve } from '../http/server.js';
 import { CATALOG } from './cloud-stand-in.js';
 import { StateStandIn } from './state-stand-in.js';
 
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -10,14 +10,9 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { MAX_BODY_BYTES } from '../constants/http.js';
-import {
-  PooledHttpClient,
-  parseTarget,
-  serve,
-  type CallOutcome,
-  type ServerRequest,
-  type ServerResponse,
-} from '../http.js';
+import { PooledHttpClient } from '../http/client.js';
+import { parseTarget, type CallOutcome, type ServerRequest, type ServerResponse } from '../http/model.js';
+import { serve } from '../http/server.js';
 import { CloudStandIn } from './cloud-stand-in.js';
 import { StateStandIn } from './state-stand-in.js';
 
--- a/src/testing/production.ts
+++ b/src/testing/production.ts
@@ -9,7 +9,7 @@
 import type { compose } from '../controller/compose.js';
 import type { Controller, Ports } from '../controller/ports.js';
 import type { MachineRecord } from '../fleet/machine-record.js';
-import type { CallOutcome, HttpClient } from '../http.js';
+import type { CallOutcome, HttpClient } from '../http/model.js';
 import type { FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
 import type { RunRecord } from '../placement/run-records.js';
 import type { WorkerHeartbeat } from '../workers/model.js';
--- a/src/testing/smallest-limits.ts
+++ b/src/testing/smallest-limits.ts
@@ -3,7 +3,7 @@
  * to write.
  */
 import { KeyValueStore } from '../kv-store/client.js';
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 import type { MachineType } from '../jobs/model.js';
 
 /** Bytes of a value. */
--- a/src/testing/state-stand-in.ts
+++ b/src/testing/state-stand-in.ts
@@ -2,7 +2,7 @@
  * Stand-in for the state service, written to the published protocol: keys with revisions, leases, watches,
  * transactions.
  */
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 
 /** A map as it comes from the wire. */
 export type WireRecord = Record<string, unknown>;
--- a/src/testing/submit.ts
+++ b/src/testing/submit.ts
@@ -4,7 +4,8 @@
  * with 1 if it is not done in time.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { PooledHttpClient, parseTarget } from '../http.js';
+import { PooledHttpClient } from '../http/client.js';
+import { parseTarget } from '../http/model.js';
 import { submission } from './bodies.js';
 
 const POLL_MS = 2_000;
--- a/src/testing/world.ts
+++ b/src/testing/world.ts
@@ -2,7 +2,7 @@
  * The stand-ins together: cloud, network, machines and jobs around the controllers, on a virtual clock and
  * from one seed. Checks the rules that concern starts as it goes.
  */
-import type { CallOutcome } from '../http.js';
+import type { CallOutcome } from '../http/model.js';
 
 import { Luck } from './luck.js';
 import { StateStandIn, copy, reply, type WireRecord } from './state-stand-in.js';
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -7,7 +7,7 @@
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
 import { readMachineRecord } from '../fleet/machine-record-codec.js';
-import type { ServerResponse } from '../http.js';
+import type { ServerResponse } from '../http/model.js';
 import { claimKey, machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readWorkerHeartbeat, writeOrders, writeRedirect } from './codec.js';
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -4,7 +4,8 @@
  */
 import * as http from 'node:http';
 import { DIRECT_COMMAND_TIMEOUT_MS } from '../constants/workers.js';
-import { decode, encode, oneWrite, parseTarget } from '../http.js';
+import { parseTarget } from '../http/model.js';
+import { decode, encode, oneWrite } from '../http/msgpack.js';
 import { readWorkerHeartbeat, writeDirectCommands } from './codec.js';
 import type { Command, WorkerHeartbeat } from './model.js';
 
