--- a/eslint.config.js
+++ b/eslint.config.js
@@ -20,6 +20,7 @@
   'src/duties',
   'src/fleet',
   'src/http',
+  'src/jobs',
   'src/kv-store',
   'src/main.ts',
   'src/peers',
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -18,27 +18,26 @@
 import type { Subsystems } from './subsystems.js';
 
 const createUsersApi = ({ context, coordination, sharding, cancellations }: Subsystems): UsersApi => {
-  const { settings, deployment, clocks, storeAccess } = context;
+  const { deployment, clocks, storeAccess } = context;
   const { protocolVersion, peers } = coordination;
   return new UsersApi({
     store: storeAccess.store,
-    fresh: storeAccess.linearizableReads,
+    linearizableReads: storeAccess.linearizableReads,
     finalRecords: storeAccess.finalRecords,
     pipelines: sharding.pipelines,
-    takesPipelines: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
+    pipelinesSupported: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     valueBytes: deployment.valueBytes,
-    copyAgeMs: () => clocks.lease() - storeAccess.cache.confirmedAt,
+    cacheAgeMs: () => clocks.lease() - storeAccess.cache.confirmedAt,
     mayConfirmCancellation: (job, team, version) =>
       cancellations.acknowledgement.mayConfirmCancellation(deployment.shardOf(team), job, version),
     cache: storeAccess.cache,
     catalog: storeAccess.catalog,
-    zones: settings.facts.zones,
     limits: deployment.limits,
-    counts: (job, team) => {
+    taskCounts: (job, team) => {
       const shardId = deployment.shardOf(team);
       return sharding.shards.actingShard(shardId)?.taskCounts(job) ?? peers.taskCounts(shardId, job);
     },
-    wall: clocks.wall,
+    wallClock: clocks.wall,
   });
 };
 
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newMachineRecord } from '../fleet/machine-record.js';
-import { writeJobRecord } from '../jobs/codec.js';
+import { writeJobRecord } from '../jobs/job-record-codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { packIds } from '../pipelines/codec.js';
 import type { Change } from '../kv-store/change-feed.js';
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -7,7 +7,7 @@
 import type { DutyRegistry } from '../duties/duty-registry.js';
 import type { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import type { ScarceTypes } from '../fleet/scarce-types.js';
-import { readJobRecord } from '../jobs/codec.js';
+import { readJobRecord } from '../jobs/job-record-codec.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { Pipelines } from '../pipelines/pipelines.js';
 import type { Shard } from '../placement/shard.js';
--- /dev/null
+++ b/src/jobs/eligibility.ts
@@ -0,0 +1,35 @@
+/**
+ * Whether a submitted job can ever run, judged by the catalog and the limit of its team. Decisions only;
+ * called for each submission.
+ */
+import { tasksWithinLimit, type TeamLimit } from '../placement/team-limits.js';
+import { fitsIn, typeAllowed, type Catalog, type JobSpec } from './model.js';
+
+const fitsSomeMachineType = (spec: JobSpec, catalog: Catalog): boolean =>
+  [...catalog.values()].some(
+    (type) =>
+      typeAllowed(spec, type.name) &&
+      fitsIn(spec, type) &&
+      (spec.zone === null || type.zones.includes(spec.zone)),
+  );
+
+/** Why a job can never run, in words for its user; null if it can. */
+export const rejectionReason = (
+  spec: JobSpec,
+  catalog: Catalog,
+  limits: ReadonlyMap<string, TeamLimit>,
+): string | null => {
+  const limit = limits.get(spec.team);
+  if (!limit) return `unknown team ${spec.team}`;
+  if (!fitsSomeMachineType(spec, catalog)) return 'a task fits no allowed machine type';
+  const minimumTasks = spec.kind === 'array' ? 1 : spec.tasks;
+  if (tasksWithinLimit(spec, limit, { cpus: 0, gpus: 0 }, minimumTasks) < minimumTasks)
+    return `more than the limit of team ${spec.team}`;
+  return null;
+};
+
+/** Drops machine types that don't exist: a long list of them must not outgrow the job's record. */
+export const withKnownTypes = (spec: JobSpec, catalog: Catalog): JobSpec =>
+  spec.types === null
+    ? spec
+    : { ...spec, types: [...new Set(spec.types)].filter((type) => catalog.has(type)) };
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -1,3 +1,4 @@
+/** Tests of submissions, polls and cancellations of jobs that depend on others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
@@ -8,7 +9,7 @@
 import { LinearizableReads } from '../kv-store/linearizable-reads.js';
 import { submission } from '../testing/bodies.js';
 import { UsersApi } from './api.js';
-import { writeFinalRecord, writeJobRecord } from './codec.js';
+import { writeFinalRecord, writeJobRecord } from './job-record-codec.js';
 import type { Catalog, JobRecord, JobSpec } from './model.js';
 
 /** What users are told of jobs that follow others, from what is stored. */
@@ -171,22 +172,21 @@
     );
     const api = new UsersApi({
       store,
-      fresh: new LinearizableReads(store),
+      linearizableReads: new LinearizableReads(store),
       finalRecords: new FinalRecordCache(store),
       pipelines: {
         readiness: () => row.stands ?? { _tag: 'ready', since: 0 },
         resolve: () => Effect.succeed(true),
       },
-      takesPipelines: () => row.early !== true,
+      pipelinesSupported: () => row.early !== true,
       valueBytes: 2048,
-      copyAgeMs: () => (row.stale === true ? 60_000 : 0),
+      cacheAgeMs: () => (row.stale === true ? 60_000 : 0),
       mayConfirmCancellation: () => Effect.succeed(true),
       cache: { get: () => undefined },
       catalog: () => catalog,
-      zones: ['a'],
       limits: new Map([['red', { cpusMax: 0, gpusMax: 8 }]]),
-      counts: () => null,
-      wall: () => 5,
+      taskCounts: () => null,
+      wallClock: () => 5,
     });
     const call =
       row.submit === null
--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -1,3 +1,4 @@
+/** Tests of reading submissions, of stored records, eligibility, urgency and the division of teams. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TeamLimit } from '../placement/team-limits.js';
@@ -5,8 +6,9 @@
 import { readRunRecord, writeRunRecord } from '../placement/run-codec.js';
 import { checkSettings } from '../settings/schema.js';
 import { divideTeams } from '../settings/teams.js';
-import { unplaceable, knownTypes } from './api.js';
-import { readJobRecord, readSubmission, writeJobRecord } from './codec.js';
+import { rejectionReason, withKnownTypes } from './eligibility.js';
+import { readJobRecord, writeJobRecord } from './job-record-codec.js';
+import { readSubmission } from './submission-codec.js';
 import type { Catalog, JobRecord, JobSpec } from './model.js';
 
 const good = {
@@ -118,12 +120,12 @@
 ];
 for (const row of never) {
   test(`can it ever run: ${row.name}`, () =>
-    assert.equal(unplaceable(row.spec, catalog, limits) === null, row.ok));
+    assert.equal(rejectionReason(row.spec, catalog, limits) === null, row.ok));
 }
 
 test('a long list of types that do not exist does not outgrow the record', () => {
   const many = Array.from({ length: 4_000 }, (_, k) => `none-${k}`);
-  assert.deepEqual(knownTypes(spec({ types: [...many, 'g8', 'g8'] }), catalog).types, ['g8']);
+  assert.deepEqual(withKnownTypes(spec({ types: [...many, 'g8', 'g8'] }), catalog).types, ['g8']);
 });
 
 const urgencies: readonly {
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -1,4 +1,7 @@
-/** Jobs, their tasks and what is durable about them. Plain data; no wire words. */
+/**
+ * Jobs, their tasks, what is durable about them, and the amounts that tasks take and machine types have.
+ * Plain data and pure functions in the service's own terms; used by all subsystems.
+ */
 
 import { AMOUNT_TOLERANCE } from '../constants/placement.js';
 
@@ -31,13 +34,13 @@
   readonly deadlineS: number | null;
 }
 
-/** The durable record of a job that is not over: written by whichever node takes the user's call. */
+/** The durable record of a job that is not over: written by whichever controller takes the user's call. */
 export interface JobRecord {
   readonly spec: JobSpec;
-  /** ms since the epoch, of the accepting node. */
+  /** ms since the epoch, by the clock of the accepting controller. */
   readonly at: number;
   readonly cancelled: boolean;
-  /** ms since the epoch, when it was cancelled; null: not, or by a node that did not say. */
+  /** ms since the epoch, when it was cancelled; null: it is not, or the controller did not say. */
   readonly cancelledAt: number | null;
   /**
    * Jobs that have to be done before a task of this one starts; without those that stand in parts of their
@@ -58,6 +61,15 @@
   readonly tasks: number;
 }
 
+/** The status of a job as its user sees it. */
+export type JobStatus = 'pending' | 'running' | FinalState;
+
+/** Tasks of a job that are over, and that run. */
+export interface TaskCounts {
+  readonly done: number;
+  readonly running: number;
+}
+
 /** A machine type of the catalog. */
 export interface MachineType {
   readonly name: string;
--- a/src/jobs/record-limits.test.ts
+++ b/src/jobs/record-limits.test.ts
@@ -19,7 +19,7 @@
   smallestStore,
 } from '../testing/smallest-limits.js';
 import { UsersApi } from './api.js';
-import { readJobRecord, writeCancelledRecord, writeJobRecord } from './codec.js';
+import { readJobRecord, writeCancelledRecord, writeJobRecord } from './job-record-codec.js';
 import type { JobRecord, JobSpec } from './model.js';
 
 const cancelled = (texts: string, types: readonly string[] | null): JobRecord => ({
@@ -59,19 +59,18 @@
   const catalog = new Map(longMachineTypes(1).map((type) => [type.name, type]));
   return new UsersApi({
     store,
-    fresh: new LinearizableReads(store),
+    linearizableReads: new LinearizableReads(store),
     finalRecords: new FinalRecordCache(store),
     pipelines: { readiness: () => ({ _tag: 'waiting' }), resolve: () => Effect.succeed(true) },
-    takesPipelines: () => true,
+    pipelinesSupported: () => true,
     valueBytes: SMALLEST_VALUE_BYTES,
-    copyAgeMs: () => 0,
+    cacheAgeMs: () => 0,
     mayConfirmCancellation: () => Effect.succeed(true),
     cache: { get: copy },
     catalog: () => catalog,
-    zones: ['a'],
     limits: new Map([['red', { cpusMax: 0, gpusMax: 8 }]]),
-    counts: () => null,
-    wall: () => 1_700_000_000_000,
+    taskCounts: () => null,
+    wallClock: () => 1_700_000_000_000,
   });
 };
 
--- a/src/kv-store/change-feed.test.ts
+++ b/src/kv-store/change-feed.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import type { MachineRecord } from '../fleet/machine-record.js';
 import { writeMachineRecord } from '../fleet/machine-record-codec.js';
-import { writeJobRecord } from '../jobs/codec.js';
+import { writeJobRecord } from '../jobs/job-record-codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
 import { decodeChange, type Change } from './change-feed.js';
 import {
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -4,7 +4,7 @@
  */
 import type { MachineRecord } from '../fleet/machine-record.js';
 import { readMachineRecord } from '../fleet/machine-record-codec.js';
-import { readJobRecord } from '../jobs/codec.js';
+import { readJobRecord } from '../jobs/job-record-codec.js';
 import type { JobRecord } from '../jobs/model.js';
 import type { StoredEntry, WatchEvent } from './model.js';
 import { parseSharedKey } from './keys.js';
--- a/src/pipelines/final-record-cache.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -4,7 +4,7 @@
  */
 import * as Effect from 'effect/Effect';
 import { MAX_CACHED_FINAL_RECORDS } from '../constants/pipelines.js';
-import { readFinalRecord } from '../jobs/codec.js';
+import { readFinalRecord } from '../jobs/job-record-codec.js';
 import type { FinalRecord } from '../jobs/model.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { finalKey } from '../kv-store/keys.js';
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -3,7 +3,7 @@
  * state of its own; of jobs it sets `finishing` and `finishSeparately`. `RecordFlusher` calls it.
  */
 import type { OrphanedKey } from '@dalegate/fencing';
-import { writeFinalRecord } from '../jobs/codec.js';
+import { writeFinalRecord } from '../jobs/job-record-codec.js';
 import type { FinalRecord, FinalState } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { KeyValueStore } from '../kv-store/client.js';
--- a/src/placement/shard-changes.ts
+++ b/src/placement/shard-changes.ts
@@ -3,7 +3,7 @@
  * controllers acknowledged. No state of its own; `Shard` hands on what the watch and other controllers say.
  */
 import type { MachineRecord } from '../fleet/machine-record.js';
-import { readJobRecord } from '../jobs/codec.js';
+import { readJobRecord } from '../jobs/job-record-codec.js';
 import type { JobRecord } from '../jobs/model.js';
 import { jobKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -4,7 +4,7 @@
  */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
-import { readJobRecord } from '../jobs/codec.js';
+import { readJobRecord } from '../jobs/job-record-codec.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { StoredEntry } from '../kv-store/model.js';
 import { JOB_PREFIX, runsPrefix } from '../kv-store/keys.js';
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -15,7 +15,7 @@
   writeCancelledRecord,
   writeFinalRecord,
   writeJobRecord,
-} from '../jobs/codec.js';
+} from '../jobs/job-record-codec.js';
 import { packIds, splitIds, unpackIds } from '../pipelines/codec.js';
 import {
   partsOf,
--- a/src/upgrade.test.ts
+++ b/src/upgrade.test.ts
@@ -2,7 +2,7 @@
 import { before, test } from 'node:test';
 import type { MachineRecord } from './fleet/machine-record.js';
 import { readMachineRecord, writeMachineRecord } from './fleet/machine-record-codec.js';
-import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/codec.js';
+import { readFinalRecord, readJobRecord, writeFinalRecord, writeJobRecord } from './jobs/job-record-codec.js';
 import type { JobRecord, JobSpec } from './jobs/model.js';
 import { readRunRecord, storeRun } from './placement/run-codec.js';
 import type { RunRecord } from './placement/run-records.js';
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -2,7 +2,7 @@
  * The wire form of workers' reports and of the commands to them. Reports are by far the most frequent
  * message, so they are checked by hand.
  */
-import { parseTaskName, taskName } from '../jobs/codec.js';
+import { parseTaskName, taskName } from '../jobs/task-name.js';
 import type { Command, ExitCause, WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
 
 interface WireTask {
