--- a/src/constants/machines.ts
+++ b/src/constants/machines.ts
@@ -1,12 +1,12 @@
 /** Machines of a shard: liveness, boot, and how long an idle one is held. */
 
-/** Pause between two looks at machines for ended leases, silence and return. */
+/** Pause between two checks of machines for ended leases, silence and return. */
 export const MACHINE_CHECK_INTERVAL_MS = 500;
 /** Added to a worker's lease before its tasks count as gone. */
 export const WORKER_LEASE_MARGIN_MS = 1_000;
 /** Part of a worker's lease within which a machine must have reported to get new tasks. */
 export const LIVE_LEASE_FRACTION = 0.5;
-/** Worker leases for which a machine may report without taking up the token, before it counts as deaf. */
+/** Worker leases for which a machine may report without taking up the token, before it is unreachable. */
 export const UNCONFIRMED_TOKEN_LEASES = 2;
 /** Report intervals of silence after which a spot machine counts as taken back by the cloud. */
 export const SPOT_SILENCE_REPORT_INTERVALS = 3.3;
--- a/src/constants/placement.ts
+++ b/src/constants/placement.ts
@@ -4,7 +4,7 @@
 export const PLACEMENT_INTERVAL_MS = 500;
 /** Shortest pause between two rounds, so that events share one. */
 export const MIN_PLACEMENT_ROUND_PAUSE_MS = 250;
-/** Part of this node's share of a core, by processor time, that rounds may use. */
+/** Part of this controller's part of a core, by processor time, that rounds may use. */
 export const PLACEMENT_ROUND_CORE_FRACTION = 0.12;
 /** Weight of the last round in the moving average of their processor time. */
 export const ROUND_AVERAGE_WEIGHT = 0.2;
@@ -49,7 +49,7 @@
 /** Pause of a job after a worker had no room for its task. */
 export const NO_ROOM_BACKOFF_MS = 1_000;
 
-/** Part of a node's change rate below which finished tasks are recorded at once: there is room to spare. */
+/** Part of a controller's change rate below which finished tasks are recorded at once. */
 export const IMMEDIATE_FLUSH_RATE_FRACTION = 0.4;
 /** How long a finished task's record waits otherwise for others of its job. */
 export const FLUSH_DELAY_MS = 2_500;
--- a/src/constants/users-api.ts
+++ b/src/constants/users-api.ts
@@ -8,7 +8,7 @@
 export const MAX_ERROR_TEXT_CHARS = 300;
 /** Length up to which an unknown job's id is repeated in an error. */
 export const MAX_ECHOED_ID_CHARS = 64;
-/** Value of `Retry-After` when the node can't answer now. */
+/** Value of `Retry-After` when the controller can't answer now. */
 export const RETRY_AFTER_S = 1;
 /** Timeout of a user's call here; users give up after 5 s, and poll every 2 s. */
 export const USER_CALL_TIMEOUT_MS = 1_800;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -4,7 +4,7 @@
 export const MAX_REPORT_ANSWER_DELAY_MS = 400;
 /** Timeout of a command sent directly to a worker. */
 export const DIRECT_COMMAND_TIMEOUT_MS = 1_500;
-/** Answers with the same `run`, each followed by a report without the task, after which it is deaf. */
+/** Answers with the same `run`, each followed by a report without the task, before its machine is unreachable. */
 export const MAX_RUN_COMMAND_ATTEMPTS = 3;
 /** Grace beyond a task's own saving time when it is stopped. */
 export const STOP_GRACE_EXTRA_S = 2;
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -6,9 +6,10 @@
 import type { TeamLimit, TeamUsage } from '../placement/team-limits.js';
 import { readObjectives } from '../placement/objectives-codec.js';
 import type { Objectives } from '../placement/urgency.js';
-import { effectiveLimits, type StateLimits } from '../settings/limits.js';
+import { effectiveLimits, type StoreLimits } from '../settings/limits-codec.js';
 import type { Settings } from '../settings/schema.js';
-import { divideTeams, nodeNames } from '../settings/teams.js';
+import { divideTeams } from '../settings/teams.js';
+import { readControllerNames } from './address-codec.js';
 
 const BYTES_PER_KB = 1024;
 /** The shard of a team that the settings don't name. */
@@ -32,7 +33,7 @@
   /** Targets of each class of jobs. */
   readonly objectives: ReadonlyMap<string, Objectives>;
   /** The key-value store's limits, now and after the announced change. */
-  readonly stateLimits: StateLimits;
+  readonly storeLimits: StoreLimits;
   /** bytes: the largest value that the key-value store takes, now and later. */
   readonly valueBytes: number;
 }
@@ -41,10 +42,10 @@
 export const readDeployment = (settings: Settings, incarnation: string): Deployment => {
   const { facts } = settings;
   const shardByTeam = divideTeams(facts.teams, facts.count);
-  const stateLimits = effectiveLimits(facts.state);
+  const storeLimits = effectiveLimits(facts.state);
   return {
     me: { node: settings.host_name, incarnation },
-    nodes: nodeNames(settings),
+    nodes: readControllerNames(settings),
     shardCount: facts.count,
     shardByTeam,
     shardOf: (team) => shardByTeam.get(team) ?? DEFAULT_SHARD,
@@ -53,7 +54,7 @@
     ),
     guarantees: new Map(facts.teams.map((team) => [team.name, { cpus: team.cpus, gpus: team.gpus }])),
     objectives: readObjectives(facts.objectives),
-    stateLimits,
-    valueBytes: stateLimits.value_kb * BYTES_PER_KB,
+    storeLimits,
+    valueBytes: storeLimits.valueKb * BYTES_PER_KB,
   };
 };
--- a/src/controller/store-access.ts
+++ b/src/controller/store-access.ts
@@ -36,7 +36,7 @@
   const { deployment, leaseClock } = options;
   const store = new KeyValueStore(
     parseTarget(options.address),
-    { ...deployment.stateLimits, nodes: deployment.nodes.length },
+    { ...deployment.storeLimits, nodes: deployment.nodes.length },
     leaseClock,
     options.createHttpClient,
   );
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -55,7 +55,12 @@
     await state.handle('n0', 'POST', '/txn', { when: [], writes: assignments });
     state.limits.ops = 48;
     const now = (): number => Date.now();
-    const limits = { rps: 150, write_rps: CHANGES_A_SECOND, txn_ops: 48, nodes: 1 };
+    const limits = {
+      requestsPerSecond: 150,
+      changesPerSecond: CHANGES_A_SECOND,
+      maxTransactionWrites: 48,
+      nodes: 1,
+    };
     const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, createHttpClient);
     const cache = new WatchCache(store);
     const leader = new Leader({
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -166,7 +166,7 @@
     };
     const store = new KeyValueStore(
       { host: 'h', port: 1 },
-      { rps: 1e6, write_rps: 1e6, txn_ops: 10, nodes: 1 },
+      { requestsPerSecond: 1e6, changesPerSecond: 1e6, maxTransactionWrites: 10, nodes: 1 },
       () => 0,
       () => ({ request }),
     );
--- a/src/kv-store/client.test.ts
+++ b/src/kv-store/client.test.ts
@@ -7,7 +7,7 @@
 import { answering, status, TIMED_OUT } from '../testing/answering-client.js';
 import { KeyValueStore } from './client.js';
 
-const LIMITS = { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 };
+const LIMITS = { requestsPerSecond: 100, changesPerSecond: 100, maxTransactionWrites: 8, nodes: 1 };
 const store = (answer: CallOutcome): KeyValueStore =>
   new KeyValueStore({ host: 'h', port: 1 }, LIMITS, () => 0, answering(answer));
 
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -24,7 +24,7 @@
 } from '../constants/key-value-store.js';
 import { SHARD_LEASE_TTL_MS } from '../constants/leases.js';
 import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http/model.js';
-import type { StateLimits } from '../settings/limits.js';
+import type { StoreLimits } from '../settings/limits-codec.js';
 import {
   entryPath,
   LEASES_PATH,
@@ -53,7 +53,7 @@
 import { RateLimiter, type RequestPriority } from './rate-limiter.js';
 
 /** What all controllers together may ask of the store, and how many they are. */
-interface StoreLimits extends Pick<StateLimits, 'rps' | 'write_rps' | 'txn_ops'> {
+interface ClientLimits extends Omit<StoreLimits, 'valueKb'> {
   readonly nodes: number;
 }
 
@@ -114,7 +114,7 @@
 
   constructor(
     target: Target,
-    limits: StoreLimits,
+    limits: ClientLimits,
     /** ms, lease clock. */
     private readonly now: () => number,
     createHttpClient: HttpClientFactory,
@@ -124,11 +124,11 @@
     this.leases = createHttpClient(target, LEASE_SOCKETS);
     const evenPart = (rate: number): RateLimiter =>
       new RateLimiter(rate / limits.nodes, RATE_RESERVE_FRACTION, RATE_QUEUE_TIMEOUT_MS, now);
-    this.requests = evenPart(limits.rps);
-    this.changes = evenPart(limits.write_rps);
-    this.maxTransactionWrites = limits.txn_ops;
-    this.watchGapMs = (1000 * limits.nodes) / (limits.rps * WATCH_REQUEST_FRACTION);
-    this.rates = { requests: limits.rps, changes: limits.write_rps };
+    this.requests = evenPart(limits.requestsPerSecond);
+    this.changes = evenPart(limits.changesPerSecond);
+    this.maxTransactionWrites = limits.maxTransactionWrites;
+    this.watchGapMs = (1000 * limits.nodes) / (limits.requestsPerSecond * WATCH_REQUEST_FRACTION);
+    this.rates = { requests: limits.requestsPerSecond, changes: limits.changesPerSecond };
   }
 
   /** ms, lease clock: when the store last answered anything but 429 or an error of its own; 0: never. */
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -10,7 +10,7 @@
 import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
 
-const LIMITS = { rps: 100, write_rps: 100, txn_ops: 8, nodes: 1 };
+const LIMITS = { requestsPerSecond: 100, changesPerSecond: 100, maxTransactionWrites: 8, nodes: 1 };
 const TARGET = { host: 'state', port: 1 };
 
 /** How recent what the copy shows is, by what the store does. */
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,7 +1,11 @@
+/**
+ * The log, used by all modules: one event name for each change of state, with the ids that tie events
+ * together. `LOG_LEVEL` chooses the least level written, `info` where it names none that is known. Owns the
+ * logger. `docs/log-events.md` lists the events.
+ */
 import pino from 'pino';
 
-/** One event name per state change, with the ids that tie events together; to standard error. */
-const level = process.env['LOG_LEVEL'] ?? 'info';
+const level = process.env.LOG_LEVEL ?? 'info';
 
 /** Structured log on standard error, one JSON object a line. */
 export const log = pino(
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -44,7 +44,7 @@
   };
   const store = new KeyValueStore(
     { host: 'h', port: 1 },
-    { rps: 1e6, write_rps: 1e6, txn_ops: ops, nodes: 1 },
+    { requestsPerSecond: 1e6, changesPerSecond: 1e6, maxTransactionWrites: ops, nodes: 1 },
     () => 0,
     () => ({ request }),
   );
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -67,9 +67,7 @@
  * Modules that are yet to be cleaned, with the words that they still use. The list only shrinks: a word that
  * is gone from its module has to go from here.
  */
-const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {
-  'src/settings/teams.ts': ['sibling', 'siblings'],
-};
+const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {};
 
 test('wire words: they stand in codecs and clients only, or are listed as yet to be cleaned', () => {
   const found: Record<string, readonly string[]> = {};
--- a/src/settings/features.test.ts
+++ b/src/settings/features.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the feature file: what is on, what is refused, and that the one deployed is read. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -21,8 +22,8 @@
     const checked = checkFeatures(row.text);
     if (row.expect instanceof RegExp) {
       assert.equal(checked._tag, 'bad');
-      assert.match(checked._tag === 'bad' ? checked.message : '', row.expect);
-      assert.ok(checked._tag === 'bad' && !checked.message.includes('\n'), 'one line');
+      assert.match(checked.message, row.expect);
+      assert.ok(!checked.message.includes('\n'), 'one line');
     } else assert.deepEqual(checked, { _tag: 'ok', features: row.expect });
   });
 }
--- a/src/settings/features.ts
+++ b/src/settings/features.ts
@@ -1,3 +1,6 @@
+/**
+ * The feature file, `deploy/features.toml`: which optional subsystems run. Owns no state; read once at start.
+ */
 import { parse } from 'smol-toml';
 
 /**
--- a/src/settings/limits.test.ts
+++ b/src/settings/limits-codec.test.ts
@@ -2,7 +2,7 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { effectiveLimits } from './limits.js';
+import { effectiveLimits } from './limits-codec.js';
 
 const limits: readonly { name: string; next: object | undefined; kb: number; ops: number; rate: number }[] = [
   { name: 'none to come', next: undefined, kb: 16, ops: 48, rate: 60 },
@@ -27,7 +27,7 @@
     const state = { rps: 150, write_rps: 60, value_kb: 16, txn_ops: 48 };
     const found = effectiveLimits(row.next ? { ...state, next: row.next } : state);
     assert.deepEqual(
-      [found.value_kb, found.txn_ops, found.write_rps, found.rps],
+      [found.valueKb, found.maxTransactionWrites, found.changesPerSecond, found.requestsPerSecond],
       [row.kb, row.ops, row.rate, 150],
     );
   });
--- a/src/settings/networks.test.ts
+++ b/src/settings/networks.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the network file: which callers it lets in, and what is refused. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
--- a/src/settings/networks.ts
+++ b/src/settings/networks.ts
@@ -1,3 +1,7 @@
+/**
+ * The network file: from which addresses the administration API may be used. Owns no state; read once at
+ * start.
+ */
 import ipaddr from 'ipaddr.js';
 import { parse } from 'smol-toml';
 
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,7 +1,10 @@
+/**
+ * The settings file that the platform hands over, under its own field names. Fields not named here are
+ * ignored. Owns no state; read once at start.
+ */
 import * as Schema from 'effect/Schema';
 import * as Result from 'effect/Result';
 
-/** The settings file that the platform hands over. Fields not named here are ignored. */
 const Amount = Schema.Number.check(Schema.isGreaterThanOrEqualTo(0));
 const Positive = Schema.Number.check(Schema.isGreaterThan(0));
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(1));
--- a/src/settings/teams.ts
+++ b/src/settings/teams.ts
@@ -1,9 +1,13 @@
+/**
+ * The division of teams among shards. Owns no state; every controller computes the same division from its
+ * settings at start.
+ */
 import { CPUS_PER_GPU_WEIGHT } from '../constants/placement.js';
-import type { Settings, Team } from './schema.js';
+import type { Team } from './schema.js';
 
 /**
- * Teams are divided among the shares, one share per controller slot: heaviest guarantee first, each to the
- * share with the least so far, ties by name and number. Every node computes the same division.
+ * The shard of each team, by name; there are as many shards as controllers. The heaviest guarantee comes
+ * first, each team goes to the shard with the least so far, ties by name and number.
  */
 export const divideTeams = (teams: readonly Team[], shardCount: number): ReadonlyMap<string, number> => {
   const loads = Array.from({ length: shardCount }, () => 0);
@@ -11,16 +15,12 @@
   const weight = (team: Team): number => team.gpus * CPUS_PER_GPU_WEIGHT + team.cpus;
   const order = [...teams].sort((a, b) => weight(b) - weight(a) || (a.name < b.name ? -1 : 1));
   for (const team of order) {
-    let best = 0;
+    let lightest = 0;
     loads.forEach((load, shardId) => {
-      if (load < (loads[best] ?? 0)) best = shardId;
+      if (load < (loads[lightest] ?? 0)) lightest = shardId;
     });
-    shards.set(team.name, best);
-    loads[best] = (loads[best] ?? 0) + Math.max(weight(team), 1);
+    shards.set(team.name, lightest);
+    loads[lightest] = (loads[lightest] ?? 0) + Math.max(weight(team), 1);
   }
   return shards;
 };
-
-/** Names of all nodes in order; slot k is meant for the k-th. */
-export const nodeNames = (settings: Settings): readonly string[] =>
-  [settings.host_name, ...settings.siblings.map((sibling) => sibling.host_name)].sort();
--- a/src/testing/smallest-limits.ts
+++ b/src/testing/smallest-limits.ts
@@ -41,7 +41,7 @@
 ): KeyValueStore =>
   new KeyValueStore(
     { host: 'h', port: 1 },
-    { rps: 1e6, write_rps: 1e6, txn_ops: SMALLEST_TRANSACTION, nodes: 1 },
+    { requestsPerSecond: 1e6, changesPerSecond: 1e6, maxTransactionWrites: SMALLEST_TRANSACTION, nodes: 1 },
     () => 0,
     () => ({ request: (_, path, body) => request(path, body) }),
   );
