--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -6,7 +6,7 @@
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import type { Server } from 'node:http';
-import { createServer, type AddressInfo } from 'node:net';
+import { createServer } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { MAX_BODY_BYTES } from '../constants/http.js';
@@ -55,16 +55,30 @@
   readonly cloudRps: number;
 }
 
-const freePort = (): Promise<number> =>
-  new Promise((resolve, reject) => {
+/**
+ * Ports below those that the system hands out by itself, so that no connection or listener of another process
+ * takes one between the look and its use, nor while a killed controller is down. Each process has its own.
+ */
+const FIRST_PORT = 12_000;
+const PORTS_PER_PROCESS = 100;
+const PROCESS_RANGES = 200;
+let nextPort = FIRST_PORT + (process.pid % PROCESS_RANGES) * PORTS_PER_PROCESS;
+
+const isFree = (port: number): Promise<boolean> =>
+  new Promise((resolve) => {
     const server = createServer();
-    server.once('error', reject);
-    server.listen(0, HOST, () => {
-      const { port } = server.address() as AddressInfo;
-      server.close(() => resolve(port));
-    });
+    server.once('error', () => resolve(false));
+    server.listen(port, HOST, () => server.close(() => resolve(true)));
   });
 
+const freePort = async (): Promise<number> => {
+  for (;;) {
+    const port = nextPort;
+    nextPort += 1;
+    if (await isFree(port)) return port;
+  }
+};
+
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 interface NodePorts {
@@ -90,16 +104,30 @@
 
   static async start(options: LoopbackOptions): Promise<Loopback> {
     const deployment = new Loopback(options);
-    for (const node of Loopback.nodes) {
-      const [api, mesh, state, cloud] = await Promise.all([freePort(), freePort(), freePort(), freePort()]);
-      deployment.ports.set(node, { api, mesh, state, cloud });
+    try {
+      await deployment.launch();
+    } catch (error) {
+      // What is open already would keep the test's process from ending.
+      await deployment.stop();
+      throw error;
     }
-    await deployment.listen();
-    writeFileSync(join(deployment.directory, 'features.toml'), options.features);
-    for (const node of Loopback.nodes) deployment.spawn(node);
     return deployment;
   }
 
+  private async launch(): Promise<void> {
+    for (const node of Loopback.nodes) {
+      this.ports.set(node, {
+        api: await freePort(),
+        mesh: await freePort(),
+        state: await freePort(),
+        cloud: await freePort(),
+      });
+    }
+    await this.listen();
+    writeFileSync(join(this.directory, 'features.toml'), this.options.features);
+    for (const node of Loopback.nodes) this.spawn(node);
+  }
+
   private portsOf(node: string): NodePorts {
     const ports = this.ports.get(node);
     if (!ports) throw new Error(`no node ${node}`);
