--- a/src/pipelines/codec.ts
+++ b/src/pipelines/codec.ts
@@ -1,22 +1,22 @@
 /**
- * The stored form of job ids in dependency lists: sorted, without what they have in common, in few
- * characters. No state; the job codec and the users' API call it.
+ * The compact stored form of the job ids in dependency lists: sorted, without their common prefix, as
+ * differences in base 36. No state; the codec of job records and the users' API call it.
  */
 
 const JOB_ID_PREFIX = 'job-';
-/** The base in which numbers are written. */
+/** The base in which differences are written. */
 const RADIX = 36;
 const BIG_RADIX = BigInt(RADIX);
-/** Characters beside the number that the first id of a length takes: length, colon, quotes and comma. */
-const NEW_LENGTH_CHARACTERS = 8;
-/** The point between two ids. */
+/** Characters that the first id of a length takes besides its number: length, colon, quotes and comma. */
+const FIRST_ID_OVERHEAD_CHARACTERS = 8;
+/** The dot between two ids. */
 const SEPARATOR_CHARACTERS = 1;
 
 const digitsOf = (id: string): string => id.slice(JOB_ID_PREFIX.length);
 
 const compareNumbers = (a: bigint, b: bigint): number => (a < b ? -1 : a > b ? 1 : 0);
 
-/** The numbers of ids, by how many digits they are written with. */
+/** The numbers of ids, by the number of digits that the id is written with. */
 const numbersByLength = (ids: readonly string[]): ReadonlyMap<number, bigint[]> => {
   const byLength = new Map<number, bigint[]>();
   for (const id of new Set(ids)) {
@@ -29,7 +29,8 @@
 };
 
 /**
- * Packs ids: for each length one text of the length, the first number and the differences to the next ones.
+ * Packs ids into one text for each number of digits: that number, the first id's number, and the difference
+ * of each further id to the one before.
  */
 export const packIds = (ids: readonly string[]): readonly string[] =>
   [...numbersByLength(ids)].map(([length, numbers]) => {
@@ -43,14 +44,14 @@
     return `${length}:${differences.join('.')}`;
   });
 
-/** The number that a text of digits stands for; `BigInt` reads no base but 2, 8, 10 and 16. */
+/** Parses a number in base 36; `BigInt` parses only bases 2, 8, 10 and 16. */
 const parseNumber = (text: string): bigint => {
   let value = 0n;
   for (const digit of text) value = value * BIG_RADIX + BigInt(parseInt(digit, RADIX));
   return value;
 };
 
-/** Reads ids that `packIds` wrote. */
+/** Unpacks ids that `packIds` packed. */
 export const unpackIds = (texts: readonly string[]): readonly string[] =>
   texts.flatMap((text) => {
     const colon = text.indexOf(':');
@@ -65,7 +66,7 @@
       });
   });
 
-/** Parts ids into lists whose packed form stays below so many bytes each. */
+/** Splits ids into lists whose packed texts take at most `bytes` bytes each, without enclosing brackets. */
 export const splitIds = (ids: readonly string[], bytes: number): readonly (readonly string[])[] => {
   const sorted = [...new Set(ids)].sort((a, b) => a.length - b.length || (a < b ? -1 : 1));
   const parts: string[][] = [];
@@ -74,7 +75,7 @@
   let previous = { length: 0, number: 0n };
   for (const id of sorted) {
     const number = BigInt(digitsOf(id));
-    const firstCost = number.toString(RADIX).length + NEW_LENGTH_CHARACTERS;
+    const firstCost = number.toString(RADIX).length + FIRST_ID_OVERHEAD_CHARACTERS;
     const isFirst = part.length === 0 || id.length !== previous.length;
     const cost = isFirst
       ? firstCost
--- a/src/pipelines/final-record-cache.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -1,6 +1,6 @@
 /**
- * Final records of jobs, kept in memory within a bound and read from the key-value store otherwise. They
- * never change, so one seen before will do, for whoever asks: the users' API, the pipelines, the placement.
+ * Caches final records of jobs in memory, up to a bound, and reads the others from the key-value store. A
+ * final record never changes, so a cached one is always valid. The users' API and the pipelines use it.
  */
 import * as Effect from 'effect/Effect';
 import { MAX_CACHED_FINAL_RECORDS } from '../constants/pipelines.js';
@@ -15,25 +15,25 @@
   | { readonly _tag: 'absent' }
   | { readonly _tag: 'failed' };
 
-/** State: the final records seen last. */
+/** State: the final records added last; the oldest is dropped first. */
 export class FinalRecordCache {
   private readonly records = new Map<string, FinalRecord>();
 
   constructor(private readonly store: KeyValueStore) {}
 
-  /** The record if it was seen lately; undefined says nothing about whether there is one. */
+  /** The record if it is cached; undefined does not mean that the job has none. */
   get(id: string): FinalRecord | undefined {
     return this.records.get(id);
   }
 
-  remember(id: string, final: FinalRecord): void {
+  put(id: string, final: FinalRecord): void {
     this.records.set(id, final);
     if (this.records.size <= MAX_CACHED_FINAL_RECORDS) return;
     const oldest = this.records.keys().next().value;
     if (oldest !== undefined) this.records.delete(oldest);
   }
 
-  /** Reads a record, from the store if need be. */
+  /** Reads a record from the cache, or else from the key-value store. */
   read(id: string): Effect.Effect<FinalRecordRead> {
     return Effect.gen({ self: this }, function* () {
       const known = this.records.get(id);
@@ -42,7 +42,7 @@
       if (read._tag === 'failed') return { _tag: 'failed' } as const;
       if (read._tag === 'absent') return { _tag: 'absent' } as const;
       const final = readFinalRecord(read.entry.value);
-      this.remember(id, final);
+      this.put(id, final);
       return { _tag: 'found', final } as const;
     });
   }
--- a/src/pipelines/graph.test.ts
+++ b/src/pipelines/graph.test.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the pipeline index, as tables of events and what the index then tells, and of packed lists of ids.
+ * Tests of the pipeline index, as tables of events and the state of the index after them, and of packed ids.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,7 +11,7 @@
 const job = (
   id: string,
   dependsOn: readonly string[] = [],
-  over: Partial<PipelineJob> = {},
+  overrides: Partial<PipelineJob> = {},
 ): PipelineJob => ({
   id,
   dependsOn,
@@ -19,7 +19,7 @@
   dueAt: null,
   estimateMs: 10_000,
   cancelled: false,
-  ...over,
+  ...overrides,
 });
 type Event =
   | { readonly put: PipelineJob }
@@ -33,94 +33,94 @@
   for (const event of events) {
     if ('put' in event) index.put(event.put);
     else if ('gone' in event) index.remove(event.gone);
-    else if ('done' in event) index.settle(event.done, { _tag: 'done', at: event.at });
-    else index.settle(event.cancelled, { _tag: 'cancelled' });
+    else if ('done' in event) index.setOutcome(event.done, { _tag: 'done', at: event.at });
+    else index.setOutcome(event.cancelled, { _tag: 'cancelled' });
   }
   return index;
 };
 
-const rows: readonly { name: string; events: readonly Event[]; of: string; says: string }[] = [
-  { name: 'a job that follows none is ready', events: [put('a')], of: 'a', says: 'ready 0' },
-  { name: 'one is not done', events: [put('a'), put('b', ['a'])], of: 'b', says: 'waiting' },
-  // Its record goes with its final record, but which one is known only from that.
+const rows: readonly { name: string; events: readonly Event[]; of: string; expected: string }[] = [
+  { name: 'without dependencies', events: [put('a')], of: 'a', expected: 'ready 0' },
+  { name: 'a dependency is not done', events: [put('a'), put('b', ['a'])], of: 'b', expected: 'waiting' },
+  // The record of a job is deleted with the write of its final record, but only the latter has the outcome.
   {
-    name: 'one is over, and what became of it not known',
+    name: 'a dependency has ended with an unknown outcome',
     events: [put('a'), put('b', ['a']), { gone: 'a' }],
     of: 'b',
-    says: 'waiting',
+    expected: 'waiting',
   },
   {
-    name: 'the last of two is done',
+    name: 'both dependencies are done',
     events: [put('c', ['a', 'b']), { done: 'a', at: 70 }, { done: 'b', at: 50 }],
     of: 'c',
-    says: 'ready 70',
+    expected: 'ready 70',
   },
   {
-    name: 'only one of two is done',
+    name: 'only one of two dependencies is done',
     events: [put('c', ['a', 'b']), { done: 'a', at: 70 }],
     of: 'c',
-    says: 'waiting',
+    expected: 'waiting',
   },
   {
-    name: 'done before the job that follows came',
+    name: 'a dependency was done before the job was added',
     events: [put('x', ['a']), { done: 'a', at: 9 }, put('b', ['a'])],
     of: 'b',
-    says: 'ready 9',
+    expected: 'ready 9',
   },
   {
-    name: 'cancelled while others are done',
+    name: 'one dependency is done, the other cancelled',
     events: [put('c', ['a', 'b']), { done: 'a', at: 7 }, { cancelled: 'b' }],
     of: 'c',
-    says: 'doomed',
+    expected: 'doomed',
   },
   {
-    name: 'cancelled in its record, not yet in a final one',
+    name: 'a dependency is cancelled in its record, not yet in its final record',
     events: [put('a'), put('b', ['a']), put('a', [], { cancelled: true })],
     of: 'b',
-    says: 'doomed',
+    expected: 'doomed',
   },
   {
-    name: 'through others, however far',
+    name: 'an indirect dependency is cancelled',
     events: [put('a'), put('b', ['a']), put('c', ['b']), put('d', ['c']), { cancelled: 'a' }],
     of: 'd',
-    says: 'doomed',
+    expected: 'doomed',
   },
   {
-    name: 'it comes when what it names is cancelled',
+    name: 'added after its dependency was cancelled',
     events: [put('a', [], { cancelled: true }), put('b', ['a'])],
     of: 'b',
-    says: 'doomed',
+    expected: 'doomed',
   },
   {
-    name: 'it comes when what it names is doomed',
+    name: 'added after an indirect dependency was cancelled',
     events: [put('a', [], { cancelled: true }), put('b', ['a']), put('c', ['b'])],
     of: 'c',
-    says: 'doomed',
+    expected: 'doomed',
   },
   {
-    name: 'it comes when what it names was cancelled and is over, as far as anybody still follows that',
+    name: 'added after its dependency was cancelled and has ended, while another job depends on that',
     events: [put('a', [], { cancelled: true }), put('b', ['a']), { gone: 'a' }, put('c', ['a'])],
     of: 'c',
-    says: 'doomed',
+    expected: 'doomed',
   },
-  // A late or repeated message must not make a ready job wait, nor a doomed one run.
+  // A late or repeated message must not make a ready job wait, nor a job with a cancelled dependency run.
   {
-    name: 'its record seen again',
+    name: 'added again after its dependency was done',
     events: [put('b', ['a']), { done: 'a', at: 3 }, put('b', ['a'])],
     of: 'b',
-    says: 'ready 3',
+    expected: 'ready 3',
   },
   {
-    name: 'doomed stays doomed',
+    name: 'a dependency is done after another was cancelled',
     events: [put('c', ['a', 'b']), { cancelled: 'a' }, { done: 'b', at: 3 }],
     of: 'c',
-    says: 'doomed',
+    expected: 'doomed',
   },
 ];
 for (const row of rows) {
   test(`readiness: ${row.name}`, () => {
     const found = indexAfter(row.events).readiness(row.of);
-    assert.equal(found._tag === 'ready' ? `ready ${found.since}` : found._tag, row.says);
+    assert.equal(found._tag === 'ready' ? `ready ${found.since}` : found._tag, row.expected);
   });
 }
 
@@ -137,37 +137,43 @@
   priority: Priority;
   dueAt: number | null;
 }[] = [
-  { name: 'its own', events: [urgent('a', [], 500, 1)], of: 'a', priority: 1, dueAt: 500 },
   {
-    name: 'of the last one, with the time that those between take',
+    name: 'of a job without dependants',
+    events: [urgent('a', [], 500, 1)],
+    of: 'a',
+    priority: 1,
+    dueAt: 500,
+  },
+  {
+    name: 'of an indirect dependant, less the time of the stages between',
     events: [put('a'), put('b', ['a']), urgent('c', ['b'], 100_000)],
     of: 'a',
     priority: 2,
     dueAt: 100_000 - 2 * (10_000 + STAGE_MS),
   },
   {
-    name: 'its own is higher and earlier',
+    name: 'its own, if that is higher and earlier',
     events: [urgent('a', [], 50_000, 3), urgent('b', ['a'], 100_000)],
     of: 'a',
     priority: 3,
     dueAt: 50_000,
   },
   {
-    name: 'of several the highest and the earliest',
+    name: 'the highest priority and the earliest deadline of several dependants',
     events: [put('a'), urgent('b', ['a'], 100_000, 1), urgent('c', ['a'], 200_000, 2)],
     of: 'a',
     priority: 2,
     dueAt: 100_000 - 10_000 - STAGE_MS,
   },
   {
-    name: 'no more of one that is over',
+    name: 'not of a dependant that has ended',
     events: [put('a'), urgent('b', ['a'], 100_000), { gone: 'b' }],
     of: 'a',
     priority: 0,
     dueAt: null,
   },
   {
-    name: 'nor of one that is cancelled, also further on',
+    name: 'not of an indirect dependant that is cancelled',
     events: [
       put('a'),
       put('b', ['a']),
@@ -187,8 +193,8 @@
     }));
 }
 
-// Each dependant that comes or goes costs what it changes, not the whole index.
-test('effective priority: only what changes is told', () => {
+// Adding or removing a dependant must recompute only the jobs that it affects, not the whole index.
+test('effective priority: put and remove return only the jobs that change', () => {
   const index = indexAfter([put('a'), put('b', ['a']), put('other'), urgent('c', ['b'], 100_000)]);
   assert.deepEqual([...index.put(job('d', ['b'], { priority: 1 }))], ['d']);
   assert.deepEqual([...index.remove('c')].sort(), ['a', 'b']);
@@ -201,7 +207,7 @@
   Array.from({ length: 3_000 }, (_, k) => `job-${String(k * 337).padStart(7, '0')}`),
 ];
 for (const ids of lists) {
-  test(`packed ids of ${ids.length}: kept whole, also in parts, each below its size`, () => {
+  test(`packed ids of ${ids.length}: unpacked unchanged, also from parts of bounded size`, () => {
     const wanted = [...new Set(ids)].sort();
     assert.deepEqual([...unpackIds(packIds(ids))].sort(), wanted);
     const parts = splitIds(ids, 400);
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -1,12 +1,12 @@
 /**
- * Which jobs depend on which, as an index over all jobs that are not over, with readiness and effective
- * priority of each. A job names only jobs that were accepted before it and never changes what it names, so
- * there are no cycles; still every walk here visits a job once. No I/O: `src/pipelines/pipelines.ts` feeds
- * the index.
+ * An index of the dependencies between all jobs that have not ended, with the readiness and effective
+ * priority of each. A job depends only on jobs that were accepted before it, and its dependencies never
+ * change, so there are no cycles and every traversal ends. No I/O: `src/pipelines/pipelines.ts` feeds the
+ * index.
  */
 import type { Priority } from '../jobs/model.js';
 
-/** A job as the index needs it. */
+/** The fields of a job that the index needs. */
 export interface PipelineJob {
   readonly id: string;
   readonly dependsOn: readonly string[];
@@ -17,25 +17,26 @@
   readonly cancelled: boolean;
 }
 
-/** How far the jobs that a job depends on are. */
+/** Whether the jobs that a job depends on are done. */
 export type Readiness =
-  /** Some are not known to be done. */
+  /** Some dependencies are not known to be done. */
   | { readonly _tag: 'waiting' }
   /**
-   * All have a durable final record `done`, the last since then (ms since the epoch; 0: it depends on none).
+   * All dependencies have a durable final record `done`. `since`: when the last of them was done, in ms since
+   * the epoch; 0: the job has no dependencies.
    */
   | { readonly _tag: 'ready'; readonly since: number }
-  /** One is cancelled: the job never runs. */
+  /** A dependency, direct or through others, is cancelled: the job never runs. */
   | { readonly _tag: 'doomed' };
 
-/** Priority and deadline of a job, with regard to the jobs that depend on it. */
+/** Priority and deadline of a job, raised to what the jobs that depend on it need. */
 export interface EffectivePriority {
   readonly priority: Priority;
-  /** When it must be done for all dependants to be in time, ms since the epoch; null: no deadline. */
+  /** When it must be done so that all dependants can be in time, ms since the epoch; null: no deadline. */
   readonly dueAt: number | null;
 }
 
-/** How a job ended that others depend on; `at` in ms since the epoch. */
+/** How a job that others depend on ended; `at`: when it was done, in ms since the epoch. */
 export type DependencyOutcome =
   { readonly _tag: 'done'; readonly at: number } | { readonly _tag: 'cancelled' };
 
@@ -43,9 +44,10 @@
   job: PipelineJob;
   /** Dependencies that are not known to be done. */
   readonly unresolved: Set<string>;
-  /** When the last of the others was done, ms since the epoch. */
+  /** When the last dependency that is known to be done was done, ms since the epoch; 0: none is. */
   lastDoneAt: number;
-  doomed: boolean;
+  /** Whether a dependency, direct or through others, is cancelled. */
+  dependencyCancelled: boolean;
   effectivePriority: EffectivePriority;
 }
 
@@ -53,7 +55,7 @@
   job,
   unresolved: new Set(),
   lastDoneAt: 0,
-  doomed: false,
+  dependencyCancelled: false,
   effectivePriority: { priority: job.priority, dueAt: job.dueAt },
 });
 
@@ -62,25 +64,25 @@
   return b === null ? a : Math.min(a, b);
 };
 
-/** Notes the outcome of a dependency. */
+/** Records the outcome of a dependency in a job that depends on it. */
 const applyOutcome = (dependency: string, outcome: DependencyOutcome, dependant: IndexedJob): void => {
   if (outcome._tag === 'cancelled') {
-    dependant.doomed = true;
+    dependant.dependencyCancelled = true;
     return;
   }
   dependant.unresolved.delete(dependency);
   dependant.lastDoneAt = Math.max(dependant.lastDoneAt, outcome.at);
 };
 
-/** State: the jobs that are not over, who depends on whom, and outcomes of jobs that others depend on. */
+/** State: the jobs that have not ended, their dependants, and the outcomes of jobs that others depend on. */
 export class PipelineIndex {
   private readonly jobs = new Map<string, IndexedJob>();
-  /** By job, also of jobs that are over, as long as there are any. */
+  /** By job: the ids of its dependants. A job that has ended keeps its entry as long as it has dependants. */
   private readonly dependants = new Map<string, Set<string>>();
   private readonly outcomes = new Map<string, DependencyOutcome>();
 
-  /** `stageMs`: time between the end of one stage and the start of the next, images included. */
-  constructor(private readonly stageMs: number) {}
+  /** `stageTransitionMs`: ms between the end of one stage and the start of the next, with its images. */
+  constructor(private readonly stageTransitionMs: number) {}
 
   has(id: string): boolean {
     return this.jobs.has(id);
@@ -98,7 +100,7 @@
   readiness(id: string): Readiness {
     const indexed = this.jobs.get(id);
     if (!indexed) return { _tag: 'waiting' };
-    if (indexed.doomed) return { _tag: 'doomed' };
+    if (indexed.dependencyCancelled) return { _tag: 'doomed' };
     return indexed.unresolved.size > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: indexed.lastDoneAt };
   }
 
@@ -107,7 +109,7 @@
     return this.jobs.get(id)?.effectivePriority ?? null;
   }
 
-  /** Takes in a job, new or changed. Returns the jobs whose readiness or effective priority changed. */
+  /** Adds or updates a job. Returns the jobs whose readiness or effective priority changed. */
   put(job: PipelineJob): ReadonlySet<string> {
     const changed = new Set<string>();
     let indexed = this.jobs.get(job.id);
@@ -116,7 +118,7 @@
       indexed = this.add(job);
       changed.add(job.id);
     }
-    if (indexed.doomed || job.cancelled) this.doomDependants(job.id, changed);
+    if (indexed.dependencyCancelled || job.cancelled) this.propagateCancellation(job.id, changed);
     this.updateEffectivePriorities([job.id, ...job.dependsOn], changed);
     return changed;
   }
@@ -129,7 +131,7 @@
       indexed.unresolved.add(dependency);
       const outcome = this.outcomes.get(dependency);
       if (outcome) applyOutcome(dependency, outcome, indexed);
-      else if (this.neverRuns(dependency)) indexed.doomed = true;
+      else if (this.neverRuns(dependency)) indexed.dependencyCancelled = true;
     }
     return indexed;
   }
@@ -140,15 +142,18 @@
     dependants.add(dependant);
   }
 
-  /** Takes out a job that is over; how it ended may be known only later. Returns the jobs that changed. */
+  /**
+   * Removes a job that has ended; its outcome may become known only later. Returns the jobs whose effective
+   * priority changed.
+   */
   remove(id: string): ReadonlySet<string> {
     const changed = new Set<string>();
     const indexed = this.jobs.get(id);
     if (!indexed) return changed;
     this.jobs.delete(id);
     for (const dependency of indexed.job.dependsOn) this.removeDependant(dependency, id);
-    // What was cancelled stays so, whoever depends on it later.
-    if (this.dependants.has(id) && (indexed.doomed || indexed.job.cancelled))
+    // Keeps the cancellation for jobs that are added later and depend on this one.
+    if (this.dependants.has(id) && (indexed.dependencyCancelled || indexed.job.cancelled))
       this.outcomes.set(id, { _tag: 'cancelled' });
     this.updateEffectivePriorities(indexed.job.dependsOn, changed);
     return changed;
@@ -162,8 +167,8 @@
     this.outcomes.delete(dependency);
   }
 
-  /** The outcome of a job is durable. Returns the jobs that changed. */
-  settle(id: string, outcome: DependencyOutcome): ReadonlySet<string> {
+  /** Records the durable outcome of a job. Returns the jobs whose readiness may have changed. */
+  setOutcome(id: string, outcome: DependencyOutcome): ReadonlySet<string> {
     const changed = new Set<string>();
     if (!this.dependants.has(id)) return changed;
     this.outcomes.set(id, outcome);
@@ -172,24 +177,24 @@
       if (!indexed) continue;
       changed.add(dependant);
       applyOutcome(id, outcome, indexed);
-      if (indexed.doomed) this.doomDependants(dependant, changed);
+      if (indexed.dependencyCancelled) this.propagateCancellation(dependant, changed);
     }
     return changed;
   }
 
   private neverRuns(id: string): boolean {
     const indexed = this.jobs.get(id);
-    return indexed !== undefined && (indexed.doomed || indexed.job.cancelled);
+    return indexed !== undefined && (indexed.dependencyCancelled || indexed.job.cancelled);
   }
 
-  /** Dooms all jobs that depend on one that is cancelled, directly or through others. */
-  private doomDependants(id: string, changed: Set<string>): void {
+  /** Marks all jobs that depend on a cancelled job, directly or through others. */
+  private propagateCancellation(id: string, changed: Set<string>): void {
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
       for (const dependant of this.dependantsOf(next)) {
         const indexed = this.jobs.get(dependant);
-        if (!indexed || indexed.doomed) continue;
-        indexed.doomed = true;
+        if (!indexed || indexed.dependencyCancelled) continue;
+        indexed.dependencyCancelled = true;
         changed.add(dependant);
         stack.push(dependant);
       }
@@ -200,16 +205,16 @@
     let { priority, dueAt } = job;
     for (const id of this.dependantsOf(job.id)) {
       const dependant = this.jobs.get(id);
-      if (!dependant || dependant.doomed || dependant.job.cancelled) continue;
+      if (!dependant || dependant.dependencyCancelled || dependant.job.cancelled) continue;
       const inherited = dependant.effectivePriority;
       if (inherited.priority > priority) priority = inherited.priority;
       if (inherited.dueAt !== null)
-        dueAt = earliest(dueAt, inherited.dueAt - dependant.job.estimateMs - this.stageMs);
+        dueAt = earliest(dueAt, inherited.dueAt - dependant.job.estimateMs - this.stageTransitionMs);
     }
     return { priority, dueAt };
   }
 
-  /** Works out these jobs anew, and their dependencies as far as anything changes. */
+  /** Recomputes the effective priority of these jobs, and of the dependencies of each job that changes. */
   private updateEffectivePriorities(ids: Iterable<string>, changed: Set<string>): void {
     const queue = [...ids];
     for (let id = queue.shift(); id !== undefined; id = queue.shift()) {
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -1,4 +1,7 @@
-/** What a round asks for: jobs that wait for others, and those that others wait for. */
+/**
+ * Tests of the placement requests of jobs that depend on others or that others depend on: which of them use
+ * their team's guarantee, and from when their waiting times and deadlines count.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
@@ -8,13 +11,12 @@
 import { placementRequests, teamUsage } from './placement-view.js';
 import { ShardState } from './shard-state.js';
 
-/** What jobs that follow others take of their team before they are ready, and from when their times count. */
 const STAGE_MS = 1_000;
 const NOW = 100_000;
 const GUARANTEED_GPUS = 4;
 
-const recordOf = (id: string, over: Partial<JobSpec> & { at?: number; follows?: readonly string[] }) => {
-  const { at = 0, follows = [], ...spec } = over;
+const recordOf = (id: string, overrides: Partial<JobSpec> & { at?: number; follows?: readonly string[] }) => {
+  const { at = 0, follows = [], ...spec } = overrides;
   return {
     spec: jobSpec(id, {
       kind: 'array',
@@ -38,62 +40,65 @@
 interface Row {
   readonly name: string;
   readonly jobs: readonly JobRecord[];
-  /** Followed jobs that are over: when they were done, or null for cancelled. */
-  readonly over: Readonly<Record<string, number | null>>;
-  /** Requests: job, within its guarantee, seconds that it has waited, seconds from now until it is due. */
+  /** Dependencies that have ended: when each was done, in ms since the epoch, or null if cancelled. */
+  readonly ended: Readonly<Record<string, number | null>>;
+  /**
+   * The requests in order: job, whether within the guarantee, s that it has waited, s from now until its
+   * deadline.
+   */
   readonly expect: readonly (readonly [string, boolean, number, number | null])[];
 }
 const rows: readonly Row[] = [
   {
-    name: 'a job that waits for others asks for nothing and takes nothing of the guarantee',
+    name: 'a job that waits for its dependencies has no request and uses no part of the guarantee',
     jobs: [
       recordOf('job-1', { at: 10_000, follows: ['job-9'] }),
       recordOf('job-2', { at: 20_000 }),
       recordOf('job-3', { at: 30_000 }),
     ],
-    over: {},
-    // Were the first counted, the second would be beyond what the team is guaranteed.
+    ended: {},
+    // If job-1 counted, job-2 would exceed the guarantee of the team.
     expect: [
       ['job-2', true, 80, null],
       ['job-3', false, 70, null],
     ],
   },
   {
-    name: 'one that became ready counts from then on, behind those that were there before',
+    name: 'the waiting time of a job counts from when it became ready, behind jobs that waited before',
     jobs: [recordOf('job-1', { at: 10_000, follows: ['job-9'] }), recordOf('job-2', { at: 20_000 })],
-    over: { 'job-9': 90_000 },
+    ended: { 'job-9': 90_000 },
     expect: [
       ['job-2', true, 80, null],
       ['job-1', false, 10, null],
     ],
   },
   {
-    name: 'its deadline counts from the submission, its waiting from the last job that it needed',
+    name: 'the deadline counts from the submission, the waiting time from the last dependency',
     jobs: [recordOf('job-1', { at: 10_000, follows: ['job-8', 'job-9'], deadlineS: 120 })],
-    over: { 'job-8': 40_000, 'job-9': 70_000 },
+    ended: { 'job-8': 40_000, 'job-9': 70_000 },
     expect: [['job-1', true, 30, 30]],
   },
   {
-    name: 'one of two is not done',
+    name: 'no request while one of two dependencies is not done',
     jobs: [recordOf('job-1', { at: 10_000, follows: ['job-8', 'job-9'], deadlineS: 120 })],
-    over: { 'job-8': 40_000 },
+    ended: { 'job-8': 40_000 },
     expect: [],
   },
   {
-    name: 'one of two is cancelled, and with it the job',
+    name: 'no request once one of two dependencies is cancelled',
     jobs: [recordOf('job-1', { at: 10_000, follows: ['job-8', 'job-9'] })],
-    over: { 'job-8': 40_000, 'job-9': null },
+    ended: { 'job-8': 40_000, 'job-9': null },
     expect: [],
   },
   {
-    name: 'what is needed by an urgent job with a deadline is placed with both',
+    name: 'a dependency gets the priority and the deadline of an urgent dependant',
     jobs: [
       recordOf('job-1', { at: 10_000, priority: 0 }),
       recordOf('job-2', { at: 11_000, priority: 2, follows: ['job-1'], deadlineS: 139 }),
       recordOf('job-3', { at: 5_000, priority: 1 }),
     ],
-    over: {},
-    // Due 150 s after the start less the estimate of the last stage and what lies between two.
+    ended: {},
+    // job-2 is due at 150 s: less its estimate, 10 s, and a stage transition, 1 s, job-1 is due at 139 s.
     expect: [
       ['job-1', false, 90, 39],
       ['job-3', true, 95, null],
@@ -124,8 +129,8 @@
         cancelled: false,
       });
     });
-    for (const [id, doneAt] of Object.entries(row.over))
-      index.settle(id, doneAt === null ? { _tag: 'cancelled' } : { _tag: 'done', at: doneAt });
+    for (const [id, doneAt] of Object.entries(row.ended))
+      index.setOutcome(id, doneAt === null ? { _tag: 'cancelled' } : { _tag: 'done', at: doneAt });
     for (const { spec } of row.jobs) {
       const effectivePriority = index.effectivePriority(spec.id);
       assert.ok(effectivePriority);
@@ -153,10 +158,6 @@
       ]),
       row.expect,
     );
-    assert.deepEqual(
-      [...teamUsage(shardState)],
-      [],
-      'nothing is on a machine, so nothing counts for a limit',
-    );
+    assert.deepEqual([...teamUsage(shardState)], [], 'no task is on a machine, so no team has usage');
   });
 }
