--- a/src/placement/round-loop.ts
+++ b/src/placement/round-loop.ts
@@ -1,7 +1,7 @@
 /**
- * When placement rounds run: soon after something changed, at least at a fixed interval, and with rests
- * that bound their processor time. Owns the request for a round and the end of the rest; `Shard` hands in
- * the round.
+ * Runs placement rounds: soon after a request, though not before the pause that bounds the processor time of
+ * rounds has ended, and without a request at a fixed interval. Owns the request for a round and the end of
+ * the pause; `Shard` provides the round.
  */
 import * as Effect from 'effect/Effect';
 import { PLACEMENT_INTERVAL_MS } from '../constants/placement.js';
@@ -14,18 +14,19 @@
   readonly coreFraction: number;
   /** ms of processor time that this process has used. */
   readonly processorMs: () => number;
-  /** May this controller act for the shard now? Without it no round runs. */
+  /** Whether this controller may act for the shard now; if not, no round runs. */
   readonly mayAct: () => boolean;
-  /** One round. */
+  /** Runs one round. */
   readonly round: () => void;
 }
 
 /** Runs the rounds of one shard, one after the other, until its claim is lost. */
 export class RoundLoop implements RoundTrigger {
+  /** Ends the wait for a request; null: the loop is not waiting for one. */
   private wake: (() => void) | null = null;
   private roundRequested = false;
-  /** ms on the steady clock. */
-  private restUntil = 0;
+  /** ms on the steady clock: a requested round does not start earlier. */
+  private pauseUntil = 0;
   private readonly pacer: RoundPacer;
 
   constructor(private readonly dependencies: RoundLoopDependencies) {
@@ -39,7 +40,7 @@
 
   readonly run: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* this.pause();
+      yield* this.waitForRound();
       this.roundRequested = false;
       if (this.dependencies.isLost()) return;
       if (!this.dependencies.mayAct()) continue;
@@ -49,29 +50,29 @@
 
   private runRound(): void {
     const { processorMs, now, round } = this.dependencies;
-    const begun = processorMs();
+    const processorMsBefore = processorMs();
     round();
-    const rest = this.pacer.restAfter(processorMs() - begun);
-    this.restUntil = now() + rest;
+    const pauseMs = this.pacer.pauseAfter(processorMs() - processorMsBefore);
+    this.pauseUntil = now() + pauseMs;
   }
 
-  private pause(): Effect.Effect<void> {
+  private waitForRound(): Effect.Effect<void> {
     return Effect.promise(
       () =>
         new Promise<void>((resolve) => {
-          // A moment for events that come together, and the rest that the last round earned.
-          const soon = (): void => {
-            setTimeout(resolve, Math.max(1, this.restUntil - this.dependencies.now()));
+          // Waits at least 1 ms, so that simultaneous events share a round, and until the pause has ended.
+          const resolveAfterPause = (): void => {
+            setTimeout(resolve, Math.max(1, this.pauseUntil - this.dependencies.now()));
           };
           if (this.roundRequested) {
-            soon();
+            resolveAfterPause();
             return;
           }
           const timer = setTimeout(resolve, PLACEMENT_INTERVAL_MS);
           this.wake = () => {
             clearTimeout(timer);
             this.wake = null;
-            soon();
+            resolveAfterPause();
           };
         }),
     );
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -1,6 +1,6 @@
 /**
- * How long placement rests between rounds, by the processor time that rounds take. Owns the running average;
- * `RoundLoop` asks it after each round.
+ * Computes the pause between placement rounds from the processor time that rounds take. Owns the moving
+ * average of that time; `RoundLoop` calls it after each round.
  */
 import {
   MIN_PLACEMENT_ROUND_PAUSE_MS,
@@ -9,31 +9,32 @@
 } from '../constants/placement.js';
 
 /**
- * ms of rest that a round of so much processor time (ms) earns: the process has a fraction of a core, and
- * rounds a fraction of that.
+ * ms of pause after a round of this much processor time (ms): the process may use `coreFraction` of a core,
+ * at most a whole one, and rounds may use `PLACEMENT_ROUND_CORE_FRACTION` of that.
  */
-export const restMs = (processorMs: number, coreFraction: number): number =>
+export const pauseMs = (processorMs: number, coreFraction: number): number =>
   Math.max(
     MIN_PLACEMENT_ROUND_PAUSE_MS,
     processorMs * (1 / (Math.min(1, coreFraction) * PLACEMENT_ROUND_CORE_FRACTION) - 1),
   );
 
 /**
- * Paces rounds by the average over the last ones: a single round during which the engine collected garbage,
- * or which stood still because the process had used up its part of a core, would else earn a rest of many
- * seconds, in which nothing is placed.
+ * Paces rounds by the moving average of their processor time. By the time of a single round, one during which
+ * the engine collected garbage, or which stalled because the process had used up its part of a core, would
+ * cause a pause of many seconds in which nothing is placed.
  */
 export class RoundPacer {
-  /** ms; null: no round yet. */
-  private average: number | null = null;
+  /** Moving average, in ms; null: no round has run yet. */
+  private averageMs: number | null = null;
 
   constructor(private readonly coreFraction: number) {}
 
-  /** Takes note of a round's processor time (ms); returns the rest before the next (ms). */
-  restAfter(processorMs: number): number {
-    // The first costs as much as the next few: nothing is compiled yet, and everything waits.
-    const before = this.average ?? processorMs;
-    this.average = before + (processorMs - before) * ROUND_AVERAGE_WEIGHT;
-    return restMs(this.average, this.coreFraction);
+  /** Records a round's processor time (ms); returns the pause before the next round (ms). */
+  pauseAfter(processorMs: number): number {
+    // The first round counts in full: it costs as much as the next few together, since no code is compiled
+    // yet and every job waits.
+    const before = this.averageMs ?? processorMs;
+    this.averageMs = before + (processorMs - before) * ROUND_AVERAGE_WEIGHT;
+    return pauseMs(this.averageMs, this.coreFraction);
   }
 }
--- a/src/placement/round-waiters.ts
+++ b/src/placement/round-waiters.ts
@@ -1,13 +1,13 @@
 /**
- * Answers to workers that wait for the next placement round, so that what is placed can travel in them. Owns
- * the set of waits; `Shard` adds to it and ends them after a round.
+ * Lets answers to workers wait for the next placement round, so that they can carry the commands of tasks
+ * placed in it. Owns the set of waits; `Shard` adds to it and ends the waits after a round.
  */
 
 /** Callers that wait for the end of a round. */
 export class RoundWaiters {
   private readonly waits = new Set<() => void>();
 
-  /** Resolves when a round that has yet to begin ends the waits, or after `ms`. */
+  /** Resolves when a round that begins after this call ends the waits, or after `ms`. */
   wait(ms: number): Promise<void> {
     return new Promise<void>((resolve) => {
       const end = (): void => {
@@ -20,7 +20,7 @@
     });
   }
 
-  /** Those that wait now, as functions that end each wait: what a round that begins now is to call. */
+  /** The current waits, each as the function that ends it: a round that begins now calls them at its end. */
   current(): readonly (() => void)[] {
     return [...this.waits];
   }
