--- a/src/placement/binder.ts
+++ b/src/placement/binder.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the assignments of a round durable and starts the tasks once they are. No state of its own:
- * bindings are the shard state's. `Shard` calls it in each round.
+ * Makes the assignments of a round durable, and then starts the tasks. No state of its own: the bindings
+ * belong to `ShardState`. `Shard` calls it in each round.
  */
 import type { Assignment } from './placement-model.js';
 import type { DirectCommands } from './direct-commands.js';
@@ -17,7 +17,7 @@
   readonly directCommands: DirectCommands;
 }
 
-/** A run that is to be written, with the bindings that become durable by it. */
+/** The write of one run, with the bindings that it makes durable. */
 interface BindingWrite {
   readonly write: RunWrite;
   readonly bindings: readonly Binding[];
@@ -27,17 +27,18 @@
 export class Binder {
   constructor(private readonly dependencies: BinderDependencies) {}
 
-  /** Resolves when all binds are durable or taken back. */
+  /** Binds the tasks; resolves once each bind is durable or undone. */
   bindAll(assignments: readonly Assignment[]): Promise<unknown> {
     const commits: Promise<void>[] = [];
-    const ofArrays: BindingWrite[] = [];
+    const batchableWrites: BindingWrite[] = [];
     for (const [job, bindings] of this.bindInMemory(assignments)) {
       const writes = this.writesOf(job, bindings);
       // A gang's bind is one conditional write.
       if (job.spec.kind === 'gang') commits.push(this.commitGang(job, writes));
-      else ofArrays.push(...writes);
+      else batchableWrites.push(...writes);
     }
-    for (const batch of this.dependencies.runs.batches(ofArrays)) commits.push(this.commitBatch(batch));
+    for (const batch of this.dependencies.runs.batches(batchableWrites))
+      commits.push(this.commitBatch(batch));
     return Promise.all(commits);
   }
 
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -1,4 +1,4 @@
-/** Gangs whose bind takes several transactions are bound by the last one or not at all. */
+/** Tests that a gang whose bind takes several transactions is bound by the last one or not at all. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http/model.js';
@@ -11,7 +11,7 @@
 import { ClaimTransactions } from './claim-transactions.js';
 import { RunWriter } from './run-writer.js';
 
-/** A gang whose bind does not fit in one transaction: at every moment all of it is bound, or nothing. */
+/** A gang, and limits of the key-value store under which its bind does not fit in one transaction. */
 interface Limits {
   readonly name: string;
   readonly tasks: number;
@@ -22,7 +22,7 @@
 
 const bindUntil = async ({ tasks, ops, valueBytes }: Limits, transactions: number) => {
   const items = new Map<string, unknown>();
-  let carriedOut = 0;
+  let committed = 0;
   let revision = 0;
   const request = (_: string, path: string, body: unknown): Promise<CallOutcome> => {
     const { writes } = body as { writes: { write?: string; remove?: string; data?: unknown }[] };
@@ -30,9 +30,9 @@
     assert.ok(writes.length <= ops, `${writes.length} changes`);
     const bytes = Buffer.byteLength(JSON.stringify(body));
     assert.ok(bytes <= TXN_LIMIT_BYTES, `${bytes} bytes in one transaction`);
-    if (carriedOut >= transactions)
+    if (committed >= transactions)
       return Promise.resolve({ _tag: 'response', status: 409, body: { failed: ['w/c/0'] } });
-    carriedOut += 1;
+    committed += 1;
     revision += 1;
     for (const { write, remove, data } of writes) {
       if (write !== undefined) {
@@ -85,7 +85,7 @@
   );
   job.attempt = 3;
   for (let index = 0; index < tasks; index += 1) {
-    // No two side by side on one machine: the longest that a run can be.
+    // Each task has a machine of its own, which makes the run records as long as they can be.
     const id = `i-${String(index).padStart(9, '0')}`;
     const machine = shardState.addMachine(id, machineRecord(), 2, { cpus: 1, gpus: 0, memoryGb: 1 });
     shardState.bind(job, index, 3, machine, { _tag: 'binding' });
@@ -96,7 +96,7 @@
     chunks.map((chunk) => writer.runWrite(job, chunk)),
     'bind',
   );
-  /** What a new holder would find bound. */
+  /** Number of tasks that a new holder of the shard would read as bound. */
   let found = 0;
   const first = items.get(runKey(0, 'job-1', 0));
   for (const [key, value] of items) {
@@ -107,24 +107,29 @@
     );
     found += readRunRecord(value, name.chunk, parts).bindings.length;
   }
-  return { bound, found, carriedOut, job, valid: validAttempt(first), writing: job.writesUnderWay };
+  return { bound, found, committed, job, valid: validAttempt(first), writing: job.writesUnderWay };
 };
 
 /** Gangs too large for one transaction, up to one task on each of 4,000 machines. */
 const limits: readonly Limits[] = [
   { name: '1,900 tasks, small transactions and values', tasks: 1_900, ops: 10, valueBytes: 2_048 },
-  { name: '4,000 tasks, few changes a transaction', tasks: 4_000, ops: 16, valueBytes: 32 * 1024 },
-  { name: '4,000 tasks, as many changes as it has runs', tasks: 4_000, ops: 64, valueBytes: 16 * 1024 },
+  { name: '4,000 tasks, few changes per transaction', tasks: 4_000, ops: 16, valueBytes: 32 * 1024 },
+  {
+    name: '4,000 tasks, as many changes per transaction as the gang has runs',
+    tasks: 4_000,
+    ops: 64,
+    valueBytes: 16 * 1024,
+  },
 ];
 for (const row of limits) {
-  test(`gang: what is prepared counts for nothing until the one write that binds it, ${row.name}`, async () => {
+  test(`gang: prepared runs count as unbound until the last transaction, ${row.name}`, async () => {
     const whole = await bindUntil(row, 1_000);
     assert.deepEqual([whole.bound, whole.found, whole.valid], [true, row.tasks, 3]);
-    assert.ok(whole.carriedOut > 2, 'it does not fit in one or two');
-    for (let ended = 0; ended < whole.carriedOut; ended += 1) {
-      const part = await bindUntil(row, ended);
-      assert.deepEqual([part.bound, part.found, part.writing], [false, 0, 0], `ended after ${ended}`);
-      // Parts that are left behind are written over.
+    assert.ok(whole.committed > 2, 'the bind takes more than two transactions');
+    for (let committed = 0; committed < whole.committed; committed += 1) {
+      const part = await bindUntil(row, committed);
+      assert.deepEqual([part.bound, part.found, part.writing], [false, 0, 0], `stopped after ${committed}`);
+      // Prepared runs that remain are marked to be overwritten.
       assert.ok([...part.job.chunks.values()].every((chunk) => chunk.dirtySince !== null));
     }
   });
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -1,4 +1,4 @@
-/** What work without alternatives leaves over on a machine. */
+/** Tests of the leftover capacity of machines: what work without alternatives cannot use. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog, JobSpec } from '../jobs/model.js';
@@ -18,18 +18,18 @@
 const small: Partial<JobSpec> = { kind: 'service', tasks: 1, cpus: 4, gpus: 0, memoryGb: 9 };
 
 /**
- * Guards the gangs that need a whole GPU machine: whatever is put on its machine must leave room for the
- * next.
+ * Guards against small work that blocks gangs that need a whole GPU machine: what is placed beside a gang
+ * must leave enough capacity for the next gang.
  */
 const cases: readonly {
   readonly name: string;
   readonly running: readonly Partial<JobSpec>[];
   readonly leftover: readonly [cpus: number, gpus: number, memoryGb: number];
 }[] = [
-  { name: 'nothing on an empty machine: it may move to another shard', running: [], leftover: [0, 0, 0] },
-  { name: 'what a gang leaves over', running: [training], leftover: [10, 0, 158] },
-  { name: 'less what runs there already', running: [training, small], leftover: [6, 0, 149] },
-  { name: 'nothing once the gang has ended', running: [small], leftover: [0, 0, 0] },
+  { name: 'none on an empty machine, which may move to another shard', running: [], leftover: [0, 0, 0] },
+  { name: 'what a gang does not use', running: [training], leftover: [10, 0, 158] },
+  { name: 'less what small work uses already', running: [training, small], leftover: [6, 0, 149] },
+  { name: 'none once the gang has ended', running: [small], leftover: [0, 0, 0] },
 ];
 for (const row of cases) {
   test(`leftover capacity: ${row.name}`, () => {
@@ -59,8 +59,8 @@
     );
     machine.answeredAt = NOW;
     machine.confirmedToken = 1;
-    row.running.forEach((over, index) => {
-      const spec = jobSpec(`job-${index}`, over);
+    row.running.forEach((overrides, index) => {
+      const spec = jobSpec(`job-${index}`, overrides);
       const job = shardState.adoptJob(
         { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
         1,
--- a/src/placement/shard-summary-builder.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader is told of a shard: its unmet demand and its spare machines. Owns the latest summary and
- * what of it the leader was last notified of. `Shard` calls it at the end of each round.
+ * Builds the summary of a shard for the leader: its unmet demand and its spare machines. Owns the latest
+ * summary and a digest of what the leader was last notified of. `Shard` calls it at the end of each round.
  */
 import { SHARD_SUMMARY_INTERVAL_MS } from '../constants/peers.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
@@ -15,7 +15,7 @@
 import type { TeamUsage } from './team-limits.js';
 import { unmetDemand } from './unmet-demand.js';
 
-/** What the summary of a shard needs of it. */
+/** What the summary builder needs of its shard. */
 export interface ShardSummaryBuilderDependencies
   extends
     ShardIdentity,
@@ -24,21 +24,21 @@
     Pick<ShardContext, 'limits' | 'objectives' | 'notifyLeader'> {
   readonly shardState: ShardState;
   readonly cache: Pick<WatchCache, 'revision'>;
-  /** Is the machine free to go to another shard? */
+  /** Whether the machine may be transferred to another shard. */
   readonly isTransferable: (machine: ShardMachine) => boolean;
 }
 
 /** Builds the summaries of one shard. */
 export class ShardSummaryBuilder {
-  /** Null: nothing was placed yet. */
+  /** Null: the shard has not run a placement round yet. */
   latest: ShardSummary | null = null;
-  /** ms on the steady clock. */
+  /** ms on the steady clock: when the latest summary was built. */
   private updatedAt = 0;
-  private lastAnnounced = '';
+  private lastDigest = '';
 
   constructor(private readonly dependencies: ShardSummaryBuilderDependencies) {}
 
-  /** Takes in the outcome of a round, at most once in `SHARD_SUMMARY_INTERVAL_MS`. */
+  /** Builds the summary from the outcome of a round, at most once per `SHARD_SUMMARY_INTERVAL_MS`. */
   update(
     unplaced: readonly UnplacedRequest[],
     capacities: readonly AvailableCapacity[],
@@ -60,7 +60,7 @@
       spares: spares.listed,
       unlisted: spares.unlisted,
     };
-    this.announce(this.latest);
+    this.notifyOfChange(this.latest);
   }
 
   private freeMachines(): readonly ShardMachine[] {
@@ -70,13 +70,16 @@
     );
   }
 
-  /** The leader hears at once of what is new; what merely goes on waiting comes with the next heartbeat. */
-  private announce({ needs, spares }: ShardSummary): void {
-    const announced = [
+  /**
+   * Notifies the leader at once if the demand changed or spare machines for it did; other changes reach the
+   * leader with the next heartbeat.
+   */
+  private notifyOfChange({ needs, spares }: ShardSummary): void {
+    const digest = [
       ...needs.map((need) => `${need.tasks}:${need.gangs.map((gang) => gang.job).join()}`),
       needs.length > 0 ? spares.length : '',
     ].join('|');
-    if (announced !== this.lastAnnounced) this.dependencies.notifyLeader();
-    this.lastAnnounced = announced;
+    if (digest !== this.lastDigest) this.dependencies.notifyLeader();
+    this.lastDigest = digest;
   }
 }
--- a/src/placement/spare-machines.ts
+++ b/src/placement/spare-machines.ts
@@ -1,20 +1,20 @@
 /**
- * Free machines that a shard could give to another, as the leader and other controllers are told. No state;
- * `ShardSummaryBuilder` and the heartbeat between controllers call it.
+ * Describes the free machines that a shard can give to another, for the leader and other controllers. No
+ * state; `ShardSummaryBuilder` and the heartbeat between controllers call it.
  */
 import { MAX_SPARES_PER_KIND } from '../constants/peers.js';
 import type { ShardSummary, SpareMachine, UnlistedSpares } from '../fleet/shard-summary.js';
 import type { ShardMachine } from './shard-model.js';
 
-/** Free machines that may go to another shard. */
+/** Free machines that may be transferred to another shard. */
 export interface Spares {
-  /** A few of each kind, those that have been idle longest. */
+  /** At most `MAX_SPARES_PER_KIND` of each kind, those that have been idle the longest. */
   readonly listed: readonly SpareMachine[];
-  /** How many more there are; they are named as the first ones leave. */
+  /** The number of further machines of each kind; they are listed once listed ones have left. */
   readonly unlisted: readonly UnlistedSpares[];
 }
 
-/** Free machines that may go to another shard: a few of each kind by name, of the others their number. */
+/** Lists the machines given, a few of each kind by id and the others by number; `now`: ms, steady clock. */
 export const spareMachines = (machines: Iterable<ShardMachine>, now: number): Spares => {
   const kinds = new Map<string, SpareMachine[]>();
   for (const machine of machines) {
@@ -41,7 +41,7 @@
   };
 };
 
-/** What peers that don't lead hear: whether there is a spare of some kind, nothing of unmet demand. */
+/** The summary for controllers that do not lead: one spare machine of each kind and no unmet demand. */
 export const abridgedSummary = (summary: ShardSummary): ShardSummary => {
   const kinds = new Set<string>();
   const spares = summary.spares.filter((spare) => {
--- a/src/placement/task-counts.ts
+++ b/src/placement/task-counts.ts
@@ -1,9 +1,9 @@
-/** Counts of a job's tasks, as users and other controllers are told. No state; `Shard` calls it. */
+/** Counts of a job's tasks, for users and other controllers. No state; `Shard` calls it. */
 import { MAX_JOBS_WITH_TASK_COUNTS } from '../constants/peers.js';
 import { onMachine } from './attempt-phase.js';
 import type { ShardJob } from './shard-model.js';
 
-/** Tasks of a job that are done, and that are on machines now. */
+/** Numbers of tasks of a job that are done, and that workers report on their machines now. */
 export interface TaskCounts {
   readonly done: number;
   readonly running: number;
@@ -19,7 +19,7 @@
   return { done: job.done.size, running };
 };
 
-/** Of the jobs with tasks on machines or done, at most `MAX_JOBS_WITH_TASK_COUNTS`, in their order. */
+/** Counts of the jobs with bound or done tasks, in their order, at most `MAX_JOBS_WITH_TASK_COUNTS`. */
 export const allTaskCounts = (jobs: Iterable<ShardJob>): readonly NamedTaskCounts[] => {
   const list: NamedTaskCounts[] = [];
   for (const job of jobs) {
--- a/src/placement/team-limits.ts
+++ b/src/placement/team-limits.ts
@@ -1,4 +1,4 @@
-/** What teams use and may use, and how many more tasks a limit allows. No state. */
+/** Usage and limits of teams, and the number of tasks that a limit still allows. No state. */
 import { AMOUNT_TOLERANCE } from '../constants/placement.js';
 import type { JobSpec } from '../jobs/model.js';
 
@@ -14,16 +14,16 @@
 }
 
 /**
- * Tasks of this size that the team may still start. A limit of 0 means none: whoever asks for GPUs needs a
- * GPU limit; CPUs are counted where the team has a CPU limit.
+ * Number of tasks of this size that the team may still start, at most `maxTasks`. A GPU limit of 0 allows no
+ * tasks with GPUs; a CPU limit of 0 means that the team has none, and CPUs are not counted.
  */
 export const tasksWithinLimit = (
   spec: Pick<JobSpec, 'cpus' | 'gpus'>,
   limit: TeamLimit,
   usage: TeamUsage,
-  most: number,
+  maxTasks: number,
 ): number => {
-  let count = most;
+  let count = maxTasks;
   if (spec.gpus > 0)
     count = Math.min(count, Math.floor((limit.gpusMax - usage.gpus + AMOUNT_TOLERANCE) / spec.gpus));
   if (spec.cpus > 0 && limit.cpusMax > 0) {
--- a/src/placement/unplaceable-requests.ts
+++ b/src/placement/unplaceable-requests.ts
@@ -1,12 +1,12 @@
 /**
- * Requests that need not be tried since one alike found no room in the same round. Owns the list of a round;
- * `packRequests` makes one for each.
+ * Finds requests that need not be tried, since a similar one found no capacity in the same round. Owns the
+ * requests of one round that could not be placed; `packRequests` creates one instance per call.
  */
 import { fitsIn, type Demand, type JobSpec } from '../jobs/model.js';
 import type { PlacementRequest } from './placement-model.js';
 
-/** What two requests must have in common, amounts aside. */
-const placementKindOf = (spec: JobSpec): string =>
+/** What two requests must have in common to be compared, apart from their amounts. */
+const constraintsKeyOf = (spec: JobSpec): string =>
   [
     spec.kind,
     spec.types?.join('+') ?? '*',
@@ -17,14 +17,15 @@
   ].join('|');
 
 /**
- * What found no room in this round, and with it whatever needs as much or more in the same places: rooms only
- * shrink within a round. Jobs whose amounts differ a little each would otherwise all be tried.
+ * The requests that could not be placed in this round. A request with the same constraints that needs as much
+ * or more cannot be placed either, since capacities only shrink within a round. Without this check, many jobs
+ * whose amounts differ slightly would all be tried.
  */
 export class UnplaceableRequests {
   private readonly failed = new Map<string, { need: Demand; tasks: number }[]>();
 
   private key(request: PlacementRequest): string {
-    return `${placementKindOf(request.spec)}|${request.spec.priority}|${request.mayUseOnDemand}|${request.urgency.place}`;
+    return `${constraintsKeyOf(request.spec)}|${request.spec.priority}|${request.mayUseOnDemand}|${request.urgency.place}`;
   }
 
   add(request: PlacementRequest): void {
@@ -34,6 +35,7 @@
     list.push({ need: request.spec, tasks: request.spec.kind === 'gang' ? request.spec.tasks : 1 });
   }
 
+  /** Whether a request that needs as much or less, with the same constraints, could not be placed. */
   covers(request: PlacementRequest): boolean {
     const tasks = request.spec.kind === 'gang' ? request.spec.tasks : 1;
     return (this.failed.get(this.key(request)) ?? []).some(
