--- a/src/placement/bin-packing.test.ts
+++ b/src/placement/bin-packing.test.ts
@@ -1,4 +1,4 @@
-/** Where tasks go: bin packing, limits and the order of requests. */
+/** Tests of bin packing, team limits and the order of requests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../jobs/model.js';
@@ -8,7 +8,7 @@
 import { tasksWithinLimit, type TeamLimit } from './team-limits.js';
 import { jobSpec } from '../testing/bodies.js';
 
-const spec = (over: Partial<JobSpec>): JobSpec =>
+const spec = (overrides: Partial<JobSpec>): JobSpec =>
   jobSpec('job-1', {
     jobClass: 'k',
     team: 't',
@@ -19,31 +19,34 @@
     gpus: 1,
     memoryGb: 8,
     estimateS: 10,
-    ...over,
+    ...overrides,
   });
-const request = (over: Partial<JobSpec>, rest: Partial<PlacementRequest> = {}): PlacementRequest => {
-  const requested = spec(over);
+const request = (
+  overrides: Partial<JobSpec>,
+  requestOverrides: Partial<PlacementRequest> = {},
+): PlacementRequest => {
+  const requested = spec(overrides);
   return {
     job: requested.id,
     spec: requested,
     waiting: Array.from({ length: requested.tasks }, (_, index) => index),
-    inZones: new Map(),
+    tasksByZone: new Map(),
     failedOn: new Set(),
     waitingSince: 0,
     withinGuarantee: false,
-    attainableObjective: 0,
+    missedStartTargets: 0,
     urgency: { place: false, provision: false },
     mayUseOnDemand: true,
     hasAlternatives: requested.spot,
     hasReservation: false,
-    ...rest,
+    ...requestOverrides,
   };
 };
 const capacity = (
   id: string,
   zone: string,
   freeGpus: number,
-  over: Partial<AvailableCapacity> = {},
+  overrides: Partial<AvailableCapacity> = {},
 ): AvailableCapacity => ({
   id,
   type: 'g',
@@ -57,7 +60,7 @@
   withheldFromSpotWork: 'never',
   reservedFor: null,
   empty: false,
-  ...over,
+  ...overrides,
 });
 const LIMIT: TeamLimit = { cpusMax: 0, gpusMax: 100 };
 
@@ -70,25 +73,25 @@
   assignments: readonly string[];
 }[] = [
   {
-    name: 'a gang with room for all but one of its tasks binds none',
+    name: 'a gang is not placed when all but one of its tasks fit',
     requests: [request({ kind: 'gang', tasks: 4, gpus: 8, cpus: 64 })],
     capacities: [capacity('a', 'x', 8), capacity('b', 'x', 8), capacity('c', 'y', 8)],
     assignments: [],
   },
   {
-    name: 'a one-zone gang does not add up room of two zones',
+    name: 'a one-zone gang does not combine capacity of two zones',
     requests: [request({ kind: 'gang', tasks: 3, gpus: 8, cpus: 64, oneZone: true })],
     capacities: [capacity('a', 'x', 8), capacity('b', 'x', 8), capacity('c', 'y', 8)],
     assignments: [],
   },
   {
-    name: 'a one-zone gang goes to the fullest zone in which it fits',
+    name: 'a one-zone gang is placed in the fullest zone in which it fits',
     requests: [request({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
     capacities: [capacity('a', 'x', 8), capacity('b', 'x', 8), capacity('c', 'y', 8), capacity('d', 'y', 2)],
     assignments: ['job-1/0@c'],
   },
   {
-    name: 'equally full zones: by name',
+    name: 'equally full zones are used in the order of their names',
     requests: [request({ kind: 'gang', tasks: 1, gpus: 8, cpus: 64, oneZone: true })],
     capacities: [capacity('b', 'y', 8), capacity('a', 'x', 8)],
     assignments: ['job-1/0@a'],
@@ -101,30 +104,30 @@
   },
   {
     name: 'tasks that may still be in a zone count for a spread job',
-    requests: [request({ tasks: 2, spread: true }, { waiting: [1], inZones: new Map([['x', 1]]) })],
+    requests: [request({ tasks: 2, spread: true }, { waiting: [1], tasksByZone: new Map([['x', 1]]) })],
     capacities: [capacity('a', 'x', 8)],
     assignments: [],
   },
   {
     name: 'a one-zone array stays in the zone that holds its tasks',
-    requests: [request({ tasks: 2, oneZone: true }, { waiting: [1], inZones: new Map([['y', 1]]) })],
+    requests: [request({ tasks: 2, oneZone: true }, { waiting: [1], tasksByZone: new Map([['y', 1]]) })],
     capacities: [capacity('a', 'x', 8), capacity('b', 'y', 1)],
     assignments: ['job-1/1@b'],
   },
   {
-    name: 'no spot machine for a job that does not allow it, no machine on which it failed',
+    name: 'a job gets no spot machine if it does not allow them, and no machine on which it failed',
     requests: [request({ tasks: 2 }, { failedOn: new Set(['b']) })],
     capacities: [capacity('a', 'x', 8, { spot: true }), capacity('b', 'x', 8), capacity('c', 'x', 1)],
     assignments: ['job-1/0@c'],
   },
   {
-    name: 'work that may use spot leaves on-demand machines alone until it may take them',
+    name: 'work that may use spot machines gets no on-demand machine before it may use them',
     requests: [request({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
     capacities: [capacity('a', 'x', 8), capacity('b', 'x', 2, { spot: true })],
     assignments: ['job-1/0@b', 'job-1/1@b'],
   },
   {
-    name: 'and those withheld for others always',
+    name: 'work that may use spot machines gets no free capacity of withheld machines',
     requests: [request({ tasks: 3, spot: true })],
     capacities: [
       capacity('a', 'x', 8, { withheldFromSpotWork: 'always' }),
@@ -132,9 +135,10 @@
     ],
     assignments: ['job-1/0@b', 'job-1/1@b'],
   },
-  // CPU work stood on GPU machines that gangs need whole, or left what was over beside the gangs unused.
+  // Guards against CPU work that occupies GPU machines that gangs need whole, and against leftover capacity
+  // beside the gangs that stays unused.
   {
-    name: 'what work that has no other type leaves over, spot work takes at once',
+    name: 'spot work uses the leftover capacity of withheld machines at once',
     requests: [request({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
     capacities: [
       capacity('a', 'x', 8, {
@@ -145,7 +149,7 @@
     assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
-    name: 'and other work with alternatives goes there before it takes machines that are withheld',
+    name: 'other work with alternatives uses leftover capacity before withheld machines',
     requests: [request({ tasks: 2 }, { hasAlternatives: true })],
     capacities: [
       capacity('a', 'x', 8, { withheldFromSpotWork: 'always' }),
@@ -155,19 +159,19 @@
     assignments: ['job-1/0@c', 'job-1/1@b'],
   },
   {
-    name: 'but takes them where it finds no room otherwise',
+    name: 'other work with alternatives uses withheld machines if nothing else is free',
     requests: [request({ tasks: 2 }, { hasAlternatives: true })],
     capacities: [capacity('a', 'x', 8, { withheldFromSpotWork: 'always' }), capacity('c', 'x', 1)],
     assignments: ['job-1/0@c', 'job-1/1@a'],
   },
   {
-    name: 'work that has no other type takes all that is free',
+    name: 'work without alternatives uses all free capacity of withheld machines',
     requests: [request({ tasks: 2 })],
     capacities: [capacity('a', 'x', 8, { withheldFromSpotWork: 'always' })],
     assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
-    name: 'the limit counts what is used already',
+    name: 'the limit includes what the team uses already',
     requests: [request({ tasks: 5 })],
     capacities: [capacity('a', 'x', 8)],
     limit: { cpusMax: 0, gpusMax: 6 },
@@ -175,14 +179,14 @@
     assignments: ['job-1/0@a', 'job-1/1@a'],
   },
   {
-    name: 'a gang over its limit waits and leaves the room to others',
+    name: 'a gang over its team limit waits, and others use the capacity',
     requests: [request({ id: 'job-1', kind: 'gang', tasks: 4 }), request({ id: 'job-2', tasks: 1 })],
     capacities: [capacity('a', 'x', 8)],
     limit: { cpusMax: 0, gpusMax: 3 },
     assignments: ['job-2/0@a'],
   },
   {
-    name: 'a class that found no room is not tried again in the same round, another one is',
+    name: 'requests like one that could not be placed are skipped in the same round, others are not',
     requests: [
       request({ id: 'job-1', kind: 'gang', tasks: 9 }),
       request({ id: 'job-2', kind: 'gang', tasks: 9 }),
@@ -192,7 +196,7 @@
     assignments: ['job-3/0@a', 'job-3/1@a'],
   },
   {
-    name: 'the fullest machine first, among machines that have the image',
+    name: 'the fullest machine is used first, among machines that have the image',
     requests: [request({ tasks: 2 })],
     capacities: [
       capacity('a', 'x', 8, { images: new Set(['img']) }),
@@ -201,9 +205,9 @@
     ],
     assignments: ['job-1/0@c', 'job-1/1@a'],
   },
-  // Else machines in use would be filled again and again by small work, and no gang would find one empty.
+  // Otherwise small work fills machines in use again and again, and no machine ever becomes empty for a gang.
   {
-    name: 'what is reserved for a gang is left alone: empty by all, in use by work that has spot to go to',
+    name: 'other work gets no reserved machine that is empty, and spot work none that is in use',
     requests: [
       request({ id: 'job-1', kind: 'gang' }),
       request({ id: 'job-2', kind: 'gang', tasks: 2, gpus: 8, cpus: 64 }),
@@ -217,7 +221,7 @@
     assignments: ['job-1/0@b', 'job-4/0@a'],
   },
   {
-    name: 'the gang itself goes first',
+    name: 'the gang with the reservation is placed first',
     requests: [
       request({ id: 'job-1', kind: 'gang', gpus: 8, cpus: 64, estimateS: 1 }),
       request({ id: 'job-9', kind: 'gang', gpus: 8, cpus: 64 }, { hasReservation: true }),
@@ -245,21 +249,21 @@
   room: number;
 }[] = [
   {
-    name: 'GPU tasks of a team without a CPU limit count by GPUs',
+    name: 'GPU tasks of a team without a CPU limit are bounded by the GPU limit',
     need: { cpus: 21, gpus: 4 },
     limit: { cpusMax: 0, gpusMax: 24 },
     use: { cpus: 0, gpus: 0 },
     room: 6,
   },
   {
-    name: 'CPU tasks of a team without a CPU limit are bounded by machines alone',
+    name: 'CPU tasks of a team without a CPU limit are not bounded',
     need: { cpus: 1, gpus: 0 },
     limit: { cpusMax: 0, gpusMax: 24 },
     use: { cpus: 70, gpus: 24 },
     room: 50,
   },
   {
-    name: 'CPU tasks of a team with a CPU limit are bounded by it',
+    name: 'CPU tasks of a team with a CPU limit are bounded by the CPU limit',
     need: { cpus: 2, gpus: 0 },
     limit: { cpusMax: 9, gpusMax: 0 },
     use: { cpus: 4, gpus: 0 },
@@ -273,7 +277,7 @@
     room: 0,
   },
   {
-    name: 'both limits count where both are set',
+    name: 'tasks with CPUs and GPUs are bounded by both limits',
     need: { cpus: 2, gpus: 1 },
     limit: { cpusMax: 9, gpusMax: 8 },
     use: { cpus: 4, gpus: 1 },
@@ -288,15 +292,15 @@
 const orders: readonly { name: string; requests: readonly PlacementRequest[]; expect: readonly string[] }[] =
   [
     {
-      name: 'priority, then no spot to go to, then the guarantee, then targets, then the shortest, then the deadline, then the oldest',
+      name: 'priority, then no spot machines, guarantee, missed targets, shortest estimate, deadline, longest wait',
       requests: [
-        request({ id: 'old' }, { waitingSince: 1, attainableObjective: 1 }),
+        request({ id: 'old' }, { waitingSince: 1, missedStartTargets: 1 }),
         request({ id: 'short', estimateS: 5 }, { waitingSince: 9 }),
         request({ id: 'older' }, { waitingSince: 2 }),
         request({ id: 'newer' }, { waitingSince: 3 }),
         request({ id: 'due', deadlineS: 60 }, { waitingSince: 7 }),
         request({ id: 'spot', spot: true }, { waitingSince: 0, withinGuarantee: true }),
-        request({ id: 'owed' }, { waitingSince: 8, withinGuarantee: true, attainableObjective: 2 }),
+        request({ id: 'owed' }, { waitingSince: 8, withinGuarantee: true, missedStartTargets: 2 }),
         request({ id: 'urgent', priority: 2, spot: true }, { waitingSince: 99 }),
       ],
       expect: ['urgent', 'owed', 'short', 'due', 'older', 'newer', 'old', 'spot'],
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -1,55 +1,73 @@
 /**
- * Puts the tasks of requests on machines, in the order of the requests and within the teams' limits. Pure
- * but for the room and the usage that it is given, which it takes from. `Shard` calls it in each round,
- * `unmetDemand` for machines that are coming.
+ * Assigns the tasks of requests to machines, in the order of the requests and within the teams' limits. Pure,
+ * except that it subtracts from the given capacities and adds to the given usages. `Shard` calls it in each
+ * round, `unmetDemand` for planning with machines that are expected soon.
  */
 import { AMOUNT_TOLERANCE, SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { howMany } from '../jobs/model.js';
-import { bestFirst, fullness, occupy, roomFor, usableCapacities, type Reach } from './capacity-selection.js';
+import {
+  bestFirst,
+  utilization,
+  allocate,
+  capacityFor,
+  usableCapacities,
+  type CapacityScope,
+} from './capacity-selection.js';
 import type { Assignment, AvailableCapacity, PlacementRequest, UnplacedRequest } from './placement-model.js';
 import { tasksWithinLimit, type TeamLimit, type TeamUsage } from './team-limits.js';
 import { UnplaceableRequests } from './unplaceable-requests.js';
 
-/** Tasks on one machine. */
-interface Portion {
+/** A number of tasks on one machine. */
+interface MachineAllocation {
   readonly capacity: AvailableCapacity;
   readonly count: number;
 }
 
-/** Puts as many of the tasks as fit on machines, the best first, within what a zone may take. */
-const fill = (
+/**
+ * Chooses machines for as many of `count` tasks as fit, the best machine first. No zone gets more than
+ * `maxTasksPerZone` tasks of the job, including those that it holds already.
+ */
+const chooseMachines = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
   count: number,
-  zoneCap: number,
-  reach: Reach,
-): readonly Portion[] => {
-  const chosen: Portion[] = [];
-  const inZone = new Map(request.inZones);
-  let left = count;
+  maxTasksPerZone: number,
+  scope: CapacityScope,
+): readonly MachineAllocation[] => {
+  const allocations: MachineAllocation[] = [];
+  const tasksInZone = new Map(request.tasksByZone);
+  let remaining = count;
   for (const capacity of bestFirst(capacities, request.spec)) {
-    if (left <= 0) break;
-    const used = inZone.get(capacity.zone) ?? 0;
-    const here = Math.min(howMany(request.spec, roomFor(request, capacity, reach), left), zoneCap - used);
-    if (here <= 0) continue;
-    chosen.push({ capacity, count: here });
-    inZone.set(capacity.zone, used + here);
-    left -= here;
+    if (remaining <= 0) break;
+    const used = tasksInZone.get(capacity.zone) ?? 0;
+    const tasksHere = Math.min(
+      howMany(request.spec, capacityFor(request, capacity, scope), remaining),
+      maxTasksPerZone - used,
+    );
+    if (tasksHere <= 0) continue;
+    allocations.push({ capacity, count: tasksHere });
+    tasksInZone.set(capacity.zone, used + tasksHere);
+    remaining -= tasksHere;
   }
-  return chosen;
+  return allocations;
 };
 
-/** The candidate zones of a request: one entry for each set of machines that it may use together. */
+/** Machines that a request may use together: by zone for a one-zone job, else all under ''. */
 const candidateZones = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
 ): Map<string, AvailableCapacity[]> => {
   const zones = new Map<string, AvailableCapacity[]>();
-  const occupied = [...request.inZones].filter(([, count]) => count > 0).map(([zone]) => zone);
+  const occupiedZones = [...request.tasksByZone].filter(([, count]) => count > 0).map(([zone]) => zone);
   for (const capacity of capacities) {
     const zone = request.spec.oneZone ? capacity.zone : '';
-    // Once some tasks run, only the zone that holds them counts.
-    if (request.spec.oneZone && occupied.length > 0 && !occupied.every((held) => held === zone)) continue;
+    // Once tasks of a one-zone job are on machines, only the zone that holds them counts.
+    if (
+      request.spec.oneZone &&
+      occupiedZones.length > 0 &&
+      !occupiedZones.every((occupied) => occupied === zone)
+    )
+      continue;
     const list = zones.get(zone);
     if (list) list.push(capacity);
     else zones.set(zone, [capacity]);
@@ -57,46 +75,50 @@
   return zones;
 };
 
-/** Tasks put on machines that the request may use together. */
+/** A choice of machines that a request may use together. */
 interface Candidate {
+  /** Utilization of the machines that were considered; higher is better. */
   readonly score: number;
   readonly count: number;
-  readonly chosen: readonly Portion[];
+  readonly allocations: readonly MachineAllocation[];
 }
 
-/** The candidate that holds most of the tasks wanted, and of those the fullest. */
+/**
+ * The candidate that places the most of the wanted tasks, and of those with equally many the one with the
+ * highest utilization. Null: no candidate places a task, or a whole gang.
+ */
 const bestCandidate = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
   want: number,
-  reach: Reach,
+  scope: CapacityScope,
 ): Candidate | null => {
-  const gang = request.spec.kind === 'gang';
-  const zoneCap = request.spec.spread
+  const isGang = request.spec.kind === 'gang';
+  const maxTasksPerZone = request.spec.spread
     ? Math.ceil(request.spec.tasks * SPREAD_ZONE_FRACTION)
     : Number.POSITIVE_INFINITY;
-  const fits = usableCapacities(request, capacities, reach);
+  const fits = usableCapacities(request, capacities, scope);
   let best: Candidate | null = null;
   for (const [zone, candidates] of [...candidateZones(request, fits)].sort(([a], [b]) => (a < b ? -1 : 1))) {
-    const chosen = fill(request, candidates, want, zoneCap, reach);
-    const count = chosen.reduce((sum, entry) => sum + entry.count, 0);
-    if (count === 0 || (gang && count < request.spec.tasks)) continue;
-    const score = fullness(
+    const allocations = chooseMachines(request, candidates, want, maxTasksPerZone, scope);
+    const count = allocations.reduce((sum, entry) => sum + entry.count, 0);
+    if (count === 0 || (isGang && count < request.spec.tasks)) continue;
+    const score = utilization(
       zone === '' ? candidates : capacities.filter((capacity) => capacity.zone === zone),
     );
     if (!best || count > best.count || (count === best.count && score > best.score + AMOUNT_TOLERANCE)) {
-      best = { score, count, chosen };
+      best = { score, count, allocations };
     }
   }
   return best;
 };
 
-/** Takes the room of a candidate, for the first tasks that wait. */
+/** Allocates the capacity of a candidate to the first waiting tasks of the request. */
 const assign = (request: PlacementRequest, candidate: Candidate): readonly Assignment[] => {
   const assignments: Assignment[] = [];
   let next = 0;
-  for (const { capacity, count } of candidate.chosen) {
-    occupy(capacity, request, count);
+  for (const { capacity, count } of candidate.allocations) {
+    allocate(capacity, request, count);
     for (let k = 0; k < count; k += 1) {
       const index = request.waiting[next];
       next += 1;
@@ -106,16 +128,16 @@
   return assignments;
 };
 
-/** Places one request: the whole gang or nothing, of other jobs as many tasks as fit. */
+/** Places one request: a gang whole or not at all, of other jobs as many tasks as fit. */
 const packRequest = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
-  mostTasks: number,
+  maxTasks: number,
 ): readonly Assignment[] => {
-  const want = Math.min(request.waiting.length, mostTasks);
+  const want = Math.min(request.waiting.length, maxTasks);
   if (want <= 0 || (request.spec.kind === 'gang' && want < request.spec.tasks)) return [];
   let best = bestCandidate(request, capacities, want, 'leftover');
-  // Work that may use spot machines never takes more than is left over.
+  // Work that may use spot machines never uses more than the leftover capacity of withheld machines.
   if ((best?.count ?? 0) < want && request.hasAlternatives && !request.spec.spot)
     best = bestCandidate(request, capacities, want, 'all');
   if (!best) return [];
@@ -125,7 +147,7 @@
 /** The outcome of packing a list of requests. */
 export interface PackingResult {
   readonly assignments: readonly Assignment[];
-  /** What found no room, with the number of tasks that the limit allows and that still wait. */
+  /** Requests with waiting tasks that the team's limit allows and that found no capacity. */
   readonly unplaced: readonly UnplacedRequest[];
 }
 
@@ -134,14 +156,14 @@
   usage.gpus += spec.gpus * tasks;
 };
 
-/** A team's entry, made where there is none. */
-const usageOf = (usages: Map<string, TeamUsage>, team: string): TeamUsage => {
+/** The usage of a team, added as zero if it has none yet. */
+const getOrCreateUsage = (usages: Map<string, TeamUsage>, team: string): TeamUsage => {
   let usage = usages.get(team);
   if (!usage) usages.set(team, (usage = { cpus: 0, gpus: 0 }));
   return usage;
 };
 
-/** Places requests in their order within the teams' limits; adds what is placed to `usages`. */
+/** Places requests in their order within the teams' limits, and adds the placed tasks to `usages`. */
 export const packRequests = (
   requests: readonly PlacementRequest[],
   capacities: readonly AvailableCapacity[],
@@ -151,25 +173,30 @@
   const assignments: Assignment[] = [];
   const unplaced: UnplacedRequest[] = [];
   const unplaceable = new UnplaceableRequests();
-  /** What each team would use if all that waits had its room: a plan must not pass the limit either. */
+  /**
+   * By team: the usage if all waiting tasks that count as unplaced also ran. Machines must not be planned
+   * for more tasks than the limit allows.
+   */
   const plannedUsages = new Map([...usages].map(([team, usage]) => [team, { ...usage }]));
   for (const request of requests) {
     const { spec, waiting } = request;
     const limit = limits.get(spec.team);
     if (!limit) continue;
-    const usage = usageOf(usages, spec.team);
-    const planned = usageOf(plannedUsages, spec.team);
-    const gang = spec.kind === 'gang';
+    const usage = getOrCreateUsage(usages, spec.team);
+    const planned = getOrCreateUsage(plannedUsages, spec.team);
+    const isGang = spec.kind === 'gang';
     const allowed = tasksWithinLimit(spec, limit, usage, waiting.length);
-    if (allowed === 0 || (gang && allowed < spec.tasks)) continue;
-    // Requests with places of their own say nothing about others.
-    const plain = request.failedOn.size === 0 && request.inZones.size === 0 && !request.hasReservation;
-    const placed = plain && unplaceable.covers(request) ? [] : packRequest(request, capacities, allowed);
-    if (placed.length < allowed && plain) unplaceable.add(request);
+    if (allowed === 0 || (isGang && allowed < spec.tasks)) continue;
+    // A request with failed machines, tasks in zones or a reservation does not show what others can use.
+    const isComparable =
+      request.failedOn.size === 0 && request.tasksByZone.size === 0 && !request.hasReservation;
+    const placed =
+      isComparable && unplaceable.covers(request) ? [] : packRequest(request, capacities, allowed);
+    if (placed.length < allowed && isComparable) unplaceable.add(request);
     assignments.push(...placed);
     addUsage(usage, request, placed.length);
     const wanted = tasksWithinLimit(spec, limit, planned, allowed);
-    const count = gang && wanted < spec.tasks ? 0 : Math.max(0, wanted - placed.length);
+    const count = isGang && wanted < spec.tasks ? 0 : Math.max(0, wanted - placed.length);
     if (count > 0) unplaced.push({ request, count });
     addUsage(planned, request, placed.length + count);
   }
--- a/src/placement/capacity-selection.ts
+++ b/src/placement/capacity-selection.ts
@@ -1,6 +1,7 @@
 /**
- * Which machines a request may use, how much of them, and in which order. Pure but for `occupy`, which
- * takes room. The bin packing calls it for each request of a round.
+ * Selects the machines that a request may use, the capacity that it may use on each, and their order. Pure,
+ * except that `allocate` subtracts from a machine's capacity. The bin packing calls it for each request of a
+ * round.
  */
 import { fitsIn, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 import type { AvailableCapacity, PlacementRequest } from './placement-model.js';
@@ -15,29 +16,38 @@
   from.memoryGb -= need.memoryGb * count;
 };
 
-/** Takes room on a machine for so many tasks. */
-export const occupy = (capacity: AvailableCapacity, request: PlacementRequest, count: number): void => {
+/** Subtracts the demand of `count` tasks of the request from the capacity of a machine. */
+export const allocate = (capacity: AvailableCapacity, request: PlacementRequest, count: number): void => {
   subtract(capacity.free, request.spec, count);
   if (request.hasAlternatives) subtract(capacity.leftover, request.spec, count);
 };
 
 /**
- * What work with alternatives may take of machines that are withheld for work without: what that work leaves
- * over, or all that is free.
+ * What work with alternatives may use on machines that are always withheld from spot work: only the leftover
+ * capacity, or all that is free.
  */
-export type Reach = 'leftover' | 'all';
+export type CapacityScope = 'leftover' | 'all';
 
-const isLimitedToLeftover = (request: PlacementRequest, capacity: AvailableCapacity, reach: Reach): boolean =>
-  reach === 'leftover' && capacity.withheldFromSpotWork === 'always' && request.hasAlternatives;
+const isLimitedToLeftover = (
+  request: PlacementRequest,
+  capacity: AvailableCapacity,
+  scope: CapacityScope,
+): boolean => scope === 'leftover' && capacity.withheldFromSpotWork === 'always' && request.hasAlternatives;
 
-/** What the request may take of a machine. */
-export const roomFor = (request: PlacementRequest, capacity: AvailableCapacity, reach: Reach): Demand =>
-  isLimitedToLeftover(request, capacity, reach) ? capacity.leftover : capacity.free;
+/** The capacity of a machine that the request may use. */
+export const capacityFor = (
+  request: PlacementRequest,
+  capacity: AvailableCapacity,
+  scope: CapacityScope,
+): Demand => (isLimitedToLeftover(request, capacity, scope) ? capacity.leftover : capacity.free);
 
-/** MostAllocated: the mean fraction in use over CPUs, memory and GPUs (where there are any). */
-export const fullness = (capacities: readonly AvailableCapacity[]): number => {
+/**
+ * MostAllocated score of machines taken together: the mean of the fractions of CPUs, memory and GPUs in use,
+ * without those of which the machines have none.
+ */
+export const utilization = (capacities: readonly AvailableCapacity[]): number => {
   let sum = 0;
-  let parts = 0;
+  let dimensions = 0;
   for (const field of ['cpus', 'memoryGb', 'gpus'] as const) {
     let total = 0;
     let free = 0;
@@ -47,30 +57,31 @@
     }
     if (total > 0) {
       sum += (total - free) / total;
-      parts += 1;
+      dimensions += 1;
     }
   }
-  return parts === 0 ? 0 : sum / parts;
+  return dimensions === 0 ? 0 : sum / dimensions;
 };
 
 const byId = (a: { id: string }, b: { id: string }): number => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0);
 
 /**
- * Best machine first: not one withheld for others, the cheaper kind, with the image, the fullest, by name.
+ * Sorts machines, the best first: those not withheld from spot work, then spot machines, which are cheaper,
+ * then those with the job's image, then the highest utilization, then by id.
  */
 export const bestFirst = (
   capacities: readonly AvailableCapacity[],
   spec: JobSpec,
 ): readonly AvailableCapacity[] =>
   capacities
-    .map((capacity) => ({ capacity, full: fullness([capacity]) }))
+    .map((capacity) => ({ capacity, utilization: utilization([capacity]) }))
     .sort(
       (a, b) =>
         Number(a.capacity.withheldFromSpotWork !== 'never') -
           Number(b.capacity.withheldFromSpotWork !== 'never') ||
         Number(b.capacity.spot) - Number(a.capacity.spot) ||
         Number(b.capacity.images.has(spec.image)) - Number(a.capacity.images.has(spec.image)) ||
-        b.full - a.full ||
+        b.utilization - a.utilization ||
         byId(a.capacity, b.capacity),
     )
     .map((entry) => entry.capacity);
@@ -82,14 +93,16 @@
     case 'lastIdle':
       return !request.mayUseOnDemand || !request.urgency.place;
     case 'always':
-      // What the work that depends on it leaves over costs nothing, and is no use to that work.
+      // `capacityFor` leaves such work the leftover capacity: using it costs nothing, and the work that
+      // depends on the machine type cannot use it.
       return false;
   }
 };
 
 /**
- * What is reserved for another job is left alone: machines that are empty by all, and those in use by work
- * that has spot machines to go to, or they would be filled again and again and never be empty.
+ * Whether the machine is reserved for another job of the request's priority or above, so that the request may
+ * not use it. An empty machine is kept from all such requests. An on-demand machine in use is kept only from
+ * work that may use spot machines: that work would fill it again and again, and it would never become empty.
  */
 const isReservedForAnother = (request: PlacementRequest, capacity: AvailableCapacity): boolean =>
   capacity.reservedFor !== null &&
@@ -101,12 +114,12 @@
 export const usableCapacities = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
-  reach: Reach,
+  scope: CapacityScope,
 ): readonly AvailableCapacity[] =>
   capacities.filter(
     (capacity) =>
-      // Most rooms are full, so this comes first.
-      fitsIn(request.spec, roomFor(request, capacity, reach)) &&
+      // Most machines are full, so this check comes first.
+      fitsIn(request.spec, capacityFor(request, capacity, scope)) &&
       !isReservedForAnother(request, capacity) &&
       placeAllowed(request.spec, capacity) &&
       !(request.spec.spot && !capacity.spot && isWithheld(request, capacity)) &&
--- a/src/placement/placement-model.ts
+++ b/src/placement/placement-model.ts
@@ -1,11 +1,11 @@
 /**
- * What a placement round decides about and what it decides: requests, room on machines, assignments. No
- * state; each round makes new ones.
+ * The input and output of one placement round: requests, free capacity of machines, assignments. Plain data
+ * without state; each round builds new objects.
  */
 import type { Demand, JobSpec } from '../jobs/model.js';
 import type { Urgency } from './urgency.js';
 
-/** Room on one machine. What is free shrinks as a round puts tasks there. */
+/** Free capacity of one machine; `free` and `leftover` shrink as a round allocates tasks to the machine. */
 export interface AvailableCapacity {
   readonly id: string;
   readonly type: string;
@@ -13,53 +13,60 @@
   readonly spot: boolean;
   readonly total: Demand;
   readonly free: { cpus: number; gpus: number; memoryGb: number };
-  /** Of a machine that is always withheld from spot work: what the work that depends on it leaves over. */
+  /**
+   * The capacity that work depending on this machine type cannot use, so that work with alternatives may use
+   * it. Read only if `withheldFromSpotWork` is `always`.
+   */
   readonly leftover: { cpus: number; gpus: number; memoryGb: number };
   readonly images: ReadonlySet<string>;
-  /** False: still booting, or not heard from yet; counts for planning, takes no tasks. */
+  /**
+   * Whether the machine accepts tasks now. False: it is still booting, or its worker has not confirmed the
+   * token yet; its capacity counts only for planning.
+   */
   readonly live: boolean;
   /**
-   * Held back from work that may use spot machines: the last idle ones while that can wait, those of scarce
-   * types always.
+   * Whether the machine is withheld from work that may use spot machines. `lastIdle`: it is one of the last
+   * idle machines and withheld until such work is urgent. `always`: other work depends on its type, and such
+   * work may use only `leftover`.
    */
   readonly withheldFromSpotWork: 'never' | 'lastIdle' | 'always';
-  /** Reserved for this job: work of its priority and below leaves it alone. */
+  /** The job that the machine is reserved for, against other jobs of its priority or below; null: none. */
   readonly reservedFor: { readonly job: string; readonly priority: number } | null;
-  /** Nothing is on it. */
+  /** Whether no task is bound to the machine. */
   readonly empty: boolean;
 }
 
-/** A job with tasks that wait for room. */
+/** A job with tasks that wait for capacity. */
 export interface PlacementRequest {
   readonly job: string;
   readonly spec: JobSpec;
-  /** Indexes of the tasks that wait (gangs: all of them). */
+  /** Indexes of the waiting tasks: all of a gang, at most `MAX_TASKS_PER_PLACEMENT_REQUEST` of other jobs. */
   readonly waiting: readonly number[];
-  /** Tasks of the job that are, or may be, on machines, by zone. */
-  readonly inZones: ReadonlyMap<string, number>;
+  /** Number of its tasks that are, or may be, on machines, by zone; empty unless it is one-zone or spread. */
+  readonly tasksByZone: ReadonlyMap<string, number>;
   readonly failedOn: ReadonlySet<string>;
-  /** ms since the epoch: from when its waiting counts. */
+  /** ms since the epoch from which the waiting time of the job counts. */
   readonly waitingSince: number;
   readonly withinGuarantee: boolean;
-  /** Which start targets it can still meet; lower goes first. */
-  readonly attainableObjective: number;
+  /** Number of start targets that the job has missed, 0 again once it starves; lower is placed first. */
+  readonly missedStartTargets: number;
   readonly urgency: Urgency;
-  /** Work that may use spot machines may take room on on-demand ones now. */
+  /** Read only for work that may use spot machines: whether it may use on-demand machines now. */
   readonly mayUseOnDemand: boolean;
-  /** It has other machines to go to than on-demand ones of a single type. */
+  /** Whether the job may use spot machines or fits more than one machine type. */
   readonly hasAlternatives: boolean;
-  /** Machines are reserved for it: it goes first within its priority. */
+  /** Whether machines are reserved for the job; it is placed first within its priority. */
   readonly hasReservation: boolean;
 }
 
-/** One task put on one machine. */
+/** A decision to run one task on one machine. */
 export interface Assignment {
   readonly job: string;
   readonly index: number;
   readonly machine: string;
 }
 
-/** A request with the number of its tasks that found no room and that the team's limit allows. */
+/** A request with the number of its tasks that found no capacity although the team's limit allows them. */
 export interface UnplacedRequest {
   readonly request: PlacementRequest;
   readonly count: number;
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -1,6 +1,7 @@
 /**
- * What waits and where there is room, read from the shard's state for one round. Owns nothing; of machines
- * it sets the cached `free`, of jobs `firstUnfinished`. `Shard` calls it at the start of each round.
+ * Builds the input of one placement round from the shard's state: the requests and the free capacity of
+ * machines. Owns nothing; it updates the cached `free` of machines and `firstUnfinished` of jobs. `Shard`
+ * calls it at the start of each round.
  */
 import {
   ESTIMATED_IMAGE_FETCH_S,
@@ -34,9 +35,9 @@
   type ShardJob,
   type ShardMachine,
 } from './shard-model.js';
-import { attainableObjective, urgency } from './urgency.js';
+import { missedStartTargets, urgency } from './urgency.js';
 
-/** What one round looks at. */
+/** What one round reads. */
 export interface PlacementView extends Pick<ShardContext, 'scarceDemand' | 'guarantees' | 'objectives'> {
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
@@ -48,71 +49,72 @@
   readonly wall: number;
 }
 
-const NOTHING: Demand = { cpus: 0, gpus: 0, memoryGb: 0 };
+const NO_CAPACITY: Demand = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** What each team has on machines: everything bound, which includes whatever is not proven gone. */
+/** Usage by team: the demand of all bound tasks, including those that are not proven gone yet. */
 export const teamUsage = (shardState: ShardState): Map<string, TeamUsage> => {
   const usages = new Map<string, TeamUsage>();
   for (const job of shardState.jobs.values()) {
     const tasks = job.bindings.size;
     if (tasks === 0) continue;
-    const use = usages.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    use.cpus += job.spec.cpus * tasks;
-    use.gpus += job.spec.gpus * tasks;
-    usages.set(job.spec.team, use);
+    const usage = usages.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
+    usage.cpus += job.spec.cpus * tasks;
+    usage.gpus += job.spec.gpus * tasks;
+    usages.set(job.spec.team, usage);
   }
   return usages;
 };
 
 const freeCapacityOf = (shardState: ShardState, machine: ShardMachine, catalog: Catalog): FreeCapacity => {
   let { cpus, gpus, memoryGb } = machine.total;
-  const others = { cpus: 0, gpus: 0, memoryGb: 0 };
-  let dependent = false;
-  const subtract = (jobId: string): boolean => {
+  const usedByFlexibleWork = { cpus: 0, gpus: 0, memoryGb: 0 };
+  let hasDependentWork = false;
+  /** Subtracts one task of a job; false: the job is unknown, and so is the size of the task. */
+  const subtractTask = (jobId: string): boolean => {
     const spec = shardState.jobs.get(jobId)?.spec;
     if (!spec) return false;
     cpus -= spec.cpus;
     gpus -= spec.gpus;
     memoryGb -= spec.memoryGb;
     if (hasAlternatives(spec, catalog)) {
-      others.cpus += spec.cpus;
-      others.gpus += spec.gpus;
-      others.memoryGb += spec.memoryGb;
-    } else dependent = true;
+      usedByFlexibleWork.cpus += spec.cpus;
+      usedByFlexibleWork.gpus += spec.gpus;
+      usedByFlexibleWork.memoryGb += spec.memoryGb;
+    } else hasDependentWork = true;
     return true;
   };
-  let clear = true;
-  for (const binding of machine.bound.values()) if (!subtract(binding.job)) clear = false;
+  let sizesKnown = true;
+  for (const binding of machine.bound.values()) if (!subtractTask(binding.job)) sizesKnown = false;
   for (const task of machine.reportedTasks) {
     if (task.state._tag === 'exited' || machine.bound.has(bindingKey(task.job, task.index, task.attempt)))
       continue;
-    // On the machine, but not bound there any more: it is being stopped, and its room is not free yet.
-    if (!subtract(task.job)) clear = false;
+    // Reported but no longer bound here: the task is being stopped, and its capacity is not free yet.
+    if (!subtractTask(task.job)) sizesKnown = false;
   }
-  return clear
-    ? { _tag: 'free', cpus, gpus, memoryGb, usedByFlexibleWork: others, hasDependentWork: dependent }
+  return sizesKnown
+    ? { _tag: 'free', cpus, gpus, memoryGb, usedByFlexibleWork, hasDependentWork }
     : { _tag: 'unclear' };
 };
 
 /**
- * What the work that can't do without this type leaves over: what is free once as many of its largest tasks
- * as the machine holds have their room. Only where such work runs already: an empty machine stays free for
- * another shard.
+ * The capacity that work depending on this machine type cannot use: what stays free once the machine holds as
+ * many of that work's largest tasks as fit. Zero unless such work already runs on the machine, so that an
+ * empty machine stays free for another shard.
  */
 const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
-  if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NOTHING;
+  if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NO_CAPACITY;
   const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
-  const over = (field: keyof Demand): number =>
+  const leftover = (field: keyof Demand): number =>
     Math.max(
       0,
       Math.min(free[field], machine.total[field] - tasks * scarce[field] - free.usedByFlexibleWork[field]),
     );
-  return { cpus: over('cpus'), gpus: over('gpus'), memoryGb: over('memoryGb') };
+  return { cpus: leftover('cpus'), gpus: leftover('gpus'), memoryGb: leftover('memoryGb') };
 };
 
 /**
- * On-demand machines that some job can't do without are held back from work that can use spot: where that
- * work has other types to go to, always; where it has none, as long as it would take one of the last idle.
+ * Withholds on-demand machines whose type some job depends on from work that may use spot machines: always
+ * if the catalog has other types, otherwise while the machine is one of the last idle ones.
  */
 const withholdingOf = (
   machine: ShardMachine,
@@ -138,7 +140,10 @@
   return idle;
 };
 
-/** Room on each machine that may take tasks, now or once it is up. */
+/**
+ * Free capacity of each machine that accepts tasks now, or is expected to soon; without machines whose free
+ * capacity is unclear.
+ */
 export const availableCapacity = (view: PlacementView): AvailableCapacity[] => {
   const { shardState, liveness, now, wall } = view;
   const capacities: AvailableCapacity[] = [];
@@ -168,21 +173,21 @@
   return capacities;
 };
 
-/** s: the shortest nominal boot among the types that the job may use. */
+/** s: the shortest nominal boot time of the types that the job may use; 0: it fits none. */
 const shortestBootS = (spec: JobSpec, catalog: Catalog): number => {
-  let least = Number.POSITIVE_INFINITY;
+  let shortestS = Number.POSITIVE_INFINITY;
   for (const type of catalog.values()) {
-    if (typeAllowed(spec, type.name) && fitsIn(spec, type)) least = Math.min(least, type.bootS);
+    if (typeAllowed(spec, type.name) && fitsIn(spec, type)) shortestS = Math.min(shortestS, type.bootS);
   }
-  return Number.isFinite(least) ? least : 0;
+  return Number.isFinite(shortestS) ? shortestS : 0;
 };
 
 const waitingTasks = (job: ShardJob): readonly number[] => {
   const waiting: number[] = [];
-  // A job of 100,000 tasks need not be walked whole each round, but a gang is placed whole.
-  const most = job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PER_PLACEMENT_REQUEST;
+  // A job may have 100,000 tasks, so a round looks at a bounded number of them; a gang is placed whole.
+  const maxTasks = job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PER_PLACEMENT_REQUEST;
   while (job.done.has(job.firstUnfinished)) job.firstUnfinished += 1;
-  for (let index = job.firstUnfinished; index < job.spec.tasks && waiting.length < most; index += 1) {
+  for (let index = job.firstUnfinished; index < job.spec.tasks && waiting.length < maxTasks; index += 1) {
     if (!job.done.has(index) && !job.bindings.has(index)) waiting.push(index);
   }
   return waiting;
@@ -190,7 +195,7 @@
 
 const tasksByZone = (job: ShardJob, shardState: ShardState): ReadonlyMap<string, number> => {
   const zones = new Map<string, number>();
-  // Only these two look at where the other tasks are.
+  // Only one-zone and spread jobs depend on the zones of their other tasks.
   if (!job.spec.oneZone && !job.spec.spread) return zones;
   for (const binding of job.bindings.values()) {
     const zone = shardState.machines.get(binding.machine)?.zone;
@@ -199,13 +204,13 @@
   return zones;
 };
 
-/** A job of which a task may be placed now, as far as it alone goes; `left`: its tasks that are not done. */
-const mayBePlaced = (job: ShardJob, left: number, now: number): boolean =>
+/** Whether the job's own state allows placing a task now; `unfinished`: number of its tasks not done. */
+const mayBePlaced = (job: ShardJob, unfinished: number, now: number): boolean =>
   !job.cancelled &&
   !job.finishing &&
   job.writesUnderWay === 0 &&
   now >= job.backoffUntil &&
-  job.bindings.size < left &&
+  job.bindings.size < unfinished &&
   !isFinished(job) &&
   !(job.spec.kind === 'gang' && job.bindings.size > 0);
 
@@ -231,10 +236,10 @@
     job: spec.id,
     spec,
     waiting,
-    inZones: tasksByZone(job, shardState),
+    tasksByZone: tasksByZone(job, shardState),
     failedOn: job.failedOn,
     waitingSince: job.waitingSince,
-    attainableObjective: attainableObjective(objectives, waitedS),
+    missedStartTargets: missedStartTargets(objectives, waitedS),
     urgency: jobUrgency,
     mayUseOnDemand: jobUrgency.place || waitedS > onDemandPatienceS,
     withinGuarantee,
@@ -243,22 +248,25 @@
   };
 };
 
-/** Jobs with tasks that wait for room, in the order in which they are to be placed. */
+/** Jobs with tasks that wait for capacity, in the order in which they are to be placed. */
 export const placementRequests = (view: PlacementView): readonly PlacementRequest[] => {
   const { shardState, now, guarantees } = view;
   const requests: PlacementRequest[] = [];
-  /** What each team's jobs take that have waited for as long or longer. */
+  /**
+   * By team: the demand of all unfinished tasks of its ready jobs, up to and including the current job, in
+   * the order of their waiting times, the longest first.
+   */
   const usagesAhead = new Map<string, TeamUsage>();
   for (const job of [...shardState.jobs.values()].sort((a, b) => a.waitingSince - b.waitingSince)) {
     const { spec } = job;
-    // What waits for others holds no part of its team's limit or guarantee.
+    // A job that waits for its dependencies uses no part of its team's limit or guarantee.
     if (job.readiness._tag !== 'ready') continue;
     const usage = usagesAhead.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    const left = spec.tasks - job.done.size;
-    usage.cpus += spec.cpus * left;
-    usage.gpus += spec.gpus * left;
+    const unfinished = spec.tasks - job.done.size;
+    usage.cpus += spec.cpus * unfinished;
+    usage.gpus += spec.gpus * unfinished;
     usagesAhead.set(spec.team, usage);
-    if (!mayBePlaced(job, left, now)) continue;
+    if (!mayBePlaced(job, unfinished, now)) continue;
     const waiting = waitingTasks(job);
     if (waiting.length === 0) continue;
     const withinGuarantee = isWithinGuarantee(usage, guarantees.get(spec.team));
--- a/src/placement/preemption.test.ts
+++ b/src/placement/preemption.test.ts
@@ -1,11 +1,11 @@
-/** Which groups are stopped for a job that finds no room. */
+/** Tests of the choice of groups to stop for a job that finds no capacity. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '../jobs/model.js';
 import { preempt, type EvictableGroup, type OccupiedMachine, type PreemptingJob } from './preemption.js';
 import { jobSpec } from '../testing/bodies.js';
 
-const spec = (over: Partial<JobSpec>): JobSpec =>
+const spec = (overrides: Partial<JobSpec>): JobSpec =>
   jobSpec('job-9', {
     jobClass: 'k',
     team: 't',
@@ -18,7 +18,7 @@
     oneZone: true,
     image: 'i',
     estimateS: 1,
-    ...over,
+    ...overrides,
   });
 const group = (job: string, priority: number, gpus: number, gang = false): EvictableGroup => ({
   job,
@@ -37,35 +37,35 @@
   return { id, type: 'g', zone, spot, free: { cpus: 64, gpus: 8 - used, memoryGb: 64 }, groups };
 };
 
-const waiting = (job: JobSpec, over: Partial<PreemptingJob> = {}): PreemptingJob => ({
+const waiting = (job: JobSpec, overrides: Partial<PreemptingJob> = {}): PreemptingJob => ({
   spec: job,
   count: job.tasks,
-  inZones: new Map(),
+  tasksByZone: new Map(),
   failedOn: new Set(),
-  ...over,
+  ...overrides,
 });
 
 const rows: readonly {
   name: string;
   spec: JobSpec;
-  over?: Partial<PreemptingJob>;
+  overrides?: Partial<PreemptingJob>;
   machines: readonly OccupiedMachine[];
   expect: readonly string[];
 }[] = [
   {
-    name: 'nothing of the same priority',
+    name: 'no group of the same priority',
     spec: spec({}),
     machines: [machine('a', 'x', [group('j1', 2, 4)])],
     expect: [],
   },
   {
-    name: 'no eviction that leads to no start',
+    name: 'no group if the job could not start',
     spec: spec({}),
     machines: [machine('a', 'x', [group('j1', 2, 4), group('j2', 0, 4)])],
     expect: [],
   },
   {
-    name: 'the lowest priority',
+    name: 'the group of the lowest priority',
     spec: spec({}),
     machines: [machine('a', 'x', [group('j1', 1, 8)]), machine('b', 'x', [group('j2', 0, 8)])],
     expect: ['j2@b'],
@@ -92,13 +92,13 @@
     expect: ['j2@a'],
   },
   {
-    name: 'a one-zone gang needs its room in one zone',
+    name: 'no group for a one-zone gang that does not fit into one zone',
     spec: spec({ tasks: 2 }),
     machines: [machine('a', 'x', [group('j1', 1, 8)]), machine('b', 'y', [group('j2', 1, 8)])],
     expect: [],
   },
   {
-    name: 'a gang of victims is one group, wherever its tasks are',
+    name: 'a gang counts as one group on all its machines',
     spec: spec({ tasks: 2 }),
     machines: [
       machine('a', 'x', [group('j1', 1, 8, true)]),
@@ -109,37 +109,38 @@
     expect: ['j1@a'],
   },
   {
-    name: 'not on machines that the job may not use',
+    name: 'no group on machines that the job may not use',
     spec: spec({}),
     machines: [machine('a', 'x', [group('j1', 0, 8)], true)],
     expect: [],
   },
-  // Groups went in a zone that had its part of a spread job already, and the job could not start for it.
+  // Guards against evictions in a zone that holds its part of a spread job already, so that the job could not
+  // start there.
   {
-    name: 'a spread job only where its zones may still take tasks',
+    name: 'for a spread job only groups in zones that may hold more of its tasks',
     spec: spec({ kind: 'service', oneZone: false, spread: true, tasks: 2 }),
-    over: { count: 1, inZones: new Map([['x', 1]]) },
+    overrides: { count: 1, tasksByZone: new Map([['x', 1]]) },
     machines: [machine('a', 'x', [group('j1', 0, 8)]), machine('b', 'y', [group('j2', 1, 8)])],
     expect: ['j2@b'],
   },
   {
-    name: 'a one-zone array only where its tasks are',
+    name: 'for a one-zone array only groups in the zone of its tasks',
     spec: spec({ kind: 'array', tasks: 2 }),
-    over: { count: 1, inZones: new Map([['y', 1]]) },
+    overrides: { count: 1, tasksByZone: new Map([['y', 1]]) },
     machines: [machine('a', 'x', [group('j1', 0, 8)]), machine('b', 'y', [group('j2', 1, 8)])],
     expect: ['j2@b'],
   },
   {
-    name: 'not on a machine on which the job failed',
+    name: 'no group on a machine on which the job failed',
     spec: spec({}),
-    over: { failedOn: new Set(['a']) },
+    overrides: { failedOn: new Set(['a']) },
     machines: [machine('a', 'x', [group('j1', 0, 8)]), machine('b', 'x', [group('j2', 1, 8)])],
     expect: ['j2@b'],
   },
 ];
 for (const row of rows) {
   test(`evict: ${row.name}`, () => {
-    const { evictions } = preempt(waiting(row.spec, row.over), row.machines);
+    const { evictions } = preempt(waiting(row.spec, row.overrides), row.machines);
     assert.deepEqual(
       evictions.map((victim) => `${victim.job}@${victim.machine}`),
       row.expect,
@@ -147,9 +148,9 @@
   });
 }
 
-test('evict: the next job finds what the first one cleared and took', () => {
-  // One job a second was made room for; after the loss of a zone the last of thirty services waited half a
-  // minute.
+test('evict: the next job sees the capacity that the first one freed and used', () => {
+  // Guards against one job per search, which is one per second: after the loss of a zone the last of thirty
+  // services waited half a minute.
   const half = spec({ kind: 'service', oneZone: false, gpus: 4 });
   const machines = [machine('a', 'x', [group('j1', 1, 8)]), machine('b', 'x', [group('j2', 1, 8)])];
   const evicted: string[][] = [];
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,24 +1,24 @@
 /**
- * Which groups of lower priority to stop so that a job finds room: the last resort. Pure; `Preemptor` calls
- * it for each job of a search, with the machines as the job before left them.
+ * Chooses groups of lower priority to stop so that a job finds capacity, as a last resort. Pure; `Preemptor`
+ * calls it for each job of a search, with the machines as the decision for the previous job leaves them.
  */
 import { SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { CPUS_PER_GPU_IN_GROUP_SIZE } from '../constants/preemption.js';
 import { howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
- * Tasks that are stopped together. A group is a gang with all its tasks wherever
- * they are, or what one array or service has on one machine, since those tasks are independent.
+ * Tasks on one machine that are stopped together. A group is part of a gang, which is stopped as a whole on
+ * all its machines, or the tasks of one array or service on this machine, since those are independent.
  */
 export interface EvictableGroup {
   readonly job: string;
   readonly priority: number;
   readonly gang: boolean;
-  /** What it has on this machine. */
+  /** Number of its tasks on this machine; `demand` is their total. */
   readonly tasks: number;
   readonly demand: Demand;
 }
-/** A machine with the groups of tasks on it that could be stopped. */
+/** A machine with the groups of tasks on it that may be stopped. */
 export interface OccupiedMachine {
   readonly id: string;
   readonly type: string;
@@ -27,7 +27,7 @@
   readonly free: Demand;
   readonly groups: readonly EvictableGroup[];
 }
-/** A group to be stopped: a whole gang, or the tasks of another job on one machine. */
+/** A group to stop: a whole gang, or the tasks of an array or service on one machine. */
 export interface Eviction {
   readonly machine: string;
   readonly job: string;
@@ -35,18 +35,21 @@
 
 const sizeOf = (group: EvictableGroup): number =>
   group.demand.gpus + group.demand.cpus / CPUS_PER_GPU_IN_GROUP_SIZE;
-const keyOf = (machine: string, group: EvictableGroup): string =>
+const groupKey = (machine: string, group: EvictableGroup): string =>
   group.gang ? group.job : `${group.job}@${machine}`;
 
-/** How one machine would be cleared. */
+/** The groups to stop on one machine so that tasks of the job fit there. */
 interface MachinePlan {
   readonly machine: OccupiedMachine;
   readonly victims: readonly EvictableGroup[];
-  /** Tasks of the job that it has room for then. */
-  readonly fits: number;
+  /** Number of tasks of the job that fit then. */
+  readonly tasksThatFit: number;
 }
 
-/** Fewest and smallest groups of the lowest priority whose end lets at least one more task in. */
+/**
+ * Plans the evictions on one machine after which at least one task of the job fits: adds groups, the lowest
+ * priority and the smallest first, then drops those that are not needed. Null: all groups are not enough.
+ */
 const planMachine = (
   spec: JobSpec,
   machine: OccupiedMachine,
@@ -58,20 +61,20 @@
     free.gpus += group.demand.gpus;
     free.memoryGb += group.demand.memoryGb;
   };
-  const open: EvictableGroup[] = [];
+  const candidates: EvictableGroup[] = [];
   for (const group of machine.groups) {
-    if (evicted.has(keyOf(machine.id, group))) add(group);
-    else if (group.priority < spec.priority) open.push(group);
+    if (evicted.has(groupKey(machine.id, group))) add(group);
+    else if (group.priority < spec.priority) candidates.push(group);
   }
-  open.sort((a, b) => a.priority - b.priority || sizeOf(a) - sizeOf(b) || (a.job < b.job ? -1 : 1));
+  candidates.sort((a, b) => a.priority - b.priority || sizeOf(a) - sizeOf(b) || (a.job < b.job ? -1 : 1));
   let victims: EvictableGroup[] = [];
   while (howMany(spec, free, spec.tasks) === 0) {
-    const next = open.shift();
+    const next = candidates.shift();
     if (!next) return null;
     victims.push(next);
     add(next);
   }
-  // One that turned out not to be needed, since a later one was large enough, stays.
+  // Spares a group that is not needed because a group added later frees enough.
   for (const victim of [...victims]) {
     const without = {
       cpus: free.cpus - victim.demand.cpus,
@@ -82,11 +85,12 @@
     victims = victims.filter((other) => other !== victim);
     Object.assign(free, without);
   }
-  return { machine, victims, fits: howMany(spec, free, spec.tasks) };
+  return { machine, victims, tasksThatFit: howMany(spec, free, spec.tasks) };
 };
 
 /**
- * Lower goes first: the highest priority that a plan costs, then the number of its groups, then their size.
+ * The cost of a plan, compared element by element, lower is better: the highest priority among its groups,
+ * their number, their total size.
  */
 const costOf = (plan: MachinePlan): readonly number[] => [
   Math.max(-1, ...plan.victims.map((victim) => victim.priority)),
@@ -102,32 +106,35 @@
   return false;
 };
 
-/** Evictions on machines that a job may use together, with what they cost; null: they lead to no start. */
+/** Evictions on machines that a job may use together, with their cost. */
 interface EvictionChoice {
   readonly evictions: readonly Eviction[];
-  /** Compared one after the other, lower first: the worst priority, the number of groups, their size. */
+  /** As `costOf` orders it: the highest priority, the number of groups, their total size. */
   readonly cost: readonly number[];
-  /** Keys of the groups that go. */
+  /** Keys of the groups that are stopped. */
   readonly evictedGroups: ReadonlySet<string>;
-  /** Tasks of the job for which each machine is cleared. */
+  /** By machine: number of tasks of the job that are to start there. */
   readonly tasks: ReadonlyMap<string, number>;
 }
 
-/** A plan with what it costs, as `costOf` gives it. */
-interface PricedPlan {
+/** A plan with its cost, as `costOf` computes it. */
+interface PlanWithCost {
   readonly plan: MachinePlan;
   readonly cost: readonly number[];
 }
 
-/** Plans of machines stay as they are until a group with tasks on them goes for another's sake. */
+/**
+ * Caches the plan of each machine. A plan stays valid until the plan of another machine evicts a gang that
+ * has tasks on its machine.
+ */
 class PlanCache {
-  private readonly plans = new Map<OccupiedMachine, PricedPlan | null>();
+  private readonly plans = new Map<OccupiedMachine, PlanWithCost | null>();
   constructor(
     private readonly spec: JobSpec,
     private readonly evicted: ReadonlySet<string>,
   ) {}
 
-  private planOf(machine: OccupiedMachine): PricedPlan | null {
+  private planOf(machine: OccupiedMachine): PlanWithCost | null {
     let known = this.plans.get(machine);
     if (known === undefined) {
       const plan = planMachine(this.spec, machine, this.evicted);
@@ -137,7 +144,7 @@
   }
 
   cheapest(machines: readonly OccupiedMachine[]): MachinePlan | null {
-    let best: PricedPlan | null = null;
+    let best: PlanWithCost | null = null;
     for (const machine of machines) {
       const known = this.planOf(machine);
       if (known && (!best || isLess(known.cost, best.cost))) best = known;
@@ -145,105 +152,113 @@
     return best?.plan ?? null;
   }
 
-  /** A gang is preempted whole, so it leaves the other machines as well. */
-  forgetGang(job: string, machines: readonly OccupiedMachine[]): void {
+  /** Drops the plans of machines with tasks of an evicted gang: it is stopped whole, so it frees them too. */
+  invalidateGang(job: string, machines: readonly OccupiedMachine[]): void {
     for (const machine of machines)
       if (machine.groups.some((group) => group.job === job)) this.plans.delete(machine);
   }
 }
 
-/** A job that finds no room. */
+/** A job that finds no capacity. */
 export interface PreemptingJob {
   readonly spec: JobSpec;
-  /** Tasks that wait. */
+  /** Number of its waiting tasks. */
   readonly count: number;
-  /** Its tasks that are, or may be, on machines, by zone. */
-  readonly inZones: ReadonlyMap<string, number>;
-  /** Machines on which it failed. */
+  /** Number of its tasks that are, or may be, on machines, by zone; empty unless it is one-zone or spread. */
+  readonly tasksByZone: ReadonlyMap<string, number>;
+  /** Machines on which its tasks failed. */
   readonly failedOn: ReadonlySet<string>;
 }
 
-/** How many more tasks of the job each zone may take. */
-class ZoneRoom {
+/** Counts how many more tasks of the job each zone may hold. */
+class ZoneAllowance {
   private readonly used: Map<string, number>;
-  private readonly cap: number;
+  private readonly maxTasksPerZone: number;
 
-  constructor({ spec, inZones }: PreemptingJob) {
-    this.used = new Map(inZones);
-    this.cap = spec.spread ? Math.ceil(spec.tasks * SPREAD_ZONE_FRACTION) : Number.POSITIVE_INFINITY;
+  constructor({ spec, tasksByZone }: PreemptingJob) {
+    this.used = new Map(tasksByZone);
+    this.maxTasksPerZone = spec.spread
+      ? Math.ceil(spec.tasks * SPREAD_ZONE_FRACTION)
+      : Number.POSITIVE_INFINITY;
   }
-  in(zone: string): number {
-    return this.cap - (this.used.get(zone) ?? 0);
+  remaining(zone: string): number {
+    return this.maxTasksPerZone - (this.used.get(zone) ?? 0);
   }
-  take(zone: string, tasks: number): void {
+  add(zone: string, tasks: number): void {
     this.used.set(zone, (this.used.get(zone) ?? 0) + tasks);
   }
 }
 
-const chooseAmong = (job: PreemptingJob, machines: readonly OccupiedMachine[]): EvictionChoice | null => {
+/**
+ * Applies the plans of machines, the lowest cost first, until all waiting tasks of the job fit or no machine
+ * is left. Null: the job could not start, which for a gang means that not all its tasks fit.
+ */
+const chooseEvictions = (job: PreemptingJob, machines: readonly OccupiedMachine[]): EvictionChoice | null => {
   const { spec, count } = job;
-  const zoneRoom = new ZoneRoom(job);
+  const zoneAllowance = new ZoneAllowance(job);
   const evicted = new Set<string>();
   const plans = new PlanCache(spec, evicted);
-  const left = [...machines];
+  const remaining = [...machines];
   const evictions: Eviction[] = [];
   const tasks = new Map<string, number>();
-  let missing = count;
-  let sizes = 0;
-  let worst = 0;
-  while (missing > 0) {
-    const pick = plans.cheapest(left);
-    if (!pick) break;
-    left.splice(left.indexOf(pick.machine), 1);
-    const here = Math.min(missing, pick.fits, zoneRoom.in(pick.machine.zone));
-    if (here <= 0) continue;
-    zoneRoom.take(pick.machine.zone, here);
-    for (const victim of pick.victims) {
-      const key = keyOf(pick.machine.id, victim);
+  let unplaced = count;
+  let totalSize = 0;
+  let highestPriority = 0;
+  while (unplaced > 0) {
+    const plan = plans.cheapest(remaining);
+    if (!plan) break;
+    remaining.splice(remaining.indexOf(plan.machine), 1);
+    const tasksHere = Math.min(unplaced, plan.tasksThatFit, zoneAllowance.remaining(plan.machine.zone));
+    if (tasksHere <= 0) continue;
+    zoneAllowance.add(plan.machine.zone, tasksHere);
+    for (const victim of plan.victims) {
+      const key = groupKey(plan.machine.id, victim);
       if (evicted.has(key)) continue;
       evicted.add(key);
-      if (victim.gang) plans.forgetGang(victim.job, left);
-      evictions.push({ machine: pick.machine.id, job: victim.job });
-      sizes += sizeOf(victim);
-      worst = Math.max(worst, victim.priority);
+      if (victim.gang) plans.invalidateGang(victim.job, remaining);
+      evictions.push({ machine: plan.machine.id, job: victim.job });
+      totalSize += sizeOf(victim);
+      highestPriority = Math.max(highestPriority, victim.priority);
     }
-    tasks.set(pick.machine.id, here);
-    missing -= here;
+    tasks.set(plan.machine.id, tasksHere);
+    unplaced -= tasksHere;
   }
-  const starts = spec.kind === 'gang' ? missing <= 0 : missing < count;
-  return starts ? { evictions, cost: [worst, evictions.length, sizes], evictedGroups: evicted, tasks } : null;
+  const canStart = spec.kind === 'gang' ? unplaced <= 0 : unplaced < count;
+  return canStart
+    ? { evictions, cost: [highestPriority, evictions.length, totalSize], evictedGroups: evicted, tasks }
+    : null;
 };
 
 const bestChoice = (job: PreemptingJob, machines: readonly OccupiedMachine[]): EvictionChoice | null => {
-  const { spec, inZones, failedOn } = job;
-  const occupiedZones = spec.oneZone ? [...inZones].filter(([, tasks]) => tasks > 0) : [];
+  const { spec, tasksByZone, failedOn } = job;
+  const occupiedZones = spec.oneZone ? [...tasksByZone].filter(([, tasks]) => tasks > 0) : [];
   const usable = machines.filter(
     (machine) =>
       placeAllowed(spec, machine) &&
       !failedOn.has(machine.id) &&
-      // Once some tasks run, only the zone that holds them counts.
+      // Once tasks of a one-zone job are on machines, only the zone that holds them counts.
       occupiedZones.every(([zone]) => zone === machine.zone),
   );
   const zones = spec.oneZone ? [...new Set(usable.map((machine) => machine.zone))].sort() : [null];
   let best: EvictionChoice | null = null;
   /**
-   * It would fit without an eviction, in room that earlier jobs of this search had cleared, or that is kept
-   * for others.
+   * A choice without evictions: the job fits into capacity that evictions for earlier jobs of this search
+   * free, or that is withheld from it.
    */
-  let fitting: EvictionChoice | null = null;
+  let choiceWithoutEvictions: EvictionChoice | null = null;
   for (const zone of zones) {
-    const choice = chooseAmong(
+    const choice = chooseEvictions(
       job,
       usable.filter((machine) => zone === null || machine.zone === zone),
     );
-    if (choice?.evictions.length === 0) fitting ??= choice;
+    if (choice?.evictions.length === 0) choiceWithoutEvictions ??= choice;
     else if (choice && (!best || isLess(choice.cost, best.cost))) best = choice;
   }
-  return best ?? fitting;
+  return best ?? choiceWithoutEvictions;
 };
 
-/** The machine once the groups of a choice are gone and the job's tasks are on it. */
-const afterChoice = (spec: JobSpec, machine: OccupiedMachine, choice: EvictionChoice): OccupiedMachine => {
+/** The machine once the groups of a choice have stopped and the job's tasks run on it. */
+const machineAfter = (spec: JobSpec, machine: OccupiedMachine, choice: EvictionChoice): OccupiedMachine => {
   const tasks = choice.tasks.get(machine.id) ?? 0;
   const free = {
     cpus: machine.free.cpus - spec.cpus * tasks,
@@ -252,7 +267,7 @@
   };
   const groups: EvictableGroup[] = [];
   for (const group of machine.groups) {
-    if (!choice.evictedGroups.has(keyOf(machine.id, group))) {
+    if (!choice.evictedGroups.has(groupKey(machine.id, group))) {
       groups.push(group);
       continue;
     }
@@ -263,18 +278,18 @@
   return { ...machine, free, groups };
 };
 
-/** Groups to stop for one job, and the machines as the next job that needs some finds them. */
+/** The groups to stop for one job, and the machines as they are then for the next job. */
 export interface Preemption {
   readonly evictions: readonly Eviction[];
   readonly machines: readonly OccupiedMachine[];
 }
 
-/** Which groups to preempt so that the job's tasks can start; none if no eviction would lead to a start. */
+/** Chooses groups to preempt so that the job's tasks can start; none if no evictions make that possible. */
 export const preempt = (job: PreemptingJob, machines: readonly OccupiedMachine[]): Preemption => {
   const choice = bestChoice(job, machines);
   if (!choice) return { evictions: [], machines };
   return {
     evictions: choice.evictions,
-    machines: machines.map((machine) => afterChoice(job.spec, machine, choice)),
+    machines: machines.map((machine) => machineAfter(job.spec, machine, choice)),
   };
 };
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -1,6 +1,6 @@
 /**
- * Stops groups of lower priority for jobs that find no room, at a bounded pace. Owns when it last searched.
- * `Shard` calls it after the bin packing of each round.
+ * Stops groups of lower priority for jobs that find no capacity, at a bounded rate. Owns the time of its last
+ * search. `Shard` calls it after the bin packing of each round.
  */
 import {
   MAX_JOBS_PER_PREEMPTION_SEARCH,
@@ -24,7 +24,7 @@
 
 /** Tasks of one job on one machine. */
 interface TasksOnMachine {
-  /** The last of them. */
+  /** The binding of the last of them. */
   readonly binding: Binding;
   readonly job: ShardJob;
   readonly tasks: number;
@@ -50,10 +50,10 @@
   constructor(private readonly dependencies: PreemptorDependencies) {}
 
   /**
-   * Whole groups of lower priority go when nothing else helps: no room here, no free machine in another shard
-   * that would do, and nothing already on its way out. All jobs that need it are decided together, the most
-   * important first, each only if it can start for it: after the loss of a zone, dozens of services wait for
-   * room at once.
+   * Preempts whole groups of lower priority when nothing else helps: this shard has no capacity, no other
+   * shard has a suitable free machine, and no earlier eviction is in progress. One search decides for all
+   * jobs that need it, the most important first, and evicts only for jobs that can then start: after the loss
+   * of a zone, dozens of services wait for capacity at once.
    */
   run(unplaced: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
     const now = this.dependencies.now();
@@ -64,36 +64,36 @@
           request.spec.priority > 0 && this.dependencies.wall() - request.waitingSince >= PREEMPTION_DELAY_MS,
       )
       .slice(0, MAX_JOBS_PER_PREEMPTION_SEARCH);
-    if (candidates.length === 0 || this.evictionsUnderWay()) return;
+    if (candidates.length === 0 || this.evictionsInProgress()) return;
     this.lastSearchAt = now;
-    let machines = this.occupied(capacities);
+    let machines = this.occupiedMachines(capacities);
     for (const { request, count } of candidates) {
       if (this.dependencies.spareElsewhere(this.dependencies.shardId, request.spec)) continue;
-      const { spec, inZones, failedOn } = request;
-      const preemption = preempt({ spec, count, inZones, failedOn }, machines);
+      const { spec, tasksByZone, failedOn } = request;
+      const preemption = preempt({ spec, count, tasksByZone, failedOn }, machines);
       for (const eviction of preemption.evictions) this.evict(eviction, request.job);
       machines = preemption.machines;
     }
   }
 
-  private evictionsUnderWay(): boolean {
+  private evictionsInProgress(): boolean {
     for (const machine of this.dependencies.shardState.machines.values())
       for (const binding of machine.bound.values()) if (binding.stop?.reason === 'evicted') return true;
     return false;
   }
 
-  private evict(victim: Eviction, beneficiary: string): void {
+  private evict(victim: Eviction, preemptingJob: string): void {
     const { shardState } = this.dependencies;
     const job = shardState.jobs.get(victim.job);
     if (!job) return;
-    log.info({ event: 'job.preempted', job: victim.job, machine: victim.machine, for: beneficiary });
+    log.info({ event: 'job.preempted', job: victim.job, machine: victim.machine, for: preemptingJob });
     for (const binding of job.bindings.values()) {
       if (job.spec.kind === 'gang' || binding.machine === victim.machine)
         shardState.stop(binding, 'evicted', shardState.graceOf(job));
     }
   }
 
-  private occupied(capacities: readonly AvailableCapacity[]): readonly OccupiedMachine[] {
+  private occupiedMachines(capacities: readonly AvailableCapacity[]): readonly OccupiedMachine[] {
     const now = this.dependencies.now();
     const occupied: OccupiedMachine[] = [];
     for (const { id, type, zone, spot, free, live } of capacities) {
@@ -119,7 +119,10 @@
     return [...groups.values()];
   }
 
-  /** What ends before it could be stopped is not worth stopping; an estimate that is far off says nothing. */
+  /**
+   * Whether stopping the tasks frees capacity earlier than their own end, by the job's estimate. Tasks that
+   * have run for more than twice the estimate are always worth stopping, since the estimate is then useless.
+   */
   private isWorthStopping({ binding, job }: TasksOnMachine, now: number): boolean {
     const { estimateS } = job.spec;
     const leftS = estimateS - (now - (binding.runningAt ?? now)) / 1000;
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -1,6 +1,7 @@
 /**
- * What a shard still needs once the machines that are coming are counted, as the leader is told. Pure: it
- * packs what is unplaced on copies of the machines' room. `ShardSummaryBuilder` calls it.
+ * Computes the demand of a shard that remains once the machines that are expected soon are counted, for the
+ * leader. No state; it packs the unplaced requests into the capacity that the round left free, and so
+ * subtracts from the given capacities and adds to the given usages. `ShardSummaryBuilder` calls it.
  */
 import { MAX_DEMAND_CLASSES } from '../constants/peers.js';
 import { MAX_TASKS_PER_PLACEMENT_REQUEST } from '../constants/placement.js';
@@ -18,12 +19,12 @@
 import type { TeamLimit, TeamUsage } from './team-limits.js';
 import type { Objectives } from './urgency.js';
 
-/** What the unmet demand of a round is worked out from. */
+/** The inputs from which the unmet demand of a round is computed. */
 export interface DemandInputs {
   readonly unplaced: readonly UnplacedRequest[];
   readonly capacities: readonly AvailableCapacity[];
   readonly limits: ReadonlyMap<string, TeamLimit>;
-  /** By team; what the coming machines will take is added to it. */
+  /** By team; the tasks that fit on machines that are expected soon are added. */
   readonly usages: Map<string, TeamUsage>;
   readonly catalog: Catalog;
   readonly objectives: ReadonlyMap<string, Objectives>;
@@ -32,8 +33,9 @@
 }
 
 /**
- * Demands that every type of machine holds equally often are one class to the planner: jobs whose amounts
- * differ a little each would otherwise be as many demands, each with machines of its own.
+ * Requests belong to one class if they have the same constraints and every machine type holds equally many of
+ * their tasks: jobs whose amounts differ slightly would otherwise be separate demands to the planner, each
+ * with machines of its own.
  */
 const demandClassKey = (spec: JobSpec, urgent: boolean, catalog: Catalog): string =>
   [
@@ -48,8 +50,9 @@
   ].join('|');
 
 /**
- * ms that a job waits before machines are reserved for it: a gang that no zone has room for, half of its
- * class's loosest start target; an array longer, since any machine that comes free will do for a start.
+ * ms that a job waits before machines are reserved for it. A gang that no zone has capacity for waits half of
+ * its class's loosest start target; an array or service waits longer, since any machine that becomes free is
+ * enough for it to start.
  */
 const reserveDelayMs = (spec: JobSpec, objectives: ReadonlyMap<string, Objectives>): number => {
   if (spec.kind !== 'gang') return ARRAY_RESERVE_DELAY_MS;
@@ -59,7 +62,7 @@
     : Math.min(MAX_RESERVE_DELAY_MS, target * 1000 * RESERVE_DELAY_TARGET_FRACTION);
 };
 
-/** Requests of one class, added up. */
+/** The demand of one class: the sum of its tasks, and the largest amounts that one of them needs. */
 interface DemandClass extends UnmetDemand {
   tasks: number;
   gangs: WaitingGang[];
@@ -68,11 +71,12 @@
   memoryGb: number;
 }
 
-/** What finds no room on the machines that are up or coming either. */
-const unplacedOnComing = (inputs: DemandInputs): readonly UnplacedRequest[] =>
+/** Requests that find no capacity even on the machines that are expected soon. */
+const unplacedOnExpectedMachines = (inputs: DemandInputs): readonly UnplacedRequest[] =>
   packRequests(
-    // What was provisioned for this work must count for it before it may be used, or it is provisioned again;
-    // what was provisioned for work that can use no spot must not be planned away for work that can.
+    // Machines that were provisioned for this work must count for it before it may use them, or they are
+    // provisioned again. Machines that were provisioned for work that may not use spot machines must not be
+    // planned for work that may.
     inputs.unplaced.map(({ request, count }) => ({
       ...request,
       waiting: request.waiting.slice(-count),
@@ -87,37 +91,34 @@
     inputs.usages,
   ).unplaced;
 
-/**
- * The jobs for which machines may be reserved: gangs, and of the others only those of which nothing has
- * begun.
- */
-const waitingGangs = (
+/** The jobs for which machines may be reserved: gangs, and other jobs none of whose tasks has begun. */
+const reservationCandidates = (
   { request, count }: UnplacedRequest,
   waitedMs: number,
   objectives: ReadonlyMap<string, Objectives>,
 ): WaitingGang[] => {
   const { spec, waiting } = request;
-  const nothingBegun = waiting.length >= Math.min(spec.tasks, MAX_TASKS_PER_PLACEMENT_REQUEST);
-  if (spec.kind !== 'gang' && !nothingBegun) return [];
+  const noTaskBegun = waiting.length >= Math.min(spec.tasks, MAX_TASKS_PER_PLACEMENT_REQUEST);
+  if (spec.kind !== 'gang' && !noTaskBegun) return [];
   return [{ job: spec.id, tasks: count, waitedMs, reserveAfterMs: reserveDelayMs(spec, objectives) }];
 };
 
-/** Tasks of a one-zone job that each zone has room for, at most `count` a machine; of other jobs nothing. */
+/** By zone: tasks of a one-zone job that it has capacity for, at most `count` per machine; else empty. */
 const zoneCapacityFor = (
   request: PlacementRequest,
   count: number,
   capacities: readonly AvailableCapacity[],
 ): Record<string, number> => {
   const { spec } = request;
-  const room: Record<string, number> = {};
-  if (!spec.oneZone) return room;
+  const tasksByZone: Record<string, number> = {};
+  if (!spec.oneZone) return tasksByZone;
   for (const capacity of capacities) {
     const { empty, reservedFor, zone } = capacity;
     const reservedForAnother = empty && reservedFor !== null && reservedFor.job !== request.job;
     if (!placeAllowed(spec, capacity) || reservedForAnother) continue;
-    room[zone] = (room[zone] ?? 0) + howMany(spec, capacity.free, count);
+    tasksByZone[zone] = (tasksByZone[zone] ?? 0) + howMany(spec, capacity.free, count);
   }
-  return room;
+  return tasksByZone;
 };
 
 const addToClass = (
@@ -159,16 +160,16 @@
 };
 
 /**
- * What is still needed once the machines that are coming are counted: one entry a class, the most urgent
- * first, at most `MAX_DEMAND_CLASSES`.
+ * The demand that remains once the machines that are expected soon are counted: one entry per class, in
+ * placement order, at most `MAX_DEMAND_CLASSES`.
  */
 export const unmetDemand = (inputs: DemandInputs): readonly UnmetDemand[] => {
   const classes = new Map<string, DemandClass>();
-  for (const entry of unplacedOnComing(inputs)) {
+  for (const entry of unplacedOnExpectedMachines(inputs)) {
     const { request, count } = entry;
     const key = demandClassKey(request.spec, request.urgency.provision, inputs.catalog);
     const waitedMs = inputs.wall - request.waitingSince;
-    const gangs = waitingGangs(entry, waitedMs, inputs.objectives);
+    const gangs = reservationCandidates(entry, waitedMs, inputs.objectives);
     const known = classes.get(key);
     if (known) addToClass(known, request, count, gangs);
     else if (classes.size < MAX_DEMAND_CLASSES)
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a waiting job is worth an on-demand machine, and which of its class's targets it can still meet.
- * Pure; the placement view calls it for each waiting job.
+ * Decides whether a waiting job justifies an on-demand machine, and counts the start targets of its class
+ * that it has missed. Pure; the placement view calls it for each waiting job.
  */
 import {
   ON_DEMAND_PROVISIONING_PATIENCE_S,
@@ -10,35 +10,37 @@
 } from '../constants/placement.js';
 import type { JobSpec } from '../jobs/model.js';
 
-/** What the settings say is expected of a class of jobs, in seconds from submission, ascending. */
+/** Targets of a job class from the settings, ascending, in s from when the waiting time of a job counts. */
 export interface Objectives {
-  /** Start within. */
+  /** Within how many seconds a job should start. */
   readonly wait: readonly number[];
-  /** Done within. */
+  /** Within how many seconds a job should be done. */
   readonly finished: readonly number[];
 }
 
-/** s from submission by which a job should be done: those of its class and its own deadline. */
+/** s within which a job should be done: the targets of its class, or its own deadline if there are none. */
 const finishTargets = (spec: JobSpec, objectives: Objectives | undefined): readonly number[] => {
   const list = [...(objectives?.finished ?? [])];
   if (spec.deadlineS !== null && list.length === 0) list.push(spec.deadlineS);
   return list;
 };
 
-/** Whether an on-demand machine is worth its price for work that may use spot machines. */
+/** Whether an on-demand machine is worth its price for a job that may use spot machines. */
 export interface Urgency {
-  /** Taking an on-demand machine that is up now saves a target that waiting would miss. */
+  /** Whether using an on-demand machine that is up now meets a target that waiting would miss. */
   readonly place: boolean;
   /**
-   * Provisioning an on-demand machine now still saves a target, and later won't; or spot is plainly not to
-   * be had.
+   * Whether provisioning an on-demand machine now meets a target that provisioning it later would miss, or
+   * the job has waited so long that spot machines are evidently not available.
    */
   readonly provision: boolean;
 }
 
 /**
- * Work that may use spot machines is worth an on-demand one, which costs a multiple, only where that saves a
- * target: neither while there is slack to wait for a spot machine, nor once the target is lost anyway.
+ * Decides about on-demand machines for work that may use spot machines. An on-demand machine costs a multiple
+ * and is worth it only if that meets a target: neither while there is slack to wait for a spot machine, nor
+ * once the target is missed anyway. `waitedS`, `bootS` and `fetchS` are the seconds that the job has waited,
+ * that a machine boots, and that fetching the image takes.
  */
 export const urgency = (
   spec: JobSpec,
@@ -48,7 +50,7 @@
   fetchS: number,
 ): Urgency => {
   const waitedLong = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
-  /** s left before the work must begin, for each target. */
+  /** For each target: s left before the work must begin to meet it. */
   const slacks = [
     ...finishTargets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
     ...(objectives?.wait ?? []).map((target) => target - waitedS - fetchS),
@@ -62,10 +64,11 @@
 };
 
 /**
- * Which of the start targets a waiting job can still meet: 0 all, 1 all but the tightest, and so on. Jobs
- * that can still meet one go before those that can't, unless these have waited many times as long.
+ * Number of start targets that a waiting job has missed: 0 none, 1 the tightest, and so on. Jobs that have
+ * missed fewer are placed first. A job that has waited `STARVATION_FACTOR` times the loosest target counts as
+ * 0 again, so that it does not starve.
  */
-export const attainableObjective = (objectives: Objectives | undefined, waitedS: number): number => {
+export const missedStartTargets = (objectives: Objectives | undefined, waitedS: number): number => {
   const list = objectives?.wait ?? [];
   const last = list.at(-1);
   if (last === undefined) return 0;
