--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -123,7 +123,7 @@
     name: 'a poll when one before it is cancelled',
     stored: { 'w/j/job-9': waits },
     submit: null,
-    stands: { _tag: 'doomed' },
+    stands: { _tag: 'dependencyCancelled' },
     status: 200,
     says: 'withdrawn',
   },
--- a/src/jobs/job-status.ts
+++ b/src/jobs/job-status.ts
@@ -90,7 +90,8 @@
         if (cacheAgeMs() > CACHE_FRESHNESS_MS) return RETRY_LATER;
         if (!(yield* pipelines.resolve(id))) return RETRY_LATER;
       }
-      if (pipelines.readiness(id)._tag !== 'doomed') return unfinishedStatus(id, this.taskCounts(id, job));
+      if (pipelines.readiness(id)._tag !== 'dependencyCancelled')
+        return unfinishedStatus(id, this.taskCounts(id, job));
       const outcome = yield* this.recordCancellation(id, job);
       return outcome === 'recordChanged' ? RETRY_LATER : outcome;
     });
--- a/src/pipelines/graph.test.ts
+++ b/src/pipelines/graph.test.ts
@@ -71,37 +71,37 @@
     name: 'one dependency is done, the other cancelled',
     events: [put('c', ['a', 'b']), { done: 'a', at: 7 }, { cancelled: 'b' }],
     of: 'c',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
   {
     name: 'a dependency is cancelled in its record, not yet in its final record',
     events: [put('a'), put('b', ['a']), put('a', [], { cancelled: true })],
     of: 'b',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
   {
     name: 'an indirect dependency is cancelled',
     events: [put('a'), put('b', ['a']), put('c', ['b']), put('d', ['c']), { cancelled: 'a' }],
     of: 'd',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
   {
     name: 'added after its dependency was cancelled',
     events: [put('a', [], { cancelled: true }), put('b', ['a'])],
     of: 'b',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
   {
     name: 'added after an indirect dependency was cancelled',
     events: [put('a', [], { cancelled: true }), put('b', ['a']), put('c', ['b'])],
     of: 'c',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
   {
     name: 'added after its dependency was cancelled and has ended, while another job depends on that',
     events: [put('a', [], { cancelled: true }), put('b', ['a']), { gone: 'a' }, put('c', ['a'])],
     of: 'c',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
   // A late or repeated message must not make a ready job wait, nor a job with a cancelled dependency run.
   {
@@ -114,7 +114,7 @@
     name: 'a dependency is done after another was cancelled',
     events: [put('c', ['a', 'b']), { cancelled: 'a' }, { done: 'b', at: 3 }],
     of: 'c',
-    expected: 'doomed',
+    expected: 'dependencyCancelled',
   },
 ];
 for (const row of rows) {
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -27,7 +27,7 @@
    */
   | { readonly _tag: 'ready'; readonly since: number }
   /** A dependency, direct or through others, is cancelled: the job never runs. */
-  | { readonly _tag: 'doomed' };
+  | { readonly _tag: 'dependencyCancelled' };
 
 /** Priority and deadline of a job, raised to what the jobs that depend on it need. */
 export interface EffectivePriority {
@@ -100,7 +100,7 @@
   readiness(id: string): Readiness {
     const indexed = this.jobs.get(id);
     if (!indexed) return { _tag: 'waiting' };
-    if (indexed.dependencyCancelled) return { _tag: 'doomed' };
+    if (indexed.dependencyCancelled) return { _tag: 'dependencyCancelled' };
     return indexed.unresolved.size > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: indexed.lastDoneAt };
   }
 
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -154,7 +154,7 @@
     const deadlineS = dueAt === null ? null : (dueAt - job.waitingSince) / 1000;
     job.spec = { ...job.submittedSpec, priority, deadlineS };
     // It has no task, and never will.
-    if (readiness._tag === 'doomed') this.cancel(job, null);
+    if (readiness._tag === 'dependencyCancelled') this.cancel(job, null);
     this.dependencies.requestRound();
   }
 
