--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -77,7 +77,7 @@
 
 /** A choice of machines that a request may use together. */
 interface Candidate {
-  /** Utilization of the machines that were considered; higher is better. */
+  /** Utilization of the zone, or of all usable machines; higher is better. */
   readonly score: number;
   readonly count: number;
   readonly allocations: readonly MachineAllocation[];
@@ -85,7 +85,7 @@
 
 /**
  * The candidate that places the most of the wanted tasks, and of those with equally many the one with the
- * highest utilization. Null: no candidate places a task, or a whole gang.
+ * highest utilization. Null: no task fits, or not the whole gang.
  */
 const bestCandidate = (
   request: PlacementRequest,
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -39,8 +39,9 @@
 /**
  * Decides about on-demand machines for work that may use spot machines. An on-demand machine costs a multiple
  * and is worth it only if that meets a target: neither while there is slack to wait for a spot machine, nor
- * once the target is missed anyway. `waitedS`, `bootS` and `fetchS` are the seconds that the job has waited,
- * that a machine boots, and that fetching the image takes.
+ * once the target is missed anyway. A job without targets is urgent once it has waited for
+ * `ON_DEMAND_PROVISIONING_PATIENCE_S`. `waitedS`: s that the job has waited; `bootS`: s to boot a machine;
+ * `fetchS`: s to fetch an image.
  */
 export const urgency = (
   spec: JobSpec,
