--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -55,7 +55,7 @@
         },
         machines,
       ),
-    cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    cleanUpDuty: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
     onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
