--- a/src/controller/held-shards.test.ts
+++ b/src/controller/held-shards.test.ts
@@ -92,7 +92,7 @@
       reservations: () => [],
       sendCommands: () => Promise.resolve({ _tag: 'refused', heartbeat: null }),
       releaseNow: () => Promise.resolve(false),
-      cleanUp: null,
+      cleanUpDuty: null,
       catalog: () => null,
       scarceDemand: () => null,
       isBootBound: () => false,
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -85,7 +85,7 @@
   /** Puts a cancellation to a shard held here; false: this process does not hold it under that very claim. */
   acknowledge({ shardId, claim, job, revision }: Cancellation): boolean {
     const shard = this.running.get(shardId)?.shard;
-    return shard?.claim === claim && shard.acknowledge(job, revision);
+    return shard?.claim === claim && shard.acknowledgeCancellation(job, revision);
   }
 
   /** The summaries of the shards that this process may act for. */
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -15,8 +15,8 @@
 
 /** The controller that the shard's workers reach while none of them reaches this one; null: there is none. */
 const nodeReachedInstead = (shard: Shard, peers: MisroutingSources['peers']): string | null => {
-  const { machines, heard } = shard.heartbeatCoverage();
-  if (machines === 0 || heard > 0) return null;
+  const { machines, reporting } = shard.heartbeatCoverage();
+  if (machines === 0 || reporting > 0) return null;
   const misrouted = peers.misroutedHeartbeats(String(shard.shardId));
   return misrouted && misrouted.count >= machines * MISROUTED_HANDOVER_FRACTION ? misrouted.node : null;
 };
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -27,7 +27,7 @@
 /** What depends on the shard and its claim; the rest is the same for all shards. */
 type ClaimContext = Pick<
   ShardContext,
-  'mayAct' | 'reservations' | 'sendCommands' | 'releaseNow' | 'cleanUp' | 'onLoaded'
+  'mayAct' | 'reservations' | 'sendCommands' | 'releaseNow' | 'cleanUpDuty' | 'onLoaded'
 >;
 
 const createClaimContext = (subsystems: ShardSubsystems, shardId: number, claim: number): ClaimContext => {
@@ -55,7 +55,7 @@
         },
         machines,
       ),
-    cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    cleanUpDuty: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
     onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -25,7 +25,7 @@
   /**
    * One of the keys in the conditions: only this holder changes it, so it tells whether a copy was applied.
    */
-  readonly witness: string;
+  readonly outcomeKey: string;
   readonly priority: RequestPriority;
 }
 
@@ -57,7 +57,7 @@
    * witness, which tells a late first copy from somebody else's change.
    */
   commit(transaction: ClaimTransaction): Promise<TransactionResult> {
-    return this.withSlot(() => Effect.runPromise(this.attempts(transaction)));
+    return this.withSlot(() => Effect.runPromise(this.retryUntilDecided(transaction)));
   }
 
   /** Transactions under way are few: each has its time limit, which waiting for a socket would use up. */
@@ -76,7 +76,7 @@
     }
   }
 
-  private attempts(transaction: ClaimTransaction): Effect.Effect<TransactionResult> {
+  private retryUntilDecided(transaction: ClaimTransaction): Effect.Effect<TransactionResult> {
     return Effect.gen({ self: this }, function* () {
       const { isLost } = this.dependencies;
       /** An earlier copy may have been applied, or may be later. */
@@ -116,7 +116,7 @@
 
   /** A conflict after an unacknowledged copy may be that copy's own doing: the witness tells. */
   private onConflict(
-    { conditions, witness, priority }: ClaimTransaction,
+    { conditions, outcomeKey, priority }: ClaimTransaction,
     conflict: Conflict,
     unacknowledged: boolean,
   ): Effect.Effect<AttemptOutcome> {
@@ -127,8 +127,8 @@
         return ended(conflict);
       }
       if (!unacknowledged) return ended(conflict);
-      const current = yield* store.get(witness, priority);
-      const before = conditions.find((condition) => condition.key === witness)?.version ?? 0;
+      const current = yield* store.get(outcomeKey, priority);
+      const before = conditions.find((condition) => condition.key === outcomeKey)?.version ?? 0;
       switch (current._tag) {
         case 'found':
           if (current.entry.version === before) return ended(conflict);
--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -56,13 +56,13 @@
   /** Sends the `run`s of tasks that were just bound. */
   sendRuns(bindings: readonly Binding[]): void {
     const toRun = bindings.filter((binding) => binding.phase._tag === 'bound' && !binding.stop);
-    for (const [machine, ofMachine] of this.groupByMachine(toRun)) {
+    for (const [machine, machineBindings] of this.groupByMachine(toRun)) {
       // The answer that is held for this round carries them.
-      if (machine.heldAnswers > 0) continue;
+      if (machine.pendingAnswers > 0) continue;
       const token = this.token(machine);
-      for (const binding of ofMachine) machine.unacknowledgedRuns.set(keyOf(binding), token);
-      void this.send(machine, ofMachine.map(runCommand)).then((result) =>
-        this.onRunsAnswered(machine, ofMachine, token, result),
+      for (const binding of machineBindings) machine.unacknowledgedRuns.set(keyOf(binding), token);
+      void this.send(machine, machineBindings.map(runCommand)).then((result) =>
+        this.onRunsAnswered(machine, machineBindings, token, result),
       );
     }
   }
@@ -83,7 +83,7 @@
         if (result._tag === 'executed') this.onResponse(machine, result.heartbeat);
         return;
       case 'unknown':
-        machine.raiseToken = true;
+        machine.needsHigherToken = true;
         log.info({ event: 'direct_commands.unacknowledged', machine: machine.id, tasks: bindings.length });
         this.dependencies.requestRound();
     }
--- a/src/placement/failure-accounting.ts
+++ b/src/placement/failure-accounting.ts
@@ -40,7 +40,7 @@
     const jobAtFault = !job.hasCompletedTask && job.failedOn.size >= FAULTY_JOB_MACHINES;
     if (!job.hasCompletedTask) delayUntil(job, jobAtFault ? now + jobPauseMs(job.failedOn.size) : now);
     if (jobAtFault) this.clearMachines(job);
-    else if (machine) this.suspect(machine, job, now);
+    else if (machine) this.recordMachineFailure(machine, job, now);
   }
 
   /** The machine had no room for a task: the job waits a little. */
@@ -59,7 +59,7 @@
   }
 
   /** Failures of two jobs, or of one that has completed a task elsewhere, are the machine's fault. */
-  private suspect(machine: ShardMachine, job: ShardJob, now: number): void {
+  private recordMachineFailure(machine: ShardMachine, job: ShardJob, now: number): void {
     const { health } = machine;
     if (health._tag === 'suspect' && health.job !== job.spec.id) machine.health = { _tag: 'quarantined' };
     else if (health._tag === 'healthy')
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -46,7 +46,7 @@
     for (const machine of liveness.updateAndFindExpired()) this.onLeaseExpired(machine);
     const overdue = liveness.machinesWithOverdueCancellations(shardState.jobs.values());
     this.releaseNow(overdue.map((machine) => machine.id));
-    this.writeRecords(this.machinesToRelease(overdue), this.machinesToRenew());
+    this.writeRecords(this.machinesToRelease(overdue), this.machinesNeedingHigherToken());
   }
 
   private onLeaseExpired(machine: ShardMachine): void {
@@ -66,26 +66,26 @@
   }
 
   /** Machines whose record is to be rewritten, for a higher token. */
-  private machinesToRenew(): readonly ShardMachine[] {
+  private machinesNeedingHigherToken(): readonly ShardMachine[] {
     const machines = [...this.dependencies.shardState.machines.values()].filter(
-      (machine) => machine.raiseToken && !machine.releasing,
+      (machine) => machine.needsHigherToken && !machine.releasing,
     );
-    for (const machine of machines) machine.raiseToken = false;
+    for (const machine of machines) machine.needsHigherToken = false;
     return machines;
   }
 
-  private writeRecords(release: readonly MachineToRelease[], renew: readonly ShardMachine[]): void {
+  private writeRecords(toRelease: readonly MachineToRelease[], toRenew: readonly ShardMachine[]): void {
     const { shardId, records, store } = this.dependencies;
     const assignments = [
-      ...renew.map((machine): MachineAssignment => ({ machine, shardId })),
-      ...release
-        .filter(({ machine }) => !renew.includes(machine))
+      ...toRenew.map((machine): MachineAssignment => ({ machine, shardId })),
+      ...toRelease
+        .filter(({ machine }) => !toRenew.includes(machine))
         .map(({ machine, reason }): MachineAssignment => {
           log.info({ event: 'machine.release_requested', machine: machine.id, why: reason });
           return { machine, shardId, releaseReason: reason };
         }),
     ];
-    const priority = renew.length > 0 ? 'bind' : 'work';
+    const priority = toRenew.length > 0 ? 'bind' : 'work';
     while (assignments.length > 0) void records.assign(assignments.splice(0, store.batchWrites), priority);
   }
 
@@ -125,7 +125,7 @@
     return (
       !machine.releasing &&
       !machine.cordoned &&
-      !machine.raiseToken &&
+      !machine.needsHigherToken &&
       this.dependencies.liveness.isIdle(machine) &&
       machine.unacknowledgedRuns.size === 0 &&
       machine.reclaimNoticeAt === null &&
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -51,7 +51,13 @@
     idleBoots: 9,
     isKept: true,
   },
-  { name: 'not for ever', bootBound: true, spot: false, idleBoots: 11, isKept: false },
+  {
+    name: 'a boot misses every target, but the hold time is over',
+    bootBound: true,
+    spot: false,
+    idleBoots: 11,
+    isKept: false,
+  },
   { name: 'a spot machine', bootBound: true, spot: true, idleBoots: 1.6, isKept: false },
 ];
 for (const row of cases) {
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -43,11 +43,11 @@
 /** Whether silence speaks for a fault of machines, or of this controller. */
 interface Reachability {
   /** This controller hears at least half of its machines. */
-  readonly hearsMost: boolean;
+  readonly receivesFromMost: boolean;
   /** At least half of those that report take up its token. */
-  readonly isHeardByMost: boolean;
+  readonly reachesMost: boolean;
   /** The shard was loaded long enough ago for its machines to have reported. */
-  readonly hasSettledIn: boolean;
+  readonly hasSettled: boolean;
 }
 
 /** Judges the machines of one shard. */
@@ -64,7 +64,7 @@
    * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
    * cloud.
    */
-  readonly cancelledReturnMs: number;
+  readonly cancelledReleaseMs: number;
   /** ms: the full lease, with drift, that this holder must see pass after its last answer. */
   readonly leaseMs: number;
 
@@ -73,13 +73,13 @@
     this.unreachableAfterMs = reportMs * UNREACHABLE_REPORT_INTERVALS;
     this.rebuildTimeoutMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
     this.spotSilenceMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
-    this.cancelledReturnMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
+    this.cancelledReleaseMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
     this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
   /** s; `unknown`: where the type is not in the catalogue. */
-  private bootSecondsOf(machine: ShardMachine, unknown: number): number {
-    return this.dependencies.catalog()?.get(machine.type)?.bootS ?? unknown;
+  private bootSecondsOf(machine: ShardMachine, fallback: number): number {
+    return this.dependencies.catalog()?.get(machine.type)?.bootS ?? fallback;
   }
 
   /** Never heard, and young enough that it may still come up. */
@@ -96,7 +96,7 @@
   isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
     // It came from another shard, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
-      return now - machine.takenAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
+      return now - machine.addedAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
       this.isBooting(machine, wall) &&
       wall - machine.recordedAt <
@@ -106,7 +106,7 @@
 
   /** Its lease has expired, as far as this holder's answers go. */
   isSilent(machine: ShardMachine, now: number): boolean {
-    const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.takenAt);
+    const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.addedAt);
     return now - from > this.leaseMs;
   }
 
@@ -127,16 +127,16 @@
   }
 
   /** Machines that have reported, and those that did within the last `ms`. */
-  heartbeatCoverage(ms: number): { readonly machines: number; readonly heard: number } {
+  heartbeatCoverage(ms: number): { readonly machines: number; readonly reporting: number } {
     const now = this.dependencies.now();
     let machines = 0;
-    let heard = this.loadedAt === null || now - this.loadedAt < ms ? 1 : 0;
+    let reporting = this.loadedAt === null || now - this.loadedAt < ms ? 1 : 0;
     for (const machine of this.dependencies.machines.values()) {
-      if (machine.answeredAt === null && (now - machine.takenAt < ms || this.isBooting(machine))) continue;
+      if (machine.answeredAt === null && (now - machine.addedAt < ms || this.isBooting(machine))) continue;
       machines += 1;
-      if (now - (machine.answeredAt ?? 0) < ms) heard += 1;
+      if (now - (machine.answeredAt ?? 0) < ms) reporting += 1;
     }
-    return { machines, heard };
+    return { machines, reporting };
   }
 
   /** Have the machines of a shard that was taken over said what is on them, or had their time to? */
@@ -155,15 +155,15 @@
    */
   machinesWithOverdueCancellations(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
     const wall = this.dependencies.wall();
-    const late = new Set<ShardMachine>();
+    const overdue = new Set<ShardMachine>();
     for (const job of jobs) {
-      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReturnMs) continue;
+      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReleaseMs) continue;
       for (const binding of job.bindings.values()) {
         const machine = this.dependencies.machines.get(binding.machine);
-        if (machine) late.add(machine);
+        if (machine) overdue.add(machine);
       }
     }
-    return [...late];
+    return [...overdue];
   }
 
   /**
@@ -203,18 +203,17 @@
 
   private reachability(now: number): Reachability {
     let unconfirmed = 0;
-    let reporting = 0;
+    let withinLease = 0;
     for (const machine of this.dependencies.machines.values()) {
       if (machine.answeredAt === null || now - machine.answeredAt >= this.leaseMs) continue;
-      reporting += 1;
+      withinLease += 1;
       if (machine.unconfirmedSince !== null) unconfirmed += 1;
     }
-    const { machines, heard } = this.heartbeatCoverage(this.spotSilenceMs);
+    const { machines, reporting } = this.heartbeatCoverage(this.spotSilenceMs);
     return {
-      hearsMost: heard * 2 >= machines,
-      isHeardByMost: unconfirmed * 2 <= reporting,
-      hasSettledIn:
-        this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SETTLING_SPOT_SILENCES,
+      receivesFromMost: reporting * 2 >= machines,
+      reachesMost: unconfirmed * 2 <= withinLease,
+      hasSettled: this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SETTLING_SPOT_SILENCES,
     };
   }
 
@@ -234,12 +233,12 @@
      * that its tasks are gone, long before its lease would be; if it was only cut off, little is lost.
      */
     const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilenceMs;
-    if (spotSilent && reachability.hearsMost && reachability.hasSettledIn) return 'spot silent';
+    if (spotSilent && reachability.receivesFromMost && reachability.hasSettled) return 'spot silent';
     // It reports, and yet does not take up the token for longer than its lease: answers do not reach it.
     const { unconfirmedSince } = machine;
     if (
       unconfirmedSince !== null &&
-      reachability.isHeardByMost &&
+      reachability.reachesMost &&
       now - unconfirmedSince > this.leaseMs * UNCONFIRMED_TOKEN_LEASES
     )
       return 'does not hear';
@@ -260,7 +259,7 @@
   /** Bookkeeping of what only time changes; returns the machines whose lease is over with tasks bound. */
   updateAndFindExpired(): readonly ShardMachine[] {
     const now = this.dependencies.now();
-    const over: ShardMachine[] = [];
+    const expired: ShardMachine[] = [];
     const catalog = this.dependencies.catalog();
     for (const machine of this.dependencies.machines.values()) {
       const type = catalog?.get(machine.type);
@@ -271,10 +270,10 @@
       if (machine.health._tag === 'suspect' && now > machine.health.until)
         machine.health = { _tag: 'healthy' };
       if (machine.bound.size > 0 && machine.confirmedToken !== 0 && this.isSilent(machine, now))
-        over.push(machine);
+        expired.push(machine);
       if (this.isIdle(machine)) machine.idleSince ??= now;
       else machine.idleSince = null;
     }
-    return over;
+    return expired;
   }
 }
--- a/src/placement/machine-record-writer.test.ts
+++ b/src/placement/machine-record-writer.test.ts
@@ -11,16 +11,21 @@
 const cases: readonly {
   readonly name: string;
   readonly images: readonly string[];
-  readonly room: number;
+  readonly maxBytes: number;
   readonly recorded: readonly string[];
 }[] = [
-  { name: 'none', images: [], room: 100, recorded: [] },
-  { name: 'all in the order of their use', images: ['a', 'b', 'c'], room: 100, recorded: ['a', 'b', 'c'] },
-  { name: 'the last used where not all fit', images: ['a', 'b', 'c'], room: 8, recorded: ['b', 'c'] },
-  { name: 'one that does not fit at all', images: ['x'.repeat(256)], room: 100, recorded: [] },
+  { name: 'none', images: [], maxBytes: 100, recorded: [] },
+  {
+    name: 'all in the order of their use',
+    images: ['a', 'b', 'c'],
+    maxBytes: 100,
+    recorded: ['a', 'b', 'c'],
+  },
+  { name: 'the last used where not all fit', images: ['a', 'b', 'c'], maxBytes: 8, recorded: ['b', 'c'] },
+  { name: 'one that does not fit at all', images: ['x'.repeat(256)], maxBytes: 100, recorded: [] },
 ];
 for (const row of cases) {
   test(`images of a machine record: ${row.name}`, () => {
-    assert.deepEqual(recentImages(new Set(row.images), row.room), row.recorded);
+    assert.deepEqual(recentImages(new Set(row.images), row.maxBytes), row.recorded);
   });
 }
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -23,12 +23,12 @@
 }
 
 /** The most recently used images of a machine, as many as its record has room for besides the rest. */
-export const recentImages = (images: ReadonlySet<string>, room: number): readonly string[] => {
+export const recentImages = (images: ReadonlySet<string>, maxBytes: number): readonly string[] => {
   const recent: string[] = [];
   let bytes = 0;
   for (const image of [...images].reverse()) {
     bytes += JSON.stringify(image).length + 1;
-    if (bytes > room) break;
+    if (bytes > maxBytes) break;
     recent.unshift(image);
   }
   return recent;
@@ -70,7 +70,7 @@
         key: machineKey(assignment.machine.id),
         value: this.recordOf(assignment, imageBytes),
       })),
-      witness: machineKey(first.machine.id),
+      outcomeKey: machineKey(first.machine.id),
       priority,
     });
     if (result._tag === 'committed') return true;
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -129,7 +129,7 @@
   !machine.cordoned &&
   machine.reclaimNoticeAt === null &&
   machine.health._tag === 'healthy' &&
-  !machine.raiseToken;
+  !machine.needsHigherToken;
 
 const countIdleOnDemand = ({ shardState, liveness }: PlacementView): number => {
   let idle = 0;
@@ -203,7 +203,7 @@
 const mayBePlaced = (job: ShardJob, left: number, now: number): boolean =>
   !job.cancelled &&
   !job.finishing &&
-  job.writesUnderWay === 0 &&
+  job.writesInProgress === 0 &&
   now >= job.backoffUntil &&
   job.bindings.size < left &&
   !isFinished(job) &&
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -63,7 +63,7 @@
     requestRound: () => undefined,
     onFinalRecord: (job) => settled.push(job),
   });
-  shardState.adoptJob(record, ACCEPTED_AT);
+  shardState.applyJobRecord(record, ACCEPTED_AT);
   const round = async (): Promise<void> => {
     flusher.finishJobs();
     await new Promise((resolve) => setTimeout(resolve, 5));
@@ -81,7 +81,7 @@
   // The late event brought the job back for ever: every round tried its final record again, at two changes a
   // try.
   {
-    name: 'told directly and finished before the watch shows the cancellation',
+    name: 'the cancellation arrives directly, and the job is finished before the watch shows it',
     steps: ['acknowledge', 'round', 'cancelled record seen', 'deletion seen', 'round', 'round'],
     transactions: 1,
   },
@@ -91,7 +91,7 @@
     transactions: 2,
   },
   {
-    name: 'the same, with a transaction under way as the deletion is seen',
+    name: 'the same, with a transaction in progress as the deletion is seen',
     steps: [
       'acknowledge',
       'round',
@@ -115,7 +115,7 @@
     for (const step of row.steps) {
       switch (step) {
         case 'acknowledge':
-          shard.shardState.acknowledge('job-1', CANCELLED_AT);
+          shard.shardState.acknowledgeCancellation('job-1', CANCELLED_AT);
           break;
         case 'round':
           await shard.round();
@@ -124,14 +124,18 @@
           void shard.round();
           break;
         case 'cancelled record seen':
-          shard.shardState.adoptJob(cancelledRecord, CANCELLED_AT);
+          shard.shardState.applyJobRecord(cancelledRecord, CANCELLED_AT);
           break;
         case 'deletion seen':
-          shard.shardState.onRecordGone('job-1');
+          shard.shardState.onJobRecordDeleted('job-1');
           break;
       }
     }
-    assert.deepEqual([...shard.shardState.jobs.keys()], [], 'nothing is left to be tried again');
+    assert.deepEqual(
+      [...shard.shardState.jobs.keys()],
+      [],
+      'no job is left whose final record is tried again',
+    );
     assert.equal(shard.state.transactions, row.transactions);
     assert.deepEqual(shard.settled, ['job-1']);
   });
--- a/src/placement/shard-composition.ts
+++ b/src/placement/shard-composition.ts
@@ -102,15 +102,15 @@
   shardState: ShardState,
   transactions: ClaimTransactions,
 ): OrphanedKeys => {
-  const { store, cache, cleanUp, valueBytes, wall } = context;
-  if (cleanUp === null) return new ImmediateRemoval(store, transactions);
+  const { store, cache, cleanUpDuty, valueBytes, wall } = context;
+  if (cleanUpDuty === null) return new ImmediateRemoval(store, transactions);
   return new TombstonedRemoval({
     store,
     shardId,
     claim,
-    duty: cleanUp,
+    duty: cleanUpDuty,
     valueBytes,
-    jobKnown: (job) => shardState.jobs.has(job) || cache.get(jobKey(job)) !== undefined,
+    isJobKnown: (job) => shardState.jobs.has(job) || cache.get(jobKey(job)) !== undefined,
     wall,
   });
 };
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -47,15 +47,15 @@
         yield* Effect.sleep(STORE_RETRY_DELAY_MS);
         continue;
       }
-      if (!isLost()) this.takeIn(runs.entries);
+      if (!isLost()) this.applyRuns(runs.entries);
       return;
     }
   });
 
-  private takeIn(runs: readonly StoredEntry[]): void {
+  private applyRuns(runs: readonly StoredEntry[]): void {
     const { shardId, claim, shardState, orphanedKeys, onRunsRead, onLoaded } = this.dependencies;
     onRunsRead();
-    this.adoptJobs();
+    this.loadJobs();
     orphanedKeys.discard(new RunLoader({ shardId, shardState }).loadAll(runs));
     for (const machine of shardState.machines.values()) this.applyReports(machine);
     log.info({
@@ -68,11 +68,11 @@
     onLoaded();
   }
 
-  private adoptJobs(): void {
+  private loadJobs(): void {
     const { cache, shardOfTeam, shardId, shardState, onEffectivePriority } = this.dependencies;
     for (const item of cache.under(JOB_PREFIX)) {
       const record = readJobRecord(item.value);
-      if (shardOfTeam.get(record.spec.team) === shardId) shardState.adoptJob(record, item.version);
+      if (shardOfTeam.get(record.spec.team) === shardId) shardState.applyJobRecord(record, item.version);
       onEffectivePriority(record.spec.id);
     }
   }
--- a/src/placement/shard-stage.test.ts
+++ b/src/placement/shard-stage.test.ts
@@ -12,7 +12,7 @@
 };
 
 /** Events that bring a new shard to a stage. */
-const waysTo: Readonly<Record<Stage, readonly StageEvent[]>> = {
+const eventsLeadingTo: Readonly<Record<Stage, readonly StageEvent[]>> = {
   loading: [],
   rebuilding: ['loaded'],
   placing: ['loaded', 'rebuilt'],
@@ -25,7 +25,7 @@
     test(`shard stage: ${event} at ${stage} ${expected === null ? 'changes nothing' : `is ${expected}`}`, () => {
       assert.equal(nextStage(stage, event), expected);
       const shardStage = new ShardStage({ shardId: 1, claim: 2 });
-      for (const step of waysTo[stage]) shardStage.apply(step);
+      for (const step of eventsLeadingTo[stage]) shardStage.apply(step);
       shardStage.apply(event);
       assert.equal(shardStage.current, expected ?? stage);
     });
--- a/src/placement/shard-state.test.ts
+++ b/src/placement/shard-state.test.ts
@@ -4,7 +4,7 @@
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
 
-test('shard state: tasks of a gang that is done are not told to stop one by one', () => {
+test('shard state: no direct stops are sent to the tasks of a finished gang', () => {
   // They end together, and each worker reports so itself.
   const shardState = new ShardState({ now: () => 0, wall: () => 0, requestRound: () => undefined });
   const tasks = 3;
@@ -20,7 +20,7 @@
     image: 'i',
     estimateS: 1,
   });
-  const job = shardState.adoptJob(
+  const job = shardState.applyJobRecord(
     { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     1,
   );
@@ -35,11 +35,11 @@
   assert.ok(first);
   shardState.apply(first, { _tag: 'reported', state: { _tag: 'exited', cause: 'done', saved: false } });
   assert.equal(job.done.size, tasks);
-  assert.equal(shardState.stopsToSend.size, 0, 'nothing goes out directly');
+  assert.equal(shardState.stopsToSend.size, 0, 'no stop is sent directly');
   for (const other of others)
-    assert.equal(other.stop?.reason, 'finished', 'a worker that missed it hears of it');
+    assert.equal(other.stop?.reason, 'finished', 'a worker that missed the end receives the stop');
   // A gang that broke is still told at once, all of it.
-  const broken = shardState.adoptJob(
+  const broken = shardState.applyJobRecord(
     { spec: { ...spec, id: 'job-2' }, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     2,
   );
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -59,7 +59,7 @@
     isPlacing: () => true,
     requestRound: () => undefined,
   });
-  readonly job = this.shardState.adoptJob(
+  readonly job = this.shardState.applyJobRecord(
     { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     1,
   );
@@ -67,9 +67,9 @@
 
   constructor() {
     this.liveness.loadedAt = this.now;
-    this.machines = ['m-0', 'm-1'].map((id) => this.machine(id, this.now));
+    this.machines = ['m-0', 'm-1'].map((id) => this.addMachine(id, this.now));
   }
-  machine(id: string, since: number, spot = false): ShardMachine {
+  addMachine(id: string, since: number, spot = false): ShardMachine {
     return this.shardState.addMachine(
       id,
       { shardId: 0, type: 'g', zone: 'x', spot, at: since, releasing: false, addr: '', agentEpoch: 0 },
@@ -83,7 +83,7 @@
       this.shardState.apply(binding, { _tag: 'durable' });
     });
   }
-  report(id: string, sequenceNumber: number, over: Partial<WorkerHeartbeat> = {}): boolean {
+  report(id: string, sequenceNumber: number, overrides: Partial<WorkerHeartbeat> = {}): boolean {
     const heartbeat: WorkerHeartbeat = {
       machine: id,
       addr: 'a:1',
@@ -95,14 +95,14 @@
       token: 50,
       noticeS: null,
       tasks: [],
-      ...over,
+      ...overrides,
     };
     if (this.sessions.onHeartbeat(heartbeat) === null) return false;
-    this.last = this.sessions.commandsFor(heartbeat)?.commands ?? [];
+    this.lastCommands = this.sessions.commandsFor(heartbeat)?.commands ?? [];
     return true;
   }
-  last: readonly Command[] = [];
-  at(index: number): string {
+  lastCommands: readonly Command[] = [];
+  phaseOf(index: number): string {
     return this.job.bindings.get(index)?.phase._tag ?? 'none';
   }
   releases(): readonly string[] {
@@ -119,95 +119,111 @@
       scenario.bind();
       assert.ok(scenario.report('m-0', 7, { tasks: running }));
       for (const sequenceNumber of [7, 6, 1]) assert.equal(scenario.report('m-0', sequenceNumber), false);
-      assert.equal(scenario.at(0), 'running', 'absence in an old list is no evidence');
+      assert.equal(scenario.phaseOf(0), 'running', 'absence in an old list is no evidence');
       assert.ok(scenario.report('m-0', 1, { agentEpoch: 2 }));
-      assert.equal(scenario.report('m-0', 9, { tasks: running }), false, 'nor is one of an earlier session');
-      assert.equal(scenario.at(0), 'none');
+      assert.equal(
+        scenario.report('m-0', 9, { tasks: running }),
+        false,
+        'a heartbeat of an earlier session is refused',
+      );
+      assert.equal(scenario.phaseOf(0), 'none');
     },
   },
   {
-    name: 'to a new holder a late copy may come first: it proves nothing and confirms nothing',
+    name: 'a late copy that reaches a new holder first proves nothing and confirms nothing',
     run: (scenario) => {
       scenario.bind();
       assert.ok(scenario.report('m-0', 3, { token: 44 }));
-      assert.equal(scenario.at(0), 'bound');
-      assert.equal(scenario.machines[0]?.confirmedToken, 0, 'no work goes there yet');
+      assert.equal(scenario.phaseOf(0), 'bound');
+      assert.equal(scenario.machines[0]?.confirmedToken, 0, 'no work is placed there yet');
       assert.ok(scenario.report('m-0', 9, { token: 44, agentEpoch: 2, tasks: [] }));
       assert.equal(
-        scenario.at(0),
+        scenario.phaseOf(0),
         'bound',
         'a session that the former holder may still command proves nothing',
       );
       assert.ok(scenario.report('m-0', 10, { agentEpoch: 2, tasks: running }));
-      assert.equal(scenario.at(0), 'running');
+      assert.equal(scenario.phaseOf(0), 'running');
     },
   },
   {
-    name: 'a machine that starts nothing of what it is told is unreachable: its gang goes elsewhere',
+    name: 'a machine that ignores run commands is unreachable: its gang is placed elsewhere',
     run: (scenario) => {
       scenario.report('m-0', 1);
       scenario.bind();
       for (let sequenceNumber = 2; sequenceNumber <= 4; sequenceNumber += 1) {
         scenario.report('m-0', sequenceNumber);
         assert.deepEqual(
-          scenario.last.map((command) => command._tag),
+          scenario.lastCommands.map((command) => command._tag),
           ['run'],
         );
       }
       scenario.report('m-0', 5);
-      assert.deepEqual(scenario.last, [], 'no more of it');
-      assert.equal(scenario.machines[0]?.raiseToken, true, 'nothing new until it takes up a higher token');
+      assert.deepEqual(scenario.lastCommands, [], 'run is not sent again');
+      assert.equal(
+        scenario.machines[0]?.needsHigherToken,
+        true,
+        'no new work until its worker confirms a higher token',
+      );
       assert.ok(
         [...scenario.job.bindings.values()].every((binding) => binding.stop !== null),
         'the whole gang is stopped',
       );
       scenario.report('m-0', 6);
-      assert.equal(scenario.at(0), 'none', 'absent after its last run: free to start elsewhere');
+      assert.equal(scenario.phaseOf(0), 'none', 'absent after its last run: free to start elsewhere');
     },
   },
   {
-    name: 'a machine whose lease ran out although it was answered is unreachable too',
+    name: 'a machine whose lease expired although it was answered is unreachable too',
     run: (scenario) => {
       scenario.bind();
       scenario.report('m-0', 1, { tasks: running });
       scenario.now += 5_000;
       scenario.report('m-0', 2, { agentEpoch: 2 });
-      assert.equal(scenario.at(0), 'none', 'its new session is the proof');
-      assert.equal(scenario.machines[0]?.raiseToken, true);
+      assert.equal(scenario.phaseOf(0), 'none', 'its new session is the proof');
+      assert.equal(scenario.machines[0]?.needsHigherToken, true);
     },
   },
   {
-    name: 'one that never takes up the token is released, unless most do not',
+    name: 'a machine that never confirms the token is released, unless most machines do not confirm it',
     run: (scenario) => {
       for (const machine of scenario.machines) scenario.report(machine.id, 1, { token: 44 });
       scenario.now += LEASE_S * 2_500;
       for (const machine of scenario.machines) scenario.report(machine.id, 2, { token: 44 });
-      assert.deepEqual(scenario.releases(), [], 'that speaks for a fault of this controller');
+      assert.deepEqual(scenario.releases(), [], 'that indicates a fault of this controller');
       scenario.report('m-1', 3);
       assert.deepEqual(scenario.releases(), ['m-0 does not hear']);
     },
   },
   {
-    name: 'a machine known only from a heartbeat that may be a late copy goes back after a lease of silence',
+    name: 'a machine known only from a heartbeat that may be a late copy is released after a lease of silence',
     run: (scenario) => {
-      scenario.machine('m-2', 0);
+      scenario.addMachine('m-2', 0);
       const known = scenario.shardState.machines.get('m-2');
       assert.ok(known);
       assert.equal(scenario.liveness.isExpectedSoon(known, scenario.now, scenario.now), false);
       scenario.now += (LEASE_S + 2) * 1_000;
-      assert.deepEqual(scenario.releases(), ['m-2 never came up'], 'those that boot are given their time');
+      assert.deepEqual(
+        scenario.releases(),
+        ['m-2 never came up'],
+        'a booting machine would be given its time',
+      );
     },
   },
   {
-    name: 'a silent spot machine goes before its lease is over, an on-demand one after',
+    name: 'a silent spot machine is released before its lease expires, an on-demand one afterwards',
     run: (scenario) => {
-      scenario.machine('m-2', scenario.now, true);
+      scenario.addMachine('m-2', scenario.now, true);
       for (const id of ['m-0', 'm-1', 'm-2']) scenario.report(id, 1, { tasks: running });
       scenario.now += 60_000;
       for (const id of ['m-0', 'm-1', 'm-2']) scenario.report(id, 2, { tasks: running });
       scenario.now += 17_000;
       scenario.report('m-0', 3, { tasks: running });
-      assert.deepEqual(scenario.releases(), [], 'but not while this controller hears few of its machines');
+      assert.deepEqual(
+        scenario.releases(),
+        [],
+        'not while this controller receives heartbeats from few of its machines',
+      );
       scenario.report('m-1', 3, { tasks: running });
       assert.deepEqual(scenario.releases(), ['m-2 spot silent']);
       scenario.now += 22_000;
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -34,7 +34,7 @@
 }
 
 /** Commands for a worker, under the token that it must know or learn. */
-export interface AddressedCommands {
+export interface FencedCommands {
   readonly token: number;
   readonly commands: readonly Command[];
 }
@@ -51,12 +51,12 @@
    */
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatReceipt | null {
     const { shardState, isPlacing, requestRound, now } = this.dependencies;
-    const machine = this.machineOfNewer(heartbeat);
+    const machine = this.machineIfNewer(heartbeat);
     if (!machine) return null;
     const receivedAt = now();
     const underToken = heartbeat.token === this.token(machine);
     const restarted = this.restartedWithinLease(machine, heartbeat, receivedAt);
-    const changes = this.changesShown(machine, heartbeat, underToken);
+    const changes = this.reportedChanges(machine, heartbeat, underToken);
     noteLastSeen(machine, heartbeat);
     const newlyConfirmed = underToken && machine.confirmedToken === 0;
     this.recordSession(machine, heartbeat, underToken, receivedAt);
@@ -73,7 +73,7 @@
     return tokenOf(this.dependencies.claim, machine);
   }
 
-  private machineOfNewer(heartbeat: WorkerHeartbeat): ShardMachine | null {
+  private machineIfNewer(heartbeat: WorkerHeartbeat): ShardMachine | null {
     const machine = this.dependencies.shardState.machines.get(heartbeat.machine);
     if (!machine || heartbeat.token > this.token(machine) || !isNewer(heartbeat, machine)) return null;
     return machine;
@@ -86,7 +86,7 @@
     return agentEpoch > 0 && heartbeat.agentEpoch > agentEpoch && answeredLately;
   }
 
-  private changesShown(
+  private reportedChanges(
     machine: ShardMachine,
     heartbeat: WorkerHeartbeat,
     underToken: boolean,
@@ -135,7 +135,7 @@
   private markUnreachable(machine: ShardMachine, why: string): void {
     const { shardState, requestRound } = this.dependencies;
     log.info({ event: 'machine.unreachable', machine: machine.id, why });
-    machine.raiseToken = true;
+    machine.needsHigherToken = true;
     for (const binding of [...machine.bound.values()]) {
       if (binding.phase._tag !== 'bound') continue;
       const job = shardState.jobs.get(binding.job);
@@ -157,7 +157,7 @@
   // ---- what is answered -----------------------------------------------------------------------------------
 
   /** The commands that answer a machine's last heartbeat; null: it is not the last one. */
-  commandsFor(heartbeat: WorkerHeartbeat): AddressedCommands | null {
+  commandsFor(heartbeat: WorkerHeartbeat): FencedCommands | null {
     const machine = this.dependencies.shardState.machines.get(heartbeat.machine);
     if (machine?.sequenceNumber !== heartbeat.sequenceNumber || machine.agentEpoch !== heartbeat.agentEpoch)
       return null;
@@ -171,11 +171,11 @@
         !this.mayStillRun(machine, key, heartbeat.token) && this.isDurablyUnbound(key, job, index),
       this.dependencies.now(),
     );
-    this.noteAnswered(machine, heartbeat, commands);
+    this.recordAnswer(machine, heartbeat, commands);
     return { token, commands };
   }
 
-  private noteAnswered(
+  private recordAnswer(
     machine: ShardMachine,
     heartbeat: WorkerHeartbeat,
     commands: readonly Command[],
