--- a/src/placement/ports.ts
+++ b/src/placement/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What the classes of a shard need of each other and of the controller, as small interfaces that their
- * `…Dependencies` are put together from. No state.
+ * Small interfaces that the `…Dependencies` of a shard's classes are composed of: what the classes need of
+ * each other and of the controller. No state.
  */
 
 /** Time since some fixed moment, in ms: for leases, pauses and ages within this process. */
@@ -19,26 +19,29 @@
   readonly claim: number;
 }
 
-/** How far the shard is; `ShardStage` answers. */
+/** The stage of the shard; `ShardStage` implements it. */
 export interface StageQueries {
-  /** The shard's runs have been read, so that what is bound is known. */
+  /** Whether the shard's runs have been read, so that its bindings are known. */
   readonly isLoaded: () => boolean;
-  /** The shard has been rebuilt, so it may place work and give machines away. */
+  /** Whether the shard has been rebuilt, so that it may place work and give machines away. */
   readonly isPlacing: () => boolean;
-  /** The shard's claim is no longer held by this process. */
+  /** Whether this process no longer holds the shard's claim. */
   readonly isLost: () => boolean;
 }
 
-/** Asks for a placement round; `RoundLoop` runs it. */
+/** Requests placement rounds; `RoundLoop` runs them. */
 export interface RoundTrigger {
-  /** Something changed that a round should look at. */
+  /** Requests a round, because something changed that it should consider. */
   readonly requestRound: () => void;
 }
 
-/** What a stored value may be. */
+/** The limits of stored values. */
 export interface ValueLimits {
-  /** bytes: the largest value that the key-value store takes, now and later. */
+  /**
+   * bytes: the largest value that the key-value store accepts under both its present and its announced
+   * limits.
+   */
   readonly valueBytes: number;
-  /** Every controller reads runs that are stored in parts. */
+  /** Whether every controller can read runs that are stored in parts. */
   readonly maySplit: () => boolean;
 }
--- a/src/placement/shard-context.ts
+++ b/src/placement/shard-context.ts
@@ -1,6 +1,6 @@
 /**
- * What a shard needs of the rest of the controller, as a handful of ports. No state; the controller builds
- * one `ShardContext` for each claim.
+ * The interfaces through which a shard uses the rest of the controller. No state; the controller builds one
+ * `ShardContext` for each claim.
  */
 import type { Duty } from '@dalegate/fencing';
 import type { Reservation } from '../fleet/reservation.js';
@@ -15,28 +15,31 @@
 import type { SteadyClock, ValueLimits, WallClock } from './ports.js';
 import type { Objectives } from './urgency.js';
 
-/** What the settings say. */
+/** Values from the settings. */
 export interface ShardSettings {
   readonly shardOfTeam: ReadonlyMap<string, number>;
   readonly limits: ReadonlyMap<string, TeamLimit>;
   readonly guarantees: ReadonlyMap<string, TeamUsage>;
   readonly objectives: ReadonlyMap<string, Objectives>;
-  /** s: a worker's lease, the time between its reports, and the time by which a cancelled task is gone. */
+  /**
+   * s: a worker's lease, the interval between its heartbeats, and the time by which a cancelled task must be
+   * gone.
+   */
   readonly workers: Pick<Settings['facts']['workers'], 'lease_s' | 'report_s' | 'cancel_s'>;
   /** Fraction of a core that this process may use. */
   readonly coreFraction: number;
 }
 
-/** The machine types on offer, and what is known of their use. */
+/** The catalog of machine types, and how the jobs depend on the types. */
 export interface MachineTypes {
-  /** Null: not known yet. */
+  /** The catalog; null: not known yet. */
   readonly catalog: () => Catalog | null;
   /**
-   * The most that one task takes of the jobs, of any shard, that may not use spot machines and fit no other
-   * type.
+   * The largest amount of each resource that one task takes, among the jobs of all shards that may not use
+   * spot machines and fit no other type; null: there is no such job.
    */
   readonly scarceDemand: (type: string) => Demand | null;
-  /** Some class misses every start target if a machine of this type has to be booted for it. */
+  /** Whether some job class misses every start target if a machine of this type has to be booted for it. */
   readonly isBootBound: (type: string) => boolean;
 }
 
@@ -50,33 +53,36 @@
   ) => Promise<DirectResult>;
 }
 
-/** Releases machines at the cloud at once, without a record of it. */
+/** Releases machines to the cloud at once, without a durable intent. */
 export interface UrgentRelease {
-  /** True: the machines are gone. */
+  /** Resolves to true if the machines are gone. */
   readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
 }
 
-/** Where a job stands among those that it depends on, and whom its end is told to. */
+/** The dependencies between jobs, and the notification of the end of a job. */
 export interface JobDependencies {
   readonly readiness: (job: string) => Readiness;
   readonly effectivePriority: (job: string) => EffectivePriority | null;
-  /** A job's final record is durable. */
+  /** Called when a job's final record is durable. */
   readonly onFinalRecord: (job: string, final: FinalRecord) => void;
 }
 
-/** What the shard hears from the leader and the other shards, and tells them. */
+/** The shard's connection to the leader, the other shards and its duties. */
 export interface ControllerPorts {
-  /** May this controller act for the shard now, under this very claim? */
+  /** Whether this controller may act for the shard now, under this very claim. */
   readonly mayAct: () => boolean;
-  /** Has another shard a free machine that would do for this job? */
+  /** Whether another shard has a free machine that would do for this job. */
   readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
   /** Machines that the leader keeps free for gangs. */
   readonly reservations: () => readonly Reservation[];
-  /** The duty of cleaning up this shard's orphaned keys; null: it is done without tombstones. */
+  /**
+   * The duty to clean up this shard's orphaned keys; null: fencing is off, and the keys are removed without
+   * tombstones.
+   */
   readonly cleanUpDuty: Duty | null;
-  /** The shard's runs are read: its duties begin. */
+  /** Called when the shard's runs have been read: its duties begin. */
   readonly onLoaded: () => void;
-  /** Something changed that the leader waits for. */
+  /** Notifies the leader of a change that it waits for. */
   readonly notifyLeader: () => void;
 }
 
--- a/src/placement/shard-model-factories.ts
+++ b/src/placement/shard-model-factories.ts
@@ -1,9 +1,12 @@
-/** New jobs and machines of a shard, as they are before anything has happened to them. No state. */
+/** Creates the in-memory state of new jobs and machines of a shard. No state. */
 import type { MachineRecord } from '../fleet/machine-record.js';
 import type { Demand, JobRecord } from '../jobs/model.js';
 import type { ShardJob, ShardMachine } from './shard-model.js';
 
-/** A machine as its record shows it, before its worker has reported; `takenAt` in ms on the steady clock. */
+/**
+ * The state of a machine according to its record, before its worker has reported; `addedAt` is in ms on the
+ * steady clock.
+ */
 export const createMachine = (
   id: string,
   record: MachineRecord,
@@ -42,7 +45,9 @@
   needsHigherToken: false,
 });
 
-/** A job as its record shows it, before its runs are read; whether it is cancelled is the shard state's. */
+/**
+ * The state of a job according to its record, before its runs are read; `ShardState` applies a cancellation.
+ */
 export const createJob = (record: JobRecord, version: number): ShardJob => ({
   spec: record.spec,
   submittedSpec: record.spec,
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -1,20 +1,25 @@
 /**
- * What a shard knows of its jobs, machines and bindings. No state; `ShardState` owns the objects, and the
- * comments here say which other classes set a field.
+ * Types for the jobs, machines and bindings of a shard. The module has no state: `ShardState` owns the
+ * objects, and the comments below name the other classes that set a field.
  */
 import type { Demand, JobSpec } from '../jobs/model.js';
 import type { ReportedTask } from '../workers/model.js';
 import type { Readiness } from '../pipelines/graph.js';
 import type { Phase } from './attempt-phase.js';
 
-/** Why tasks are being stopped; decides the grace and what happens to the job afterwards. */
+/**
+ * Why a task is stopped: its job is cancelled; its gang is broken or answers don't reach its worker; it is
+ * preempted; the cloud is about to reclaim its machine; or its gang has finished, in which case no stop is
+ * sent directly.
+ */
 export type StopReason = 'cancelled' | 'broken' | 'evicted' | 'draining' | 'finished';
 
-/** An order to stop a task. */
+/** The decision to stop a task. */
 export interface Stop {
   readonly reason: StopReason;
+  /** s: how long the task may take to save its work. */
   readonly graceS: number;
-  /** ms, when it was decided. */
+  /** ms on the steady clock: when the stop was decided. */
   readonly since: number;
 }
 
@@ -26,41 +31,53 @@
   readonly machine: string;
   phase: Phase;
   stop: Stop | null;
-  /** The newest message of its machine that showed it. */
+  /** Position of the newest worker message that showed this attempt; null: none has. */
   lastSeen: { readonly agentEpoch: number; readonly sequenceNumber: number } | null;
-  /** ms, when it was decided, and when it was first seen running. */
+  /** ms on the steady clock: when the binding was created. */
   readonly boundAt: number;
+  /** ms on the steady clock: when a worker message first showed the attempt running; null: none has. */
   runningAt: number | null;
-  /** Answers that carried its `run` without a sign of it since. */
+  /**
+   * Number of answers to heartbeats that carried the `run` of this attempt. A worker that acts on the command
+   * reports the attempt, which ends the repetition.
+   */
   runCommandsSent: number;
 }
 
-/** What is known of one stored run record. */
+/**
+ * The known state of one stored run, which is a chunk of `TASKS_PER_RUN_RECORD` consecutive tasks of a job.
+ */
 export interface Chunk {
-  /** Revision of what the key-value store holds, 0: nothing; and in how many parts beside the record. */
+  /** Revision of the run's record in the key-value store; 0: no record is stored. */
   version: number;
+  /** Number of parts that are stored beside the record. */
   parts: number;
   /** Keys of the attempts that the stored run binds. */
   durable: ReadonlySet<string>;
-  /** ms: since when what is known differs from what the key-value store holds; null: it does not. */
+  /**
+   * ms on the steady clock: since when the shard's state differs from the stored run; null: it does not
+   * differ.
+   */
   dirtySince: number | null;
 }
 
 /** A job of the shard, with its tasks. */
 export interface ShardJob {
   /**
-   * As placement is to treat it: with the priority and the deadline that it has for the jobs that need it.
+   * The spec that placement uses: as submitted, but with the priority and the deadline that result from the
+   * jobs that depend on this job.
    */
   spec: JobSpec;
-  /** As its user submitted it. */
+  /** The spec as the user submitted it. */
   readonly submittedSpec: JobSpec;
   /** ms since the epoch. */
   readonly submittedAt: number;
   /**
-   * ms since the epoch: from when its waiting counts, which is when the last job that it depends on was done.
+   * ms since the epoch: the start of the job's waiting time, which is when the job was submitted or, if
+   * later, when the last job that it depends on was done.
    */
   waitingSince: number;
-  /** Keys, besides its record, that hold the list of jobs it depends on. */
+  /** Number of keys, besides the job's record, that hold the list of jobs it depends on. */
   readonly dependencyParts: number;
   readiness: Readiness;
   version: number;
@@ -68,143 +85,165 @@
   /** ms since the epoch; null: not cancelled. */
   cancelledAt: number | null;
   readonly done: Set<number>;
-  /** All tasks before this one are done. */
+  /** All tasks with a lower index are done. */
   firstUnfinished: number;
   readonly bindings: Map<number, Binding>;
   attempt: number;
-  /** The attempt that its first run names as valid for runs that were prepared; 0: none. */
+  /** The attempt whose prepared runs the record of the job's first run makes valid; 0: none. */
   validAttempt: number;
   readonly chunks: Map<number, Chunk>;
   /** Machines on which tasks of this job failed. */
   readonly failedOn: Set<string>;
   failures: number;
   backoffUntil: number;
-  /** A task of it was completed somewhere, so that a failure is not the job's fault. */
+  /**
+   * Whether a task of the job has completed on some machine, so that a later failure is not the job's fault.
+   */
   hasCompletedTask: boolean;
   finishing: boolean;
-  /** Its record is deleted, which happens only together with the write of its final record. */
+  /**
+   * Whether the job's record is deleted, which happens only in the transaction that writes its final record.
+   */
   recordDeleted: boolean;
   /**
-   * Its final record failed in company: it is written alone, or it would hold up the others for ever. Set
-   * by the writer of final records.
+   * Whether the final record is written in a transaction of its own, because the job caused a conflict: in a
+   * shared transaction it would hold up the other jobs for ever. Set by `FinalRecordWriter`.
    */
   finishSeparately: boolean;
   /**
-   * Transactions under way that write its runs; nothing else may write them meanwhile. Set by the run
-   * writer.
+   * Number of operations in progress that write the job's runs; no other write of the runs may start
+   * meanwhile. Set by `RunWriter`.
    */
   writesInProgress: number;
 }
 
-/** Whether a machine can be trusted with tasks. */
+/** Whether tasks may be placed on a machine, judged by the failures of earlier tasks. */
 export type MachineHealth =
   | { readonly _tag: 'healthy' }
-  /** A task of `job` failed here; nothing new until it is clear whose fault that is. */
+  /**
+   * A task of `job` failed on the machine. No task is placed on it until it is clear whether the job or the
+   * machine is at fault, or until the time `until` (ms on the steady clock).
+   */
   | { readonly _tag: 'suspect'; readonly job: string; readonly until: number }
-  /** Nothing is placed on it any more; it is released once nothing is bound to it. */
+  /** No task is placed on the machine any more; it is released once nothing is bound to it. */
   | { readonly _tag: 'quarantined' };
 
-/** Why a machine goes back to the cloud; these texts are stored in its record and logged. */
+/** Why a machine is released to the cloud; these texts are stored in its record and logged. */
 export type ReleaseReason =
-  /** A task of a cancelled job is not proven gone in time. */
+  /** A task of a cancelled job was not proven gone in time. */
   | 'cancelled and not gone'
-  /** It was cordoned for an urgent release, which may still be carried out. */
+  /** The machine is cordoned: an urgent release was requested, which may still be carried out. */
   | 'return was asked for'
-  /** It was never heard from, for longer than a boot may take. */
+  /** This holder has received no heartbeat, for longer than a boot may take. */
   | 'never came up'
-  /** Its lease has expired without a heartbeat. */
+  /** The worker's lease has expired without a heartbeat. */
   | 'silent'
-  /** A spot machine that missed several heartbeats: most likely the cloud took it back. */
+  /** A spot machine missed several heartbeats: most likely the cloud reclaimed it. */
   | 'spot silent'
-  /** Its heartbeats come, and it does not take up the token: answers do not reach it. */
+  /** The worker sends heartbeats but does not confirm the token: answers do not reach it. */
   | 'does not hear'
-  /** It is quarantined, and nothing is bound to it. */
+  /** The machine is quarantined, and nothing is bound to it. */
   | 'sick'
-  /** It has been idle for longer than such a machine is held. */
+  /** The machine has been idle for longer than such a machine is held. */
   | 'idle';
 
-/** A machine of the shard, with what its worker last said. */
+/** A machine of the shard, with the last report of its worker. */
 export interface ShardMachine {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Revision of the record that assigned it to this shard. */
+  /** Revision of the machine's record, which assigns the machine to this shard. */
   version: number;
-  /** ms since the epoch, when it was first recorded. */
+  /** ms since the epoch: when the machine was first recorded. */
   readonly recordedAt: number;
-  /** Asked to be released; nothing is placed on it. */
+  /**
+   * Whether the release of the machine is requested, or a write of its record is in progress; nothing is
+   * placed on the machine.
+   */
   releasing: boolean;
   /**
-   * Its return was asked for without a durable intent, which follows: nothing is placed on it, nor is it
-   * moved.
+   * Whether an urgent release was requested without a durable intent, which is written afterwards; nothing is
+   * placed on the machine, nor is it transferred.
    */
   cordoned: boolean;
   addr: string;
   agentEpoch: number;
   sequenceNumber: number;
-  /** The current token, once a heartbeat of this session named it; 0: not yet. */
+  /** The current token, once a message of the worker's session named it; 0: not yet. */
   confirmedToken: number;
-  /** It has reported a token of this holder at some time: no command of an earlier one can reach it. */
+  /**
+   * Whether the worker has ever reported a token of this holder, so that no command of an earlier holder can
+   * reach it.
+   */
   everConfirmedToken: boolean;
-  /** ms: when it came into this shard under this holder. */
+  /** ms on the steady clock: when the machine was added to this shard under this holder. */
   readonly addedAt: number;
   /**
-   * ms: since when it reports without naming the current token, so that answers may not reach it; null: it
-   * names it.
+   * ms on the steady clock: since when the worker's heartbeats do not name the current token, so that answers
+   * may not reach it; null: the last one named it, or none was received.
    */
   unconfirmedSince: number | null;
-  /** ms: the last heartbeat that this holder answered 200; null: none. */
+  /**
+   * ms on the steady clock: when this holder last received a heartbeat that it accepted, or the response that
+   * confirmed an announced token; null: never.
+   */
   answeredAt: number | null;
-  /** ms: when the cloud's notice that it takes the machine back was first reported; null: none. */
+  /**
+   * ms on the steady clock: when a heartbeat first reported the cloud's notice that it reclaims the machine;
+   * null: none has.
+   */
   reclaimNoticeAt: number | null;
-  /** s until the machine is taken back, as last reported; null: no notice. */
+  /** s until the cloud reclaims the machine, as last reported; null: no notice. */
   reclaimNoticeS: number | null;
   /**
-   * Direct `run`s of unknown outcome, with the token they carried: such a command may still be carried out
-   * until the worker has seen a higher token.
+   * Direct `run` commands of unknown outcome, by attempt, with the token that they carried: the worker may
+   * still execute such a command until it has seen a higher token.
    */
   readonly unacknowledgedRuns: Map<string, number>;
   /**
-   * Its record is to be rewritten, for a higher token, under which no unacknowledged command is carried
-   * out.
+   * Whether the machine's record is to be rewritten in order to raise the token: a worker that has seen a
+   * higher token executes no unacknowledged command.
    */
   needsHigherToken: boolean;
-  /** Heartbeats whose answer is held for a placement round: direct commands are not needed. */
+  /**
+   * Number of heartbeats whose answer waits for a placement round and carries the commands, so that no direct
+   * ones are needed.
+   */
   pendingAnswers: number;
   reportedTasks: readonly ReportedTask[];
-  /** ms: since when exits on it wait to be forgotten; null: none do. */
+  /** ms on the steady clock: since when reported exits wait for the `forget` command; null: none do. */
   exitsPendingSince: number | null;
   readonly bound: Map<string, Binding>;
   readonly images: Set<string>;
-  /** Set by the failure accounting; a suspicion ends with time, in `MachineLiveness`. */
+  /** Set by `FailureAccounting`; `MachineLiveness` ends a suspicion once its time has passed. */
   health: MachineHealth;
-  /** ms; null: it is not idle. */
+  /** ms on the steady clock: since when the machine is idle; null: it is not idle. */
   idleSince: number | null;
   total: Demand;
-  /** What is free on it, worked out when asked for; null: to be worked out again. */
+  /** The free capacity, computed when it is needed; null: it must be computed again. */
   free: FreeCapacity | null;
 }
 
-/** Room on a machine. */
+/** The free capacity of a machine. */
 export type FreeCapacity =
   | {
       readonly _tag: 'free';
       readonly cpus: number;
       readonly gpus: number;
       readonly memoryGb: number;
-      /** What work that has other types to go to takes of the machine. */
+      /** The resources of the machine that are used by tasks which could run on other machine types. */
       readonly usedByFlexibleWork: Demand;
-      /** Work that has no other type to go to is on it. */
+      /** Whether the machine holds a task that can run on no other machine type. */
       readonly hasDependentWork: boolean;
     }
-  /** Something is on it whose size is not known. */
+  /** The machine holds a task whose size is not known. */
   | { readonly _tag: 'unclear' };
 
-/** Names one attempt of one task. */
+/** The key of one attempt of one task. */
 export const bindingKey = (job: string, index: number, attempt: number): string =>
   `${job}/${index}#${attempt}`;
 
-/** Are all tasks of the job done? */
+/** Whether all tasks of the job are done; a service is never finished. */
 export const isFinished = (job: ShardJob): boolean =>
   job.spec.kind !== 'service' && job.done.size >= job.spec.tasks;
--- a/src/placement/shard-stage.test.ts
+++ b/src/placement/shard-stage.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { nextStage, ShardStage, type Stage, type StageEvent } from './shard-stage.js';
 
-/** For every stage and event the stage that follows; null: the event does not belong to the stage. */
+/** For every stage and event the stage that follows; null: the event does not apply to the stage. */
 const transitions: Readonly<Record<Stage, Readonly<Record<StageEvent, Stage | null>>>> = {
   loading: { loaded: 'rebuilding', rebuilt: null, lost: 'lost' },
   rebuilding: { loaded: null, rebuilt: 'placing', lost: 'lost' },
--- a/src/placement/shard-stage.ts
+++ b/src/placement/shard-stage.ts
@@ -1,23 +1,26 @@
 /**
- * How far a shard is between its claim and the claim's loss. Owns the stage; `Shard` sends the events, and
- * the shard's classes ask through `StageQueries`.
+ * The stage of a shard between its claim and the loss of the claim. `Shard` applies the events, and the other
+ * classes of the shard query the stage through `StageQueries`.
  */
 import { log } from '../log.js';
 import type { ShardIdentity, StageQueries } from './ports.js';
 
-/** Why nothing is placed yet: the runs are being read, or the machines have yet to report. */
+/**
+ * What a shard does: `loading` reads its runs, `rebuilding` waits for the reports of its machines, `placing`
+ * places work; at `lost` its claim is lost.
+ */
 export type Stage = 'loading' | 'rebuilding' | 'placing' | 'lost';
 
-/** What takes a shard from one stage to the next. */
+/** Events that move a shard from one stage to the next. */
 export type StageEvent =
-  /** Its runs are read. */
+  /** The shard's runs have been read. */
   | 'loaded'
-  /** Its machines have said what is on them, or had their time to. */
+  /** The shard's machines have reported their tasks, or the time that they had to do so has passed. */
   | 'rebuilt'
-  /** Its claim is somebody else's, or nobody's. */
+  /** Another process holds the shard's claim, or none does. */
   | 'lost';
 
-/** An event that a stage doesn't name does not belong to it. Nothing follows `lost`. */
+/** The events that apply to each stage, with the stage that follows. No stage follows `lost`. */
 const NEXT_STAGE: Readonly<Record<Stage, Readonly<Partial<Record<StageEvent, Stage>>>>> = {
   loading: { loaded: 'rebuilding', lost: 'lost' },
   rebuilding: { rebuilt: 'placing', lost: 'lost' },
@@ -25,7 +28,7 @@
   lost: {},
 };
 
-/** The stage that an event leads to; null: it does not belong to this stage. */
+/** The stage that an event leads to; null: the event does not apply to this stage. */
 export const nextStage = (stage: Stage, event: StageEvent): Stage | null => NEXT_STAGE[stage][event] ?? null;
 
 /** The stage of one shard. */
@@ -38,7 +41,9 @@
     return this.stage;
   }
 
-  /** Goes on to the next stage; an event that does not belong to this one changes nothing and is logged. */
+  /**
+   * Moves to the next stage; an event that does not apply to the current stage changes nothing and is logged.
+   */
   apply(event: StageEvent): void {
     const next = nextStage(this.stage, event);
     if (next === null) {
--- a/src/placement/shard-state.test.ts
+++ b/src/placement/shard-state.test.ts
@@ -1,11 +1,11 @@
-/** Which stops are sent when the tasks of a gang end. */
+/** Which stops are sent directly when the tasks of a gang end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
 
 test('shard state: no direct stops are sent to the tasks of a finished gang', () => {
-  // They end together, and each worker reports so itself.
+  // The tasks end together, and each worker reports the end itself.
   const shardState = new ShardState({ now: () => 0, wall: () => 0, requestRound: () => undefined });
   const tasks = 3;
   const spec = jobSpec('job-1', {
@@ -38,7 +38,7 @@
   assert.equal(shardState.stopsToSend.size, 0, 'no stop is sent directly');
   for (const other of others)
     assert.equal(other.stop?.reason, 'finished', 'a worker that missed the end receives the stop');
-  // A gang that broke is still told at once, all of it.
+  // All tasks of a broken gang are still stopped directly.
   const broken = shardState.applyJobRecord(
     { spec: { ...spec, id: 'job-2' }, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     2,
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -1,6 +1,6 @@
 /**
- * Owns the jobs, machines and bindings of one shard; here alone jobs and machines come and go, and bindings
- * are made, stopped and taken through their phases. Heartbeats, records and rounds call it.
+ * Owns the jobs, machines and bindings of one shard. Only this class adds and removes jobs and machines, and
+ * creates bindings, stops them and changes their phases. Heartbeats, records and rounds call it.
  */
 import { STOP_GRACE_EXTRA_S } from '../constants/workers.js';
 import type { MachineRecord } from '../fleet/machine-record.js';
@@ -21,7 +21,7 @@
   type StopReason,
 } from './shard-model.js';
 
-/** What the state of a shard needs of the rest of it. */
+/** What `ShardState` needs of its shard. */
 export interface ShardStateDependencies extends SteadyClock, WallClock, RoundTrigger {}
 
 const attemptKeyOf = (binding: Binding): string => bindingKey(binding.job, binding.index, binding.attempt);
@@ -35,9 +35,12 @@
 
   readonly jobs: ReadonlyMap<string, ShardJob> = this.jobsById;
   readonly machines: ReadonlyMap<string, ShardMachine> = this.machinesById;
-  /** Bindings whose stop is to go out directly. */
+  /** Bindings whose stop is to be sent as a direct command. */
   readonly stopsToSend: ReadonlySet<Binding> = this.pendingStops;
-  /** Cancellations heard of before their jobs, by the revision at which they became durable. */
+  /**
+   * Cancellations that were acknowledged before their jobs were known: by job, the revision at which the
+   * cancellation became durable.
+   */
   readonly acknowledgedCancellations: ReadonlyMap<string, number> = this.cancellationRevisions;
   private readonly failures = new FailureAccounting(this.machines);
 
@@ -57,7 +60,10 @@
     this.dependencies.requestRound();
   }
 
-  /** Work that can be saved leaves a machine that is about to go; the rest may still finish in time. */
+  /**
+   * Stops the tasks that can save their work on a machine that is about to be reclaimed; the others may still
+   * finish in time.
+   */
   drain(machine: ShardMachine): void {
     for (const binding of machine.bound.values()) {
       const job = this.jobs.get(binding.job);
@@ -70,10 +76,10 @@
 
   // ---- jobs -----------------------------------------------------------------------------------------------
 
-  /** Takes in a job's record; one older than what is known changes nothing. */
+  /** Adds the job or updates it from its record; a record older than the known one changes nothing. */
   applyJobRecord(record: JobRecord, version: number): ShardJob {
     const job = this.jobs.get(record.spec.id) ?? this.addJob(record, version);
-    // The news of a change may come after a message about a later one.
+    // The watch event of a change may arrive after a message about a later change.
     if (version < job.version) return job;
     job.version = version;
     const acknowledgedRevision = this.acknowledgedCancellations.get(job.spec.id);
@@ -98,7 +104,7 @@
     return job;
   }
 
-  /** A job's record was deleted: its final record is durable. */
+  /** Handles the deletion of a job's record, which means that its final record is durable. */
   onJobRecordDeleted(id: string): void {
     this.cancellationRevisions.delete(id);
     const job = this.jobs.get(id);
@@ -108,15 +114,15 @@
     if (job.bindings.size > 0) log.error({ event: 'job.record_vanished', job: id });
   }
 
-  /** Forgets a job whose final record this shard has written. */
+  /** Removes a job whose final record this shard has written. */
   removeFinishedJob(job: ShardJob): void {
     this.jobsById.delete(job.spec.id);
   }
 
   /**
-   * Forgets a job whose record is gone. A holder that is told of a cancellation directly may finish the job
-   * before its watch shows the cancelled record; that older event then brings the job back, and its final
-   * record could never be written again.
+   * Removes a job whose record is deleted, unless it still has bindings or a final record in progress. A
+   * holder that receives a cancellation directly may finish the job before its watch shows the cancelled
+   * record. That older event then adds the job again, and its final record could never be written again.
    */
   removeIfRecordDeleted(job: ShardJob): void {
     if (!job.recordDeleted || job.finishing || job.bindings.size > 0) return;
@@ -124,8 +130,8 @@
   }
 
   /**
-   * A cancellation that is durable at this revision, told by another controller: the shared records may show
-   * it much later.
+   * Applies a cancellation that is durable at this revision and that another controller reported: the shared
+   * records may show it much later.
    */
   acknowledgeCancellation(id: string, version: number): void {
     const job = this.jobs.get(id);
@@ -144,7 +150,10 @@
     for (const binding of job.bindings.values()) this.stop(binding, 'cancelled', 0);
   }
 
-  /** Where a job stands among those that it depends on, and what it is worth for those that need it. */
+  /**
+   * Updates how far the dependencies of a job are, and its priority and deadline with regard to the jobs that
+   * depend on it.
+   */
   updateReadiness(id: string, readiness: Readiness, effectivePriority: EffectivePriority): void {
     const job = this.jobs.get(id);
     if (!job) return;
@@ -153,7 +162,7 @@
     if (readiness._tag === 'ready') job.waitingSince = Math.max(job.submittedAt, readiness.since);
     const deadlineS = dueAt === null ? null : (dueAt - job.waitingSince) / 1000;
     job.spec = { ...job.submittedSpec, priority, deadlineS };
-    // It has no task, and never will.
+    // A job with a cancelled dependency has no task on a machine and never gets one.
     if (readiness._tag === 'doomed') this.cancel(job, null);
     this.dependencies.requestRound();
   }
@@ -184,7 +193,7 @@
     return binding;
   }
 
-  /** Takes back a bind that surely was not carried out. */
+  /** Removes a binding whose write certainly did not take effect. */
   unbind(binding: Binding): void {
     this.removeFromMachine(binding);
     const job = this.jobs.get(binding.job);
@@ -199,17 +208,20 @@
     return machine;
   }
 
-  /** Orders a task's stop; an order with no shorter grace than an earlier one changes nothing. */
+  /** Stops a task; a stop whose grace is not shorter than that of an earlier stop changes nothing. */
   stop(binding: Binding, reason: StopReason, graceS: number): void {
     if (binding.stop && binding.stop.graceS <= graceS) return;
     binding.stop = { reason, graceS, since: this.dependencies.now() };
-    // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it
-    // with its heartbeat.
+    // The tasks of a finished gang end by themselves, together; a worker that missed the end receives the
+    // stop in the answer to its heartbeat.
     if (isOnMachine(binding.phase) && reason !== 'finished') this.pendingStops.add(binding);
     this.dependencies.requestRound();
   }
 
-  /** Hands over the stops that are to go out directly, of tasks that are still on their machines. */
+  /**
+   * Returns and clears the bindings whose stop is to be sent directly and whose tasks are still on their
+   * machines.
+   */
   takeStopsToSend(): readonly Binding[] {
     if (this.pendingStops.size === 0) return [];
     const stops = [...this.pendingStops].filter((binding) => binding.stop && isOnMachine(binding.phase));
@@ -217,12 +229,14 @@
     return stops;
   }
 
-  /** A gang that lost a member is stopped whole and waits again, free to go anywhere. */
+  /**
+   * Stops all tasks of a gang that lost a member; the gang then waits for placement again, on any machines.
+   */
   stopBrokenGang(job: ShardJob): void {
     for (const binding of job.bindings.values()) this.stop(binding, 'broken', 0);
   }
 
-  /** Takes a binding to its next phase, with all that follows from it. */
+  /** Moves a binding to its next phase and applies the consequences. */
   apply(binding: Binding, event: PhaseEvent): void {
     const before = binding.phase;
     binding.phase = nextPhase(before, event);
@@ -244,7 +258,7 @@
     if (binding.phase._tag === 'gone') this.onGone(binding, binding.phase.how, job);
   }
 
-  /** The machine has the image, and used it last. */
+  /** Marks the image as present on the machine and as the one that it used last. */
   private markImageUsed(id: string, image: string): void {
     const images = this.machines.get(id)?.images;
     images?.delete(image);
