--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -1,7 +1,7 @@
 /**
- * Commands that go straight to workers instead of waiting for their next heartbeat. Owns no state: it notes
- * on each machine which `run`s are unacknowledged. `Binder` sends runs, `Shard` sends stops, `ShardChanges`
- * announces tokens.
+ * Sends commands directly to workers instead of waiting for their next heartbeat. No state of its own: it
+ * records on each machine which `run` commands are unacknowledged. `Binder` sends runs, `Shard` sends stops,
+ * `ShardChanges` announces tokens.
  */
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
@@ -35,14 +35,14 @@
   graceS: stop?.graceS ?? 0,
 });
 
-/** Sends commands to the workers of one shard, and reads what they answer. */
+/** Sends commands to the workers of one shard, and processes their responses. */
 export class DirectCommands {
   constructor(private readonly dependencies: DirectCommandsDependencies) {}
 
   /**
-   * Stops go out directly too: all members of a gang must hear of an orderly stop within the time that its
-   * tasks wait for each other, and heartbeats alone may take as long. A late copy stops only what is to stop
-   * anyway.
+   * Sends pending stops directly: all members of a gang must receive an orderly stop within the time that its
+   * tasks wait for each other, and heartbeats alone may take that long. A late copy stops only tasks that are
+   * to stop anyway.
    */
   sendStops(): void {
     const stops = this.dependencies.shardState.takeStopsToSend();
@@ -53,11 +53,11 @@
     }
   }
 
-  /** Sends the `run`s of tasks that were just bound. */
+  /** Sends the `run` commands of tasks that were just bound. */
   sendRuns(bindings: readonly Binding[]): void {
     const toRun = bindings.filter((binding) => binding.phase._tag === 'bound' && !binding.stop);
     for (const [machine, machineBindings] of this.groupByMachine(toRun)) {
-      // The answer that is held for this round carries them.
+      // The answer to a heartbeat that waits for this round carries the commands.
       if (machine.pendingAnswers > 0) continue;
       const token = this.token(machine);
       for (const binding of machineBindings) machine.unacknowledgedRuns.set(keyOf(binding), token);
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Tells the worker of a machine that came from another shard its new token at once. */
+  /** Sends the new token at once to the worker of a machine that came from another shard. */
   announceToken(machine: ShardMachine, agentEpoch: number): void {
     const token = this.token(machine);
     void this.dependencies.sendCommands(machine.addr, token, agentEpoch, []).then((result) => {
@@ -108,14 +108,14 @@
     machine.everConfirmedToken = true;
     machine.reportedTasks = heartbeat.tasks;
     machine.free = null;
-    // Later than the last answer of any earlier holder that the worker can have accepted.
+    // This time is later than the last answer of any earlier holder that the worker can have accepted.
     machine.answeredAt = now();
     requestRound();
   }
 
   /**
-   * What a direct answer shows is there is there. What it doesn't show proves nothing: the answer to a
-   * heartbeat may be on its way at the same time.
+   * Applies the tasks that a direct response shows. The absence of a task proves nothing: the answer to a
+   * heartbeat may be in transit at the same time.
    */
   private onResponse(machine: ShardMachine, heartbeat: WorkerHeartbeat): void {
     const { shardState, isLost, isLoaded } = this.dependencies;
@@ -140,7 +140,7 @@
     return tokenOf(this.dependencies.claim, machine);
   }
 
-  /** Bindings by machine, of those machines that can be reached and have taken up the token. */
+  /** Groups bindings by machine; leaves out machines without a known address or a confirmed token. */
   private groupByMachine(bindings: Iterable<Binding>): ReadonlyMap<ShardMachine, Binding[]> {
     const groups = new Map<ShardMachine, Binding[]>();
     for (const binding of bindings) {
--- a/src/placement/failure-accounting.ts
+++ b/src/placement/failure-accounting.ts
@@ -1,6 +1,7 @@
 /**
- * Whose fault a task's failure is: the machine's until the same job fails elsewhere too, and then the job's.
- * Owns the health of machines and the failure counts and pauses of jobs; `ShardState` tells it of failures.
+ * Attributes the failure of a task to the machine until the same job fails elsewhere too, and then to the
+ * job. Owns the health of machines and the failure counts and pauses of jobs; `ShardState` reports failures
+ * to it.
  */
 import { SUSPECT_MACHINE_PAUSE_MS } from '../constants/machines.js';
 import {
@@ -13,7 +14,7 @@
 import { log } from '../log.js';
 import type { Binding, ShardJob, ShardMachine } from './shard-model.js';
 
-/** ms that a job at fault waits, after failures on so many machines. */
+/** ms: how long a job at fault waits after failures on `machinesFailedOn` machines. */
 const jobPauseMs = (machinesFailedOn: number): number => {
   const doublings = Math.min(MAX_JOB_BACKOFF_DOUBLINGS, machinesFailedOn - FAULTY_JOB_MACHINES);
   return Math.min(MAX_JOB_BACKOFF_MS, JOB_BACKOFF_MS * 2 ** doublings);
@@ -23,11 +24,11 @@
   job.backoffUntil = Math.max(job.backoffUntil, time);
 };
 
-/** Counts the failures of a shard's tasks. */
+/** Records the failures of a shard's tasks. */
 export class FailureAccounting {
   constructor(private readonly machines: ReadonlyMap<string, ShardMachine>) {}
 
-  /** A task failed. `machine` is undefined where it is gone from the shard. */
+  /** Records the failure of a task; `machine` is undefined if it has left the shard. */
   onTaskFailed(binding: Binding, job: ShardJob, machine: ShardMachine | undefined, now: number): void {
     job.failures += 1;
     job.failedOn.add(binding.machine);
@@ -43,12 +44,12 @@
     else if (machine) this.recordMachineFailure(machine, job, now);
   }
 
-  /** The machine had no room for a task: the job waits a little. */
+  /** Delays a job for a short time after a machine had no room for one of its tasks. */
   onNoRoom(job: ShardJob, now: number): void {
     delayUntil(job, now + NO_ROOM_BACKOFF_MS);
   }
 
-  /** Machines that were under suspicion for this job alone can be trusted again. */
+  /** Ends the suspicion of the machines that were suspected because of this job alone. */
   private clearMachines(job: ShardJob): void {
     for (const id of job.failedOn) {
       const machine = this.machines.get(id);
@@ -58,7 +59,10 @@
     job.failedOn.clear();
   }
 
-  /** Failures of two jobs, or of one that has completed a task elsewhere, are the machine's fault. */
+  /**
+   * Suspects or quarantines a machine: failures of two jobs, or of a job that has completed a task elsewhere,
+   * are the machine's fault.
+   */
   private recordMachineFailure(machine: ShardMachine, job: ShardJob, now: number): void {
     const { health } = machine;
     if (health._tag === 'suspect' && health.job !== job.spec.id) machine.health = { _tag: 'quarantined' };
--- a/src/placement/heartbeat-order.ts
+++ b/src/placement/heartbeat-order.ts
@@ -1,5 +1,5 @@
 /**
- * Which of two messages of a worker is the newer, and what tokens they are judged by. No state of its own;
+ * Orders the messages of a worker, and determines the fencing token of a machine. No state of its own;
  * `WorkerSessions` and `DirectCommands` call it.
  */
 import type { WorkerHeartbeat } from '../workers/model.js';
@@ -11,7 +11,7 @@
   readonly sequenceNumber: number;
 }
 
-/** Is a message later than another of the same worker? */
+/** Whether a message is later than another one of the same worker. */
 export const isNewer = (message: MessagePosition, other: MessagePosition): boolean =>
   message.agentEpoch > other.agentEpoch ||
   (message.agentEpoch === other.agentEpoch && message.sequenceNumber > other.sequenceNumber);
@@ -19,7 +19,9 @@
 /** The fencing token for a machine: the later revision of the shard's claim and of the machine's record. */
 export const tokenOf = (claim: number, machine: ShardMachine): number => Math.max(claim, machine.version);
 
-/** Notes, for each binding that a message shows, that this is the newest message which did. */
+/**
+ * Records the position of a message in each binding that it shows, unless a newer message showed the binding.
+ */
 export const noteLastSeen = (machine: ShardMachine, heartbeat: WorkerHeartbeat): void => {
   for (const task of heartbeat.tasks) {
     const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * What becomes of a shard's machines: leases that expire, releases to the cloud, transfers to other shards.
- * Owns when it last looked and last asked for an urgent release; `Shard` calls it once a round and on the
+ * Handles expired leases of a shard's machines, releases to the cloud and transfers to other shards. Owns the
+ * times of the last check and of the last urgent release request; `Shard` calls it once a round and on the
  * leader's transfer orders.
  */
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
@@ -30,14 +30,17 @@
   readonly records: MachineRecordWriter;
 }
 
-/** Takes machines out of use or out of the shard. */
+/** Releases and transfers the machines of one shard. */
 export class MachineLifecycle {
   private checkedAt = 0;
   private urgentReleaseAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly dependencies: MachineLifecycleDependencies) {}
 
-  /** Acts on what only time changes, at most once in `MACHINE_CHECK_INTERVAL_MS`. */
+  /**
+   * Handles expired leases, overdue cancellations and due releases, at most once in
+   * `MACHINE_CHECK_INTERVAL_MS`.
+   */
   check(): void {
     const { now, liveness, shardState } = this.dependencies;
     const checkedAt = now();
@@ -65,7 +68,7 @@
     ];
   }
 
-  /** Machines whose record is to be rewritten, for a higher token. */
+  /** Returns the machines whose record is to be rewritten for a higher token, and clears their marks. */
   private machinesNeedingHigherToken(): readonly ShardMachine[] {
     const machines = [...this.dependencies.shardState.machines.values()].filter(
       (machine) => machine.needsHigherToken && !machine.releasing,
@@ -90,15 +93,16 @@
   }
 
   /**
-   * While the key-value store can't be written, the leader is asked directly; twice is no harm, nor is too
-   * early.
+   * Requests an urgent release from the leader directly, since the key-value store may be unavailable for
+   * writes. A repeated or an early request does no harm.
    */
   private releaseNow(ids: readonly string[]): void {
     const { now, shardState, releaseNow, isLost } = this.dependencies;
     const askedAt = now();
     if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
     this.urgentReleaseAt = askedAt;
-    // The request may be carried out late, whatever its answer: nothing new goes there from now on.
+    // The leader may carry out the request late, whatever its answer: nothing new is placed on the machines
+    // from now on.
     for (const id of ids) {
       const machine = shardState.machines.get(id);
       if (machine) machine.cordoned = true;
@@ -118,8 +122,8 @@
   }
 
   /**
-   * Free for another shard: nothing on it but exits that are durably unbound, which any holder may tell its
-   * worker to forget.
+   * Whether the machine is free for another shard: it holds nothing but exits that are durably unbound, which
+   * any holder may order its worker to forget.
    */
   isTransferable(machine: ShardMachine): boolean {
     return (
@@ -137,8 +141,8 @@
   }
 
   /**
-   * Moves free machines to other shards. Their new assignment raises the token beyond all that this one
-   * sent.
+   * Transfers free machines to other shards; resolves to true if a record was written. The new assignment
+   * raises the token above every token that this holder sent.
    */
   async transferMachines(transfers: readonly MachineTransfer[]): Promise<boolean> {
     const { isPlacing, shardId, shardState, records, store } = this.dependencies;
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -20,8 +20,8 @@
 };
 
 /**
- * An idle machine is held for as long as a boot would cost more than it saves, so that it is not provisioned
- * anew at once.
+ * An idle machine is held for as long as booting a new one would cost more than its release saves, so that it
+ * is not provisioned again at once.
  */
 const cases: readonly {
   readonly name: string;
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -1,7 +1,7 @@
 /**
- * What may be concluded from a machine's heartbeats and its silence: alive, booting, idle, to be released.
- * Owns when the shard was loaded; of machines it changes `total`, `health` once a suspicion is over, and
- * `idleSince`. Rounds and `MachineLifecycle` ask it.
+ * Derives the state of machines from their workers' heartbeats and silence: live, booting, idle, to be
+ * released. Owns the time when the shard was loaded; of machines it changes `total`, `health` once a
+ * suspicion is over, and `idleSince`. Rounds and `MachineLifecycle` call it.
  */
 import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
 import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
@@ -28,44 +28,49 @@
 import type { ShardContext } from './shard-context.js';
 import type { ReleaseReason, ShardJob, ShardMachine } from './shard-model.js';
 
-/** What the judgement of machines needs of their shard. */
+/** What `MachineLiveness` needs of its shard. */
 export interface MachineLivenessDependencies
   extends SteadyClock, WallClock, Pick<ShardContext, 'catalog' | 'workers' | 'isBootBound'> {
   readonly machines: ReadonlyMap<string, ShardMachine>;
 }
 
-/** A machine that is to go back to the cloud, with the reason as the record and the log give it. */
+/** A machine that is to be released to the cloud, with the reason for its record and the log. */
 export interface MachineToRelease {
   readonly machine: ShardMachine;
   readonly reason: ReleaseReason;
 }
 
-/** Whether silence speaks for a fault of machines, or of this controller. */
+/** Whether the silence of machines indicates a fault of theirs or of this controller. */
 interface Reachability {
-  /** This controller hears at least half of its machines. */
+  /** Whether this controller has received recent heartbeats from at least half of its machines. */
   readonly receivesFromMost: boolean;
-  /** At least half of those that report take up its token. */
+  /**
+   * Whether at least half of the machines that send heartbeats confirm the token, so that answers reach them.
+   */
   readonly reachesMost: boolean;
-  /** The shard was loaded long enough ago for its machines to have reported. */
+  /** Whether the shard was loaded long enough ago for its machines to have sent heartbeats. */
   readonly hasSettled: boolean;
 }
 
-/** Judges the machines of one shard. */
+/** Assesses the machines of one shard. */
 export class MachineLiveness {
   /** ms on the steady clock: when this holder had read the shard's runs; null: not yet. */
   loadedAt: number | null = null;
-  /** ms: when no machine is heard for as long, none reaches this controller. */
+  /** ms: if no machine sends a heartbeat for this long, none reaches this controller. */
   readonly unreachableAfterMs: number;
-  /** ms after loading: machines that have not reported by then are not waited for. */
+  /** ms after loading: placement then begins without the machines that have not reported. */
   readonly rebuildTimeoutMs: number;
-  /** ms: a spot machine that is silent for as long was most likely taken back. */
+  /** ms: a spot machine that is silent for this long was most likely reclaimed by the cloud. */
   private readonly spotSilenceMs: number;
   /**
-   * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
-   * cloud.
+   * ms after a cancellation: a machine is released if a task of the cancelled job on it is not proven gone by
+   * then.
    */
   readonly cancelledReleaseMs: number;
-  /** ms: the full lease, with drift, that this holder must see pass after its last answer. */
+  /**
+   * ms: a worker's full lease, with clock drift and a margin, which must pass after this holder's last answer
+   * before the lease counts as expired.
+   */
   readonly leaseMs: number;
 
   constructor(private readonly dependencies: MachineLivenessDependencies) {
@@ -77,12 +82,15 @@
     this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
-  /** s; `unknown`: where the type is not in the catalogue. */
+  /** s: the nominal boot time of the machine; `fallback` if the catalog does not list its type. */
   private bootSecondsOf(machine: ShardMachine, fallback: number): number {
     return this.dependencies.catalog()?.get(machine.type)?.bootS ?? fallback;
   }
 
-  /** Never heard, and young enough that it may still come up. */
+  /**
+   * Whether the machine may still be booting: no worker heartbeat yet, nothing bound to it, and recorded less
+   * than the boot timeout ago.
+   */
   isBooting(machine: ShardMachine, wall = this.dependencies.wall()): boolean {
     return (
       machine.answeredAt === null &&
@@ -92,9 +100,12 @@
     );
   }
 
-  /** Still within the time in which a machine usually comes up: its room counts as coming. */
+  /**
+   * Whether the machine is still within the usual boot time, so that its capacity counts as available soon.
+   */
   isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
-    // It came from another shard, where it was up and free: its worker is just being told.
+    // The machine came from another shard, where it was running and free; this holder is just announcing the
+    // token to its worker.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
       return now - machine.addedAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
@@ -104,20 +115,26 @@
     );
   }
 
-  /** Its lease has expired, as far as this holder's answers go. */
+  /**
+   * Whether the worker's lease has expired: no heartbeat for `leaseMs` after this holder's last answer, or,
+   * if it has not answered yet, after the loading of the shard or the addition of the machine.
+   */
   isSilent(machine: ShardMachine, now: number): boolean {
     const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.addedAt);
     return now - from > this.leaseMs;
   }
 
-  /** It has taken up the token, and answered lately enough to be given work. */
+  /** Whether the worker has confirmed the token, and its last heartbeat is recent enough for new tasks. */
   isLive(machine: ShardMachine, now: number): boolean {
     return (
       machine.confirmedToken !== 0 && now - (machine.answeredAt ?? 0) < this.leaseMs * LIVE_LEASE_FRACTION
     );
   }
 
-  /** Nothing is bound to it, and nothing reported that has not exited. */
+  /**
+   * Whether the worker has confirmed the token, nothing is bound to the machine, and all reported tasks have
+   * exited.
+   */
   isIdle(machine: ShardMachine): boolean {
     return (
       machine.confirmedToken !== 0 &&
@@ -126,7 +143,10 @@
     );
   }
 
-  /** Machines that have reported, and those that did within the last `ms`. */
+  /**
+   * The number of machines whose workers should send heartbeats, and of those whose last heartbeat arrived
+   * within `ms`. Until `ms` after the shard was loaded, `reporting` is one higher, so that it is not 0.
+   */
   heartbeatCoverage(ms: number): { readonly machines: number; readonly reporting: number } {
     const now = this.dependencies.now();
     let machines = 0;
@@ -139,7 +159,10 @@
     return { machines, reporting };
   }
 
-  /** Have the machines of a shard that was taken over said what is on them, or had their time to? */
+  /**
+   * Whether the machines of a shard that was taken over have reported their tasks, or the time to do so has
+   * passed.
+   */
   isRebuilt(): boolean {
     if (this.dependencies.catalog() === null || this.loadedAt === null) return false;
     if (this.dependencies.now() - this.loadedAt > this.rebuildTimeoutMs) return true;
@@ -149,9 +172,9 @@
   }
 
   /**
-   * Machines on which a task of a cancelled job is still not proven gone, late enough that only the cloud can
-   * end it in time: one that hangs may come back within its lease, and each new holder would wait for that
-   * lease anew.
+   * Machines on which a task of a cancelled job is still not proven gone, at a time when only the cloud can
+   * end it in time: a worker that hangs may resume within its lease, and each new holder would have to wait
+   * for that lease again.
    */
   machinesWithOverdueCancellations(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
     const wall = this.dependencies.wall();
@@ -167,8 +190,8 @@
   }
 
   /**
-   * ms: how long an idle machine is held; `rank` counts the machines of its kind that have been idle for
-   * longer.
+   * ms: how long an idle machine is held; `rank` is the number of machines of its kind that have been idle
+   * for a shorter time.
    */
   private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
@@ -180,7 +203,10 @@
     return Math.max(MIN_IDLE_HOLD_S, this.bootSecondsOf(machine, 0) * boots) * 1000;
   }
 
-  /** Machines to be released now, each with the reason. Looks at each machine once. */
+  /**
+   * The machines to be released now, each with the reason; machines that are only idle are included if
+   * `placing`.
+   */
   machinesToRelease(placing: boolean): readonly MachineToRelease[] {
     const now = this.dependencies.now();
     const list: MachineToRelease[] = [];
@@ -217,24 +243,26 @@
     };
   }
 
-  /** Why a machine is to be released whatever else there is to do; null: it is not. */
+  /** Why a machine is to be released regardless of its idle time; null: there is no reason. */
   private releaseReason(
     machine: ShardMachine,
     now: number,
     reachability: Reachability,
   ): ReleaseReason | null {
-    // Its return was asked for while nothing could be written: the request may still be carried out.
+    // An urgent release was requested without a durable intent; the leader may still carry it out.
     if (machine.cordoned) return 'return was asked for';
     if (machine.answeredAt === null)
       return this.isSilent(machine, now) && !this.isBooting(machine) ? 'never came up' : null;
     if (this.isSilent(machine, now)) return 'silent';
     /*
-     * A spot machine that stopped reporting was most likely taken back without notice. Releasing it is proof
-     * that its tasks are gone, long before its lease would be; if it was only cut off, little is lost.
+     * The cloud most likely reclaimed a spot machine without notice if the machine stopped reporting. Its
+     * release proves that its tasks are gone, long before its lease expires; if the machine was only
+     * disconnected, little is lost.
      */
     const spotSilent = machine.spot && now - machine.answeredAt >= this.spotSilenceMs;
     if (spotSilent && reachability.receivesFromMost && reachability.hasSettled) return 'spot silent';
-    // It reports, and yet does not take up the token for longer than its lease: answers do not reach it.
+    // The worker sends heartbeats but has not confirmed the token for `UNCONFIRMED_TOKEN_LEASES` leases:
+    // answers do not reach it.
     const { unconfirmedSince } = machine;
     if (
       unconfirmedSince !== null &&
@@ -246,8 +274,9 @@
   }
 
   /**
-   * Holding an idle machine for about what a new one costs to bring up bounds the regret either way. That is
-   * for the next gang or two; of many idle machines, those that have been so longest go sooner.
+   * Selects the idle machines that have exceeded their hold time. Holding an idle machine for about what a
+   * new one costs to boot bounds the regret of either choice. That is for the next gang or two: of many idle
+   * machines, those that have been idle longest are released sooner.
    */
   private idleBeyondHold(group: readonly ShardMachine[], now: number): readonly MachineToRelease[] {
     return [...group]
@@ -256,7 +285,10 @@
       .map((machine) => ({ machine, reason: 'idle' }));
   }
 
-  /** Bookkeeping of what only time changes; returns the machines whose lease is over with tasks bound. */
+  /**
+   * Updates the fields of machines that change with time; returns the machines whose lease has expired with
+   * tasks bound to them.
+   */
   updateAndFindExpired(): readonly ShardMachine[] {
     const now = this.dependencies.now();
     const expired: ShardMachine[] = [];
--- a/src/placement/machine-record-writer.test.ts
+++ b/src/placement/machine-record-writer.test.ts
@@ -4,9 +4,9 @@
 import { recentImages } from './machine-record-writer.js';
 
 /**
- * Guards that a machine's images are still known after it moved to another share: gangs were placed on
- * machines without their image, and each fetch took longer than their start target. The names are bounded, or
- * a batch of records would be refused for its size for ever.
+ * A machine's images must still be known after its transfer to another shard: otherwise gangs were placed on
+ * machines without their image, and each fetch took longer than their start target. The names are bounded,
+ * because a batch of records would otherwise be refused for its size for ever.
  */
 const cases: readonly {
   readonly name: string;
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes the records of a shard's machines: transferred to another shard, to be released, or renewed for a
- * higher token. No state of its own; of machines it sets `releasing`. `MachineLifecycle` calls it.
+ * Writes the records of a shard's machines in order to transfer them to another shard, to request their
+ * release, or to raise their token. No state of its own; of machines it sets `releasing`. `MachineLifecycle`
+ * calls it.
  */
 import {
   IMAGE_NAMES_VALUE_FRACTION,
@@ -14,15 +15,15 @@
 import type { ShardIdentity, ValueLimits } from './ports.js';
 import type { ReleaseReason, ShardMachine } from './shard-model.js';
 
-/** What a machine's record is to say. */
+/** The assignment that a machine's record is to contain. */
 export interface MachineAssignment {
   readonly machine: ShardMachine;
   readonly shardId: number;
-  /** Why it is to be released; none: it stays in use. */
+  /** Why the machine is to be released; undefined: it stays in use. */
   readonly releaseReason?: ReleaseReason;
 }
 
-/** The most recently used images of a machine, as many as its record has room for besides the rest. */
+/** The most recently used images of a machine, as many as fit in `maxBytes` of its record. */
 export const recentImages = (images: ReadonlySet<string>, maxBytes: number): readonly string[] => {
   const recent: string[] = [];
   let bytes = 0;
@@ -50,11 +51,11 @@
   constructor(private readonly dependencies: MachineRecordWriterDependencies) {}
 
   /**
-   * Machine records in one transaction. From its start nothing is placed on them, also while the end is open.
-   * True: written, or nothing was to be.
+   * Writes machine records in one transaction. Nothing is placed on the machines from its start, nor while
+   * its outcome is unknown. Resolves to true if the records are written, or if none had to be.
    */
   async assign(assignments: readonly MachineAssignment[], priority: RequestPriority): Promise<boolean> {
-    // No holder takes back a release intent: a late release request must not meet a machine that is in use
+    // No holder withdraws a release intent: a late release request must not hit a machine that is in use
     // again.
     const pending = assignments
       .filter(({ machine, releaseReason }) => releaseReason !== undefined || !machine.releasing)
@@ -78,7 +79,7 @@
     return false;
   }
 
-  /** bytes: what the images may take in each of so many records. */
+  /** bytes: how much space the images may take in each record of a transaction with `records` records. */
   private imageBytes(records: number): number {
     return Math.min(
       MAX_IMAGE_NAMES_BYTES,
@@ -106,7 +107,7 @@
 
   private onNotCommitted(pending: readonly PendingAssignment[], failedKeys: readonly string[]): void {
     for (const { machine, version } of pending) {
-      // One whose record has changed is set right by the change itself, when it is heard of.
+      // If the record of a machine has changed, the watch event of that change corrects `releasing`.
       const changed = failedKeys.includes(machineKey(machine.id)) || machine.version !== version;
       if (!changed) machine.releasing = false;
     }
--- a/src/placement/shard-changes.ts
+++ b/src/placement/shard-changes.ts
@@ -1,6 +1,7 @@
 /**
- * Takes changes of the shared records into a shard's state: machines, jobs, cancellations that other
- * controllers acknowledged. No state of its own; `Shard` hands on what the watch and other controllers say.
+ * Applies changes of the shared records to a shard's state: machines, jobs, and cancellations that other
+ * controllers report directly. No state of its own; `Shard` passes on what the watch and other controllers
+ * report.
  */
 import type { MachineRecord } from '../fleet/machine-record.js';
 import { readJobRecord } from '../jobs/job-record-codec.js';
@@ -15,7 +16,7 @@
 
 const NO_RESOURCES = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** What the taking in of changes needs of its shard. */
+/** What the application of changes needs of its shard. */
 export interface ShardChangesDependencies
   extends
     Pick<ShardIdentity, 'shardId'>,
@@ -26,7 +27,7 @@
   readonly directCommands: DirectCommands;
 }
 
-/** Is the job cancelled, as far as the shared records and other controllers' acknowledgements go? */
+/** Whether the job is cancelled according to its shared record or to a cancellation that was acknowledged. */
 export const isKnownCancelled = (shardState: ShardState, cache: WatchCache, job: string): boolean => {
   const item = cache.get(jobKey(job));
   return (
@@ -35,7 +36,7 @@
   );
 };
 
-/** Changes that come from outside the shard. */
+/** Applies changes that come from outside the shard. */
 export class ShardChanges {
   constructor(private readonly dependencies: ShardChangesDependencies) {}
 
@@ -43,7 +44,7 @@
     const { shardState, shardId } = this.dependencies;
     const known = shardState.machines.get(id);
     if (record.shardId !== shardId) {
-      // Its former holder moves only free ones, so nothing of this shard is on it.
+      // Only free machines are transferred, so no task of this shard is on the machine.
       if (known) shardState.removeMachine(known, { _tag: 'released' });
       return;
     }
@@ -70,7 +71,7 @@
   onMachineGone(id: string): void {
     const { shardState } = this.dependencies;
     const machine = shardState.machines.get(id);
-    // The record goes only after the cloud answered 200 to the machine's release.
+    // The record is deleted only after the cloud answered 200 to the machine's release.
     if (machine) shardState.removeMachine(machine, { _tag: 'released' });
   }
 
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Another controller is about to tell a user of this cancellation. True: from now on every answer to a
-   * worker says so.
+   * Applies a cancellation before another controller confirms it to a user. True: every answer to a worker
+   * from now on takes the cancellation into account; false: the claim is lost.
    */
   acknowledgeCancellation(id: string, version: number): boolean {
     if (this.dependencies.isLost()) return false;
--- a/src/placement/shard-composition.ts
+++ b/src/placement/shard-composition.ts
@@ -27,7 +27,7 @@
 export interface ShardFoundation extends ShardIdentity, RoundTrigger {
   readonly context: ShardContext;
   readonly stage: ShardStage;
-  /** The claim showed to be somebody else's. */
+  /** Called when a transaction shows that the claim has changed. */
   readonly markLost: () => void;
 }
 
@@ -46,7 +46,10 @@
   readonly summaryBuilder: ShardSummaryBuilder;
 }
 
-/** What each class is built from: the state and the sessions, and the writers of durable records. */
+/**
+ * The classes that the others are built from: the state, the worker sessions, and the writers of durable
+ * records.
+ */
 interface Wiring {
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a shard's state after its claim was taken: jobs from the watch cache, runs from the key-value store,
- * and what machines reported in the meantime. No state of its own; `Shard` runs it once.
+ * Loads a shard's state after its claim was acquired: jobs from the watch cache, runs from the key-value
+ * store, and what machines reported in the meantime. No state of its own; `Shard` runs it once.
  */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
@@ -16,28 +16,28 @@
 import { bindingKey, type ShardMachine } from './shard-model.js';
 import type { ShardState } from './shard-state.js';
 
-/** What the loading needs of its shard. */
+/** What the loader needs of its shard. */
 export interface ShardLoaderDependencies extends ShardIdentity, Pick<StageQueries, 'isLost'> {
   readonly store: KeyValueStore;
   readonly cache: WatchCache;
   readonly shardOfTeam: ReadonlyMap<string, number>;
   readonly shardState: ShardState;
   readonly orphanedKeys: OrphanedKeys;
-  /** The runs have arrived; they are taken in next. */
+  /** Called when the runs have been read, before they are applied. */
   readonly onRunsRead: () => void;
-  /** The readiness or effective priority of a job is to be looked up. */
+  /** Called for each job whose readiness and effective priority are to be looked up. */
   readonly onEffectivePriority: (job: string) => void;
-  /** Everything is taken in. */
+  /** Called when the whole state has been loaded. */
   readonly onLoaded: () => void;
 }
 
-/** Fills the state of a shard that was just taken. */
+/** Loads the state of a shard whose claim was just acquired. */
 export class ShardLoader {
   constructor(private readonly dependencies: ShardLoaderDependencies) {}
 
   /**
-   * Reads the shard's runs, unless its claim is lost meanwhile: then what was read is its next holder's. The
-   * cache already shows every change before the claim's own revision.
+   * Reads and applies the shard's runs, unless the claim is lost meanwhile: the next holder then reads them
+   * itself. The watch cache already shows every change before the claim's own revision.
    */
   readonly load: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const { store, shardId, isLost } = this.dependencies;
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -1,8 +1,7 @@
 /**
- * One shard of teams and machines, for as long as this process holds its claim: what the rest of the
- * controller calls, and what one placement round does. Owns the shard's stage; jobs, machines and bindings
- * are the shard state's. `HeldShards` creates it, and the heartbeat handler and the change dispatcher call
- * it.
+ * One shard of teams and machines while this process holds its claim: the operations that the rest of the
+ * controller calls, and the placement round. Owns the shard's stage; `ShardState` owns the jobs, machines and
+ * bindings. `HeldShards` creates it, and the heartbeat handler and the change dispatcher call it.
  */
 import * as Effect from 'effect/Effect';
 import type { MachineRecord } from '../fleet/machine-record.js';
@@ -61,7 +60,7 @@
     return this.shardStage.current;
   }
 
-  /** What the leader should know; null: nothing is placed yet. */
+  /** The summary for the leader; null: the shard has not reached its first placement round. */
   get summary(): ShardSummary | null {
     return this.components.summaryBuilder.latest;
   }
@@ -90,8 +89,8 @@
   }
 
   /**
-   * Another controller is about to tell a user of the cancellation that is durable at this revision. True:
-   * from now on every answer to a worker says so.
+   * Applies a cancellation that is durable at this revision, before another controller confirms it to a user.
+   * True: every answer to a worker from now on takes the cancellation into account; false: the claim is lost.
    */
   acknowledgeCancellation(id: string, version: number): boolean {
     return this.components.changes.acknowledgeCancellation(id, version);
@@ -99,17 +98,23 @@
 
   // ---- workers --------------------------------------------------------------------------------------------
 
-  /** Null: the heartbeat is older than one already seen, or names a higher token than this shard's. */
+  /**
+   * Applies a heartbeat. Null: the machine is not in this shard, or the heartbeat is older than one already
+   * received or names a higher token than this shard's.
+   */
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatReceipt | null {
     return this.components.sessions.onHeartbeat(heartbeat);
   }
 
-  /** The answer to the heartbeat that was received last from this machine; null: it is not the last one. */
+  /**
+   * The answer to the heartbeat that was received last from this machine; null: this heartbeat is not the
+   * last one.
+   */
   orders(heartbeat: WorkerHeartbeat): FencedCommands | null {
     return this.components.sessions.commandsFor(heartbeat);
   }
 
-  /** Resolves when the binds of a whole round that begins after now are durable, or after `ms`. */
+  /** Resolves when the bindings of a whole round that begins after the call are durable, or after `ms`. */
   nextRound(machineId: string, ms: number): Promise<void> {
     this.requestRound();
     const machine = this.components.shardState.machines.get(machineId);
@@ -120,27 +125,30 @@
   }
 
   /**
-   * Machines that should report, and those heard from lately: all of none means that no worker reaches this
-   * controller.
+   * The number of machines whose workers should send heartbeats, and of those whose heartbeat arrived
+   * recently. If there are machines and `reporting` is 0, no worker reaches this controller.
    */
   heartbeatCoverage(): { readonly machines: number; readonly reporting: number } {
     const { liveness } = this.components;
     return liveness.heartbeatCoverage(liveness.unreachableAfterMs);
   }
 
-  /** Moves free machines to other shards, on the leader's order. True: at least one is moved. */
+  /**
+   * Transfers free machines to other shards, as the leader ordered. Resolves to true if at least one is
+   * transferred.
+   */
   transferMachines(moves: readonly MachineTransfer[]): Promise<boolean> {
     return this.components.lifecycle.transferMachines(moves);
   }
 
   // ---- task counts ----------------------------------------------------------------------------------------
 
-  /** Of the jobs with tasks on machines or done, a bounded number. */
+  /** Task counts of the jobs with tasks on machines or done, for a bounded number of jobs. */
   allTaskCounts(): readonly NamedTaskCounts[] {
     return allTaskCounts(this.components.shardState.jobs.values());
   }
 
-  /** Null: the shard does not know the job. */
+  /** Task counts of one job; null: the shard does not know the job. */
   taskCounts(id: string): TaskCounts | null {
     const job = this.components.shardState.jobs.get(id);
     return job ? taskCountsOf(job) : null;
@@ -148,13 +156,13 @@
 
   // ---- from the claim to its loss -------------------------------------------------------------------------
 
-  /** Loads the shard, then places until the claim is lost. */
+  /** Loads the shard, then runs placement rounds until the claim is lost. */
   readonly run: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     if (!this.shardStage.isLoaded()) yield* this.components.loader.load;
     yield* this.roundLoop.run;
   });
 
-  /** The claim is no longer this process's: no further round begins. */
+  /** Records that this process no longer holds the claim: no further round begins. */
   markLost(): void {
     if (this.shardStage.isLost()) return;
     this.shardStage.apply('lost');
@@ -168,7 +176,10 @@
 
   // ---- one round ------------------------------------------------------------------------------------------
 
-  /** Decisions only. What they write goes out apart from the rounds, in transactions of its own. */
+  /**
+   * Runs one round, which only makes decisions: their writes are sent independently of the rounds, in
+   * transactions of their own.
+   */
   private round(): void {
     const { directCommands, lifecycle, flusher } = this.components;
     const waiting = this.roundWaiters.current();
@@ -190,7 +201,7 @@
     log.info({ event: 'shard.placing', shardId: this.shardId });
   }
 
-  /** Resolves when what was bound is durable, or surely is not. */
+  /** Places waiting tasks. Resolves when each new binding is durable or has been removed. */
   private place(catalog: Catalog): Promise<unknown> {
     const { shardState, binder, preemptor, summaryBuilder } = this.components;
     const view = this.view(catalog);
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -1,4 +1,4 @@
-/** What heartbeats are taken for, in which order, and what is concluded from silence. */
+/** How heartbeats are interpreted, in which order they are accepted, and what is concluded from silence. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
@@ -222,7 +222,7 @@
       assert.deepEqual(
         scenario.releases(),
         [],
-        'not while this controller receives heartbeats from few of its machines',
+        'not while few of the machines reach this controller',
       );
       scenario.report('m-1', 3, { tasks: running });
       assert.deepEqual(scenario.releases(), ['m-2 spot silent']);
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -1,7 +1,7 @@
 /**
- * What the workers of a shard report, and the commands that answer them. Owns the session fields of each
- * machine (epoch, sequence number, confirmed token, last report), which only `DirectCommands` sets as well,
- * for a machine that has not reported yet. `Shard` hands in each heartbeat.
+ * Handles the heartbeats of a shard's workers and builds the commands that answer them. Owns the session
+ * fields of each machine (epoch, sequence number, confirmed token, last report), which only `DirectCommands`
+ * sets as well, for a machine that has not reported yet. `Shard` passes on each heartbeat.
  */
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
@@ -21,19 +21,23 @@
     Pick<StageQueries, 'isLoaded' | 'isPlacing'>,
     RoundTrigger {
   readonly shardState: ShardState;
-  /** ms: a worker that was answered within this time has not lost its lease if the answer arrived. */
+  /**
+   * ms: a worker that was answered within this time still has its lease, provided that the answer arrived.
+   */
   readonly leaseMs: number;
-  /** Known without the shard's runs, from the jobs' records. */
+  /** Whether the job is cancelled, as known from the jobs' records without the shard's runs. */
   readonly isCancelled: (job: string) => boolean;
 }
 
-/** A heartbeat was taken in. */
+/** The result of an accepted heartbeat. */
 export interface HeartbeatReceipt {
-  /** The next round may place work on the machine, which can travel in the answer to this heartbeat. */
+  /**
+   * Whether the next round may place work on the machine, which the answer to this heartbeat can then carry.
+   */
   readonly awaitRound: boolean;
 }
 
-/** Commands for a worker, under the token that it must know or learn. */
+/** Commands for a worker, with the fencing token that it must know or learn. */
 export interface FencedCommands {
   readonly token: number;
   readonly commands: readonly Command[];
@@ -46,8 +50,8 @@
   // ---- what is reported -----------------------------------------------------------------------------------
 
   /**
-   * Null: a heartbeat older than one already seen, a late copy, or one that knows a higher token than this
-   * shard's.
+   * Applies a heartbeat. Null: the machine is not in this shard, or the heartbeat is older than one already
+   * received (a late copy) or names a higher token than this shard's.
    */
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatReceipt | null {
     const { shardState, isPlacing, requestRound, now } = this.dependencies;
@@ -79,7 +83,9 @@
     return machine;
   }
 
-  /** A new session although the last answer is recent: the worker did not receive it. */
+  /**
+   * Whether the worker began a new session although its last answer is recent: the worker did not receive it.
+   */
   private restartedWithinLease(machine: ShardMachine, heartbeat: WorkerHeartbeat, now: number): boolean {
     const { agentEpoch, answeredAt } = machine;
     const answeredLately = answeredAt !== null && now - answeredAt < this.dependencies.leaseMs;
@@ -119,7 +125,10 @@
     machine.reclaimNoticeS = heartbeat.noticeS;
   }
 
-  /** A `run` that went out with several answers and shows in no heartbeat after them did not arrive. */
+  /**
+   * Marks the machine as unreachable if several answers carried a `run` and no later heartbeat shows its
+   * task: the answers did not arrive.
+   */
   private detectIgnoredRuns(machine: ShardMachine): void {
     for (const { phase, stop, runCommandsSent } of machine.bound.values()) {
       if (phase._tag !== 'bound' || stop || runCommandsSent < MAX_RUN_COMMAND_ATTEMPTS) continue;
@@ -129,8 +138,9 @@
   }
 
   /**
-   * Its heartbeats come, and the answers do not arrive. Nothing more goes there until it has taken up a new
-   * token, which shows that they do; what was bound there and never seen goes elsewhere, once proven absent.
+   * Handles a machine whose heartbeats arrive while its answers are lost. Nothing is placed on it until its
+   * worker confirms a new token, which shows that answers arrive; what was bound there and never reported is
+   * placed elsewhere, once it is proven absent.
    */
   private markUnreachable(machine: ShardMachine, why: string): void {
     const { shardState, requestRound } = this.dependencies;
@@ -145,7 +155,7 @@
     requestRound();
   }
 
-  /** May a direct `run` of this attempt still be carried out, as far as a worker with this token goes? */
+  /** Whether a worker that has seen `workerToken` may still execute a direct `run` of this attempt. */
   private mayStillRun(machine: ShardMachine, key: string, workerToken: number): boolean {
     const token = machine.unacknowledgedRuns.get(key);
     if (token === undefined) return false;
@@ -156,7 +166,7 @@
 
   // ---- what is answered -----------------------------------------------------------------------------------
 
-  /** The commands that answer a machine's last heartbeat; null: it is not the last one. */
+  /** The commands that answer a machine's last heartbeat; null: this heartbeat is not the last one. */
   commandsFor(heartbeat: WorkerHeartbeat): FencedCommands | null {
     const machine = this.dependencies.shardState.machines.get(heartbeat.machine);
     if (machine?.sequenceNumber !== heartbeat.sequenceNumber || machine.agentEpoch !== heartbeat.agentEpoch)
@@ -191,7 +201,8 @@
   }
 
   /**
-   * The runs can't be read as long as the key-value store is away; what is cancelled must not go on for that.
+   * Stops for the tasks of cancelled jobs while the runs are not loaded: a cancelled task must not continue
+   * because the key-value store is unavailable.
    */
   private stopsOfCancelled(heartbeat: WorkerHeartbeat): readonly Command[] {
     return heartbeat.tasks
@@ -199,7 +210,7 @@
       .map(({ job, index, attempt }) => ({ _tag: 'stop', job, index, attempt, graceS: 0 }));
   }
 
-  /** The key-value store no longer binds this attempt: a later holder won't start it again. */
+  /** Whether the stored run no longer binds this attempt, so that a later holder won't start it again. */
   isDurablyUnbound(key: string, job: string, index: number): boolean {
     const chunk = this.dependencies.shardState.jobs.get(job)?.chunks.get(chunkOf(index));
     return !(chunk?.durable.has(key) ?? false);
