--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,6 +1,7 @@
 /**
- * Transactions of a shard: conditional on its claim, carried to a known end, a bounded number side by side.
- * Owns the count of those under way and the queue of those that wait. The writers of records call it.
+ * Executes the transactions of a shard: each is conditional on the shard's claim and retried until its
+ * outcome is known, and a bounded number run concurrently. Owns the number of transactions in progress and
+ * the queue of those that wait. The writers of records call it.
  */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
@@ -14,16 +15,17 @@
 /** What the transactions need of their shard. */
 export interface ClaimTransactionsDependencies extends ShardIdentity, Pick<StageQueries, 'isLost'> {
   readonly store: KeyValueStore;
-  /** Another holder's claim showed up in a condition. */
+  /** Called when the condition on the claim failed, which shows that the claim has changed. */
   readonly markLost: () => void;
 }
 
-/** Changes that are made together or not at all, besides the condition that the claim is unchanged. */
+/** Changes that are applied atomically, on the additional condition that the claim is unchanged. */
 export interface ClaimTransaction {
   readonly conditions: readonly Condition[];
   readonly writes: readonly Write[];
   /**
-   * One of the keys in the conditions: only this holder changes it, so it tells whether a copy was applied.
+   * One of the keys in the conditions. Only this holder changes it, so its revision shows whether a copy of
+   * the transaction was applied.
    */
   readonly outcomeKey: string;
   readonly priority: RequestPriority;
@@ -31,12 +33,12 @@
 
 type Conflict = Extract<TransactionResult, { _tag: 'conflict' }>;
 
-/** What became of one attempt. */
+/** The outcome of one attempt to commit. */
 type AttemptOutcome =
   | { readonly _tag: 'ended'; readonly result: TransactionResult }
-  /** It may have been applied, or may be later. */
+  /** The transaction may have been applied, or may be applied later. */
   | { readonly _tag: 'unacknowledged' }
-  /** Nothing new is known. */
+  /** The attempt gave no new information. */
   | { readonly _tag: 'undecided' };
 
 const UNACKNOWLEDGED: AttemptOutcome = { _tag: 'unacknowledged' };
@@ -52,15 +54,18 @@
   constructor(private readonly dependencies: ClaimTransactionsDependencies) {}
 
   /**
-   * Carries a transaction to a known end. Without an answer it may still be applied later, so the same one
-   * is sent again until it is committed or can no longer be: every write is conditional on the version of the
-   * witness, which tells a late first copy from somebody else's change.
+   * Sends a transaction until its outcome is known. Without an answer it may still be applied later, so the
+   * same transaction is sent again until it is committed or can no longer be: every write is conditional on
+   * the revision of the outcome key, which distinguishes a late first copy from another client's change.
    */
   commit(transaction: ClaimTransaction): Promise<TransactionResult> {
     return this.withSlot(() => Effect.runPromise(this.retryUntilDecided(transaction)));
   }
 
-  /** Transactions under way are few: each has its time limit, which waiting for a socket would use up. */
+  /**
+   * Bounds the number of transactions in progress: each has a time limit, which waiting for a socket would
+   * use up.
+   */
   private async withSlot<A>(work: () => Promise<A>): Promise<A> {
     if (this.running >= MAX_CONCURRENT_TRANSACTIONS)
       await new Promise<void>((resolve) => {
@@ -79,7 +84,7 @@
   private retryUntilDecided(transaction: ClaimTransaction): Effect.Effect<TransactionResult> {
     return Effect.gen({ self: this }, function* () {
       const { isLost } = this.dependencies;
-      /** An earlier copy may have been applied, or may be later. */
+      /** Whether an earlier copy may have been applied, or may be applied later. */
       let unacknowledged = false;
       for (;;) {
         if (isLost() && !unacknowledged) return LOST;
@@ -114,7 +119,10 @@
     });
   }
 
-  /** A conflict after an unacknowledged copy may be that copy's own doing: the witness tells. */
+  /**
+   * Handles a conflict. After an unacknowledged copy, that copy itself may be the cause: the revision of the
+   * outcome key decides.
+   */
   private onConflict(
     { conditions, outcomeKey, priority }: ClaimTransaction,
     conflict: Conflict,
@@ -147,8 +155,8 @@
   }
 
   /**
-   * Deletes orphaned keys, under the claim alone. They cost nothing but room, so a failure is simply tried
-   * again later.
+   * Deletes orphaned keys, conditional on the claim alone. The keys only occupy space, so a failed deletion
+   * is simply repeated later.
    */
   async remove(keys: readonly string[]): Promise<boolean> {
     const result = await Effect.runPromise(
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the final records of jobs that are over, in place of everything else that is stored of them. No
+ * Writes the final records of jobs that are over, and deletes everything else that is stored of the jobs. No
  * state of its own; of jobs it sets `finishing` and `finishSeparately`. `RecordFlusher` calls it.
  */
 import type { OrphanedKey } from '@dalegate/fencing';
@@ -23,7 +23,7 @@
   readonly final: FinalRecord;
 }
 
-/** Jobs whose final records are durable, and keys that are left to clear away. */
+/** Jobs whose final records are durable, and their keys that remain to be removed. */
 export interface FinishResult {
   readonly done: readonly { readonly job: ShardJob; readonly final: FinalRecord }[];
   readonly orphanedKeys: readonly OrphanedKey[];
@@ -41,14 +41,19 @@
 export class FinalRecordWriter {
   constructor(private readonly dependencies: FinalRecordWriterDependencies) {}
 
-  /** How many changes the final record of a job takes, with all its runs. */
+  /**
+   * The number of changes in a transaction that writes the final record of a job and deletes all its runs.
+   */
   changeCountOf(job: ShardJob): number {
     let parts = job.dependencyParts;
     for (const chunk of job.chunks.values()) parts += 1 + chunk.parts;
     return 2 + parts;
   }
 
-  /** Final records of jobs in one transaction. Returns those that are durable, with the keys left over. */
+  /**
+   * Writes the final records of jobs in one transaction. Returns the jobs whose records are durable, and the
+   * keys whose deletion did not fit.
+   */
   async finish(jobs: readonly FinishedJob[]): Promise<FinishResult> {
     const first = jobs[0];
     if (!first) return NOTHING_FINISHED;
@@ -62,8 +67,9 @@
     const result = await this.dependencies.transactions.commit({
       conditions: jobs.flatMap(({ job }) => [
         { key: jobKey(job.spec.id), version: job.version },
-        // Only the holder writes it, so it tells whether an unanswered copy was applied; a user's late
-        // cancellation changes the job's record too, and would pass for it.
+        // Only the holder writes the final record, so its revision shows whether an unacknowledged copy was
+        // applied. The job's record would not show it, since a late cancellation by the user changes that
+        // record too.
         { key: finalKey(job.spec.id), version: 0 },
       ]),
       writes,
@@ -101,7 +107,8 @@
   }
 
   /**
-   * A job that was among the cause of a conflict is written alone from now on, or it would hold up others.
+   * Resets jobs whose transaction failed. A job that caused a conflict is written alone from now on, since it
+   * would hold up the others.
    */
   private onNotCommitted(jobs: readonly FinishedJob[], failedKeys: readonly string[]): void {
     for (const { job } of jobs) {
@@ -111,11 +118,11 @@
     }
   }
 
-  /** Everything that is stored of a job beside its record. */
+  /** The keys of everything that is stored of a job besides its record. */
   private keysOf(job: ShardJob): readonly OrphanedKey[] {
     const runs = [...job.chunks].flatMap(([number, chunk]): readonly OrphanedKey[] => {
-      // The parts of a run are written together with its record. One that was never written has no revision
-      // yet.
+      // The parts of a run are written together with its record and have its revision. A run that was never
+      // written has no known revision yet.
       const revision = chunk.version === 0 ? null : chunk.version;
       const parts = Array.from({ length: chunk.parts }, (_, part) =>
         runPartKey(this.dependencies.shardId, job.spec.id, number, part),
--- a/src/placement/objectives-codec.ts
+++ b/src/placement/objectives-codec.ts
@@ -9,7 +9,10 @@
   readonly within_s?: unknown;
 }
 
-/** The objectives of the settings, by class; those of unknown kind are left out. */
+/**
+ * The objectives in the settings, by job class; entries of an unknown kind or with malformed fields are left
+ * out.
+ */
 export const readObjectives = (raw: readonly unknown[] | undefined): ReadonlyMap<string, Objectives> => {
   const classes = new Map<string, { wait: number[]; finished: number[] }>();
   for (const entry of raw ?? []) {
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -1,7 +1,7 @@
 /**
- * Removes keys of a shard that belong to nothing any more. Owns the list of such keys: here where fencing
- * is off, else in the garbage collector of `@dalegate/fencing`. `RecordFlusher` and `ShardLoader` hand keys
- * in.
+ * Removes the orphaned keys of a shard, to which no job or run record refers any more. If fencing is off,
+ * `ImmediateRemoval` owns the list of such keys, otherwise the garbage collector of `@dalegate/fencing`.
+ * `RecordFlusher` and `ShardLoader` add keys.
  */
 import { GarbageCollector, type Duty, type OrphanedKey, type Tombstone } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -13,17 +13,17 @@
 import type { ClaimTransactions } from './claim-transactions.js';
 import type { ShardIdentity, ValueLimits, WallClock } from './ports.js';
 
-/** Keys of a shard that belong to nothing any more. */
+/** Collects and removes the orphaned keys of a shard. */
 export interface OrphanedKeys {
-  /** Has these keys removed some time. */
+  /** Adds keys that are to be removed later. */
   discard(keys: readonly OrphanedKey[]): void;
-  /** Is there anything to do now? */
+  /** Whether `step` has anything to do now. */
   readonly hasWork: boolean;
-  /** Writes tombstones for a few, or removes a few that have them. */
+  /** Removes a batch of keys, or writes tombstones for a batch if the keys need them first. */
   step(): Promise<void>;
 }
 
-/** Removal under the claim alone, without a tombstone: what is done where fencing is off. */
+/** Removes keys conditional on the claim alone, without tombstones; used if fencing is off. */
 export class ImmediateRemoval implements OrphanedKeys {
   private readonly keys: string[] = [];
 
@@ -46,16 +46,16 @@
   }
 }
 
-/** What the removal in two steps needs of its shard. */
+/** What `TombstonedRemoval` needs of its shard. */
 export interface TombstonedRemovalDependencies
   extends ShardIdentity, WallClock, Pick<ValueLimits, 'valueBytes'> {
   readonly store: KeyValueStore;
   readonly duty: Duty;
-  /** Does the shard know this job, or do the shared records show it? */
+  /** Whether the shard knows this job, or the shared records show it. */
   readonly isJobKnown: (job: string) => boolean;
 }
 
-/** Removal in two steps, each under the duty's token and the revision of every key. */
+/** Removes keys in two steps, each conditional on the duty's token and the revision of every key. */
 export class TombstonedRemoval implements OrphanedKeys {
   private readonly garbageCollector: GarbageCollector;
 
@@ -65,7 +65,7 @@
       value: fencedValue(store, tombstonesKey(shardId), String(shardId), 'work'),
       beginStep: () => duty.begin('removal of left-over state'),
       inUse: (key) => this.inUse(key),
-      // The record of tombstones is one more change.
+      // The tombstone record is one more change in the transaction.
       batchSize: () => Math.max(1, store.batchWrites - 1),
       maxBytes: dependencies.valueBytes * VALUE_FILL_FRACTION,
       timeOfDay: dependencies.wall,
@@ -84,7 +84,10 @@
     });
   }
 
-  /** A run whose job is there after all is left alone; its parts and lists go by the job's name as well. */
+  /**
+   * Whether the job that a key belongs to exists after all. Keys of parts and of dependency lists contain the
+   * job's name as well.
+   */
   private inUse(key: string): boolean {
     const job = parseRunKey(key)?.job ?? key.split('/')[2];
     return job !== undefined && this.dependencies.isJobKnown(job);
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -1,4 +1,4 @@
-/** Final records: each is written once, whatever order the answers and the watch events come in. */
+/** Each final record is written once, in whatever order the answers and the watch events arrive. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http/model.js';
@@ -27,7 +27,9 @@
 const record: JobRecord = { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 const cancelledRecord: JobRecord = { ...record, cancelled: true, cancelledAt: 1 };
 
-/** A shard with one job, and a key-value store whose record of it has this revision; 0: it is gone. */
+/**
+ * A shard with one job, and a key-value store in which the job's record has this revision; 0: it is deleted.
+ */
 const shardOf = () => {
   const state = { revision: CANCELLED_AT, transactions: 0 };
   const request = (): Promise<CallOutcome> => {
@@ -78,8 +80,8 @@
     steps: ['cancelled record seen', 'round', 'deletion seen', 'round'],
     transactions: 1,
   },
-  // The late event brought the job back for ever: every round tried its final record again, at two changes a
-  // try.
+  // Guards against a late event that added the job again for ever: every round then tried to write its final
+  // record again, at two changes per attempt.
   {
     name: 'the cancellation arrives directly, and the job is finished before the watch shows it',
     steps: ['acknowledge', 'round', 'cancelled record seen', 'deletion seen', 'round', 'round'],
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -1,6 +1,6 @@
 /**
- * Writes what changed in a shard to the key-value store, in batches: finished tasks, final records,
- * orphaned keys. Owns whether a flush is under way and when the last one began. `Shard` calls it in each
+ * Writes the changes of a shard's state to the key-value store in batches: finished tasks, final records,
+ * orphaned keys. Owns whether a flush is in progress and when the last one began. `Shard` calls it in each
  * round.
  */
 import { FLUSH_DELAY_MS, FLUSH_INTERVAL_MS, IMMEDIATE_FLUSH_RATE_FRACTION } from '../constants/placement.js';
@@ -23,18 +23,21 @@
   readonly orphanedKeys: OrphanedKeys;
 }
 
-/** Over, whether done or cancelled, with no task left on a machine. */
+/** Whether the job is over: done or cancelled, with no task left on a machine. */
 const isOver = (job: ShardJob): boolean => job.bindings.size === 0 && (job.cancelled || isFinished(job));
 
 /** The flusher of one shard. */
 export class RecordFlusher {
   private flushing = false;
-  /** ms on the steady clock. */
+  /** ms on the steady clock: when the last flush began. */
   private flushedAt = 0;
 
   constructor(private readonly dependencies: RecordFlusherDependencies) {}
 
-  /** Finished tasks, and bindings that are gone. Jobs that are all done go straight to their final record. */
+  /**
+   * Writes runs whose tasks finished or whose bindings are gone. Jobs that are over are not written:
+   * `finishJobs` writes their final records.
+   */
   flush(): void {
     const { now, isLost, orphanedKeys, requestRound } = this.dependencies;
     const begunAt = now();
@@ -49,7 +52,10 @@
     });
   }
 
-  /** Runs that have differed from what is stored for long enough; while the store is idle, at once. */
+  /**
+   * Runs that have differed from their stored record for long enough, or for any time while the key-value
+   * store is idle.
+   */
   private dirtyRuns(now: number): readonly { readonly write: RunWrite }[] {
     const { store, shardState, runs } = this.dependencies;
     const { changes } = store;
@@ -65,7 +71,7 @@
     return entries;
   }
 
-  /** One batch at a time: what changes meanwhile is written with the next. */
+  /** Writes one batch of runs; later changes are written with the next batch. */
   private async write(entries: readonly { readonly write: RunWrite }[]): Promise<void> {
     const { runs, orphanedKeys } = this.dependencies;
     const [batch] = runs.batches(entries);
@@ -76,7 +82,7 @@
     if (orphanedKeys.hasWork) await orphanedKeys.step();
   }
 
-  /** Writes the final records of jobs that are over and have no task left. */
+  /** Writes the final records of jobs that are over. */
   finishJobs(): void {
     const { shardState, finalRecords, store } = this.dependencies;
     let batch: FinishedJob[] = [];
--- a/src/placement/run-codec.ts
+++ b/src/placement/run-codec.ts
@@ -1,7 +1,7 @@
 /**
- * How a run of tasks is stored: a record, and parts of it where one value can't hold it all. Letters of the
- * stored form: `d` done tasks, `b` bindings in rows, `n` highest attempt, `p` number of parts, `q`
- * prepared, `v` the attempt that is valid. No state.
+ * Encodes and decodes stored runs: a record, and further parts of it if one value can't hold all of the run.
+ * Fields of the stored form: `d` done tasks, `b` bindings in rows, `n` highest attempt, `p` number of parts,
+ * `q` prepared, `v` the attempt that is valid. No state.
  */
 import {
   JSON_COMMA_BYTES,
@@ -23,7 +23,7 @@
   return indexes;
 };
 
-/** Tasks side by side that an attempt has on one machine; no count: one task. */
+/** Consecutive tasks that one attempt binds to one machine; without a count: one task. */
 type Row = [index: number, machine: string, attempt: number, count?: number];
 
 /** The stored form of a run. */
@@ -40,7 +40,7 @@
   readonly b: readonly Row[];
 }
 
-/** A run as it is stored: its record, and parts of it where a value can't hold it all. */
+/** The stored form of a run: its record, and further parts of it if one value can't hold all of the run. */
 export interface StoredRun {
   readonly record: unknown;
   readonly parts: readonly unknown[];
@@ -57,7 +57,7 @@
   return rows;
 };
 
-/** Rows in lists of which each fits into a value of so many bytes. */
+/** Splits rows into lists that each fit in a value of `bytes` bytes. */
 const splitRows = (rows: readonly Row[], bytes: number): readonly (readonly Row[])[] => {
   const lists: Row[][] = [[]];
   let size = RUN_RECORD_OVERHEAD_BYTES;
@@ -79,13 +79,13 @@
   n: record.attempt,
 });
 
-/** Writes a run in its plain layout, which every version reads. */
+/** Encodes a run in its plain layout, which every version reads. */
 export const writeRunRecord = (record: RunRecord, chunk: number): unknown => plainRecord(record, chunk);
 
 /**
- * A run within values of so many bytes: in its plain layout where that fits, or where a controller of an
- * earlier version may have to read it; else with rows for tasks side by side, and the rest in parts that
- * are written in the same transaction.
+ * Encodes a run for values of `bytes` bytes: in its plain layout if that fits, or if a controller of an
+ * earlier version may have to read it; otherwise with one row for consecutive tasks, and with the rows that
+ * don't fit in parts that are written in the same transaction.
  */
 export const encodeRun = (record: RunRecord, chunk: number, bytes: number, maySplit: boolean): StoredRun => {
   const plain = plainRecord(record, chunk);
@@ -98,28 +98,28 @@
 };
 
 /**
- * A gang whose bind doesn't fit in one transaction is prepared: all runs but the first are written beforehand
- * and count for nothing until the first, written last, names their attempt as valid. That one write binds the
- * gang.
+ * Marks a run as prepared. If the bindings of a gang don't fit in one transaction, all runs but the first are
+ * written beforehand as prepared and have no effect until the first, written last, names their attempt as
+ * valid. That single write binds the gang.
  */
 export const asPrepared = (stored: StoredRun): StoredRun => ({
   ...stored,
   record: { ...(stored.record as object), q: 1 },
 });
-/** A run record that makes what was prepared for this attempt valid. */
+/** Adds to the record of a first run that the runs prepared for this attempt are valid. */
 export const withValidAttempt = (stored: StoredRun, attempt: number): StoredRun => ({
   ...stored,
   record: { ...(stored.record as object), v: attempt },
 });
 /** The attempt that a job's first run names as valid; 0: none. */
 export const validAttempt = (first: unknown): number => (first as StoredRecord | undefined)?.v ?? 0;
-/** Do the bindings of a run count, given the first of its job? */
+/** Whether the bindings of a run are in effect, given the record of its job's first run. */
 export const isRunValid = (data: unknown, first: unknown): boolean => {
   const { q, n } = data as StoredRecord;
   return q === undefined || validAttempt(first) === n;
 };
 
-/** How many parts the stored record of a run has. */
+/** The number of parts that belong to the stored record of a run. */
 export const partCountOf = (data: unknown): number => (data as StoredRecord).p ?? 0;
 
 /** Reads a stored run with its parts. */
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,6 +1,6 @@
 /**
- * Rebuilds a shard's bindings from the runs that the key-value store holds, after a takeover. Owns, while
- * it runs, the list of orphaned keys; `ShardLoader` uses one instance for one load.
+ * Rebuilds a shard's bindings from the runs in the key-value store, after a takeover. Owns the list of
+ * orphaned keys of one load; `ShardLoader` creates an instance for each load.
  */
 import type { OrphanedKey } from '@dalegate/fencing';
 import type { StoredEntry } from '../kv-store/model.js';
@@ -18,13 +18,13 @@
 
 type Entries = ReadonlyMap<string, StoredEntry>;
 
-/** Takes in the stored runs of one shard. */
+/** Applies the stored runs of one shard to its state. */
 export class RunLoader {
   private readonly orphanedKeys: OrphanedKey[] = [];
 
   constructor(private readonly dependencies: RunLoaderDependencies) {}
 
-  /** Takes in all runs of the shard; returns the keys that belong to nothing any more. */
+  /** Applies all runs of the shard; returns the orphaned keys, to which no job or run record refers. */
   loadAll(items: readonly StoredEntry[]): readonly OrphanedKey[] {
     const entries = new Map(items.map((item) => [item.key, item]));
     for (const item of items) this.load(item, entries);
@@ -43,7 +43,10 @@
     this.orphanedKeys.push({ key: item.key, revision: item.version, reason });
   }
 
-  /** Parts are read with the record that they belong to; one that it doesn't name is orphaned. */
+  /**
+   * Discards a part that the record of its run does not name; the other parts are read together with their
+   * record.
+   */
   private checkPart(item: StoredEntry, job: string, chunk: number, part: number, entries: Entries): void {
     const whole = entries.get(runKey(this.dependencies.shardId, job, chunk));
     if (!whole || part >= partCountOf(whole.value)) this.discard(item, 'part not named');
@@ -62,7 +65,8 @@
     for (const index of record.done) job.done.add(index);
     const first = entries.get(runKey(shardId, id, 0))?.value;
     if (chunkNumber === 0) job.validAttempt = validAttempt(first);
-    // Prepared for a bind that never was: it counts for nothing, and is cleared.
+    // The run was prepared for a bind that never took effect: its bindings are ignored, and it is
+    // overwritten.
     const valid = isRunValid(item.value, first);
     const chunk: Chunk = {
       version: item.version,
@@ -80,7 +84,7 @@
     const { shardState } = this.dependencies;
     for (const { index, attempt, machine: machineId } of record.bindings) {
       const machine = shardState.machines.get(machineId);
-      // No record of the machine: it was released, and that was answered 200.
+      // A machine without a record was released, and the cloud answered 200 to its release.
       if (!machine) {
         chunk.dirtySince = 0;
         continue;
--- a/src/placement/run-records.ts
+++ b/src/placement/run-records.ts
@@ -1,11 +1,12 @@
 /**
- * Which tasks of a job are done and which are bound where, in runs of `TASKS_PER_RUN_RECORD` tasks that are
- * stored together. No state; how a run is stored is the matter of `run-codec.ts`.
+ * The runs of a job: which tasks are done, and which are bound to which machine. A run is a chunk of
+ * `TASKS_PER_RUN_RECORD` consecutive tasks that are stored together; `chunk` is its number. No state;
+ * `run-codec.ts` defines the stored form.
  */
 import { TASKS_PER_RUN_RECORD } from '../constants/key-value-store.js';
 import { bindingKey, type ShardJob } from './shard-model.js';
 
-/** A run of tasks: which are done, which are bound where, the highest attempt used. */
+/** A run: its done tasks, its bindings, and the highest attempt that the job has used. */
 export interface RunRecord {
   /** Task indexes, ascending. */
   readonly done: readonly number[];
@@ -13,7 +14,7 @@
   readonly attempt: number;
 }
 
-/** A task's attempt on a machine. */
+/** A task's attempt that is bound to a machine. */
 export interface RecordedBinding {
   readonly index: number;
   readonly machine: string;
@@ -25,7 +26,7 @@
 /** The number of the run that a task belongs to. */
 export const chunkOf = (index: number): number => Math.floor(index / TASKS_PER_RUN_RECORD);
 
-/** A run of a job as it should be stored now. */
+/** A run of a job according to the shard's present state. */
 export const runRecord = (job: ShardJob, chunk: number): RunRecord => {
   const first = firstIndexOf(chunk);
   const end = Math.min(first + TASKS_PER_RUN_RECORD, job.spec.tasks);
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -1,7 +1,7 @@
 /**
  * Writes the runs of a shard's jobs: which task is bound to which machine, and which are done. No state of
- * its own; of jobs it sets `writesUnderWay`, `validAttempt` and what is known of their stored runs.
- * `Binder` and `RecordFlusher` call it.
+ * its own; of jobs it sets `writesInProgress`, `validAttempt` and `chunks`. `Binder` and `RecordFlusher` call
+ * it.
  */
 import {
   ESTIMATED_BINDING_BYTES,
@@ -36,18 +36,25 @@
   readonly stored: StoredRun;
 }
 
-/** Guess of a run record's size on the wire: a binding is an index, a machine's name and an attempt. */
+/**
+ * bytes: estimated size of a run record on the wire; a binding is an index, a machine's name and an attempt.
+ */
 const estimatedBytes = (record: RunRecord): number =>
   ESTIMATED_RUN_RECORD_BYTES + record.bindings.length * ESTIMATED_BINDING_BYTES;
 
-/** bytes on the wire, as the protocol measures them, of a run with its parts, its keys and its condition. */
+/**
+ * bytes: size on the wire, as the protocol measures it, of a run with its parts, its keys and its condition.
+ */
 const storedBytes = (stored: StoredRun): number =>
   [stored.record, ...stored.parts].reduce<number>(
     (sum, value) => sum + JSON.stringify(value).length + RUN_WRITE_OVERHEAD_BYTES,
     0,
   );
 
-/** What is known of the stored run, from now on without changes that wait: the write has them all. */
+/**
+ * The known state of the stored run, marked as clean because the write contains all changes; it is created if
+ * there is none.
+ */
 const cleanChunkOf = ({ job, chunk: number }: RunWrite): Chunk => {
   const known = job.chunks.get(number);
   if (known) {
@@ -59,7 +66,7 @@
   return created;
 };
 
-/** Notes in what is known of a stored run how its write ended. */
+/** Records the outcome of a write in the known state of the stored run. */
 const recordWriteResult = (chunk: Chunk, write: RunWrite, result: TransactionResult): void => {
   if (result._tag !== 'committed') {
     chunk.dirtySince ??= 0;
@@ -91,7 +98,7 @@
     return 1 + Math.max(write.stored.parts.length, write.job.chunks.get(write.chunk)?.parts ?? 0);
   }
 
-  /** Runs in as few transactions as they fit in; each batch is whole. */
+  /** Groups runs for as few transactions as they fit in; each batch is written in one transaction. */
   batches<T extends { readonly write: RunWrite }>(entries: readonly T[]): readonly (readonly T[])[] {
     const batches: T[][] = [];
     let batch: T[] = [];
@@ -117,7 +124,10 @@
     return batches;
   }
 
-  /** Writes runs in one transaction; while it is under way nothing else writes runs of these jobs. */
+  /**
+   * Writes runs in one transaction; while it is in progress, nothing else writes runs of these jobs. Resolves
+   * to true if it is committed.
+   */
   async commitRuns(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const first = writes[0];
     if (!first) return true;
@@ -157,16 +167,16 @@
   }
 
   /**
-   * Binds a gang: in one transaction, or, where that can't hold it, by one that makes valid what was
-   * prepared.
+   * Binds a gang in one transaction, or, if one can't hold it, by a transaction that makes the prepared runs
+   * valid.
    */
   async commitGang(job: ShardJob, writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
     if (first?.chunk !== 0 || this.fitInOneTransaction(writes)) return this.commitRuns(writes, priority);
-    // No transaction holds it, and what is prepared an earlier version would take for bound: it waits for the
-    // upgrade.
+    // No transaction can hold the gang, and a controller of an earlier version would read prepared runs as
+    // bound: the gang waits for the upgrade.
     if (!this.dependencies.maySplit()) return false;
-    // Nothing else writes its runs in between.
+    // Prevents other writes of the job's runs between the transactions.
     job.writesInProgress += 1;
     try {
       const bound = (await this.prepare(others, priority)) && (await this.validate(job, first, priority));
@@ -177,7 +187,7 @@
     }
   }
 
-  /** Writes runs that count for nothing yet. */
+  /** Writes runs as prepared, so that they have no effect yet. */
   private async prepare(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const entries = writes.map((write) => ({ write: { ...write, stored: asPrepared(write.stored) } }));
     for (const batch of this.batches(entries)) {
@@ -187,7 +197,7 @@
     return true;
   }
 
-  /** Writes the first run, which makes those that were prepared for this attempt valid. */
+  /** Writes the first run, which makes the runs that were prepared for this attempt valid. */
   private async validate(job: ShardJob, first: RunWrite, priority: RequestPriority): Promise<boolean> {
     const before = job.validAttempt;
     job.validAttempt = job.attempt;
@@ -197,14 +207,14 @@
     return bound;
   }
 
-  /** What was prepared and is not valid is written over. */
+  /** Marks the job's runs as changed, so that prepared runs that did not become valid are overwritten. */
   private rewritePrepared(job: ShardJob): void {
     for (const chunk of job.chunks.values()) chunk.dirtySince ??= 0;
   }
 
   /**
-   * A run's record with its parts, and parts of the last one that are no more. All change together, so the
-   * record's revision guards them.
+   * The writes of a run's record and its parts, and the deletion of parts that only the stored run still has.
+   * All change together, so the record's revision guards them.
    */
   private changes(write: RunWrite, before: number): readonly Write[] {
     const { job, chunk, stored } = write;
