--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -219,11 +219,7 @@
       for (const id of ['m-0', 'm-1', 'm-2']) scenario.report(id, 2, { tasks: running });
       scenario.now += 17_000;
       scenario.report('m-0', 3, { tasks: running });
-      assert.deepEqual(
-        scenario.releases(),
-        [],
-        'not while few of the machines reach this controller',
-      );
+      assert.deepEqual(scenario.releases(), [], 'not while few of the machines reach this controller');
       scenario.report('m-1', 3, { tasks: running });
       assert.deepEqual(scenario.releases(), ['m-2 spot silent']);
       scenario.now += 22_000;
