--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -6,7 +6,7 @@
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
-import { noteLastSeen, tokenOf } from './heartbeat-order.js';
+import { recordLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import type { CommandSender } from './shard-context.js';
 import { bindingKey, type Binding, type ShardMachine } from './shard-model.js';
@@ -129,7 +129,7 @@
         lastSeen?.agentEpoch === heartbeat.agentEpoch && lastSeen.sequenceNumber >= heartbeat.sequenceNumber;
       if (!shownAlready) shardState.apply(binding, { _tag: 'reported', state: task.state });
     }
-    noteLastSeen(machine, heartbeat);
+    recordLastSeen(machine, heartbeat);
   }
 
   private send(machine: ShardMachine, commands: readonly Command[]): Promise<DirectResult> {
--- a/src/placement/heartbeat-order.ts
+++ b/src/placement/heartbeat-order.ts
@@ -22,7 +22,7 @@
 /**
  * Records the position of a message in each binding that it shows, unless a newer message showed the binding.
  */
-export const noteLastSeen = (machine: ShardMachine, heartbeat: WorkerHeartbeat): void => {
+export const recordLastSeen = (machine: ShardMachine, heartbeat: WorkerHeartbeat): void => {
   for (const task of heartbeat.tasks) {
     const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
     if (!binding) continue;
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -52,10 +52,10 @@
   );
 
 /**
- * The known state of the stored run, marked as clean because the write contains all changes; it is created if
- * there is none.
+ * Marks the known state of the stored run as clean, because the write contains all changes, and returns it;
+ * creates it if there is none.
  */
-const cleanChunkOf = ({ job, chunk: number }: RunWrite): Chunk => {
+const markChunkClean = ({ job, chunk: number }: RunWrite): Chunk => {
   const known = job.chunks.get(number);
   if (known) {
     known.dirtySince = null;
@@ -132,7 +132,7 @@
     const first = writes[0];
     if (!first) return true;
     const jobs = new Set(writes.map((write) => write.job));
-    const chunks = writes.map(cleanChunkOf);
+    const chunks = writes.map(markChunkClean);
     for (const job of jobs) job.writesInProgress += 1;
     const result = await this.dependencies.transactions.commit({
       conditions: [
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -185,8 +185,8 @@
    */
   unconfirmedSince: number | null;
   /**
-   * ms on the steady clock: when this holder last received a heartbeat that it accepted, or the response that
-   * confirmed an announced token; null: never.
+   * ms on the steady clock: when this holder received the last heartbeat that it answered 200, or the
+   * response that confirmed an announced token; null: never.
    */
   answeredAt: number | null;
   /**
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -7,7 +7,7 @@
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
 import { answerCommands, readChanges } from '../workers/reconcile.js';
-import { isNewer, noteLastSeen, tokenOf } from './heartbeat-order.js';
+import { isNewer, recordLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import { chunkOf } from './run-records.js';
 import { bindingKey, type ShardMachine } from './shard-model.js';
@@ -61,7 +61,7 @@
     const underToken = heartbeat.token === this.token(machine);
     const restarted = this.restartedWithinLease(machine, heartbeat, receivedAt);
     const changes = this.reportedChanges(machine, heartbeat, underToken);
-    noteLastSeen(machine, heartbeat);
+    recordLastSeen(machine, heartbeat);
     const newlyConfirmed = underToken && machine.confirmedToken === 0;
     this.recordSession(machine, heartbeat, underToken, receivedAt);
     const boundBefore = machine.bound.size;
