--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -87,7 +87,7 @@
     now: clocks.steady,
     processorMs: ports.processorMs,
     wall: clocks.wall,
-    onFinalRecord: (job, final) => pipelines.settle(job, final),
+    onFinalRecord: (job, final) => pipelines.onFinalRecord(job, final),
     readiness: (job) => pipelines.readiness(job),
     effectivePriority: (job) => pipelines.effectivePriority(job),
     notifyLeader: () => coordination.peerNetwork.notifyLeader(),
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -34,7 +34,7 @@
   type ShardJob,
   type ShardMachine,
 } from './shard-model.js';
-import { attainableObjective, urgency } from './urgency.js';
+import { missedStartTargets, urgency } from './urgency.js';
 
 /** What one round looks at. */
 export interface PlacementView extends Pick<ShardContext, 'scarceDemand' | 'guarantees' | 'objectives'> {
@@ -231,10 +231,10 @@
     job: spec.id,
     spec,
     waiting,
-    inZones: tasksByZone(job, shardState),
+    tasksByZone: tasksByZone(job, shardState),
     failedOn: job.failedOn,
     waitingSince: job.waitingSince,
-    attainableObjective: attainableObjective(objectives, waitedS),
+    missedStartTargets: missedStartTargets(objectives, waitedS),
     urgency: jobUrgency,
     mayUseOnDemand: jobUrgency.place || waitedS > onDemandPatienceS,
     withinGuarantee,
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -69,8 +69,8 @@
     let machines = this.occupied(capacities);
     for (const { request, count } of candidates) {
       if (this.dependencies.spareElsewhere(this.dependencies.shardId, request.spec)) continue;
-      const { spec, inZones, failedOn } = request;
-      const preemption = preempt({ spec, count, inZones, failedOn }, machines);
+      const { spec, tasksByZone: inZones, failedOn } = request;
+      const preemption = preempt({ spec, count, tasksByZone: inZones, failedOn }, machines);
       for (const eviction of preemption.evictions) this.evict(eviction, request.job);
       machines = preemption.machines;
     }
