--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * What becomes of a shard's machines: leases that expire, releases to the cloud, transfers to other shards.
- * Owns when it last looked and last asked for an urgent release; `Shard` calls it once a round and on the
+ * Handles expired leases of a shard's machines, releases to the cloud and transfers to other shards. Owns the
+ * times of the last check and of the last urgent release request; `Shard` calls it once a round and on the
  * leader's transfer orders.
  */
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
@@ -30,14 +30,17 @@
   readonly records: MachineRecordWriter;
 }
 
-/** Takes machines out of use or out of the shard. */
+/** Releases and transfers the machines of one shard. */
 export class MachineLifecycle {
   private checkedAt = 0;
   private urgentReleaseAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly dependencies: MachineLifecycleDependencies) {}
 
-  /** Acts on what only time changes, at most once in `MACHINE_CHECK_INTERVAL_MS`. */
+  /**
+   * Handles expired leases, overdue cancellations and due releases, at most once in
+   * `MACHINE_CHECK_INTERVAL_MS`.
+   */
   check(): void {
     const { now, liveness, shardState } = this.dependencies;
     const checkedAt = now();
@@ -46,7 +49,7 @@
     for (const machine of liveness.updateAndFindExpired()) this.onLeaseExpired(machine);
     const overdue = liveness.machinesWithOverdueCancellations(shardState.jobs.values());
     this.releaseNow(overdue.map((machine) => machine.id));
-    this.writeRecords(this.machinesToRelease(overdue), this.machinesToRenew());
+    this.writeRecords(this.machinesToRelease(overdue), this.machinesNeedingHigherToken());
   }
 
   private onLeaseExpired(machine: ShardMachine): void {
@@ -65,8 +68,8 @@
     ];
   }
 
-  /** Machines whose record is to be rewritten, for a higher token. */
-  private machinesToRenew(): readonly ShardMachine[] {
+  /** Returns the machines whose record is to be rewritten for a higher token, and clears their marks. */
+  private machinesNeedingHigherToken(): readonly ShardMachine[] {
     const machines = [...this.dependencies.shardState.machines.values()].filter(
       (machine) => machine.needsHigherToken && !machine.releasing,
     );
@@ -74,31 +77,32 @@
     return machines;
   }
 
-  private writeRecords(release: readonly MachineToRelease[], renew: readonly ShardMachine[]): void {
+  private writeRecords(toRelease: readonly MachineToRelease[], toRenew: readonly ShardMachine[]): void {
     const { shardId, records, store } = this.dependencies;
     const assignments = [
-      ...renew.map((machine): MachineAssignment => ({ machine, shardId })),
-      ...release
-        .filter(({ machine }) => !renew.includes(machine))
+      ...toRenew.map((machine): MachineAssignment => ({ machine, shardId })),
+      ...toRelease
+        .filter(({ machine }) => !toRenew.includes(machine))
         .map(({ machine, reason }): MachineAssignment => {
           log.info({ event: 'machine.release_requested', machine: machine.id, why: reason });
           return { machine, shardId, releaseReason: reason };
         }),
     ];
-    const priority = renew.length > 0 ? 'bind' : 'work';
+    const priority = toRenew.length > 0 ? 'bind' : 'work';
     while (assignments.length > 0) void records.assign(assignments.splice(0, store.batchWrites), priority);
   }
 
   /**
-   * While the key-value store can't be written, the leader is asked directly; twice is no harm, nor is too
-   * early.
+   * Requests an urgent release from the leader directly, since the key-value store may be unavailable for
+   * writes. A repeated or an early request does no harm.
    */
   private releaseNow(ids: readonly string[]): void {
     const { now, shardState, releaseNow, isLost } = this.dependencies;
     const askedAt = now();
     if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
     this.urgentReleaseAt = askedAt;
-    // The request may be carried out late, whatever its answer: nothing new goes there from now on.
+    // The leader may carry out the request late, whatever its answer: nothing new is placed on the machines
+    // from now on.
     for (const id of ids) {
       const machine = shardState.machines.get(id);
       if (machine) machine.cordoned = true;
@@ -118,8 +122,8 @@
   }
 
   /**
-   * Free for another shard: nothing on it but exits that are durably unbound, which any holder may tell its
-   * worker to forget.
+   * Whether the machine is free for another shard: it holds nothing but exits that are durably unbound, which
+   * any holder may order its worker to forget.
    */
   isTransferable(machine: ShardMachine): boolean {
     return (
@@ -137,8 +141,8 @@
   }
 
   /**
-   * Moves free machines to other shards. Their new assignment raises the token beyond all that this one
-   * sent.
+   * Transfers free machines to other shards; resolves to true if a record was written. The new assignment
+   * raises the token above every token that this holder sent.
    */
   async transferMachines(transfers: readonly MachineTransfer[]): Promise<boolean> {
     const { isPlacing, shardId, shardState, records, store } = this.dependencies;
