--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -33,7 +33,7 @@
 const createClaimContext = (subsystems: ShardSubsystems, shardId: number, claim: number): ClaimContext => {
   const { context, coordination, leadership } = subsystems;
   const { leases, duties, peerNetwork, leaderNode } = coordination;
-  const mayAct = (): boolean => leases.actingRevision(String(shardId)) === claim;
+  const mayAct = (): boolean => leases.actingClaimRevision(String(shardId)) === claim;
   return {
     mayAct,
     reservations: () => leadership().reservations.forShard(shardId),
@@ -47,7 +47,7 @@
         {
           shardId,
           duty: duties.registry.shard(shardId, 'reclaim'),
-          ownNode: context.deployment.me.node,
+          ownNode: context.deployment.self.node,
           leaderNode,
           msSinceStoreAnswered: context.storeAccess.msSinceAnswered,
           releaseLocally: (own) => leadership().leader.releaseNow(own),
