--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -1,6 +1,6 @@
 /**
  * Decides which claims this controller takes and which it hands to another. No state: plain data in, plain
- * data out. `claim-keeper.ts` calls it at each check and carries the actions out.
+ * data out. `claim-reconciler.ts` calls it at each check and carries the actions out.
  */
 import {
   HANDBACK_STABILITY_MS,
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -1,6 +1,6 @@
 /**
  * This controller's lease and claims, as the rest of the controller sees them: who holds what, and what this
- * process may act on. Owns no state but its two parts: `lease-renewal.ts` (the lease) and `claim-keeper.ts`
+ * process may act on. Owns no state but its two parts: `lease-renewal.ts` (the lease) and `claim-reconciler.ts`
  * (the claims).
  */
 import * as Effect from 'effect/Effect';
@@ -8,7 +8,7 @@
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { isSameHolder, LEADER_CLAIM, type ObservedClaim } from './claim-decisions.js';
-import { ClaimKeeper, type ClaimKeeperDependencies } from './claim-keeper.js';
+import { ClaimKeeper, type ClaimKeeperDependencies } from './claim-reconciler.js';
 import { readClaim } from './codec.js';
 import { LeaseRenewal } from './lease-renewal.js';
 
--- a/src/claims/lease-renewal.ts
+++ b/src/claims/lease-renewal.ts
@@ -1,6 +1,6 @@
 /**
  * Obtains this controller's lease from the key-value store and renews it. Owns the lease's state, and up to
- * which revision claims belong to an earlier lease; `lease-manager.ts` runs the loop, `claim-keeper.ts`
+ * which revision claims belong to an earlier lease; `lease-manager.ts` runs the loop, `claim-reconciler.ts`
  * reports the passing of time.
  */
 import * as Effect from 'effect/Effect';
