--- a/src/claims/claim-decisions.test.ts
+++ b/src/claims/claim-decisions.test.ts
@@ -1,15 +1,15 @@
-/** Which claims a controller takes or hands over, by the situation. */
+/** Tests which claims a controller takes or hands over, for different states of the claims and the peers. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decideClaims, type ClaimSituation, type ObservedClaim, type PeerStatus } from './claim-decisions.js';
+import { decideClaims, type ClaimsSnapshot, type ObservedClaim, type PeerStatus } from './claim-decisions.js';
 
 const claim = (node: string, incarnation = '1', revision = 5): ObservedClaim => ({
   node,
   incarnation,
   revision,
 });
-const situation = (over: Partial<ClaimSituation>): ClaimSituation => ({
+const snapshot = (overrides: Partial<ClaimsSnapshot>): ClaimsSnapshot => ({
   self: { node: 'n0', incarnation: '1' },
   controllers: ['n0', 'n1', 'n2'],
   claimNames: ['0', '1', '2', 'L'],
@@ -18,29 +18,29 @@
   peers: [],
   unreachableShards: new Map(),
   now: 0,
-  ...over,
+  ...overrides,
 });
-const peer = (node: string, over: Partial<PeerStatus>): PeerStatus => ({
+const peer = (node: string, overrides: Partial<PeerStatus>): PeerStatus => ({
   node,
   incarnation: '2',
   lease: 3,
   steadyMs: 60_000,
   storeReachable: true,
   workersUnreachable: false,
-  ...over,
+  ...overrides,
 });
 const claimsOf = (entries: Record<string, ObservedClaim>): ReadonlyMap<string, ObservedClaim> =>
   new Map(Object.entries(entries));
 
-const decisions: readonly { name: string; situation: ClaimSituation; expect: readonly string[] }[] = [
+const decisions: readonly { name: string; snapshot: ClaimsSnapshot; expect: readonly string[] }[] = [
   {
-    name: 'a controller takes its own shard at once and leaves the others to theirs',
-    situation: situation({}),
+    name: 'a controller takes its own shard at once and leaves the others to their preferred holders',
+    snapshot: snapshot({}),
     expect: ['take 0', 'take L'],
   },
   {
-    name: 'a shard left free too long is taken by another controller',
-    situation: situation({
+    name: 'another controller takes a shard that has been free too long',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       freeSince: new Map([['1', 0]]),
       now: 3_000,
@@ -48,8 +48,8 @@
     expect: ['take 1'],
   },
   {
-    name: 'a free shard is not left to a preferred holder that fell silent',
-    situation: situation({
+    name: 'a free shard is not left to a preferred holder that sends no heartbeats',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       freeSince: new Map([['1', 0]]),
       peers: [peer('n1', { steadyMs: -1, incarnation: '1' })],
@@ -58,8 +58,8 @@
     expect: ['take 1'],
   },
   {
-    name: 'a free shard is left to its preferred holder while that answers',
-    situation: situation({
+    name: 'a free shard is left to its preferred holder while that controller sends heartbeats',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       freeSince: new Map([['1', 0]]),
       peers: [peer('n1', { steadyMs: 100, incarnation: '1' })],
@@ -69,7 +69,7 @@
   },
   {
     name: "a restarted process takes over its predecessor's claims at once",
-    situation: situation({
+    snapshot: snapshot({
       claims: claimsOf({
         '0': claim('n0', 'old', 9),
         '1': claim('n1'),
@@ -80,16 +80,16 @@
     expect: ['take 0', 'take L'],
   },
   {
-    name: 'a second shard goes back to a steady controller without one',
-    situation: situation({
+    name: 'a second shard is handed back to a stable controller without a shard',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '1': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       peers: [peer('n1', { steadyMs: 60_000 })],
     }),
     expect: ['hand 1'],
   },
   {
-    name: 'a second shard does not go back to one that only just came up, or that cannot reach the store',
-    situation: situation({
+    name: 'a second shard is not handed back to a controller that has just started or cannot reach the store',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '1': claim('n0'), '2': claim('n0'), L: claim('n2') }),
       peers: [
         peer('n1', { steadyMs: 100 }),
@@ -99,8 +99,8 @@
     expect: [],
   },
   {
-    name: 'a shard whose workers reach only another controller is handed to that one',
-    situation: situation({
+    name: 'a shard whose workers reach only another controller is handed over to that controller',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '1': claim('n1'), '2': claim('n2'), L: claim('n2') }),
       peers: [peer('n1', { steadyMs: 100 })],
       unreachableShards: new Map([['0', 'n1']]),
@@ -108,8 +108,8 @@
     expect: ['hand 0'],
   },
   {
-    name: 'such a shard does not come back while its owner says that workers could not reach it',
-    situation: situation({
+    name: 'a shard is not handed back to a controller that reports that workers could not reach it',
+    snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '1': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       peers: [peer('n1', { steadyMs: 60_000, workersUnreachable: true })],
     }),
@@ -119,7 +119,7 @@
 for (const row of decisions) {
   test(`claims: ${row.name}`, () => {
     assert.deepEqual(
-      decideClaims(row.situation).map((action) => `${action._tag} ${action.claimName}`),
+      decideClaims(row.snapshot).map((action) => `${action._tag} ${action.claimName}`),
       row.expect,
     );
   });
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which claims this controller takes and which it hands to another. No state: plain data in, plain
- * data out. `claim-reconciler.ts` calls it at each check and carries the actions out.
+ * Decides which claims this controller takes and which it hands over to another controller. Pure functions
+ * without state; `claim-reconciler.ts` calls them at each check and carries out the actions.
  */
 import {
   HANDBACK_STABILITY_MS,
@@ -10,53 +10,57 @@
   SHARD_RANK_DELAY_MS,
 } from '../constants/leases.js';
 
-/** The claim on the leadership; every other claim has the id of its shard as its name. */
+/** The name of the claim on the leadership. The name of every other claim is the id of its shard. */
 export const LEADER_CLAIM = 'L';
 
 /** The process that holds a claim. */
 export interface ClaimHolder {
   /** The controller's name. */
   readonly node: string;
-  /** Tells this process from an earlier one of the same controller. */
+  /** Distinguishes this process from earlier processes of the same controller. */
   readonly incarnation: string;
 }
 
 /** A claim as the watch cache shows it. */
 export interface ObservedClaim extends ClaimHolder {
-  /** Revision at which it was taken: the holder's fencing token. */
+  /** The revision of the key-value store at which the claim was written; the holder's fencing token. */
   readonly revision: number;
 }
 
-/** What decisions about claims need to know of another controller. */
+/** The state of another controller, as far as decisions about claims depend on it. */
 export interface PeerStatus extends ClaimHolder {
-  /** Its lease, to which its claims are attached; null: it has none. */
+  /** The id of the peer's lease, to which its claims are attached; null: the peer has no lease. */
   readonly lease: number | null;
-  /** ms for which it has answered without a gap; negative: it does not answer. */
+  /** ms for which the peer has sent heartbeats without a gap; negative: there is no recent heartbeat. */
   readonly steadyMs: number;
+  /** Whether the peer reports that it can reach the key-value store. */
   readonly storeReachable: boolean;
-  /** It says that workers lately could not reach it. */
+  /** Whether the peer reports that workers could not reach it recently. */
   readonly workersUnreachable: boolean;
 }
 
-/** The situation in which claims are decided about. */
-export interface ClaimSituation {
+/** The claims, peers and timers on which `decideClaims` bases its decision. */
+export interface ClaimsSnapshot {
   /** This process. */
   readonly self: ClaimHolder;
-  /** All controllers by name; the order ranks them. */
+  /** The names of all controllers, this one included, in the order of their rank. */
   readonly controllers: readonly string[];
   readonly claimNames: readonly string[];
-  /** The claims that somebody holds, by name. */
+  /** The claims that have a holder, by name. */
   readonly claims: ReadonlyMap<string, ObservedClaim>;
-  /** ms, lease clock: when each claim that nobody holds was first seen free. */
+  /** When each claim without a holder was first seen free, by name (ms, lease clock). */
   readonly freeSince: ReadonlyMap<string, number>;
   readonly peers: readonly PeerStatus[];
-  /** Claims of this process whose workers reach another controller only: by claim name, that controller. */
+  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
   readonly unreachableShards: ReadonlyMap<string, string>;
-  /** ms, lease clock. */
+  /** The time of the snapshot (ms, lease clock). */
   readonly now: number;
 }
 
-/** A claim to take or to hand on, unless it changed since it was observed (revision 0: it was free). */
+/**
+ * A claim to take or to hand over to a peer. The action applies only if the claim still has the observed
+ * revision; 0: the claim was free.
+ */
 export type ClaimAction =
   | { readonly _tag: 'take'; readonly claimName: string; readonly observedRevision: number }
   | {
@@ -66,89 +70,100 @@
       readonly to: PeerStatus;
     };
 
-/** Do both names stand for the same process? */
-export const isSameHolder = (one: ClaimHolder, other: ClaimHolder): boolean =>
-  one.node === other.node && one.incarnation === other.incarnation;
+/** Whether both holders are the same process. */
+export const isSameHolder = (first: ClaimHolder, second: ClaimHolder): boolean =>
+  first.node === second.node && first.incarnation === second.incarnation;
 
-/** The controller that a shard is meant for; the leadership is meant for none. */
-const preferredHolder = ({ controllers }: ClaimSituation, claimName: string): string | undefined =>
+/** The preferred holder of a shard's claim; undefined for the leadership, which has none. */
+const preferredHolder = ({ controllers }: ClaimsSnapshot, claimName: string): string | undefined =>
   claimName === LEADER_CLAIM ? undefined : controllers[Number(claimName) % controllers.length];
 
-/** How many shards the controller holds. */
-const shardsHeldBy = ({ claims }: ClaimSituation, controller: string): number =>
+/** The number of shards that the controller holds. */
+const heldShardCount = ({ claims }: ClaimsSnapshot, controller: string): number =>
   [...claims].filter(([claimName, claim]) => claimName !== LEADER_CLAIM && claim.node === controller).length;
 
-const peerNamed = ({ peers }: ClaimSituation, controller: string | undefined): PeerStatus | undefined =>
+const findPeer = ({ peers }: ClaimsSnapshot, controller: string | undefined): PeerStatus | undefined =>
   peers.find((peer) => peer.node === controller);
 
-/** ms for which this controller leaves a free claim to others. */
-const takeoverDelayMs = (situation: ClaimSituation, claimName: string): number => {
-  const { self, controllers } = situation;
+/** ms for which a claim must have been free before this controller takes it. */
+const takeoverDelayMs = (snapshot: ClaimsSnapshot, claimName: string): number => {
+  const { self, controllers } = snapshot;
   const rank = Math.max(0, controllers.indexOf(self.node));
   if (claimName === LEADER_CLAIM) return rank * LEADER_RANK_DELAY_MS;
-  const preferred = preferredHolder(situation, claimName);
+  const preferred = preferredHolder(snapshot, claimName);
   if (preferred === self.node) return 0;
-  const delay = shardsHeldBy(situation, self.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
-  // A preferred holder that fell silent is not waited for: the leases of its workers run out meanwhile.
-  const silent = (peerNamed(situation, preferred)?.steadyMs ?? 0) < 0;
-  return silent ? delay : PREFERRED_HOLDER_GRACE_MS + delay;
+  const delay = heldShardCount(snapshot, self.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
+  // This controller does not wait for a preferred holder that sends no heartbeats: the leases of the shard's
+  // workers would expire in the meantime.
+  const preferredIsSilent = (findPeer(snapshot, preferred)?.steadyMs ?? 0) < 0;
+  return preferredIsSilent ? delay : PREFERRED_HOLDER_GRACE_MS + delay;
 };
 
-/** Has the claim been free for so long that this controller may take it? */
-const mayTakeFree = (situation: ClaimSituation, claimName: string): boolean => {
-  const { now, freeSince } = situation;
-  return now - (freeSince.get(claimName) ?? now) >= takeoverDelayMs(situation, claimName);
+/** Whether the claim has been free long enough for this controller to take it. */
+const mayTakeFree = (snapshot: ClaimsSnapshot, claimName: string): boolean => {
+  const { now, freeSince } = snapshot;
+  return now - (freeSince.get(claimName) ?? now) >= takeoverDelayMs(snapshot, claimName);
 };
 
-/** Is this the claim of an earlier process of this controller? A controller runs one, so that one is dead. */
-const isPredecessors = ({ self }: ClaimSituation, claim: ObservedClaim): boolean =>
+/**
+ * Whether an earlier process of this controller holds the claim. A controller runs one process at a time, so
+ * the earlier process has ended.
+ */
+const isHeldByPredecessor = ({ self }: ClaimsSnapshot, claim: ObservedClaim): boolean =>
   claim.node === self.node && !isSameHolder(claim, self);
 
-const claimsToTake = (situation: ClaimSituation): readonly ClaimAction[] =>
-  situation.claimNames.flatMap((claimName): readonly ClaimAction[] => {
-    const claim = situation.claims.get(claimName);
-    const take = claim ? isPredecessors(situation, claim) : mayTakeFree(situation, claimName);
+const claimsToTake = (snapshot: ClaimsSnapshot): readonly ClaimAction[] =>
+  snapshot.claimNames.flatMap((claimName): readonly ClaimAction[] => {
+    const claim = snapshot.claims.get(claimName);
+    const take = claim ? isHeldByPredecessor(snapshot, claim) : mayTakeFree(snapshot, claimName);
     return take ? [{ _tag: 'take', claimName, observedRevision: claim?.revision ?? 0 }] : [];
   });
 
-/** Can the peer hold a claim: does it answer, has it a lease, and does it reach the store? */
-const canHold = (peer: PeerStatus): boolean =>
+/** Whether the peer can hold claims: it reaches the key-value store, has a lease and sends heartbeats. */
+const canHoldClaims = (peer: PeerStatus): boolean =>
   peer.storeReachable && peer.lease !== null && peer.steadyMs >= 0;
 
-/** A shard whose workers reach another controller only goes to that controller. */
-const unreachableShardsToHand = (situation: ClaimSituation): readonly ClaimAction[] =>
-  [...situation.unreachableShards].flatMap(([claimName, controller]): readonly ClaimAction[] => {
-    const claim = situation.claims.get(claimName);
-    if (!claim || !isSameHolder(claim, situation.self)) return [];
-    const to = peerNamed(situation, controller);
-    return to && canHold(to) ? [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }] : [];
+/** Hands each shard whose workers reach only another controller over to that controller. */
+const unreachableShardHandovers = (snapshot: ClaimsSnapshot): readonly ClaimAction[] =>
+  [...snapshot.unreachableShards].flatMap(([claimName, controller]): readonly ClaimAction[] => {
+    const claim = snapshot.claims.get(claimName);
+    if (!claim || !isSameHolder(claim, snapshot.self)) return [];
+    const to = findPeer(snapshot, controller);
+    return to && canHoldClaims(to) ? [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }] : [];
   });
 
-/** The preferred holder of a shard, if it holds none and has been up long enough to be handed this one. */
-const handbackTarget = (situation: ClaimSituation, claimName: string): PeerStatus | undefined => {
-  const preferred = preferredHolder(situation, claimName);
-  if (preferred === undefined || preferred === situation.self.node) return undefined;
-  if (shardsHeldBy(situation, preferred) > 0) return undefined;
-  const peer = peerNamed(situation, preferred);
-  const steady = peer && canHold(peer) && !peer.workersUnreachable && peer.steadyMs >= HANDBACK_STABILITY_MS;
-  return steady ? peer : undefined;
+/**
+ * The preferred holder of a shard, if it is another controller that holds no shard and has been stable long
+ * enough to receive this one; else undefined.
+ */
+const handbackTarget = (snapshot: ClaimsSnapshot, claimName: string): PeerStatus | undefined => {
+  const preferred = preferredHolder(snapshot, claimName);
+  if (preferred === undefined || preferred === snapshot.self.node) return undefined;
+  if (heldShardCount(snapshot, preferred) > 0) return undefined;
+  const peer = findPeer(snapshot, preferred);
+  const eligible =
+    peer && canHoldClaims(peer) && !peer.workersUnreachable && peer.steadyMs >= HANDBACK_STABILITY_MS;
+  return eligible ? peer : undefined;
 };
 
-/** Teams stay divided among the controllers: one with several shards hands one back at a time. */
-const shardToHandBack = (situation: ClaimSituation): readonly ClaimAction[] => {
-  if (shardsHeldBy(situation, situation.self.node) <= 1) return [];
-  for (const claimName of situation.claimNames) {
-    const claim = situation.claims.get(claimName);
-    if (!claim || !isSameHolder(claim, situation.self)) continue;
-    const to = handbackTarget(situation, claimName);
+/**
+ * The handback of one shard to its preferred holder, if this controller holds several shards. This spreads
+ * the teams over the controllers again, one shard at a time.
+ */
+const preferredHolderHandback = (snapshot: ClaimsSnapshot): readonly ClaimAction[] => {
+  if (heldShardCount(snapshot, snapshot.self.node) <= 1) return [];
+  for (const claimName of snapshot.claimNames) {
+    const claim = snapshot.claims.get(claimName);
+    if (!claim || !isSameHolder(claim, snapshot.self)) continue;
+    const to = handbackTarget(snapshot, claimName);
     if (to) return [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }];
   }
   return [];
 };
 
-/** The claims that this controller should take or hand to another now. */
-export const decideClaims = (situation: ClaimSituation): readonly ClaimAction[] => [
-  ...claimsToTake(situation),
-  ...unreachableShardsToHand(situation),
-  ...(situation.unreachableShards.size > 0 ? [] : shardToHandBack(situation)),
+/** Returns the claims that this controller takes or hands over to another controller now. */
+export const decideClaims = (snapshot: ClaimsSnapshot): readonly ClaimAction[] => [
+  ...claimsToTake(snapshot),
+  ...unreachableShardHandovers(snapshot),
+  ...(snapshot.unreachableShards.size > 0 ? [] : preferredHolderHandback(snapshot)),
 ];
--- a/src/claims/claim-reconciler.ts
+++ b/src/claims/claim-reconciler.ts
@@ -1,7 +1,7 @@
 /**
- * Checks the claims at a fixed interval and takes or hands over those that `claim-decisions.ts` names. Owns
- * since when each claim has been free, and until when this controller counts as unreachable for workers. Run
- * by `lease-manager.ts`.
+ * Checks the claims at a fixed interval and carries out the actions that `claim-decisions.ts` decides on.
+ * Owns the time since which each claim has been free, and the time until which this controller reports
+ * itself as unreachable for workers. `lease-manager.ts` runs it.
  */
 import * as Effect from 'effect/Effect';
 import { SHARD_CHECK_INTERVAL_MS, UNREACHABLE_HANDBACK_PAUSE_MS } from '../constants/leases.js';
@@ -13,32 +13,35 @@
   decideClaims,
   type ClaimAction,
   type ClaimHolder,
-  type ClaimSituation,
+  type ClaimsSnapshot,
   type ObservedClaim,
   type PeerStatus,
 } from './claim-decisions.js';
 import { writeClaim } from './codec.js';
 import type { LeaseRenewal } from './lease-renewal.js';
 
-/** What keeping claims needs of the rest of the controller. */
-export interface ClaimKeeperDependencies {
+/** What the reconciliation of claims needs from the rest of the controller. */
+export interface ClaimReconcilerDependencies {
   /** This process. */
   readonly self: ClaimHolder;
-  /** All controllers by name, in order. */
+  /** The names of all controllers, this one included, in the order of their rank. */
   readonly controllers: readonly string[];
   readonly peers: () => readonly PeerStatus[];
-  /** ms, lease clock: until when workers may be answered without renewals; null: there is no outage. */
+  /**
+   * The time until which this controller may answer workers without renewing its lease, during an outage of
+   * the key-value store (ms, lease clock); null: there is no outage.
+   */
   readonly outageGraceUntil: () => number | null;
-  /** Claims of this process whose workers reach another controller only: by claim name, that controller. */
+  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
-  /** ms, lease clock. */
+  /** The current time (ms, lease clock). */
   readonly now: () => number;
 }
 
-/** Reads one claim as the watch cache shows it. */
+/** Reads one claim from the watch cache; undefined: the claim has no holder. */
 export type ClaimReader = (claimName: string) => ObservedClaim | undefined;
 
-/** Who holds a claim after an action, and the lease to which the claim is attached. */
+/** The holder of a claim after an action, and the lease to which the claim is attached. */
 interface NextHolder {
   readonly holder: ClaimHolder;
   readonly lease: number;
@@ -47,8 +50,8 @@
 const nextHolder = (action: ClaimAction, self: ClaimHolder, lease: number): NextHolder =>
   action._tag === 'take' ? { holder: self, lease } : { holder: action.to, lease: action.to.lease ?? lease };
 
-/** Takes claims and hands them over. */
-export class ClaimKeeper {
+/** Takes claims and hands them over to other controllers. */
+export class ClaimReconciler {
   private readonly freeSince = new Map<string, number>();
   private workersUnreachableUntil = 0;
 
@@ -58,15 +61,15 @@
     private readonly renewal: LeaseRenewal,
     private readonly claimNames: readonly string[],
     private readonly readClaim: ClaimReader,
-    private readonly dependencies: ClaimKeeperDependencies,
+    private readonly dependencies: ClaimReconcilerDependencies,
   ) {}
 
-  /** Workers lately could not reach this controller. */
+  /** Whether workers could not reach this controller recently. */
   get workersUnreachable(): boolean {
     return this.dependencies.now() < this.workersUnreachableUntil;
   }
 
-  /** The claims that somebody holds; notes since when the others have been free. */
+  /** Returns the claims that have a holder, and records since when each of the others has been free. */
   private observeClaims(now: number): ReadonlyMap<string, ObservedClaim> {
     const claims = new Map<string, ObservedClaim>();
     for (const claimName of this.claimNames) {
@@ -79,7 +82,7 @@
     return claims;
   }
 
-  private situation(now: number): ClaimSituation {
+  private snapshot(now: number): ClaimsSnapshot {
     const claims = this.observeClaims(now);
     const unreachableShards = this.dependencies.unreachableShards();
     if (unreachableShards.size > 0) this.workersUnreachableUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
@@ -96,8 +99,9 @@
   }
 
   /**
-   * Writes the claim, if nobody wrote it since it was observed. Its new holder acts on it only once its watch
-   * cache shows it in its place among all changes: acting earlier would miss some.
+   * Writes the claim, on the condition that the claim has not changed since it was observed. The new holder
+   * acts on the claim only once the holder's watch cache shows it, and with it every earlier change: a holder
+   * that acted sooner could miss some of them.
    */
   private carryOut(action: ClaimAction, ownLease: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
@@ -122,11 +126,11 @@
     this.renewal.tick(now, this.dependencies.outageGraceUntil());
     const { lease } = this.renewal;
     if (!this.cache.ready || lease === null || !this.renewal.mayAct(now)) return;
-    const actions = decideClaims(this.situation(now));
+    const actions = decideClaims(this.snapshot(now));
     for (const action of actions) yield* this.carryOut(action, lease);
   });
 
-  /** Checks the claims for ever. */
+  /** Checks the claims at a fixed interval, without end. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       yield* Effect.sleep(SHARD_CHECK_INTERVAL_MS);
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -1,28 +1,28 @@
 /**
- * This controller's lease and claims, as the rest of the controller sees them: who holds what, and what this
- * process may act on. Owns no state but its two parts: `lease-renewal.ts` (the lease) and `claim-reconciler.ts`
- * (the claims).
+ * The interface of the rest of the controller to this controller's lease and to all claims: which process
+ * holds each claim, and which claims this process may act on. Has no state apart from its two parts,
+ * `lease-renewal.ts` (the lease) and `claim-reconciler.ts` (the claims).
  */
 import * as Effect from 'effect/Effect';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { isSameHolder, LEADER_CLAIM, type ObservedClaim } from './claim-decisions.js';
-import { ClaimKeeper, type ClaimKeeperDependencies } from './claim-reconciler.js';
+import { ClaimReconciler, type ClaimReconcilerDependencies } from './claim-reconciler.js';
 import { readClaim } from './codec.js';
 import { LeaseRenewal } from './lease-renewal.js';
 
-/** What the lease manager needs of the rest of the controller. */
-interface LeaseManagerDependencies extends ClaimKeeperDependencies {
+/** What the lease manager needs from the rest of the controller. */
+interface LeaseManagerDependencies extends ClaimReconcilerDependencies {
   readonly shardCount: number;
 }
 
-/** Keeps this controller's lease and claims, and knows who holds what. */
+/** Maintains this controller's lease and claims, and looks up the holders of all claims. */
 export class LeaseManager {
-  /** The claims on all shards and on the leadership. */
+  /** The names of the claims on all shards and on the leadership. */
   readonly claimNames: readonly string[];
   private readonly renewal: LeaseRenewal;
-  private readonly keeper: ClaimKeeper;
+  private readonly reconciler: ClaimReconciler;
 
   constructor(
     store: KeyValueStore,
@@ -32,7 +32,7 @@
     const shards = Array.from({ length: dependencies.shardCount }, (_, shardId) => String(shardId));
     this.claimNames = [...shards, LEADER_CLAIM];
     this.renewal = new LeaseRenewal(store, dependencies.now);
-    this.keeper = new ClaimKeeper(
+    this.reconciler = new ClaimReconciler(
       store,
       cache,
       this.renewal,
@@ -42,43 +42,44 @@
     );
   }
 
-  /** The lease in the store; null: there is none. */
+  /** The id of this controller's lease in the key-value store; null: the controller has no lease. */
   get lease(): number | null {
     return this.renewal.lease;
   }
 
-  /** Workers lately could not reach this controller. */
+  /** Whether workers could not reach this controller recently. */
   get workersUnreachable(): boolean {
-    return this.keeper.workersUnreachable;
+    return this.reconciler.workersUnreachable;
   }
 
-  /** The claim as the watch cache shows it; undefined: nobody holds it. */
+  /** Returns the claim as the watch cache shows it; undefined: the claim has no holder. */
   claim(claimName: string): ObservedClaim | undefined {
     const entry = this.cache.get(claimKey(claimName));
     return entry && { ...readClaim(entry.value), revision: entry.version };
   }
 
   /**
-   * The revision of this process's claim, its fencing token; null: the watch cache shows another holder or
-   * none.
+   * Returns the revision of a claim that this process holds, which is its fencing token; null: the watch
+   * cache shows another holder or none.
    */
-  ownRevision(claimName: string): number | null {
+  heldClaimRevision(claimName: string): number | null {
     const claim = this.claim(claimName);
     return claim && isSameHolder(claim, this.dependencies.self) ? claim.revision : null;
   }
 
   /**
-   * The same, if the lease lets this process answer workers and decide under the claim now; null: it may not.
-   * A claim counts under the lease that it is attached to, not under a later one of this process.
+   * Returns the revision of a claim that this process holds, if the lease permits this process to act on the
+   * claim now, that is to answer workers and to decide under it; else null. Only the lease to which the claim
+   * is attached permits this; a later lease of the same process does not.
    */
-  actingRevision(claimName: string): number | null {
+  actingClaimRevision(claimName: string): number | null {
     if (!this.renewal.mayAct(this.dependencies.now())) return null;
-    const revision = this.ownRevision(claimName);
+    const revision = this.heldClaimRevision(claimName);
     return revision !== null && this.renewal.isAttached(revision) ? revision : null;
   }
 
-  /** Keeps lease and claims until it is interrupted. */
+  /** Maintains the lease and the claims until the fiber is interrupted. */
   get run(): Effect.Effect<unknown> {
-    return Effect.all([this.renewal.run, this.keeper.run], { concurrency: 'unbounded' });
+    return Effect.all([this.renewal.run, this.reconciler.run], { concurrency: 'unbounded' });
   }
 }
--- a/src/claims/lease-renewal.ts
+++ b/src/claims/lease-renewal.ts
@@ -1,7 +1,7 @@
 /**
- * Obtains this controller's lease from the key-value store and renews it. Owns the lease's state, and up to
- * which revision claims belong to an earlier lease; `lease-manager.ts` runs the loop, `claim-reconciler.ts`
- * reports the passing of time.
+ * Obtains this controller's lease from the key-value store and renews it. Owns the state of the lease, and
+ * the revision up to which claims belong to an earlier lease. `lease-manager.ts` runs the renewal loop;
+ * `claim-reconciler.ts` calls `tick` at each check of the claims.
  */
 import * as Effect from 'effect/Effect';
 import {
@@ -13,42 +13,43 @@
 import { log } from '../log.js';
 import { mayAct, nextLeaseState, type LeaseEvent, type LeaseState } from './lease-state.js';
 
-/** Keeps the lease alive and says whether this controller may act on it. */
+/** Renews the lease and decides whether this controller may act under it. */
 export class LeaseRenewal {
   private state: LeaseState = { _tag: 'detached' };
   /**
-   * Claims up to this revision were attached to an earlier lease of this process, and ended with it; null: an
-   * earlier lease has ended, and the store's revision since then is not known.
+   * The revision up to which this process's claims were attached to an earlier lease of the process and ended
+   * with that lease; null: the earlier lease has ended, and no revision of the key-value store after its end
+   * is known yet.
    */
   private endedClaimsUpTo: number | null = 0;
 
   constructor(
     private readonly store: Pick<KeyValueStore, 'grant' | 'renew' | 'claims'>,
-    /** ms, lease clock. */
+    /** The current time (ms, lease clock). */
     private readonly now: () => number,
   ) {}
 
-  /** The lease in the store; null: there is none. */
+  /** The id of the lease in the key-value store; null: there is no lease. */
   get lease(): number | null {
     return this.state._tag === 'detached' ? null : this.state.lease;
   }
 
-  /** May this controller act on its claims at `now` (ms, lease clock)? */
+  /** Whether this controller may act on its claims at `now` (ms, lease clock). */
   mayAct(now: number): boolean {
     return mayAct(this.state, now);
   }
 
   /**
-   * Is a claim of this process that was taken at this revision attached to the present lease? The copy of the
-   * keys goes on showing claims of an earlier lease until the watch tells of their end.
+   * Whether a claim of this process with this revision is attached to the current lease. The watch cache
+   * continues to show the claims of an earlier lease until the watch reports that they were deleted.
    */
   isAttached(claimRevision: number): boolean {
     return this.endedClaimsUpTo !== null && claimRevision > this.endedClaimsUpTo;
   }
 
   /**
-   * Suspends a lease that may be over by `now`, unless an outage of the store lets it go on (ms, lease
-   * clock).
+   * Suspends the lease if it may have expired by `now`, unless an outage of the key-value store permits this
+   * controller to answer workers until `outageGraceUntil` (both in ms, lease clock; null: no outage).
    */
   tick(now: number, outageGraceUntil: number | null): void {
     this.transition({ _tag: 'tick', now, outageGraceUntil });
@@ -64,10 +65,11 @@
   }
 
   /**
-   * Learns up to which revision claims belong to an earlier lease; false: the store didn't tell. The earlier
-   * lease is gone, so nothing is attached to it any more; to the next one nothing is attached yet.
+   * Reads the revision up to which claims belong to an earlier lease; false: the key-value store did not
+   * answer. The current revision of the store is such a bound: the earlier lease has ended, so no more claims
+   * are attached to it, and no claim is attached to the next lease yet.
    */
-  private readonly learnEndedClaims: Effect.Effect<boolean> = Effect.gen({ self: this }, function* () {
+  private readonly loadEndedClaimsUpTo: Effect.Effect<boolean> = Effect.gen({ self: this }, function* () {
     if (this.endedClaimsUpTo !== null) return true;
     const claims = yield* this.store.claims();
     if (claims._tag === 'failed') return false;
@@ -75,10 +77,10 @@
     return true;
   });
 
-  /** Asks for a lease; returns the pause before the next request (ms). */
+  /** Requests a lease; returns the pause before the next request (ms). */
   private readonly grant: Effect.Effect<number> = Effect.gen({ self: this }, function* () {
-    const known = yield* this.learnEndedClaims;
-    if (!known) return SHARD_CHECK_INTERVAL_MS;
+    const loaded = yield* this.loadEndedClaimsUpTo;
+    if (!loaded) return SHARD_CHECK_INTERVAL_MS;
     const result = yield* this.store.grant();
     if (result._tag !== 'held') return SHARD_CHECK_INTERVAL_MS;
     this.transition({ _tag: 'granted', lease: result.lease, sentAt: result.sentAt });
@@ -103,7 +105,7 @@
     });
   }
 
-  /** Obtains and renews the lease for ever. */
+  /** Obtains and renews the lease, without end. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       const { lease } = this;
--- a/src/claims/lease-state.test.ts
+++ b/src/claims/lease-state.test.ts
@@ -1,14 +1,14 @@
-/** The states of a lease: what each event leads to, and until when the controller may act. */
+/** Tests the state to which each event leads, and the time until which the controller may act. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { leaseDeadline, mayAct, nextLeaseState, type LeaseState, type LeaseEvent } from './lease-state.js';
 
-const TTL = 5_000;
+const TTL_MS = 5_000;
 const holding = (sentAt: number): LeaseState => ({
   _tag: 'holding',
   lease: 7,
-  until: leaseDeadline(sentAt, TTL),
+  until: leaseDeadline(sentAt, TTL_MS),
 });
 
 const transitions: readonly {
@@ -26,7 +26,7 @@
     to: 'holding',
   },
   {
-    name: 'a renewal counts from when it was sent',
+    name: 'the deadline after a renewal counts from the time at which the renewal was sent',
     from: holding(0),
     event: { _tag: 'renewed', lease: 7, sentAt: 1_000 },
     to: 'holding',
@@ -34,7 +34,7 @@
     acts: true,
   },
   {
-    name: 'without a renewal the lease is suspended near its end',
+    name: 'without a renewal the lease is suspended shortly before it expires',
     from: holding(0),
     event: { _tag: 'tick', now: 4_800, outageGraceUntil: null },
     to: 'suspended',
@@ -42,23 +42,23 @@
     acts: false,
   },
   {
-    name: 'a suspended lease stays suspended in an outage for all',
+    name: 'a suspended lease stays suspended in an outage for all controllers',
     from: { _tag: 'suspended', lease: 7 },
     event: { _tag: 'tick', now: 1, outageGraceUntil: Number.POSITIVE_INFINITY },
     to: 'suspended',
   },
   {
-    name: 'an outage for most begins the grace',
+    name: 'an outage for most controllers starts the grace period',
     from: holding(0),
     event: { _tag: 'tick', now: 4_800, outageGraceUntil: Number.POSITIVE_INFINITY },
     to: 'outageGrace',
     actsAt: 5_500,
     acts: true,
   },
-  // A user may have been told of a cancellation that this controller doesn't know: the workers' leases must
-  // still end in time.
+  // A cancellation that this controller does not know of may have been confirmed to a user. The leases of the
+  // workers must still expire within the cancellation limit.
   {
-    name: 'the grace lasts no longer than unknown cancellations allow',
+    name: 'the grace period lasts no longer than cancellations unknown to this controller allow',
     from: holding(0),
     event: { _tag: 'tick', now: 4_800, outageGraceUntil: 5_000 },
     to: 'outageGrace',
@@ -66,13 +66,13 @@
     acts: false,
   },
   {
-    name: 'the grace ends early when its bound becomes one that is passed',
+    name: 'the grace period ends early when its bound changes to a time in the past',
     from: { _tag: 'outageGrace', lease: 7, until: 9_000 },
     event: { _tag: 'tick', now: 8_000, outageGraceUntil: 7_900 },
     to: 'suspended',
   },
   {
-    name: 'the bound on the grace takes nothing from a lease that surely lasts',
+    name: 'the bound on the grace period does not shorten a lease that certainly lasts',
     from: holding(0),
     event: { _tag: 'tick', now: 1_000, outageGraceUntil: -5_000 },
     to: 'holding',
@@ -80,7 +80,7 @@
     acts: true,
   },
   {
-    name: 'the grace ends soon after the others can reach the store again',
+    name: 'the grace period ends soon after the other controllers can reach the store again',
     from: { _tag: 'outageGrace', lease: 7, until: 9_000 },
     event: { _tag: 'tick', now: 9_001, outageGraceUntil: null },
     to: 'suspended',
@@ -99,7 +99,7 @@
   },
   { name: 'an ended lease detaches', from: holding(0), event: { _tag: 'ended', lease: 7 }, to: 'detached' },
   {
-    name: "an earlier lease's end changes nothing",
+    name: 'the end of an earlier lease changes nothing',
     from: holding(0),
     event: { _tag: 'ended', lease: 6 },
     to: 'holding',
@@ -108,7 +108,7 @@
 
 for (const row of transitions) {
   test(`lease: ${row.name}`, () => {
-    const after = nextLeaseState(row.from, row.event, TTL);
+    const after = nextLeaseState(row.from, row.event, TTL_MS);
     assert.equal(after._tag, row.to);
     if (row.actsAt !== undefined) assert.equal(mayAct(after, row.actsAt), row.acts);
   });
--- a/src/claims/lease-state.ts
+++ b/src/claims/lease-state.ts
@@ -1,23 +1,27 @@
 /**
- * The state machine of this controller's lease: how long it may act on the claims attached to it. The
- * deadline is its own reckoning from the moment at which it *sent* its last good renewal; the store never
- * ends the lease before it. Pure; `lease-renewal.ts` holds the state.
+ * The state machine of this controller's lease, which determines how long the controller may act on the
+ * claims attached to the lease. The controller computes the deadline itself, from the time at which it *sent*
+ * its last successful renewal; the key-value store never ends the lease before that deadline. Pure functions;
+ * `lease-renewal.ts` holds the state.
  */
 import { CLOCK_DRIFT_FRACTION, LEASE_EXPIRY_MARGIN_MS } from '../constants/leases.js';
 import { HEARTBEAT_FRESHNESS_MS } from '../constants/peers.js';
 
-/** The state of the lease. `until` is in ms of the lease clock. */
+/** The state of the lease. `until` is the time at which the state ends (ms, lease clock). */
 export type LeaseState =
-  /** No lease: this controller may not act. */
+  /** The controller has no lease and may not act. */
   | { readonly _tag: 'detached' }
-  /** The lease surely lasts until `until`. */
+  /** The lease certainly lasts until `until`. */
   | { readonly _tag: 'holding'; readonly lease: number; readonly until: number }
-  /** The store is down for most controllers, so that no lease ends: workers may still be answered. */
+  /**
+   * Most controllers cannot reach the key-value store, which ends no lease during an outage. The controller
+   * may still answer workers.
+   */
   | { readonly _tag: 'outageGrace'; readonly lease: number; readonly until: number }
-  /** The lease may be over: this controller may not act until a renewal says that it is not. */
+  /** The lease may have expired. The controller may not act until a renewal succeeds. */
   | { readonly _tag: 'suspended'; readonly lease: number };
 
-/** What changes the state of the lease; moments are in ms of the lease clock. */
+/** An event that changes the state of the lease. Times are in ms, lease clock. */
 export type LeaseEvent =
   | { readonly _tag: 'granted'; readonly lease: number; readonly sentAt: number }
   | { readonly _tag: 'renewed'; readonly lease: number; readonly sentAt: number }
@@ -26,29 +30,33 @@
       readonly _tag: 'tick';
       readonly now: number;
       /**
-       * Until when workers may be answered in an outage of the store (`outage-grace.ts`); null: there is
-       * none.
+       * The time until which this controller may answer workers in an outage of the key-value store
+       * (`outage-grace.ts`); null: there is no outage.
        */
       readonly outageGraceUntil: number | null;
     };
 
-/** ms, lease clock: until when a lease surely lasts whose last good renewal was sent at `sentAt`. */
+/**
+ * Returns the time until which a lease certainly lasts whose last successful renewal was sent at `sentAt`
+ * (both in ms, lease clock).
+ */
 export const leaseDeadline = (sentAt: number, ttlMs: number): number =>
   sentAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - LEASE_EXPIRY_MARGIN_MS;
 
-type LimitedState = Extract<LeaseState, { _tag: 'holding' | 'outageGrace' }>;
+type StateWithDeadline = Extract<LeaseState, { _tag: 'holding' | 'outageGrace' }>;
 type TickEvent = Extract<LeaseEvent, { _tag: 'tick' }>;
 
-const suspend = ({ lease }: LimitedState): LeaseState => ({ _tag: 'suspended', lease });
+const suspend = ({ lease }: StateWithDeadline): LeaseState => ({ _tag: 'suspended', lease });
 
 const tickInOutage = (
-  state: LimitedState,
+  state: StateWithDeadline,
   now: number,
   outageGraceUntil: number,
   ttlMs: number,
 ): LeaseState => {
   if (state._tag === 'holding' && now < state.until) return state;
-  // After the outage the lease has its full time again, and what peers say of the outage is at most this old.
+  // Once an outage ends, every lease lasts for its full TTL again. The peers' reports of the outage are at
+  // most HEARTBEAT_FRESHNESS_MS old, so the lease lasts as if it had been renewed that long ago.
   const confirmedUntil = Math.max(state.until, leaseDeadline(now - HEARTBEAT_FRESHNESS_MS, ttlMs));
   const until = Math.min(confirmedUntil, outageGraceUntil);
   return now < until ? { _tag: 'outageGrace', lease: state.lease, until } : suspend(state);
@@ -66,27 +74,28 @@
   }
 };
 
-const isAbout = (state: LeaseState, lease: number): boolean =>
+const isForLease = (state: LeaseState, lease: number): boolean =>
   state._tag !== 'detached' && state.lease === lease;
 
 /**
- * The one place where the state of the lease changes. A late answer about an earlier lease changes nothing.
+ * Returns the state of the lease after an event. Every change of the state goes through this function. A late
+ * response about an earlier lease changes nothing.
  */
 export const nextLeaseState = (state: LeaseState, event: LeaseEvent, ttlMs: number): LeaseState => {
   switch (event._tag) {
     case 'granted':
       return { _tag: 'holding', lease: event.lease, until: leaseDeadline(event.sentAt, ttlMs) };
     case 'renewed':
-      if (!isAbout(state, event.lease)) return state;
+      if (!isForLease(state, event.lease)) return state;
       return { _tag: 'holding', lease: event.lease, until: leaseDeadline(event.sentAt, ttlMs) };
     case 'ended':
-      return isAbout(state, event.lease) ? { _tag: 'detached' } : state;
+      return isForLease(state, event.lease) ? { _tag: 'detached' } : state;
     case 'tick':
       return afterTick(state, event, ttlMs);
   }
 };
 
-/** May this controller act on its claims at `now` (ms, lease clock)? */
+/** Whether this controller may act on its claims at `now` (ms, lease clock). */
 export const mayAct = (state: LeaseState, now: number): boolean => {
   switch (state._tag) {
     case 'holding':
--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against acting on a claim of an earlier lease: a controller whose lease had ended acted on the
- * claims that its copy of the keys still showed as soon as it had a new lease, while a successor held them.
+ * Guards against acting on a claim of an earlier lease. A controller whose lease had ended obtained a new
+ * lease while its watch cache still showed its old claims, and acted on them although a successor held them.
  */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
@@ -15,21 +15,22 @@
 import { writeClaim } from './codec.js';
 import { LeaseManager } from './lease-manager.js';
 
-const TURNS = 20;
+const EVENT_LOOP_TURNS = 20;
 const SELF = { node: 'n0', incarnation: 'n0.1' };
 const respond = (status: number, body: unknown): CallOutcome => ({ _tag: 'response', status, body });
 
-const turns = async (): Promise<void> => {
-  for (let turn = 0; turn < TURNS; turn += 1) await new Promise((resolve) => setImmediate(resolve));
+const runEventLoopTurns = async (): Promise<void> => {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1)
+    await new Promise((resolve) => setImmediate(resolve));
 };
 
-/** A store as far as leases need one. What its watch would show, the test puts into the copy itself. */
+/** A stand-in for the leases of the key-value store. The test applies watch events to the cache itself. */
 class LeaseStore {
   private lastLease = 0;
-  /** The present lease; null: it has ended. */
+  /** The current lease; null: it has ended. */
   lease: number | null = null;
   revision = 0;
-  /** Reads of the claims are answered 503. */
+  /** Whether reads of the claims are answered with status 503. */
   readsFail = false;
   reads = 0;
 
@@ -50,8 +51,8 @@
   }
 }
 
-/** A controller's leases between a store and a copy of the keys that shows what the test says. */
-const start = () => {
+/** Starts a lease manager between a stand-in store and a watch cache whose content the test sets. */
+const startController = () => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_000 });
   const now = (): number => Date.now();
   const leaseStore = new LeaseStore();
@@ -72,22 +73,22 @@
     shardCount: 1,
   });
   const fiber = Effect.runFork(leases.run);
-  const claimShown = (claimName: string, version: number): void =>
+  const showClaim = (claimName: string, version: number): void =>
     cache.apply({ _tag: 'put', entry: { key: claimKey(claimName), value: writeClaim(SELF), version } });
   return {
     leaseStore,
     leases,
-    claimShown,
-    claimGone: (claimName: string, version: number): void =>
+    showClaim,
+    removeClaim: (claimName: string, version: number): void =>
       cache.apply({ _tag: 'delete', key: claimKey(claimName), version }),
-    /** Time in which the lease is renewed, or found to have ended and asked for anew. */
+    /** Advances the time so that the lease is renewed, or found to have ended and requested anew. */
     renew: async (): Promise<void> => {
       mock.timers.tick(SHARD_LEASE_RENEWAL_INTERVAL_MS);
-      await turns();
+      await runEventLoopTurns();
     },
     stop: async (): Promise<void> => {
       Effect.runFork(Fiber.interrupt(fiber));
-      await turns();
+      await runEventLoopTurns();
       mock.timers.reset();
     },
   };
@@ -95,65 +96,65 @@
 
 const CLAIM_NAMES = [LEADER_CLAIM, '0'];
 for (const claimName of CLAIM_NAMES) {
-  test(`lease: a new lease gives no right to claim ${claimName} of the lease before`, async () => {
-    const controller = start();
+  test(`lease: a new lease does not permit acting on claim ${claimName} of the earlier lease`, async () => {
+    const controller = startController();
     const { leaseStore, leases } = controller;
     try {
-      await turns();
-      controller.claimShown(claimName, 5);
+      await runEventLoopTurns();
+      controller.showClaim(claimName, 5);
       leaseStore.revision = 5;
-      assert.equal(leases.actingRevision(claimName), 5, 'under the first lease');
+      assert.equal(leases.actingClaimRevision(claimName), 5, 'under the first lease');
 
-      // The lease ends and a successor takes the claim; the copy of the keys shows neither yet.
+      // The lease ends and a successor takes the claim. The watch cache shows neither yet.
       leaseStore.lease = null;
       leaseStore.revision = 7;
       await controller.renew();
       assert.equal(leases.lease, 2, 'there is a new lease');
-      assert.equal(leases.ownRevision(claimName), 5, 'the copy still shows the old claim');
-      assert.equal(leases.actingRevision(claimName), null, 'which is another process’s by now');
+      assert.equal(leases.heldClaimRevision(claimName), 5, 'the watch cache still shows the old claim');
+      assert.equal(leases.actingClaimRevision(claimName), null, 'another process holds the claim by now');
 
-      // A claim of the lease before that shows late only.
-      controller.claimShown(claimName, 6);
-      assert.equal(leases.actingRevision(claimName), null);
-      controller.claimGone(claimName, 7);
-      assert.equal(leases.actingRevision(claimName), null);
+      // A claim of the earlier lease that the watch cache shows only late.
+      controller.showClaim(claimName, 6);
+      assert.equal(leases.actingClaimRevision(claimName), null);
+      controller.removeClaim(claimName, 7);
+      assert.equal(leases.actingClaimRevision(claimName), null);
 
-      controller.claimShown(claimName, 9);
-      assert.equal(leases.actingRevision(claimName), 9, 'taken under the new lease');
+      controller.showClaim(claimName, 9);
+      assert.equal(leases.actingClaimRevision(claimName), 9, 'taken under the new lease');
       await controller.renew();
-      assert.equal(leases.actingRevision(claimName), 9, 'a renewal changes nothing');
+      assert.equal(leases.actingClaimRevision(claimName), 9, 'a renewal changes nothing');
     } finally {
       await controller.stop();
     }
   });
 }
 
-test('lease: without knowing where the claims of the lease before end there is no new one', async () => {
-  const controller = start();
+test('lease: no new lease is requested before the revision at which old claims had ended is known', async () => {
+  const controller = startController();
   const { leaseStore, leases } = controller;
   try {
-    await turns();
-    controller.claimShown(LEADER_CLAIM, 5);
+    await runEventLoopTurns();
+    controller.showClaim(LEADER_CLAIM, 5);
     leaseStore.lease = null;
     leaseStore.revision = 7;
     leaseStore.readsFail = true;
     await controller.renew();
-    assert.equal(leases.actingRevision(LEADER_CLAIM), null);
+    assert.equal(leases.actingClaimRevision(LEADER_CLAIM), null);
     await controller.renew();
-    assert.equal(leases.actingRevision(LEADER_CLAIM), null);
+    assert.equal(leases.actingClaimRevision(LEADER_CLAIM), null);
     leaseStore.readsFail = false;
     await controller.renew();
-    controller.claimShown(LEADER_CLAIM, 9);
-    assert.equal(leases.actingRevision(LEADER_CLAIM), 9);
+    controller.showClaim(LEADER_CLAIM, 9);
+    assert.equal(leases.actingClaimRevision(LEADER_CLAIM), 9);
   } finally {
     await controller.stop();
   }
 });
 
-test('lease: the first lease of a process costs no read', async () => {
-  const controller = start();
+test('lease: the first lease of a process needs no read of the claims', async () => {
+  const controller = startController();
   try {
-    await turns();
+    await runEventLoopTurns();
     assert.equal(controller.leases.lease, 1);
     assert.equal(controller.leaseStore.reads, 0);
   } finally {
--- a/src/claims/lease-transitions.test.ts
+++ b/src/claims/lease-transitions.test.ts
@@ -1,4 +1,4 @@
-/** Every event at every state of the lease: one that does not belong to the state changes nothing. */
+/** Tests every event in every state of the lease. An event that does not apply in a state changes nothing. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nextLeaseState, type LeaseEvent, type LeaseState } from './lease-state.js';
@@ -66,7 +66,7 @@
 for (const event of Object.keys(expected) as EventName[]) {
   for (const from of Object.keys(states) as Tag[]) {
     const to = expected[event][from];
-    test(`lease: ${event} at ${from} leads to ${to}`, () => {
+    test(`lease: ${event} in state ${from} leads to ${to}`, () => {
       const after = nextLeaseState(states[from], events[event], TTL_MS);
       assert.equal(after._tag, to);
       if (event.startsWith('earlier lease')) assert.equal(after, states[from], 'nothing changes');
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -1,6 +1,6 @@
 /**
- * How long this controller may go on answering workers while the key-value store is out for most controllers,
- * so that no lease can be renewed. No state; asked at each check of the claims.
+ * Determines how long this controller may continue to answer workers while most controllers cannot reach the
+ * key-value store, so that no lease can be renewed. No state; called at each check of the claims.
  */
 import { outageGraceUntil } from '../cancellation/outage-grace.js';
 import { OUTAGE_GRACE_MARGIN_MS } from '../constants/cancellation.js';
@@ -13,32 +13,38 @@
 
 const MS_PER_S = 1000;
 
-/** What this controller knows of an outage of the store. */
+/** The information from which this controller concludes that there is an outage of the key-value store. */
 export interface OutageEvidence {
-  /** Number of controllers, this one included. */
+  /** The number of controllers, this one included. */
   readonly controllerCount: number;
-  /** ms since the store last answered this controller. */
+  /** ms since the key-value store last answered this controller. */
   readonly msSinceStoreAnswered: () => number;
   readonly peers: Pick<PeerView, 'storeReachability' | 'storeDownForAll'>;
   readonly protocolVersion: Pick<ProtocolVersion, 'agreed'>;
   readonly cache: Pick<WatchCache, 'confirmedAt'>;
-  /** s: within which a cancelled task must have stopped. */
+  /** s within which a cancelled task must have stopped. */
   readonly cancellationLimitS: number;
-  /** s: for which a worker goes on without an answer. */
+  /** s for which a worker continues its tasks without an answer from a controller. */
   readonly workerLeaseS: number;
 }
 
-/** Most controllers, this one included, can't reach the store, and none says that it can. */
-const isConfirmed = ({ msSinceStoreAnswered, peers, controllerCount }: OutageEvidence): boolean => {
+/**
+ * Whether a majority of the controllers, this one included, cannot reach the key-value store, and no peer
+ * reports that it can.
+ */
+const isOutageConfirmed = ({ msSinceStoreAnswered, peers, controllerCount }: OutageEvidence): boolean => {
   if (msSinceStoreAnswered() < HEARTBEAT_FRESHNESS_MS) return false;
   const reachability = peers.storeReachability();
   return reachability.up === 0 && (reachability.down + 1) * 2 > controllerCount;
 };
 
-/** ms, lease clock: until when workers may be answered without renewals; null: there is no outage. */
-export const outageGrace = (evidence: OutageEvidence): number | null =>
+/**
+ * Returns the time until which this controller may answer workers without renewing its lease (ms, lease
+ * clock); null: there is no outage.
+ */
+export const outageGraceDeadline = (evidence: OutageEvidence): number | null =>
   outageGraceUntil({
-    confirmed: isConfirmed(evidence),
+    confirmed: isOutageConfirmed(evidence),
     onlyAcknowledgedConfirmed:
       evidence.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && evidence.peers.storeDownForAll(),
     confirmedAt: evidence.cache.confirmedAt,
--- a/src/controller/held-shards.test.ts
+++ b/src/controller/held-shards.test.ts
@@ -67,7 +67,7 @@
   private readonly cache = new WatchCache(this.store, () => Date.now());
   readonly shards = new HeldShards({
     shardCount: 2,
-    leases: { ownRevision: () => this.claim, actingRevision: () => this.claim },
+    leases: { heldClaimRevision: () => this.claim, actingClaimRevision: () => this.claim },
     create: (shardId, claim) => new Shard(shardId, claim, this.context(claim)),
     onTaken: () => undefined,
   });
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -17,7 +17,7 @@
 /** What the lifecycle of shards needs of the rest of the controller. */
 export interface HeldShardsDependencies {
   readonly shardCount: number;
-  readonly leases: Pick<LeaseManager, 'ownRevision' | 'actingRevision'>;
+  readonly leases: Pick<LeaseManager, 'heldClaimRevision' | 'actingClaimRevision'>;
   /** Creates the shard for the claim with this revision. */
   readonly create: (shardId: number, claim: number) => Shard;
   /** Called once a shard is taken: what its jobs depend on is to be evaluated anew. */
@@ -45,7 +45,7 @@
   followClaim(claimName: string): void {
     const shardId = parseShardId(claimName);
     if (shardId === null || shardId >= this.dependencies.shardCount) return;
-    const claim = this.dependencies.leases.ownRevision(claimName);
+    const claim = this.dependencies.leases.heldClaimRevision(claimName);
     const held = this.running.get(shardId);
     if (held?.shard.claim === claim) return;
     if (held) this.drop(shardId, held);
@@ -72,7 +72,7 @@
 
   /** The shard, if this process may act for it now. */
   actingShard(shardId: number): Shard | null {
-    const claim = this.dependencies.leases.actingRevision(String(shardId));
+    const claim = this.dependencies.leases.actingClaimRevision(String(shardId));
     const shard = this.running.get(shardId)?.shard;
     return claim !== null && shard?.claim === claim && shard.stage !== 'lost' ? shard : null;
   }
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -97,7 +97,7 @@
     valueBytes: deployment.valueBytes,
     maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     catalog: storeAccess.catalog,
-    actingRevision: () => leases.actingRevision(LEADER_CLAIM),
+    actingRevision: () => leases.actingClaimRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
     orderTransfers: (from, transferred, permit) => transfers.order(from, transferred, permit),
     now: clocks.steady,
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -33,7 +33,7 @@
 const createClaimContext = (subsystems: ShardSubsystems, shardId: number, claim: number): ClaimContext => {
   const { context, coordination, leadership } = subsystems;
   const { leases, duties, peerNetwork, leaderNode } = coordination;
-  const mayAct = (): boolean => leases.actingRevision(String(shardId)) === claim;
+  const mayAct = (): boolean => leases.actingClaimRevision(String(shardId)) === claim;
   return {
     mayAct,
     reservations: () => leadership().reservations.forShard(shardId),
--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -26,7 +26,7 @@
 
 /** What the registry needs of its controller. */
 export interface DutyRegistryDependencies {
-  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'ownRevision' | 'actingRevision'>;
+  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'heldClaimRevision' | 'actingClaimRevision'>;
   /** ms since the epoch. */
   readonly timeOfDay: () => number;
   /** Refuses late effects; else they are only recorded in the audit. */
@@ -79,7 +79,7 @@
   }
 
   private actingToken(claimName: string): FencingToken | null {
-    const revision = this.dependencies.leases.actingRevision(claimName);
+    const revision = this.dependencies.leases.actingClaimRevision(claimName);
     return revision === null ? null : tokenOf(revision);
   }
 
@@ -108,7 +108,7 @@
   /** A claim changed in this controller's copy of the shared keys. */
   claimChanged(claimName: string): void {
     this.auditHolder(claimName);
-    const ownRevision = this.dependencies.leases.ownRevision(claimName);
+    const ownRevision = this.dependencies.leases.heldClaimRevision(claimName);
     for (const duty of this.dutiesOf(claimName)) {
       if (ownRevision === null) duty.apply({ _tag: 'released' });
       else this.applyClaim(duty, tokenOf(ownRevision));
