--- a/src/cancellation/acknowledgement-client.ts
+++ b/src/cancellation/acknowledgement-client.ts
@@ -1,6 +1,6 @@
 /**
- * Asks the holders of shards whether they act on cancellations. Owns the cancellations that wait to go to
- * each holder in one request; the acknowledgement of cancellations calls it.
+ * Requests the acknowledgement of cancellations from the controllers that hold the shards of the jobs. Owns
+ * the cancellations that wait to be sent to each controller in one request. `acknowledgement.ts` calls it.
  */
 import { Batcher } from '../concurrency/batcher.js';
 import {
@@ -11,23 +11,23 @@
 import { readAcknowledgeReply, writeAcknowledgeRequest } from './codec.js';
 import type { Cancellation } from './model.js';
 
-/** Sends a request to another controller; the body of its answer, or null. */
+/** Sends a request to another controller. Resolves to the body of the response; null: no usable response. */
 export type PeerRequest = (node: string, path: string, body: unknown) => Promise<unknown>;
 
-/** Requests to the holders of shards, a batch a holder. */
+/** Sends requests to the holders of shards, in batches for each holder. */
 export class AcknowledgementClient {
   private readonly batchers = new Map<string, Batcher<Cancellation, boolean>>();
 
   constructor(private readonly request: PeerRequest) {}
 
-  /** Does this controller act on the cancellation? False also where it did not answer. */
-  ask(node: string, cancellation: Cancellation): Promise<boolean> {
+  /** Resolves to whether the controller acknowledges the cancellation; false also if it does not answer. */
+  requestAcknowledgement(node: string, cancellation: Cancellation): Promise<boolean> {
     return this.batcherFor(node).ask(cancellation);
   }
 
   private batcherFor(node: string): Batcher<Cancellation, boolean> {
-    const present = this.batchers.get(node);
-    if (present) return present;
+    const existing = this.batchers.get(node);
+    if (existing) return existing;
     const batcher = new Batcher<Cancellation, boolean>(
       ACKNOWLEDGEMENT_BATCH_DELAY_MS,
       MAX_CANCELLATIONS_PER_ACKNOWLEDGEMENT,
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,8 +1,8 @@
 /**
- * Finds out whether users may be told of a cancellation: reads the claim of the job's shard once the
- * cancellation is durable, gathers what its holder let be known, and asks the holder where that is not
- * enough. No state of its own; the users' API calls it with each cancellation and each poll of a cancelled
- * job.
+ * Determines whether a cancellation may be confirmed to users: reads the claim of the job's shard once the
+ * cancellation is durable, collects the evidence that is known about the holder of the shard, and requests an
+ * acknowledgement from the holder if that evidence is not sufficient. No state of its own; the users' API
+ * calls it for each cancellation and for each poll of a cancelled job.
  */
 import * as Effect from 'effect/Effect';
 import { readClaim } from '../claims/codec.js';
@@ -16,19 +16,22 @@
 import { assessEvidence, type CancellationEvidence, type ConfirmedClaim } from './evidence.js';
 import type { Cancellation } from './model.js';
 
-/** What the acknowledgement of cancellations needs of the rest of the controller. */
+/** What the acknowledgement of cancellations needs from the rest of the controller. */
 export interface CancellationAcknowledgementDependencies {
-  /** This controller's name. */
-  readonly me: string;
+  /** The name of this controller. */
+  readonly ownNode: string;
   readonly store: KeyValueStore;
   readonly linearizableReads: LinearizableReads;
   readonly cache: Pick<WatchCache, 'get'>;
-  /** Puts a cancellation to the shard held by this process under that claim; false: it does not hold it. */
+  /**
+   * Passes a cancellation to the shard that this process holds under the claim of the cancellation; false:
+   * this process does not hold the shard under that claim.
+   */
   readonly acknowledge: (cancellation: Cancellation) => boolean;
   readonly request: PeerRequest;
-  /** The summaries in the recent heartbeats of the peers. */
+  /** The shard summaries in the recent heartbeats of the peers. */
   readonly summaries: () => readonly ShardSummary[];
-  /** Is the controller known to be of a version that acknowledges cancellations? */
+  /** Whether the controller is known to run a version that acknowledges cancellations. */
   readonly supportsAcknowledgement: (node: string) => boolean;
 }
 
@@ -45,17 +48,17 @@
   revision,
 });
 
-/** Finds out whether users may be told of a cancellation. */
+/** Determines whether a cancellation may be confirmed to users. */
 export class CancellationAcknowledgement {
-  private readonly holders: AcknowledgementClient;
+  private readonly acknowledgementClient: AcknowledgementClient;
 
   constructor(private readonly dependencies: CancellationAcknowledgementDependencies) {
-    this.holders = new AcknowledgementClient(dependencies.request);
+    this.acknowledgementClient = new AcknowledgementClient(dependencies.request);
   }
 
   /**
-   * May users be told of the cancellation that is durable at this revision? To be asked after that, so that
-   * the claim is read later.
+   * Determines whether the cancellation that became durable at this revision may be confirmed to users. Must
+   * be called after the cancellation is durable, so that the claim is read later than that.
    */
   mayConfirmCancellation(shardId: number, job: string, revision: number): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
@@ -71,16 +74,16 @@
     });
   }
 
-  /** The shard's claim at a moment after the call. */
+  /** Reads the shard's claim as of some time after the call. */
   private readClaim(shardId: number): Effect.Effect<ConfirmedClaim> {
     return Effect.gen({ self: this }, function* () {
       const { cache, linearizableReads, store } = this.dependencies;
       const key = claimKey(String(shardId));
-      const copy = cache.get(key);
-      if (copy) {
-        const freshness = yield* linearizableReads.confirm(key, copy.version);
-        if (freshness === 'failed') return { _tag: 'unknown' } as const;
-        if (freshness === 'same') return heldClaim(copy.value, copy.version);
+      const cached = cache.get(key);
+      if (cached) {
+        const versionCheck = yield* linearizableReads.confirm(key, cached.version);
+        if (versionCheck === 'failed') return { _tag: 'unknown' } as const;
+        if (versionCheck === 'same') return heldClaim(cached.value, cached.version);
       }
       const read = yield* store.get(key, 'user');
       switch (read._tag) {
@@ -94,7 +97,7 @@
     });
   }
 
-  /** What is known of the holder without asking it. */
+  /** Returns the evidence about the holder that is known without a request to the holder. */
   private knownEvidence(shardId: number, holder: string): CancellationEvidence {
     const { cache, summaries, supportsAcknowledgement } = this.dependencies;
     const recorded = cache.get(acknowledgementKey(String(shardId)));
@@ -107,9 +110,9 @@
   }
 
   private askHolder(holder: string, cancellation: Cancellation): Effect.Effect<boolean> {
-    const { me, acknowledge } = this.dependencies;
-    return holder === me
+    const { ownNode, acknowledge } = this.dependencies;
+    return holder === ownNode
       ? Effect.sync(() => acknowledge(cancellation))
-      : Effect.promise(() => this.holders.ask(holder, cancellation));
+      : Effect.promise(() => this.acknowledgementClient.requestAcknowledgement(holder, cancellation));
   }
 }
--- a/src/cancellation/codec.test.ts
+++ b/src/cancellation/codec.test.ts
@@ -1,4 +1,4 @@
-/** Messages and stored values about cancellations with their exact texts. */
+/** Tests the exact wire form of messages, and the exact stored form of values, about cancellations. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as codec from './codec.js';
@@ -15,7 +15,7 @@
   assert.deepEqual(codec.readAcknowledgeRequest(JSON.parse(REQUEST)), cancellations);
 });
 
-test('cancellation codec: malformed rows of a request are left out', () => {
+test('cancellation codec: malformed rows of a request are ignored', () => {
   assert.deepEqual(codec.readAcknowledgeRequest([[1, 50, 'job-1', 100], [1, 'x', 'job-1', 100], 7, null]), [
     { shardId: 1, claim: 50, job: 'job-1', revision: 100 },
   ]);
@@ -36,17 +36,17 @@
 interface ReplyCase {
   readonly name: string;
   readonly body: unknown;
-  readonly means: readonly boolean[];
+  readonly expected: readonly boolean[];
 }
 const replies: readonly ReplyCase[] = [
-  { name: 'both', body: { heeded: [true, true] }, means: [true, true] },
-  { name: 'one', body: { heeded: [false, true] }, means: [false, true] },
-  { name: 'fewer than were asked for', body: { heeded: [true] }, means: [true, false] },
-  { name: 'values that are no truth values', body: { heeded: [1, 'true'] }, means: [false, false] },
-  { name: 'no list', body: { heeded: true }, means: [false, false] },
-  { name: 'no answer', body: null, means: [false, false] },
+  { name: 'two acknowledgements', body: { heeded: [true, true] }, expected: [true, true] },
+  { name: 'one acknowledgement', body: { heeded: [false, true] }, expected: [false, true] },
+  { name: 'fewer values than cancellations', body: { heeded: [true] }, expected: [true, false] },
+  { name: 'values that are not booleans', body: { heeded: [1, 'true'] }, expected: [false, false] },
+  { name: 'no list', body: { heeded: true }, expected: [false, false] },
+  { name: 'no answer', body: null, expected: [false, false] },
 ];
 for (const row of replies) {
   test(`cancellation codec: an answer with ${row.name}`, () =>
-    assert.deepEqual(codec.readAcknowledgeReply(row.body, 2), row.means));
+    assert.deepEqual(codec.readAcknowledgeReply(row.body, 2), row.expected));
 }
--- a/src/cancellation/codec.ts
+++ b/src/cancellation/codec.ts
@@ -1,11 +1,11 @@
 /**
- * Reads and writes requests to acknowledge cancellations and their answers, as they travel, and durable
- * acknowledgements, as they are stored. No state.
+ * Reads and writes the wire form of requests to acknowledge cancellations and of the responses, and the
+ * stored form of durable acknowledgements. No state.
  */
 import type { Cancellation, DurableAcknowledgement } from './model.js';
 
-/** A cancellation on the wire. */
-type WireCancellation = readonly [slot: number, claim: number, job: string, version: number];
+/** The wire form of a cancellation. */
+type WireCancellation = readonly [shardId: number, claim: number, job: string, revision: number];
 
 interface WireAcknowledgeReply {
   readonly heeded: readonly boolean[];
@@ -22,31 +22,34 @@
 ): readonly WireCancellation[] =>
   cancellations.map(({ shardId, claim, job, revision }) => [shardId, claim, job, revision]);
 
-/** Reads a request to acknowledge cancellations; rows that are malformed are left out. */
+/** Reads a request to acknowledge cancellations; ignores malformed rows. */
 export const readAcknowledgeRequest = (body: unknown): readonly Cancellation[] =>
   (Array.isArray(body) ? (body as unknown[]) : []).flatMap((row): readonly Cancellation[] => {
     if (!Array.isArray(row)) return [];
-    const [slot, claim, job, version] = row as unknown[];
-    return typeof slot === 'number' &&
+    const [shardId, claim, job, revision] = row as unknown[];
+    return typeof shardId === 'number' &&
       typeof claim === 'number' &&
       typeof job === 'string' &&
-      typeof version === 'number'
-      ? [{ shardId: slot, claim, job, revision: version }]
+      typeof revision === 'number'
+      ? [{ shardId, claim, job, revision }]
       : [];
   });
 
-/** Writes the answer to such a request: for each cancellation, whether its holder acts on it. */
+/** Writes the response to such a request: for each cancellation, whether the holder acknowledges it. */
 export const writeAcknowledgeReply = (acknowledged: readonly boolean[]): WireAcknowledgeReply => ({
   heeded: acknowledged,
 });
 
-/** Reads the answer to a request of `count` cancellations; what it doesn't say is not acknowledged. */
+/**
+ * Reads the response to a request with `count` cancellations. A cancellation without a value in the response
+ * is not acknowledged.
+ */
 export const readAcknowledgeReply = (body: unknown, count: number): readonly boolean[] => {
   const { heeded } = (body ?? {}) as { heeded?: unknown };
   return Array.from({ length: count }, (_, index) => Array.isArray(heeded) && heeded[index] === true);
 };
 
-/** Writes a durable acknowledgement as it is stored. */
+/** Writes a durable acknowledgement in its stored form. */
 export const writeDurableAcknowledgement = ({
   claim,
   revision,
@@ -55,7 +58,7 @@
   r: revision,
 });
 
-/** Reads a stored durable acknowledgement. */
+/** Reads a durable acknowledgement from its stored form. */
 export const readDurableAcknowledgement = (value: unknown): DurableAcknowledgement => {
   const stored = value as StoredAcknowledgement;
   return { claim: stored.c, revision: stored.r };
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,7 +1,7 @@
 /**
- * Where connections between controllers are refused, holders record in the key-value store that they have
- * seen cancellations. Owns the revision of the last cancellation of each shard that is not recorded yet; the
- * change dispatcher tells it of cancellations.
+ * Records in the key-value store which cancellations the holder of a shard has seen, for deployments in which
+ * controllers cannot connect to each other. Owns the revision of the last cancellation of each shard that is
+ * not recorded yet. The change dispatcher reports cancellations to it.
  */
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
@@ -10,47 +10,48 @@
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { writeDurableAcknowledgement } from './codec.js';
 
-/** A shard held here, with the revision of its claim. */
+/** A shard that this process holds, with the revision of its claim. */
 export interface ClaimedShard {
   readonly shardId: number;
   readonly claim: number;
 }
 
-/** What durable acknowledgements need of the rest of the controller. */
+/** What durable acknowledgements need from the rest of the controller. */
 export interface DurableAcknowledgementsDependencies {
   readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get' | 'revision'>;
-  /** The shards held here that are loaded. */
+  /** The shards that this process holds and has loaded. */
   readonly loadedShards: () => readonly ClaimedShard[];
-  /** Has every peer sent a heartbeat recently, so that each can ask? */
+  /** Whether every peer sent a heartbeat recently, so that each can request acknowledgements directly. */
   readonly allPeersConnected: () => boolean;
 }
 
-/** Records in the key-value store that holders have seen cancellations. */
+/** Records in the key-value store which cancellations this controller has seen as the holder of shards. */
 export class DurableAcknowledgements {
-  /** Revision of the last cancellation seen of each shard, until it is recorded. */
+  /** By shard: the revision of the last cancellation seen, until it is recorded. */
   private readonly pending = new Map<number, number>();
 
   constructor(private readonly dependencies: DurableAcknowledgementsDependencies) {}
 
-  /** The shared keys show at this revision that a job of the shard is cancelled. */
+  /** Notes that the watch cache shows, at this revision, that a job of the shard is cancelled. */
   noteCancellation(shardId: number, revision: number): void {
     this.pending.set(shardId, Math.max(revision, this.pending.get(shardId) ?? 0));
   }
 
-  /** Records what is pending for as long as a peer can't ask directly. */
+  /** Records pending acknowledgements, without end, while some peer cannot request them directly. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
       const loaded = this.dependencies.loadedShards();
-      this.forgetOthers(loaded);
-      // Asked directly, a holder answers sooner and for nothing.
+      this.discardOtherShards(loaded);
+      // The holder answers a direct request sooner and without a write to the key-value store.
       if (this.dependencies.allPeersConnected()) continue;
       for (const shard of loaded) if (this.pending.has(shard.shardId)) yield* this.record(shard);
     }
   });
 
-  private forgetOthers(loaded: readonly ClaimedShard[]): void {
+  /** Discards the pending cancellations of shards that are not loaded here. */
+  private discardOtherShards(loaded: readonly ClaimedShard[]): void {
     for (const shardId of this.pending.keys())
       if (!loaded.some((shard) => shard.shardId === shardId)) this.pending.delete(shardId);
   }
@@ -59,13 +60,13 @@
     return Effect.gen({ self: this }, function* () {
       const { store, cache } = this.dependencies;
       const key = acknowledgementKey(String(shardId));
-      const before = cache.get(key);
+      const existing = cache.get(key);
       const { revision } = cache;
       const result = yield* store.compareAndSwap(
-        // Conditional on itself too: a late copy must not take back what a newer one says.
+        // The second condition prevents a delayed write from overwriting a newer acknowledgement.
         [
           { key: claimKey(String(shardId)), version: claim },
-          { key, version: before?.version ?? 0 },
+          { key, version: existing?.version ?? 0 },
         ],
         [{ _tag: 'put', key, value: writeDurableAcknowledgement({ claim, revision }) }],
         'user',
--- a/src/cancellation/evidence.test.ts
+++ b/src/cancellation/evidence.test.ts
@@ -1,4 +1,4 @@
-/** On which evidence a cancellation that is durable at revision 100 may be confirmed. */
+/** Tests on which evidence a cancellation that became durable at revision 100 may be confirmed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assessEvidence, type CancellationEvidence, type ConfirmedClaim } from './evidence.js';
@@ -17,59 +17,60 @@
   by: string | null;
 }[] = [
   { name: 'the claim could not be read', claim: { _tag: 'unknown' }, evidence: none, by: null },
-  { name: 'nobody holds the shard', claim: { _tag: 'unclaimed' }, evidence: none, by: 'unclaimed' },
-  { name: 'the holder came later', claim: held(101), evidence: none, by: 'later claim' },
-  // It answers workers with nothing before it has read the shard's runs, and goes on like that in an outage.
+  { name: 'the shard has no holder', claim: { _tag: 'unclaimed' }, evidence: none, by: 'unclaimed' },
+  { name: 'the claim is later than the cancellation', claim: held(101), evidence: none, by: 'later claim' },
+  // A holder of an earlier version answers workers with no commands before it has read the shard's runs, and
+  // continues to do so in an outage.
   {
-    name: 'the holder came later and is of an earlier version',
+    name: 'the claim is later than the cancellation, and the holder runs an earlier version',
     claim: held(101),
     evidence: { ...none, stopsTasksBeforeLoading: false },
     by: null,
   },
   {
-    name: 'the holder was there before, and nothing is known of it',
+    name: 'the claim is earlier than the cancellation, and there is no other evidence',
     claim: held(50),
     evidence: none,
     by: null,
   },
   {
-    name: 'the holder acknowledged it',
+    name: 'the holder acknowledged the cancellation',
     claim: held(50),
     evidence: { ...none, acknowledged: { claim: 50 } },
     by: 'acknowledged',
   },
   {
-    name: 'an acknowledgement under a claim that is over',
+    name: 'an acknowledgement under a claim that has ended',
     claim: held(50),
     evidence: { ...none, acknowledged: { claim: 40 } },
     by: null,
   },
   {
-    name: 'its summary shows a later revision',
+    name: 'the summary of the holder shows the revision of the cancellation',
     claim: held(50),
     evidence: { ...none, summary: { claim: 50, revision: 100 }, stopsTasksBeforeLoading: false },
     by: 'summary',
   },
   {
-    name: 'its summary is from before',
+    name: 'the summary of the holder shows an earlier revision',
     claim: held(50),
     evidence: { ...none, summary: { claim: 50, revision: 99 } },
     by: null,
   },
   {
-    name: 'a summary of the holder before',
+    name: 'a summary of the previous holder',
     claim: held(50),
     evidence: { ...none, summary: { claim: 40, revision: 200 } },
     by: null,
   },
   {
-    name: 'its durable acknowledgement, where connections are refused',
+    name: 'a durable acknowledgement of the holder, where connections are refused',
     claim: held(50),
     evidence: { ...none, durableAcknowledgement: { claim: 50, revision: 120 } },
     by: 'durable acknowledgement',
   },
   {
-    name: 'a durable acknowledgement of the holder before',
+    name: 'a durable acknowledgement of the previous holder',
     claim: held(50),
     evidence: { ...none, durableAcknowledgement: { claim: 40, revision: 120 } },
     by: null,
--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -1,36 +1,39 @@
 /**
- * When may a user be told that a job is cancelled? Only when whoever holds its shard cannot fail to act on it
- * in time. Pure decision, no state; `docs/design.md` has the proof. The acknowledgement of cancellations
- * asks.
+ * Decides whether the cancellation of a job may be confirmed to its user. It may be only if it is certain
+ * that the holder of the job's shard acts on the cancellation in time. Pure functions without state;
+ * `docs/design.md` has the proof. `acknowledgement.ts` calls them.
  */
 
-/** The shard's claim as read after the cancellation was durable. */
+/** The claim of the job's shard, read after the cancellation became durable. */
 export type ConfirmedClaim =
   | { readonly _tag: 'unclaimed' }
-  /** `revision`: of the claim. */
+  /** `node` is the holder of the claim, `revision` the revision of the claim. */
   | { readonly _tag: 'held'; readonly node: string; readonly revision: number }
-  /** It could not be read. */
+  /** The claim could not be read. */
   | { readonly _tag: 'unknown' };
 
-/** What a holder has seen: under this claim, all shared keys up to this revision. */
-interface SeenKeys {
+/** The revision up to which a holder has seen all changes of the shared keys, under this claim. */
+interface ObservedRevision {
   readonly claim: number;
   readonly revision: number;
 }
 
-/** What the claim's holder let be known, and under which claim. */
+/** The evidence about the holder of the claim, with the claim to which it applies. */
 export interface CancellationEvidence {
-  /** Its answer to a request for this very cancellation: its shard acts on it. */
+  /** The holder's response that its shard acts on this cancellation; null: there is no such response. */
   readonly acknowledged: { readonly claim: number } | null;
-  /** Its summary, which it makes only once its shard is loaded. */
-  readonly summary: SeenKeys | null;
-  /** What it recorded in the key-value store. */
-  readonly durableAcknowledgement: SeenKeys | null;
-  /** It is known to stop cancelled tasks even before its shard is loaded. */
+  /**
+   * The summary of the shard, which the holder creates only once the shard is loaded; null: there is no recent
+   * one.
+   */
+  readonly summary: ObservedRevision | null;
+  /** The acknowledgement that the holder recorded in the key-value store; null: there is none. */
+  readonly durableAcknowledgement: ObservedRevision | null;
+  /** Whether the holder is known to stop cancelled tasks even before its shard is loaded. */
   readonly stopsTasksBeforeLoading: boolean;
 }
 
-/** Whether a cancellation may be confirmed to its user, and on which evidence. */
+/** Whether a cancellation may be confirmed to its user; `by` names the evidence. */
 export type CancellationVerdict =
   | {
       readonly _tag: 'confirmed';
@@ -45,19 +48,20 @@
   claim: number,
   evidence: CancellationEvidence,
 ): CancellationVerdict => {
-  const hasSeen = (seen: SeenKeys | null): boolean =>
-    seen !== null && seen.claim === claim && seen.revision >= cancelledRevision;
+  const coversCancellation = (observed: ObservedRevision | null): boolean =>
+    observed !== null && observed.claim === claim && observed.revision >= cancelledRevision;
   if (claim > cancelledRevision && evidence.stopsTasksBeforeLoading)
     return { _tag: 'confirmed', by: 'later claim' };
   if (evidence.acknowledged?.claim === claim) return { _tag: 'confirmed', by: 'acknowledged' };
-  if (hasSeen(evidence.summary)) return { _tag: 'confirmed', by: 'summary' };
-  if (hasSeen(evidence.durableAcknowledgement)) return { _tag: 'confirmed', by: 'durable acknowledgement' };
+  if (coversCancellation(evidence.summary)) return { _tag: 'confirmed', by: 'summary' };
+  if (coversCancellation(evidence.durableAcknowledgement))
+    return { _tag: 'confirmed', by: 'durable acknowledgement' };
   return UNCONFIRMED;
 };
 
 /**
- * May users be told of a cancellation? `cancelledRevision` is the revision at which it became durable,
- * `claim` was read after that.
+ * Decides whether a cancellation may be confirmed to users. `cancelledRevision` is the revision at which the
+ * cancellation became durable; `claim` was read after that.
  */
 export const assessEvidence = (
   cancelledRevision: number,
@@ -68,7 +72,7 @@
     case 'unknown':
       return UNCONFIRMED;
     case 'unclaimed':
-      // Whoever takes the claim sees every change before it, and the cancellation is one.
+      // The next holder of the claim sees every change before the claim, and so the cancellation.
       return { _tag: 'confirmed', by: 'unclaimed' };
     case 'held':
       return assessHolder(cancelledRevision, claim.revision, evidence);
--- a/src/cancellation/model.ts
+++ b/src/cancellation/model.ts
@@ -1,16 +1,18 @@
-/** What the parts of the cancellation subsystem and its callers speak about. Types only. */
+/** Types that the modules of the cancellation subsystem and their callers share. */
 
-/** A durable cancellation, as it is put to the holder of the job's shard. */
+/** A durable cancellation, as the holder of the job's shard is asked to acknowledge it. */
 export interface Cancellation {
   readonly shardId: number;
-  /** The revision of the claim under which it is put. */
+  /** The revision of the claim under which the holder is asked. */
   readonly claim: number;
   readonly job: string;
-  /** The revision at which it became durable. */
+  /** The revision at which the cancellation became durable. */
   readonly revision: number;
 }
 
-/** What a holder has recorded: under this claim it has seen the shared keys up to this revision. */
+/**
+ * A holder's record that it has seen all changes of the shared keys up to this revision, under this claim.
+ */
 export interface DurableAcknowledgement {
   readonly claim: number;
   readonly revision: number;
--- a/src/cancellation/outage-grace.ts
+++ b/src/cancellation/outage-grace.ts
@@ -1,34 +1,36 @@
 /**
- * For how long a holder may answer its workers without renewals while the key-value store is out for all,
- * without missing a cancellation that a user was told of. Pure decision, no state; `docs/design.md` has the
- * proof. The claims ask through `claims/outage-grace.ts`.
+ * Decides how long the holder of a shard may answer its workers without renewing its lease, while controllers
+ * cannot reach the key-value store, without missing a cancellation that was confirmed to a user. A pure
+ * function without state; `docs/design.md` has the proof. `claims/outage-grace.ts` calls it.
  */
 
-/** What is known of an outage. Times are ms, on one steady clock. */
-export interface Outage {
-  /** The store is down as far as most controllers say. */
+/** What this controller knows of an outage of the key-value store. Times are in ms on one steady clock. */
+export interface OutageStatus {
+  /** Whether most controllers, this one included, cannot reach the key-value store. */
   readonly confirmed: boolean;
   /**
-   * Every controller says so, and each is known to confirm only cancellations that the holder has
-   * acknowledged.
+   * Whether no controller can reach the store, and each controller is known to confirm only cancellations
+   * that the holder has acknowledged.
    */
   readonly onlyAcknowledgedConfirmed: boolean;
-  /** Up to then this controller surely knows the shared keys. */
+  /** This controller certainly knows every change of the shared keys made before this time. */
   readonly confirmedAt: number;
-  /** ms within which the tasks of a cancelled job must be gone. */
-  readonly cancelMs: number;
-  /** ms of a worker's lease. */
-  readonly leaseMs: number;
+  /** ms within which the tasks of a cancelled job must have stopped. */
+  readonly cancellationLimitMs: number;
+  /** ms for which a worker's lease lasts. */
+  readonly workerLeaseMs: number;
+  /** ms by which the holder stops answering early, as a safety margin. */
   readonly marginMs: number;
 }
 
 /**
- * ms, steady: until when a holder may answer its workers; null: there is no outage. It knows all
- * cancellations that were confirmed before `confirmedAt`. Any other was confirmed later, and a worker that it
- * answered last by the time returned stops its tasks a lease after that, which is still in time.
+ * Returns the time until which the holder of a shard may answer its workers (ms on the same clock); null:
+ * there is no outage. The holder knows every cancellation that was confirmed before `confirmedAt`. Any other
+ * cancellation was confirmed later. A worker that the holder answers no later than the returned time stops
+ * its tasks at most one worker lease after that, which is within the limit for that cancellation.
  */
-export const outageGraceUntil = (outage: Outage): number | null => {
+export const outageGraceUntil = (outage: OutageStatus): number | null => {
   if (!outage.confirmed) return null;
   if (outage.onlyAcknowledgedConfirmed) return Number.POSITIVE_INFINITY;
-  return outage.confirmedAt + outage.cancelMs - outage.leaseMs - outage.marginMs;
+  return outage.confirmedAt + outage.cancellationLimitMs - outage.workerLeaseMs - outage.marginMs;
 };
--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -129,7 +129,7 @@
   });
 }
 
-test('lease: no new lease is requested before the revision at which old claims had ended is known', async () => {
+test('lease: no new lease is requested before the end revision of the old claims is known', async () => {
   const controller = startController();
   const { leaseStore, leases } = controller;
   try {
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -48,7 +48,7 @@
     onlyAcknowledgedConfirmed:
       evidence.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && evidence.peers.storeDownForAll(),
     confirmedAt: evidence.cache.confirmedAt,
-    cancelMs: evidence.cancellationLimitS * MS_PER_S * (1 - CLOCK_DRIFT_FRACTION),
-    leaseMs: evidence.workerLeaseS * MS_PER_S * (1 + CLOCK_DRIFT_FRACTION),
+    cancellationLimitMs: evidence.cancellationLimitS * MS_PER_S * (1 - CLOCK_DRIFT_FRACTION),
+    workerLeaseMs: evidence.workerLeaseS * MS_PER_S * (1 + CLOCK_DRIFT_FRACTION),
     marginMs: OUTAGE_GRACE_MARGIN_MS,
   });
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -60,10 +60,12 @@
       onSummary: (from) => note(`relay: summary of ${from}`),
       onOrders: (to) => note(`relay: orders for ${to}`),
     },
-    gate: { noteClaim: (claimName, revision) => note(`gate: ${claimName} at ${revision}`) },
-    registry: { claimChanged: (claimName) => note(`registry: ${claimName}`) },
+    orderVerifier: {
+      noteClaim: (claimName, revision) => note(`order verifier: ${claimName} at ${revision}`),
+    },
+    dutyRegistry: { claimChanged: (claimName) => note(`duty registry: ${claimName}`) },
     shards: {
-      followClaim: (claimName) => note(`shards: ${claimName}`),
+      onClaimChanged: (claimName) => note(`shards: ${claimName}`),
       forEach: (action) => shards.forEach(action),
     },
     scarceTypes: { note: ({ id }) => note(`scarce types: ${id}`) },
@@ -89,12 +91,12 @@
   {
     name: 'a claim: its duties before the shard',
     change: { _tag: 'claimChanged', claimName: '1', revision: VERSION },
-    notified: ['gate: 1 at 7', 'registry: 1', 'shards: 1'],
+    notified: ['order verifier: 1 at 7', 'duty registry: 1', 'shards: 1'],
   },
   {
     name: 'the end of a claim: nothing new for the gate',
     change: { _tag: 'claimChanged', claimName: 'L', revision: null },
-    notified: ['registry: L', 'shards: L'],
+    notified: ['duty registry: L', 'shards: L'],
   },
   {
     name: 'a machine: the shards in their order',
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -46,7 +46,7 @@
   leaderNode: () => string | undefined,
 ): PeerNetwork =>
   new PeerNetwork({
-    me: deployment.me.node,
+    me: deployment.self.node,
     peers: readPeerAddresses(settings),
     now: clocks.lease,
     createHttpClient: ports.createHttpClient,
@@ -71,7 +71,7 @@
     beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
-    self: deployment.me,
+    self: deployment.self,
     controllers: deployment.nodes,
     shardCount: deployment.shardCount,
     peers: () => peers.statuses(),
--- a/src/controller/held-shards.test.ts
+++ b/src/controller/held-shards.test.ts
@@ -117,12 +117,12 @@
 
   take(claim: number): void {
     this.claim = claim;
-    this.shards.followClaim(CLAIM_NAME);
+    this.shards.onClaimChanged(CLAIM_NAME);
   }
 
   lose(): void {
     this.claim = null;
-    this.shards.followClaim(CLAIM_NAME);
+    this.shards.onClaimChanged(CLAIM_NAME);
   }
 
   /** Answers the request that waits; false: there is none. */
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -42,7 +42,7 @@
   constructor(private readonly dependencies: HeldShardsDependencies) {}
 
   /** A claim changed; a `Shard` lives as long as this process's claim with that very revision. */
-  followClaim(claimName: string): void {
+  onClaimChanged(claimName: string): void {
     const shardId = parseShardId(claimName);
     if (shardId === null || shardId >= this.dependencies.shardCount) return;
     const claim = this.dependencies.leases.heldClaimRevision(claimName);
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -39,7 +39,7 @@
 ): readonly ShardSummary[] => {
   const leader = leaderNode();
   const relayed =
-    leader !== undefined && leader !== deployment.me.node && peers.recentHeartbeat(leader) === null;
+    leader !== undefined && leader !== deployment.self.node && peers.recentHeartbeat(leader) === null;
   return relayed ? shards.ownSummaries() : [];
 };
 
@@ -78,7 +78,7 @@
   const { peerNetwork, peers, leases, duties, protocolVersion, mayLead } = coordination;
   const relay: KeyValueStoreRelay = createRelay(context, coordination, shards, () => transfers);
   const transfers = new Transfers({
-    node: deployment.me.node,
+    node: deployment.self.node,
     shards,
     leases,
     peers,
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -47,7 +47,7 @@
         {
           shardId,
           duty: duties.registry.shard(shardId, 'reclaim'),
-          ownNode: context.deployment.me.node,
+          ownNode: context.deployment.self.node,
           leaderNode,
           msSinceStoreAnswered: context.storeAccess.msSinceAnswered,
           releaseLocally: (own) => leadership().leader.releaseNow(own),
