--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -23,8 +23,8 @@
   /** The holder's response that its shard acts on this cancellation; null: there is no such response. */
   readonly acknowledged: { readonly claim: number } | null;
   /**
-   * The summary of the shard, which the holder creates only once the shard is loaded; null: there is no recent
-   * one.
+   * The summary of the shard, which the holder creates only once the shard is loaded; null: there is no
+   * recent one.
    */
   readonly summary: ObservedRevision | null;
   /** The acknowledgement that the holder recorded in the key-value store; null: there is none. */
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -1,6 +1,7 @@
 /**
- * What this controller answers on its two addresses: users, operators, workers and health checks on one,
- * orders of other controllers on the other. Built by the composition root after all other subsystems.
+ * Creates the request handlers of this controller's two addresses: the API address for users, operators,
+ * workers and health checks, and the peer address for orders of other controllers. The composition root calls
+ * these functions after it has built all other subsystems.
  */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { DutiesApi } from '../duties/admin-api.js';
@@ -54,7 +55,7 @@
     loadProvisioningRecord: coordination.duties.loadProvisioningRecord,
   });
 
-/** Creates the route of the API address. */
+/** Creates the request handler of the API address. */
 export const createApi = (
   subsystems: Subsystems,
   adminAccess: AdminAccess,
@@ -69,7 +70,7 @@
   });
 };
 
-/** Creates what answers the heartbeats of workers. */
+/** Creates the handler of worker heartbeats. */
 export const createWorkerHeartbeatHandler = (
   { deployment, clocks, storeAccess }: ControllerContext,
   shards: HeldShards,
@@ -83,7 +84,7 @@
     adopt: leadership.adopt,
   });
 
-/** Creates what answers the orders of other controllers. */
+/** Creates the handler of requests from other controllers, heartbeats excepted. */
 export const createPeerRequests = (
   { duties }: Coordination,
   shards: HeldShards,
@@ -91,7 +92,7 @@
 ): PeerRequests =>
   new PeerRequests({
     orderVerifier: duties.orderVerifier,
-    transferMachines: (from, moves) => transfers.carryOut(from, moves),
+    transferMachines: (from, machineTransfers) => transfers.carryOut(from, machineTransfers),
     releaseNow: (machines) => leader.releaseNow(machines),
     acknowledge: (cancellation) => shards.acknowledge(cancellation),
   });
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -1,6 +1,7 @@
 /**
- * How this controller learns that a cancellation is acted on: by asking the holder of the job's shard, or
- * from durable acknowledgements where controllers can't connect. Built by the composition root for the
+ * Connects the cancellation subsystem to the rest of the controller. The controller learns from the holder of
+ * the job's shard that a cancellation takes effect: by a direct request, or by a durable acknowledgement in
+ * the key-value store where controllers cannot connect to each other. Created by the composition root for the
  * users' API.
  */
 import { CancellationAcknowledgement } from '../cancellation/acknowledgement.js';
@@ -10,13 +11,13 @@
 import type { Coordination } from './coordination.js';
 import type { HeldShards } from './held-shards.js';
 
-/** How this controller learns that a cancellation is acted on. */
+/** The parts of the cancellation subsystem. */
 export interface Cancellations {
   readonly acknowledgement: CancellationAcknowledgement;
   readonly durableAcknowledgements: DurableAcknowledgements;
 }
 
-/** Creates the acknowledgement of cancellations of one controller. */
+/** Creates the cancellation subsystem of one controller. */
 export const createCancellations = (
   { deployment, storeAccess }: ControllerContext,
   { peers, peerNetwork, protocolVersion }: Coordination,
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -1,4 +1,4 @@
-/** Which subscribers each change of the shared keys is passed on to, and in which order. */
+/** Tests which subscribers receive each change of the shared keys, and in which order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { newMachineRecord } from '../fleet/machine-record.js';
@@ -40,7 +40,7 @@
 const inParts: JobRecord = { ...job, dependsOn: ['job-2'], parts: 1 };
 const machine = newMachineRecord(1, { type: 'g', zone: 'x', spot: false }, 5);
 
-/** Dispatches a change to subscribers that only note what they are told, in order. */
+/** Dispatches a change to subscribers that only record their notifications, and returns these in order. */
 const notificationsOf = (change: Change, stored: ReadonlyMap<string, unknown>): readonly string[] => {
   const notified: string[] = [];
   const note = (text: string): void => void notified.push(text);
@@ -89,22 +89,22 @@
   notified: readonly string[];
 }[] = [
   {
-    name: 'a claim: its duties before the shard',
+    name: 'a claim: the duties before the shard',
     change: { _tag: 'claimChanged', claimName: '1', revision: VERSION },
     notified: ['order verifier: 1 at 7', 'duty registry: 1', 'shards: 1'],
   },
   {
-    name: 'the end of a claim: nothing new for the gate',
+    name: 'the end of a claim: no notification of the order verifier',
     change: { _tag: 'claimChanged', claimName: 'L', revision: null },
     notified: ['duty registry: L', 'shards: L'],
   },
   {
-    name: 'a machine: the shards in their order',
+    name: 'a machine: the shards in the order in which they were taken',
     change: { _tag: 'machineChanged', machine: 'i-1', record: machine, version: VERSION },
     notified: ['first: machine i-1 of 1 at 7', 'second: machine i-1 of 1 at 7'],
   },
   {
-    name: 'the end of a machine',
+    name: 'the deletion of a machine',
     change: { _tag: 'machineRemoved', machine: 'i-1' },
     notified: ['first: no machine i-1', 'second: no machine i-1'],
   },
@@ -120,7 +120,7 @@
     ],
   },
   {
-    name: 'a cancelled job: noted for acknowledgement before the shards are told',
+    name: 'a cancelled job: noted for acknowledgement before the shards receive the change',
     change: { _tag: 'jobChanged', job: JOB, record: cancelled, version: VERSION },
     notified: [
       'scarce types: job-1',
@@ -132,7 +132,7 @@
     ],
   },
   {
-    name: 'a job whose dependency list is not whole',
+    name: 'a job whose dependency list is incomplete',
     change: { _tag: 'jobChanged', job: JOB, record: inParts, version: VERSION },
     notified: [
       'scarce types: job-1',
@@ -143,7 +143,7 @@
     ],
   },
   {
-    name: 'the end of a job: the shards first',
+    name: 'the deletion of a job: the shards first',
     change: { _tag: 'jobRemoved', job: JOB },
     notified: ['first: no job-1', 'second: no job-1', 'pipelines: no job-1'],
   },
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Passes each change of the shared keys to the subsystems that follow it, in a fixed order. No state; called
- * by the watch cache's listener, in the order of the changes.
+ * Passes each change of the shared keys to the subsystems that depend on it, in a fixed order. No state; the
+ * listener of the watch cache calls it, in the order of the changes.
  */
 import type { DurableAcknowledgements } from '../cancellation/durable-acknowledgement.js';
 import type { OrderVerifier } from '../duties/order-verifier.js';
@@ -16,10 +16,10 @@
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { readDependencyList } from './dependency-list.js';
 
-/** What a shard is told of changes. */
+/** The notifications that a shard receives about changes. */
 export type ShardListener = Pick<Shard, 'onMachineRecord' | 'onMachineGone' | 'onJobRecord' | 'onJobGone'>;
 
-/** Who follows changes of the shared keys. */
+/** The subsystems that receive changes of the shared keys. */
 export interface ChangeSubscribers {
   readonly cache: Pick<WatchCache, 'get'>;
   readonly relay: Pick<KeyValueStoreRelay, 'onSummary' | 'onOrders'>;
@@ -33,17 +33,17 @@
   readonly bootBoundTypes: Pick<BootBoundTypes, 'note'>;
   readonly pipelines: Pick<Pipelines, 'onJob' | 'onJobGone'>;
   readonly durableAcknowledgements: Pick<DurableAcknowledgements, 'noteCancellation'>;
-  /** The shard of a team. */
+  /** Returns the id of a team's shard. */
   readonly shardOf: (team: string) => number;
 }
 
 type ChangeOf<Tag extends Change['_tag']> = Extract<Change, { readonly _tag: Tag }>;
 
-/** Passes changes on to their subscribers. */
+/** Passes changes to their subscribers. */
 export class ChangeDispatcher {
   constructor(private readonly subscribers: ChangeSubscribers) {}
 
-  /** Passes one change on. */
+  /** Passes one change to its subscribers. */
   dispatch(change: Change): void {
     const { relay, shards } = this.subscribers;
     switch (change._tag) {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The duties come first: a shard that is taken begins with them. */
+  /** Updates the duties before the shard, since a shard that is taken requires the duties of its claim. */
   private onClaim({ claimName, revision }: ChangeOf<'claimChanged'>): void {
     const { orderVerifier, dutyRegistry, shards } = this.subscribers;
     if (revision !== null) orderVerifier.noteClaim(claimName, revision);
@@ -84,7 +84,10 @@
     shards.onClaimChanged(claimName);
   }
 
-  /** The shards come last: what they decide about the job depends on what the others know of it. */
+  /**
+   * Notifies the shards last, since their decisions about the job depend on the state of the other
+   * subscribers.
+   */
   private onJob({ job, record, version }: ChangeOf<'jobChanged'>): void {
     const { cache, scarceTypes, bootBoundTypes, pipelines, shards, shardOf } = this.subscribers;
     scarceTypes.note(record.spec);
@@ -101,7 +104,7 @@
     pipelines.onJobGone(job);
   }
 
-  /** A part may be seen after the record that it belongs to. */
+  /** Handles a part of a dependency list, which the watch may show after the record of its job. */
   private onDependencyList({ job }: ChangeOf<'dependencyListChanged'>): void {
     const { cache, pipelines } = this.subscribers;
     const entry = cache.get(jobKey(job));
--- a/src/controller/clocks.ts
+++ b/src/controller/clocks.ts
@@ -1,4 +1,6 @@
-/** The clocks of one controller, built once by the context. The lease clock keeps what it has counted. */
+/**
+ * The clocks of one controller, created once by the context. The lease clock keeps state between readings.
+ */
 import { SuspensionAwareClock } from '@dalegate/fencing';
 import { log } from '../log.js';
 import type { Features } from '../settings/features.js';
@@ -6,18 +8,21 @@
 
 /** The clocks of one controller. */
 export interface Clocks {
-  /** ms, steady. Evidence that something is over elsewhere is measured by it, since it never runs ahead. */
+  /**
+   * The steady clock (ms). It never runs ahead, so it measures evidence that something has ended elsewhere,
+   * such as the lease of a worker.
+   */
   readonly steady: () => number;
   /**
-   * ms, steady, counting suspensions of the host. What is known of the key-value store and of peers ages by
-   * it.
+   * A steady clock that also counts the time for which the host was suspended (ms). It measures the age of
+   * information about the key-value store and about peers.
    */
   readonly lease: () => number;
-  /** ms since the epoch. */
+  /** The time of day (ms since the epoch). */
   readonly wall: () => number;
 }
 
-/** Creates the clocks; without fencing the lease clock is the steady one. */
+/** Creates the clocks. With fencing disabled, the lease clock is the steady clock. */
 export const createClocks = (ports: Ports, features: Features, clockErrorMs: number): Clocks => {
   const { now: steady, wall } = ports;
   if (!features.fencing) return { steady, lease: steady, wall };
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -1,4 +1,6 @@
-/** The composition root of a controller: builds the subsystems and connects them. Decides nothing itself. */
+/**
+ * The composition root of a controller: creates the subsystems and connects them. Makes no decisions itself.
+ */
 import type * as Effect from 'effect/Effect';
 import { divideStoreRates } from '../peers/rate-division.js';
 import { NO_FEATURES, type Features } from '../settings/features.js';
@@ -19,8 +21,8 @@
 import { superviseAll } from './supervise.js';
 
 /**
- * Builds the subsystems. They need each other: each is given those built before it directly, and those built
- * after it through functions, which are first called once all of them are there.
+ * Creates the subsystems, which depend on each other. Each subsystem receives the subsystems created before
+ * it directly, and those created after it through functions that are first called once all subsystems exist.
  */
 const createSubsystems = (settings: Settings, ports: Ports, features: Features): Subsystems => {
   const context = createContext(settings, ports, features);
@@ -49,7 +51,7 @@
   return { context, coordination, sharding, leadership, cancellations, heartbeatHandler };
 };
 
-/** Passes each change of the shared keys to the subsystems that follow it. */
+/** Subscribes the subsystems to changes of the shared keys. */
 const subscribeToChanges = (subsystems: Subsystems): void => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
   const { cache } = context.storeAccess;
@@ -68,7 +70,7 @@
   cache.onEvent((event) => dispatcher.dispatch(decodeChange(event)));
 };
 
-/** Everything that runs for as long as the controller does; shards have fibers of their own. */
+/** Runs the loops of all subsystems for as long as the controller runs; each shard has a fiber of its own. */
 const createRun = (subsystems: Subsystems): Effect.Effect<unknown> => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
   const { store, cache } = context.storeAccess;
@@ -86,7 +88,7 @@
   });
 };
 
-/** Composes one controller. It does nothing on its own before `run` is started. */
+/** Composes one controller, which does nothing by itself until its `run` is started. */
 export const compose = (
   settings: Settings,
   ports: Ports,
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,6 +1,6 @@
 /**
- * What every subsystem of a controller builds on. Created once by the composition root; depends on no
- * subsystem.
+ * The settings, ports, clocks and store access that every subsystem of a controller uses. Created once by the
+ * composition root; depends on no subsystem.
  */
 import type { Features } from '../settings/features.js';
 import type { Settings } from '../settings/schema.js';
@@ -9,7 +9,7 @@
 import type { Ports } from './ports.js';
 import { createStoreAccess, type StoreAccess } from './store-access.js';
 
-/** What every subsystem of a controller builds on. */
+/** The settings, ports, clocks and store access that every subsystem of a controller uses. */
 export interface ControllerContext {
   readonly settings: Settings;
   readonly features: Features;
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -1,7 +1,7 @@
 /**
  * Coordination among the controllers: connections to peers, the agreed protocol version, this controller's
- * lease and claims, and the duties that go with them. Built by the composition root; every later subsystem
- * asks it who holds what.
+ * lease and claims, and the duties that belong to the claims. Created by the composition root; the subsystems
+ * created later look up the holders of claims here.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
@@ -16,27 +16,29 @@
 import { readPeerAddresses } from './address-codec.js';
 import type { ControllerContext } from './context.js';
 
-/** What coordination needs of subsystems that are built after it; called only once the controller runs. */
+/**
+ * What coordination needs from subsystems that are created after it; called only once the controller runs.
+ */
 export interface CoordinationDependencies {
-  /** What this controller tells a peer. */
+  /** Returns the heartbeat that this controller sends to a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
-  /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
+  /** Answers a peer's request that is not a heartbeat; null: the path is unknown. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
-  /** Shards held here whose workers reach only another controller: by claim name, that controller. */
+  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
 
 /** Coordination among the controllers. */
 export interface Coordination {
   readonly peerNetwork: PeerNetwork;
-  /** What the heartbeats of the peers say. */
+  /** The state of the peers according to their heartbeats. */
   readonly peers: PeerView;
   readonly protocolVersion: ProtocolVersion;
   readonly leases: LeaseManager;
   readonly duties: Duties;
-  /** The controller that leads, as far as this controller knows. */
+  /** Returns the name of the leader, as far as this controller knows; undefined: there is none. */
   readonly leaderNode: () => string | undefined;
-  /** May this controller act as the leader now? */
+  /** Whether this controller may act as the leader now. */
   readonly mayLead: () => boolean;
 }
 
--- a/src/controller/dependency-list.ts
+++ b/src/controller/dependency-list.ts
@@ -1,15 +1,13 @@
 /**
- * Reads the whole list of jobs that a job depends on. No state; the change dispatcher calls it with each
- * record.
+ * Reads the complete list of jobs that a job depends on. No state; the change dispatcher calls it for each
+ * job record and for each part of a dependency list.
  */
 import type { JobRecord } from '../jobs/model.js';
 import { unpackIds } from '../pipelines/codec.js';
 import { dependencyListKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 
-/**
- * The jobs that must be done before this one; null: the copy of the shared keys does not show all parts yet.
- */
+/** Returns the jobs that must be done before this one; null: the watch cache does not show all parts yet. */
 export const readDependencyList = (
   cache: Pick<WatchCache, 'get'>,
   record: JobRecord,
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * What the settings say of the deployment, in the form in which the subsystems need it. Worked out once, when
- * the controller is composed; every controller that has the same settings works out the same.
+ * The properties of the deployment, read from the settings into the form in which the subsystems use them.
+ * Computed once, when the controller is composed; controllers with the same settings compute the same values.
  */
 import type { ClaimHolder } from '../claims/claim-decisions.js';
 import type { TeamLimit, TeamUsage } from '../placement/team-limits.js';
@@ -12,29 +12,32 @@
 import { readControllerNames } from './address-codec.js';
 
 const BYTES_PER_KB = 1024;
-/** The shard of a team that the settings don't name. */
+/** The shard of a team that the settings do not name. */
 const DEFAULT_SHARD = 0;
 
-/** What the settings say of the deployment. */
+/** The properties of the deployment. */
 export interface Deployment {
-  /** This process, as its claims name it. */
+  /** This process, as the holder of claims. */
   readonly self: ClaimHolder;
-  /** All controllers by name, in order. */
+  /** The names of all controllers, this one included, in alphabetical order. */
   readonly nodes: readonly string[];
   readonly shardCount: number;
-  /** The shard of each team of the settings. */
+  /** The shard of each team that the settings name. */
   readonly shardByTeam: ReadonlyMap<string, number>;
-  /** The shard of any team. */
+  /** Returns the shard of any team, whether the settings name the team or not. */
   readonly shardOf: (team: string) => number;
-  /** What each team may use at most. */
+  /** The maximum number of CPUs and GPUs that each team may use. */
   readonly limits: ReadonlyMap<string, TeamLimit>;
-  /** What each team is guaranteed. */
+  /** The number of CPUs and GPUs that each team is guaranteed. */
   readonly guarantees: ReadonlyMap<string, TeamUsage>;
-  /** Targets of each class of jobs. */
+  /** The targets of each class of jobs. */
   readonly objectives: ReadonlyMap<string, Objectives>;
-  /** The key-value store's limits, now and after the announced change. */
+  /** The limits of the key-value store: for each, the smaller of the current and the announced value. */
   readonly storeLimits: StoreLimits;
-  /** bytes: the largest value that the key-value store takes, now and later. */
+  /**
+   * The size of the largest value that the key-value store accepts, now and after the announced change
+   * (bytes).
+   */
   readonly valueBytes: number;
 }
 
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -1,6 +1,6 @@
 /**
- * Builds this controller's heartbeats from the state of the subsystems. No state of its own; the peer network
- * calls it.
+ * Creates this controller's heartbeats to peers from the state of the subsystems. No state of its own; the
+ * peer network calls it.
  */
 import type { ClaimHolder } from '../claims/claim-decisions.js';
 import type { LeaseManager } from '../claims/lease-manager.js';
@@ -13,7 +13,7 @@
 import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { HeldShards } from './held-shards.js';
 
-/** What a heartbeat is built from. */
+/** The sources of the values in a heartbeat. */
 export interface HeartbeatSources {
   readonly self: ClaimHolder;
   readonly leases: Pick<LeaseManager, 'lease' | 'workersUnreachable'>;
@@ -27,7 +27,7 @@
   readonly reservations: () => readonly Reservation[];
 }
 
-/** The heartbeat to a peer; the order of its fields is that of the wire. */
+/** Creates the heartbeat to a peer, with its fields in the order in which they are sent. */
 export const createHeartbeat = (sources: HeartbeatSources, to: string): PeerHeartbeat => {
   const { self, leases, shards, store } = sources;
   return {
--- a/src/controller/held-shards.test.ts
+++ b/src/controller/held-shards.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against a shard that outlives its claim: a claim lost while the shard's runs were being read left a
- * shard that did not count as lost, with a round loop that never ended.
+ * Guards against a shard that outlives its claim. A claim that was lost while the runs of its shard were
+ * being read left behind a shard that was not marked as lost and whose round loop never ended.
  */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
@@ -15,19 +15,20 @@
 const SHARD = 1;
 const CLAIM_NAME = String(SHARD);
 const FIRST_CLAIM = 10;
-const TURNS = 20;
-/** ms: several placement rounds and repeated reads. */
+const EVENT_LOOP_TURNS = 20;
+/** The duration of several placement rounds and repeated reads (ms). */
 const SEVERAL_ROUNDS_MS = 5_000;
 const STEP_MS = 50;
-const TIMES = 10;
+const LOST_CLAIMS = 10;
 
-const turns = async (): Promise<void> => {
-  for (let turn = 0; turn < TURNS; turn += 1) await new Promise((resolve) => setImmediate(resolve));
+const runEventLoopTurns = async (): Promise<void> => {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1)
+    await new Promise((resolve) => setImmediate(resolve));
 };
 const advance = async (ms: number): Promise<void> => {
   for (let passed = 0; passed < ms; passed += STEP_MS) {
     mock.timers.tick(STEP_MS);
-    await turns();
+    await runEventLoopTurns();
   }
 };
 
@@ -42,17 +43,17 @@
 });
 const FAILED: CallOutcome = { _tag: 'response', status: 503, body: {} };
 
-/** What a shard did under a claim that this process no longer held. */
-interface LateWork {
+/** An action of a shard under a claim that this process no longer held. */
+interface LateAction {
   readonly claim: number;
-  readonly what: string;
+  readonly action: string;
 }
 
-/** One process's shards, over a store whose answers the test gives one by one. */
-class ShardsInTest {
-  /** The revision of this process's claim; null: it holds none. */
+/** The shards of one process, with a stand-in store whose requests the test answers one by one. */
+class HeldShardsHarness {
+  /** The revision of this process's claim; null: this process holds no claim. */
   claim: number | null = null;
-  readonly late: LateWork[] = [];
+  readonly late: LateAction[] = [];
   readonly loaded: number[] = [];
   private readonly requests: { readonly path: string; readonly answer: (outcome: CallOutcome) => void }[] =
     [];
@@ -72,9 +73,9 @@
     onTaken: () => undefined,
   });
 
-  /** Notes work under a claim that is not this process's any more. */
-  private note(claim: number, what: string): void {
-    if (claim !== this.claim) this.late.push({ claim, what });
+  /** Records an action under a claim that this process no longer holds. */
+  private noteIfLate(claim: number, action: string): void {
+    if (claim !== this.claim) this.late.push({ claim, action });
   }
 
   private context(claim: number): ShardContext {
@@ -82,11 +83,11 @@
       store: this.store,
       cache: this.cache,
       mayAct: () => {
-        this.note(claim, 'asked to begin a round');
+        this.noteIfLate(claim, 'asked to begin a round');
         return this.claim === claim;
       },
       onLoaded: () => {
-        this.note(claim, 'duties began');
+        this.noteIfLate(claim, 'duties began');
         this.loaded.push(claim);
       },
       reservations: () => [],
@@ -125,33 +126,35 @@
     this.shards.onClaimChanged(CLAIM_NAME);
   }
 
-  /** Answers the request that waits; false: there is none. */
+  /** Answers the first waiting request; false: there is none. */
   async answer(outcome: CallOutcome): Promise<boolean> {
     const request = this.requests.shift();
     request?.answer(outcome);
-    await turns();
+    await runEventLoopTurns();
     return request !== undefined;
   }
 
-  /** The same, with the claim lost in the very turn of the answer. */
+  /** Answers the first waiting request and loses the claim in the same event-loop turn. */
   async answerAndLose(outcome: CallOutcome): Promise<void> {
     this.requests.shift()?.answer(outcome);
     this.lose();
-    await turns();
+    await runEventLoopTurns();
   }
 
-  /** Every request that still waits, and those that follow, are answered. */
+  /** Answers every request that still waits and those that follow. */
   async answerAll(): Promise<void> {
     while (await this.answer(page(false))) await advance(STEP_MS);
   }
 }
 
-/** Brings a shard that was just taken to a point of its loading, and loses its claim there. */
-type Loss = (shards: ShardsInTest) => Promise<void>;
+/**
+ * Advances a shard that was just taken to a certain point of its loading and loses its claim at that point.
+ */
+type Loss = (shards: HeldShardsHarness) => Promise<void>;
 
 const losses: readonly { name: string; lose: Loss; loaded: boolean }[] = [
   {
-    name: 'before the first page is asked for',
+    name: 'before the first page is requested',
     lose: (shards) => {
       shards.lose();
       return Promise.resolve();
@@ -159,9 +162,9 @@
     loaded: false,
   },
   {
-    name: 'while the first page is on its way',
+    name: 'while the first page is being read',
     lose: async (shards) => {
-      await turns();
+      await runEventLoopTurns();
       shards.lose();
       await shards.answer(page(false));
     },
@@ -170,7 +173,7 @@
   {
     name: 'between two pages',
     lose: async (shards) => {
-      await turns();
+      await runEventLoopTurns();
       await shards.answer(page(true));
       shards.lose();
       await shards.answer(page(false));
@@ -178,18 +181,18 @@
     loaded: false,
   },
   {
-    name: 'in the turn in which the last page arrives',
+    name: 'in the event-loop turn in which the last page arrives',
     lose: async (shards) => {
-      await turns();
+      await runEventLoopTurns();
       await shards.answer(page(true));
       await shards.answerAndLose(page(false));
     },
     loaded: false,
   },
   {
-    name: 'in the pause after a read that failed',
+    name: 'in the pause after a failed read',
     lose: async (shards) => {
-      await turns();
+      await runEventLoopTurns();
       await shards.answer(FAILED);
       shards.lose();
       await advance(SEVERAL_ROUNDS_MS);
@@ -197,9 +200,9 @@
     loaded: false,
   },
   {
-    name: 'while a failed read is repeated',
+    name: 'while a failed read is retried',
     lose: async (shards) => {
-      await turns();
+      await runEventLoopTurns();
       await shards.answer(FAILED);
       await advance(SEVERAL_ROUNDS_MS);
       shards.lose();
@@ -210,7 +213,7 @@
   {
     name: 'after loading',
     lose: async (shards) => {
-      await turns();
+      await runEventLoopTurns();
       await shards.answer(page(false));
       shards.lose();
     },
@@ -218,28 +221,28 @@
   },
 ];
 
-/** Runs a scene on virtual time; returns the claims that log lines named after they were lost. */
-const play = async (scene: (shards: ShardsInTest) => Promise<void>): Promise<void> => {
+/** Runs a scenario on virtual time, and records log lines that name a claim after it was lost. */
+const runScenario = async (scenario: (shards: HeldShardsHarness) => Promise<void>): Promise<void> => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_000 });
-  const shards = new ShardsInTest();
+  const shards = new HeldShardsHarness();
   const info = mock.method(log, 'info', (line: { event: string; claim?: number }) => {
     const { event, claim } = line;
     if (claim !== undefined && claim !== shards.claim && event !== 'shard.lost')
-      shards.late.push({ claim, what: event });
+      shards.late.push({ claim, action: event });
   });
   try {
-    await scene(shards);
+    await scenario(shards);
   } finally {
     shards.shards.stop();
-    await turns();
+    await runEventLoopTurns();
     info.mock.restore();
     mock.timers.reset();
   }
 };
 
 for (const { name, lose, loaded } of losses) {
-  test(`held shards: a claim lost ${name} leaves nothing behind`, async () => {
-    await play(async (shards) => {
+  test(`held shards: a shard whose claim is lost ${name} stops completely`, async () => {
+    await runScenario(async (shards) => {
       shards.take(FIRST_CLAIM);
       await lose(shards);
       await shards.answerAll();
@@ -250,15 +253,15 @@
     });
   });
 
-  test(`held shards: ten claims, each lost ${name}, then one that stays`, async () => {
-    await play(async (shards) => {
-      for (let time = 0; time < TIMES; time += 1) {
-        shards.take(FIRST_CLAIM + time);
+  test(`held shards: ten claims, each lost ${name}, followed by one that is kept`, async () => {
+    await runScenario(async (shards) => {
+      for (let index = 0; index < LOST_CLAIMS; index += 1) {
+        shards.take(FIRST_CLAIM + index);
         await lose(shards);
       }
-      const last = FIRST_CLAIM + TIMES;
+      const last = FIRST_CLAIM + LOST_CLAIMS;
       shards.take(last);
-      await turns();
+      await runEventLoopTurns();
       await shards.answerAll();
       await advance(SEVERAL_ROUNDS_MS);
       assert.deepEqual(shards.late, []);
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -1,7 +1,7 @@
 /**
- * The lifecycle of the shards that this process holds. Owns the map of running shards, one for each
- * claim revision of this process; the change dispatcher tells it of claims, the other subsystems find shards
- * here.
+ * The lifecycle of the shards that this process holds. Owns the map of running shards, one for each claim
+ * revision of this process. The change dispatcher reports changes of claims; the other subsystems look up
+ * shards here.
  */
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
@@ -14,17 +14,17 @@
 import { parseShardId } from '../kv-store/keys.js';
 import { supervise } from './supervise.js';
 
-/** What the lifecycle of shards needs of the rest of the controller. */
+/** What the lifecycle of shards needs from the rest of the controller. */
 export interface HeldShardsDependencies {
   readonly shardCount: number;
   readonly leases: Pick<LeaseManager, 'heldClaimRevision' | 'actingClaimRevision'>;
   /** Creates the shard for the claim with this revision. */
   readonly create: (shardId: number, claim: number) => Shard;
-  /** Called once a shard is taken: what its jobs depend on is to be evaluated anew. */
+  /** Called when a shard is taken, so that the dependencies of its jobs are evaluated again. */
   readonly onTaken: () => void;
 }
 
-/** A shard whose runs are read, with the revision of its claim. */
+/** A shard whose runs have been read, with the revision of its claim. */
 export interface LoadedShard {
   readonly shardId: number;
   readonly claim: number;
@@ -41,7 +41,10 @@
 
   constructor(private readonly dependencies: HeldShardsDependencies) {}
 
-  /** A claim changed; a `Shard` lives as long as this process's claim with that very revision. */
+  /**
+   * Starts and stops the shard of a claim that changed. A `Shard` exists as long as this process holds the
+   * claim with exactly the same revision.
+   */
   onClaimChanged(claimName: string): void {
     const shardId = parseShardId(claimName);
     if (shardId === null || shardId >= this.dependencies.shardCount) return;
@@ -65,40 +68,45 @@
     log.info({ event: 'shard.taken', shardId, claim });
   }
 
-  /** Does this process hold the shard, as far as the shared keys show? */
+  /** Whether this process holds the shard according to the watch cache. */
   isHeld(shardId: number): boolean {
     return this.running.has(shardId);
   }
 
-  /** The shard, if this process may act for it now. */
+  /** Returns the shard if this process may act for it now, else null. */
   actingShard(shardId: number): Shard | null {
     const claim = this.dependencies.leases.actingClaimRevision(String(shardId));
     const shard = this.running.get(shardId)?.shard;
     return claim !== null && shard?.claim === claim && shard.stage !== 'lost' ? shard : null;
   }
 
-  /** Applies an action to each shard held, in the order in which they were taken. */
+  /** Calls the action for each shard that this process holds, in the order in which the shards were taken. */
   forEach(action: (shard: Shard) => void): void {
     for (const { shard } of this.running.values()) action(shard);
   }
 
-  /** Puts a cancellation to a shard held here; false: this process does not hold it under that very claim. */
+  /**
+   * Passes a cancellation to its shard; false: this process does not hold the shard under the claim of the
+   * cancellation.
+   */
   acknowledge({ shardId, claim, job, revision }: Cancellation): boolean {
     const shard = this.running.get(shardId)?.shard;
     return shard?.claim === claim && shard.acknowledge(job, revision);
   }
 
-  /** The summaries of the shards that this process may act for. */
+  /** Returns the summaries of the shards that this process may act for. */
   ownSummaries(): readonly ShardSummary[] {
     return [...this.running.keys()].flatMap((shardId) => this.actingShard(shardId)?.summary ?? []);
   }
 
-  /** Task counts of the jobs of the shards held, as heartbeats carry them. */
+  /**
+   * Returns the task counts of the jobs in the shards that this process holds, in the form of a heartbeat.
+   */
   taskCounts(): PeerHeartbeat['counts'] {
     return [...this.running].map(([shardId, { shard }]) => ({ shardId, jobs: shard.allTaskCounts() }));
   }
 
-  /** The shards that this process may act for and whose runs are read. */
+  /** Returns the shards that this process may act for and whose runs have been read. */
   loaded(): readonly LoadedShard[] {
     return [...this.running.keys()].flatMap((shardId) => {
       const shard = this.actingShard(shardId);
@@ -106,7 +114,7 @@
     });
   }
 
-  /** Ends all shards. */
+  /** Stops all shards. */
   stop(): void {
     for (const { shard, fiber } of this.running.values()) {
       shard.markLost();
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,7 +1,7 @@
 /**
- * What the leader does and how its decisions reach the shards: the leader itself, the relay through the
- * key-value store, transfers and reservations. Every controller has all of it; the leader acts only while
- * this controller leads.
+ * The leader and the subsystems that carry its decisions to the shards: the relay through the key-value
+ * store, transfers and reservations. Every controller has all of them; the leader acts only while this
+ * controller holds the leadership.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
@@ -18,19 +18,22 @@
 import { collectSummaries } from './summaries.js';
 import { Transfers } from './transfers.js';
 
-/** What the leader does and how its decisions reach the shards. */
+/** The leader and the subsystems that carry its decisions to the shards. */
 export interface Leadership {
   readonly leader: Leader;
   readonly relay: KeyValueStoreRelay;
   readonly transfers: Transfers;
   readonly reservations: Reservations;
-  /** Has the leader adopt the unknown machine of a heartbeat; false: this controller does not lead. */
+  /**
+   * Passes a machine without a record, from a worker heartbeat, to the leader for adoption; false: this
+   * controller is not the leader.
+   */
   readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
 /**
- * The summaries of the shards held here while the leader is another controller that can't be reached; else
- * none.
+ * Returns the summaries of the shards held here while the leader is another controller from which no recent
+ * heartbeat was received; else none.
  */
 const summariesToRelay = (
   { deployment }: ControllerContext,
@@ -38,9 +41,9 @@
   shards: HeldShards,
 ): readonly ShardSummary[] => {
   const leader = leaderNode();
-  const relayed =
+  const leaderUnreachable =
     leader !== undefined && leader !== deployment.self.node && peers.recentHeartbeat(leader) === null;
-  return relayed ? shards.ownSummaries() : [];
+  return leaderUnreachable ? shards.ownSummaries() : [];
 };
 
 const createCloud = ({ settings, ports, deployment, clocks }: ControllerContext): Cloud =>
@@ -52,7 +55,7 @@
     ports.createHttpClient,
   );
 
-/** `transfers` is first called once the controller runs. */
+/** Creates the relay; `transfers` is first called once the controller runs. */
 const createRelay = (
   context: ControllerContext,
   coordination: Coordination,
@@ -65,7 +68,7 @@
     now: context.clocks.steady,
     leaderClaim: () => coordination.leases.claim(LEADER_CLAIM)?.revision ?? null,
     summariesToRelay: () => summariesToRelay(context, coordination, shards),
-    transferMachines: (shardId, ordered) => void transfers().carryOut(shardId, ordered),
+    transferMachines: (shardId, machineTransfers) => void transfers().carryOut(shardId, machineTransfers),
   });
 
 /** Creates the leadership of one controller. */
@@ -99,7 +102,7 @@
     catalog: storeAccess.catalog,
     actingRevision: () => leases.actingClaimRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
-    orderTransfers: (from, transferred, permit) => transfers.order(from, transferred, permit),
+    orderTransfers: (from, machineTransfers, permit) => transfers.order(from, machineTransfers, permit),
     now: clocks.steady,
     wall: clocks.wall,
   });
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -1,17 +1,17 @@
-/** The controller's interface to its process: what it is given, and what it offers. No state. */
+/** The interface between the controller and its process: what each provides to the other. No state. */
 import type * as Effect from 'effect/Effect';
 import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http/model.js';
 import type { DirectCommands } from '../workers/worker-client.js';
 
-/** What a controller needs of the world outside; tests put stand-ins here. */
+/** What a controller needs from its process; tests pass stand-ins. */
 export interface Ports {
-  /** ms, steady. */
+  /** The steady clock (ms). */
   readonly now: () => number;
-  /** ms since the epoch. */
+  /** The time of day (ms since the epoch). */
   readonly wall: () => number;
-  /** ms of processor time that this process has used. */
+  /** The processor time that this process has used (ms). */
   readonly processorMs: () => number;
-  /** Differs for every process that ever runs as this controller. */
+  /** An id that is different for every process that ever runs as this controller. */
   readonly incarnation: string;
   readonly createHttpClient: HttpClientFactory;
   readonly workerClient: DirectCommands;
@@ -19,11 +19,11 @@
 
 /** A composed controller. */
 export interface Controller {
-  /** Users, workers and health checks. */
+  /** Answers requests on the API address: of users, operators, workers and health checks. */
   readonly route: (call: ServerRequest) => Promise<ServerResponse>;
-  /** The other controllers. */
+  /** Answers requests on the peer address: of the other controllers. */
   readonly peerRoute: (call: ServerRequest) => Promise<ServerResponse>;
   readonly run: Effect.Effect<unknown>;
-  /** Ends the shards, which have fibers of their own. */
+  /** Stops the shards, which have fibers of their own. */
   readonly stop: () => void;
 }
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -1,5 +1,6 @@
 /**
- * Finds the leader's reservations. No state; heartbeats announce them, shards leave reserved machines alone.
+ * Looks up the reservations of the leader. No state; heartbeats announce the reservations, and shards keep
+ * reserved machines free.
  */
 import type { Leader } from '../fleet/leader.js';
 import type { Reservation } from '../fleet/reservation.js';
@@ -7,7 +8,7 @@
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { Coordination } from './coordination.js';
 
-/** Where reservations come from. */
+/** The sources of reservations. */
 export interface ReservationSources {
   readonly coordination: Pick<Coordination, 'leaderNode' | 'mayLead'>;
   readonly leader: Pick<Leader, 'reservations'>;
@@ -15,17 +16,18 @@
   readonly relay: Pick<KeyValueStoreRelay, 'reservations'>;
 }
 
-/** The reservations of whichever controller leads. */
+/** The reservations of the current leader. */
 export class Reservations {
   constructor(private readonly sources: ReservationSources) {}
 
-  /** What this controller announces; nothing unless it leads. */
+  /** Returns the reservations that this controller announces; empty unless this controller is the leader. */
   announced(): readonly Reservation[] {
     return this.sources.coordination.mayLead() ? this.sources.leader.reservations : [];
   }
 
   /**
-   * What a shard held here must leave free: from the leader's heartbeat, or relayed while none comes.
+   * Returns the reservations that a shard held here must keep free: from the leader's heartbeat, or from the
+   * relay through the key-value store while there is no recent heartbeat.
    */
   forShard(shardId: number): readonly Reservation[] {
     const { coordination, leader, peers, relay } = this.sources;
--- a/src/controller/route-codec.ts
+++ b/src/controller/route-codec.ts
@@ -1,6 +1,8 @@
-/** Paths of requests on the API address. Workers' agents and users' tools know them; they are fixed. */
+/** The paths of requests on the API address. They are fixed, since workers and users' tools use them. */
 
-/** Where workers send their heartbeats. */
+/** The path to which workers send their heartbeats. */
 export const WORKER_HEARTBEAT_PATH = '/hello';
-/** Health check: answered with 200 by a controller that is ready for users' requests, else with 503. */
+/**
+ * The path of the health check. The status is 200 if the controller is ready for users' requests, else 503.
+ */
 export const READINESS_PATH = '/ready';
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -1,7 +1,4 @@
-/**
- * Routes requests on the API address to the subsystem that answers them. Holds no state; `start.ts` serves
- * it.
- */
+/** Routes requests on the API address to the subsystem that answers them. No state; `start.ts` serves it. */
 import * as Effect from 'effect/Effect';
 import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from '../constants/users-api.js';
 import type { DutiesApi } from '../duties/admin-api.js';
@@ -10,9 +7,9 @@
 import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import { READINESS_PATH, WORKER_HEARTBEAT_PATH } from './route-codec.js';
 
-/** What requests on the API address are routed to. */
+/** The subsystems to which requests on the API address are routed. */
 export interface RouterDependencies {
-  /** Does this controller take users' requests at least as well as the others? */
+  /** Whether this controller can answer users' requests at least as well as the other controllers. */
   readonly ready: () => boolean;
   readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
   readonly users: Pick<UsersApi, 'handle'>;
@@ -20,7 +17,8 @@
 }
 
 /**
- * Bounds a user's call. One timer a call: a fiber for each that only waits would cost more than most answers.
+ * Answers a user's call with status 503 if the reply takes longer than `USER_CALL_TIMEOUT_MS`. Uses one timer
+ * for each call, since an additional fiber that only waits would cost more than most replies.
  */
 const withinTimeout = (reply: Effect.Effect<ServerResponse>): Promise<ServerResponse> =>
   new Promise((resolve, reject) => {
@@ -37,8 +35,8 @@
   });
 
 /**
- * Routes requests on the API address: health checks, workers' heartbeats, users' calls, operators' reading
- * calls.
+ * Creates the handler of requests on the API address: health checks, worker heartbeats, users' calls, and
+ * operators' read-only calls.
  */
 export const createRouter = (
   dependencies: RouterDependencies,
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the context of one shard: what it needs of the rest of the controller. No state; called when a shard
- * is taken.
+ * Creates the context of one shard, which holds what the shard needs from the rest of the controller. No
+ * state; called when a shard is taken.
  */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { releaseWithoutIntent } from '../duties/release-without-intent.js';
@@ -12,7 +12,7 @@
 import type { Coordination } from './coordination.js';
 import type { Leadership } from './leadership.js';
 
-/** The subsystems that a shard works with. */
+/** The subsystems that a shard uses. */
 export interface ShardSubsystems {
   readonly context: ControllerContext;
   readonly coordination: Coordination;
@@ -20,11 +20,11 @@
   readonly bootBoundTypes: BootBoundTypes;
   readonly pipelines: Pipelines;
   readonly spareElsewhere: ShardContext['spareElsewhere'];
-  /** Built after the shards. */
+  /** Returns the leadership, which is created after the shards. */
   readonly leadership: () => Leadership;
 }
 
-/** What depends on the shard and its claim; the rest is the same for all shards. */
+/** The fields that depend on the shard and its claim. All other fields are the same for all shards. */
 type ClaimContext = Pick<
   ShardContext,
   'mayAct' | 'reservations' | 'sendCommands' | 'releaseNow' | 'cleanUp' | 'onLoaded'
@@ -37,7 +37,8 @@
   return {
     mayAct,
     reservations: () => leadership().reservations.forShard(shardId),
-    // Asked for at the very moment of sending: this process may have stood still since the decision.
+    // `mayAct` is checked again directly before sending, since this process may have been paused after the
+    // decision.
     sendCommands: (addr, token, agentEpoch, commands) =>
       mayAct()
         ? context.ports.workerClient.send(addr, token, agentEpoch, commands)
@@ -60,7 +61,7 @@
   };
 };
 
-/** Everything that the shard needs for as long as its claim has this revision. */
+/** Creates the context that a shard uses for as long as its claim has this revision. */
 export const createShardContext = (
   subsystems: ShardSubsystems,
   shardId: number,
--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -1,6 +1,6 @@
 /**
- * The shards that this process holds and what they use in common: pipelines of jobs, and machine
- * types that some work depends on. Built by the composition root.
+ * The shards that this process holds and the subsystems that they share: pipelines of jobs, scarce machine
+ * types and boot-bound machine types. Created by the composition root.
  */
 import { BootBoundTypes } from '../fleet/boot-bound-types.js';
 import { ScarceTypes } from '../fleet/scarce-types.js';
@@ -15,7 +15,7 @@
 import { hasSpareElsewhere } from './spare-capacity.js';
 import { directSummaries } from './summaries.js';
 
-/** The shards held here and what they use in common. */
+/** The shards that this process holds and the subsystems that they share. */
 export interface Sharding {
   readonly shards: HeldShards;
   readonly pipelines: Pipelines;
--- a/src/controller/spare-capacity.ts
+++ b/src/controller/spare-capacity.ts
@@ -1,16 +1,17 @@
 /**
- * Whether other shards have free machines for a job. No state; shards ask before they preempt for the job.
+ * Determines whether other shards have free machines for a job. No state; a shard calls it before it preempts
+ * tasks for the job.
  */
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import { fitsIn, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 
-/** What the answer depends on. */
+/** The sources of the information on which the result depends. */
 export interface SpareCapacitySources {
   readonly summaries: () => readonly ShardSummary[];
   readonly catalog: () => Catalog | null;
 }
 
-/** Has a shard other than this one a spare machine that one task of the job fits on? */
+/** Whether a shard other than this one has a spare machine on which one task of the job fits. */
 export const hasSpareElsewhere = (sources: SpareCapacitySources, shardId: number, spec: JobSpec): boolean => {
   const catalog = sources.catalog();
   return sources
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -1,4 +1,4 @@
-/** Starts a composed controller as this process: real clocks and sockets, and the two listening addresses. */
+/** Starts a controller in this process, with real clocks and sockets, and listens on its two addresses. */
 import { randomUUID } from 'node:crypto';
 import * as Effect from 'effect/Effect';
 import {
@@ -23,19 +23,19 @@
 
 const MICROSECONDS_PER_MS = 1_000;
 
-/** Connections that the API address may hold open. */
+/** Returns the maximum number of open connections on the API address. */
 const apiConnections = (settings: Settings): number =>
   Math.floor(settings.facts.quota.fd_limit * INCOMING_SOCKET_FRACTION);
 
-/** Connections that the peer address may hold open. */
+/** Returns the maximum number of open connections on the peer address. */
 const peerConnections = (settings: Settings): number =>
   (readPeerAddresses(settings).length + 1) * MAX_INCOMING_SOCKETS_PER_NODE;
 
-/** Connections that this process may hold open to workers. */
+/** Returns the maximum number of open connections from this process to workers. */
 const workerConnections = (settings: Settings): number =>
   Math.floor(settings.facts.quota.fd_limit * WORKER_CLIENT_SOCKET_FRACTION);
 
-/** The ports of a real process. */
+/** Creates the ports of a real process. */
 const processPorts = (settings: Settings): Ports => ({
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -51,7 +51,7 @@
 const logFailedRequest = (error: unknown): void =>
   log.error({ event: 'http.request_failed', error: String(error) });
 
-/** Runs one controller as this process. */
+/** Runs one controller in this process. */
 export const start = async (
   settings: Settings,
   features: Features,
--- a/src/controller/store-access.ts
+++ b/src/controller/store-access.ts
@@ -1,6 +1,6 @@
 /**
- * This controller's access to the key-value store: the client, the copy of the shared keys, and what is read
- * through them. Owns these objects; built once by the context and used by every subsystem.
+ * This controller's access to the key-value store: the client, the watch cache of the shared keys, and the
+ * readers that use them. Owns these objects; created once by the context and used by every subsystem.
  */
 import { CatalogView } from '../fleet/catalog-view.js';
 import { parseTarget, type HttpClientFactory } from '../http/model.js';
@@ -17,13 +17,13 @@
   readonly cache: WatchCache;
   readonly linearizableReads: LinearizableReads;
   readonly finalRecords: FinalRecordCache;
-  /** The catalog of machine types; null: not known yet. */
+  /** Returns the catalog of machine types; null: it is not known yet. */
   readonly catalog: () => Catalog | null;
-  /** ms since the key-value store last answered this controller. */
+  /** Returns the time since the key-value store last answered this controller (ms). */
   readonly msSinceAnswered: () => number;
 }
 
-/** Where the key-value store is, and how it is reached. */
+/** The address of the key-value store and the means to connect to it. */
 export interface StoreAccessOptions {
   readonly address: string;
   readonly deployment: Deployment;
@@ -31,7 +31,9 @@
   readonly createHttpClient: HttpClientFactory;
 }
 
-/** Creates the client and the copy of the shared keys; the copy is filled once its `run` is started. */
+/**
+ * Creates the client and the watch cache; the watch cache loads the shared keys once its `run` is started.
+ */
 export const createStoreAccess = (options: StoreAccessOptions): StoreAccess => {
   const { deployment, leaseClock } = options;
   const store = new KeyValueStore(
--- a/src/controller/subsystems.ts
+++ b/src/controller/subsystems.ts
@@ -1,7 +1,4 @@
-/**
- * The subsystems of one controller, as the composition root hands them on once all are built. No state of its
- * own.
- */
+/** The subsystems of one controller, which the composition root passes on once all are created. No state. */
 import type { WorkerHeartbeatHandler } from '../workers/heartbeat-handler.js';
 import type { Cancellations } from './cancellations.js';
 import type { ControllerContext } from './context.js';
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -1,14 +1,14 @@
-/** What the leader knows of each shard. No state; the leader asks for it with each plan. */
+/** Collects the summaries of all shards for the leader. No state; the leader calls it for each plan. */
 import type { LeaseManager } from '../claims/lease-manager.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { PeerView } from '../peers/peer-view.js';
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
-/** Matches the claim of no summary. */
+/** A claim revision that matches no summary. */
 const NO_CLAIM = -1;
 
-/** Where summaries come from. */
+/** The sources of summaries. */
 export interface SummarySources {
   readonly shardCount: number;
   readonly leases: Pick<LeaseManager, 'claim'>;
@@ -17,7 +17,7 @@
   readonly relay: Pick<KeyValueStoreRelay, 'summary'>;
 }
 
-/** The summaries that need no relay: of the shards held here, and in the recent heartbeats of peers. */
+/** Returns the summaries of the shards held here and those in the recent heartbeats of peers. */
 export const directSummaries = ({
   shards,
   peers,
@@ -26,7 +26,7 @@
   ...peers.summaries(),
 ];
 
-/** One summary a shard, as far as there is one: relayed where it does not come directly. */
+/** Returns the summary of each shard that has one; a relayed summary only where there is no direct one. */
 export const collectSummaries = (sources: SummarySources): readonly ShardSummary[] => {
   const { leases, relay } = sources;
   const direct = directSummaries(sources);
--- a/src/controller/supervise.ts
+++ b/src/controller/supervise.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps the subsystems of a controller running. No state; the composition root and the shards' lifecycle use
- * it.
+ * Keeps the subsystems of a controller running. No state; called by the composition root and by the lifecycle
+ * of the shards.
  */
 import * as Cause from 'effect/Cause';
 import * as Effect from 'effect/Effect';
 import { SUPERVISED_RESTART_DELAY_MS } from '../constants/supervision.js';
 import { log } from '../log.js';
 
-/** A subsystem that fails by a defect is started again: one broken decision must not end the process. */
+/** Restarts a subsystem that fails, after a pause, so that one defect does not end the process. */
 export const supervise = <A>(name: string, effect: Effect.Effect<A>): Effect.Effect<A> =>
   Effect.catchCause(effect, (cause) => {
     log.error({ event: 'supervisor.subsystem_failed', name, cause: Cause.pretty(cause) });
@@ -17,7 +17,7 @@
     );
   });
 
-/** Runs all subsystems concurrently, started in the order given, each supervised under its name. */
+/** Runs all subsystems concurrently, each supervised under its name. Starts them in the given order. */
 export const superviseAll = (
   subsystems: Readonly<Record<string, Effect.Effect<unknown>>>,
 ): Effect.Effect<unknown> =>
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -1,6 +1,7 @@
 /**
- * Transfers of free machines between shards. The leader orders them, the present holder of a machine's shard
- * carries them out, since only it can do so without a bind in between. No state.
+ * Transfers of free machines between shards. The leader orders transfers. The current holder of a machine's
+ * shard carries them out, since only the holder can ensure that no task is bound to the machine in the
+ * meantime. No state.
  */
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -14,16 +15,16 @@
 import type { KeyValueStoreRelay } from '../peers/store-relay.js';
 import type { HeldShards } from './held-shards.js';
 
-/** What transfers need of the rest of the controller. */
+/** What transfers need from the rest of the controller. */
 export interface TransfersDependencies {
-  /** This controller's name. */
+  /** The name of this controller. */
   readonly node: string;
   readonly shards: Pick<HeldShards, 'actingShard'>;
   readonly leases: Pick<LeaseManager, 'claim'>;
   readonly peers: Pick<PeerView, 'recentHeartbeat'>;
   readonly peerNetwork: Pick<PeerNetwork, 'request'>;
   readonly relay: Pick<KeyValueStoreRelay, 'relayOrders'>;
-  /** The leader's reservations, which relayed orders carry too. */
+  /** Returns the leader's reservations, which relayed orders include. */
   readonly reservations: () => readonly Reservation[];
 }
 
@@ -31,7 +32,7 @@
 export class Transfers {
   constructor(private readonly dependencies: TransfersDependencies) {}
 
-  /** Has the holder of a shard carry out the leader's transfers from it. */
+  /** Orders the holder of a shard to carry out the leader's transfers from that shard. */
   order(from: number, transfers: readonly MachineTransfer[], permit: Permit): Effect.Effect<unknown> {
     const { node, leases, peers, peerNetwork, relay } = this.dependencies;
     const shard = this.dependencies.shards.actingShard(from);
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Carries out transfers from a shard held here; false: they were not, or this process may not act for the
-   * shard.
+   * Carries out transfers from a shard held here; false: no machine was transferred, or this process may not
+   * act for the shard.
    */
   async carryOut(from: number, transfers: readonly MachineTransfer[]): Promise<boolean> {
     return (await this.dependencies.shards.actingShard(from)?.transferMachines(transfers)) ?? false;
