--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -1,7 +1,7 @@
 /**
- * The interface of the rest of the controller to this controller's lease and to all claims: which process
- * holds each claim, and which claims this process may act on. Has no state apart from its two parts,
- * `lease-renewal.ts` (the lease) and `claim-reconciler.ts` (the claims).
+ * Provides the state of this controller's lease and of all claims to the rest of the controller: which
+ * process holds each claim, and which claims this process may act on. Its only state is that of its two
+ * parts, `lease-renewal.ts` (the lease) and `claim-reconciler.ts` (the claims).
  */
 import * as Effect from 'effect/Effect';
 import type { KeyValueStore } from '../kv-store/client.js';
--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -81,7 +81,7 @@
     showClaim,
     removeClaim: (claimName: string, version: number): void =>
       cache.apply({ _tag: 'delete', key: claimKey(claimName), version }),
-    /** Advances the time so that the lease is renewed, or found to have ended and requested anew. */
+    /** Advances the time until the lease is renewed, or is found to have ended and a new one is requested. */
     renew: async (): Promise<void> => {
       mock.timers.tick(SHARD_LEASE_RENEWAL_INTERVAL_MS);
       await runEventLoopTurns();
--- a/src/controller/address-codec.ts
+++ b/src/controller/address-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the names and addresses of this controller and of its peers from the settings file, whose field names
- * are fixed. No state.
+ * Reads the names and addresses of this controller and of its peers from the settings, whose field names are
+ * fixed. No state.
  */
 import type { PeerAddress } from '../peers/peer-client.js';
 import type { Settings } from '../settings/schema.js';
