--- a/src/controller/held-shards.test.ts
+++ b/src/controller/held-shards.test.ts
@@ -93,7 +93,7 @@
       reservations: () => [],
       sendCommands: () => Promise.resolve({ _tag: 'refused', heartbeat: null }),
       releaseNow: () => Promise.resolve(false),
-      cleanUp: null,
+      cleanUpDuty: null,
       catalog: () => null,
       scarceDemand: () => null,
       isBootBound: () => false,
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -91,7 +91,7 @@
    */
   acknowledge({ shardId, claim, job, revision }: Cancellation): boolean {
     const shard = this.running.get(shardId)?.shard;
-    return shard?.claim === claim && shard.acknowledge(job, revision);
+    return shard?.claim === claim && shard.acknowledgeCancellation(job, revision);
   }
 
   /** Returns the summaries of the shards that this process may act for. */
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -56,7 +56,7 @@
         },
         machines,
       ),
-    cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    cleanUpDuty: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
     onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
@@ -88,7 +88,7 @@
     now: clocks.steady,
     processorMs: ports.processorMs,
     wall: clocks.wall,
-    onFinalRecord: (job, final) => pipelines.settle(job, final),
+    onFinalRecord: (job, final) => pipelines.onFinalRecord(job, final),
     readiness: (job) => pipelines.readiness(job),
     effectivePriority: (job) => pipelines.effectivePriority(job),
     notifyLeader: () => coordination.peerNetwork.notifyLeader(),
