--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -26,7 +26,7 @@
 
 /** What the registry needs of its controller. */
 export interface DutyRegistryDependencies {
-  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'ownRevision' | 'actingRevision'>;
+  readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'heldClaimRevision' | 'actingClaimRevision'>;
   /** ms since the epoch. */
   readonly timeOfDay: () => number;
   /** Refuses late effects; else they are only recorded in the audit. */
