--- a/src/fleet/active-reservations.ts
+++ b/src/fleet/active-reservations.ts
@@ -21,7 +21,7 @@
   }
 
   /** The same, as old as they are now. */
-  aged(): readonly Reservation[] {
+  withCurrentAges(): readonly Reservation[] {
     const elapsedMs = this.now() - this.updatedAt;
     return this.current.map((reservation) => ({ ...reservation, ageMs: reservation.ageMs + elapsedMs }));
   }
@@ -42,7 +42,7 @@
         !planned.some((reservation) => reservation.zone === zone),
     );
     const next = [...planned, ...withoutSummary];
-    for (const reservation of next) if (!this.has(reservation)) logBegin(reservation);
+    for (const reservation of next) if (!this.has(reservation)) logReservation(reservation);
     this.current = next;
     this.updatedAt = this.now();
   }
@@ -56,6 +56,6 @@
   }
 }
 
-const logBegin = (reservation: Reservation): void => {
+const logReservation = (reservation: Reservation): void => {
   log.info({ event: 'reservation.begun', ...reservation });
 };
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -35,9 +35,9 @@
 /** State: when the machine list was last read. */
 export class Adopter {
   /** ms, by the steady clock. */
-  private listedAt = 0;
+  private listReadAt = 0;
 
-  constructor(private readonly input: AdopterDependencies) {}
+  constructor(private readonly dependencies: AdopterDependencies) {}
 
   /**
    * A worker reported whose machine has no record, or the cloud lists the machine. `at`: when it was
@@ -46,62 +46,62 @@
    * a lease.
    */
   adopt(id: string, kind: MachineKind, at = 0): void {
-    const { cache, queue, scaleIn } = this.input;
-    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.wasReleased(id)) return;
-    queue.add(id, newMachineRecord(this.smallestShard(kind), kind, at));
+    const { cache, queue, scaleIn } = this.dependencies;
+    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.wasRecentlyReleased(id)) return;
+    queue.add(id, newMachineRecord(this.leastPopulatedShard(kind), kind, at));
   }
 
-  private smallestShard({ type, zone, spot }: MachineKind): number {
+  private leastPopulatedShard({ type, zone, spot }: MachineKind): number {
     let best = 0;
-    let least = Number.POSITIVE_INFINITY;
-    for (let shardId = 0; shardId < this.input.shardCount; shardId += 1) {
+    let leastWeight = Number.POSITIVE_INFINITY;
+    for (let shardId = 0; shardId < this.dependencies.shardCount; shardId += 1) {
       const weight =
-        this.input.machines.shards.weight(shardId, type, zone, spot) +
-        this.input.queue.counts.weight(shardId, type, zone, spot);
-      if (weight >= least) continue;
-      least = weight;
+        this.dependencies.machines.shards.weight(shardId, type, zone, spot) +
+        this.dependencies.queue.counts.weight(shardId, type, zone, spot);
+      if (weight >= leastWeight) continue;
+      leastWeight = weight;
       best = shardId;
     }
     return best;
   }
 
   /** Writes the records of machines that wait for them. */
-  readonly recordWaiting: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    const permit = this.input.duty.begin('machine record');
+  readonly recordQueuedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+    const permit = this.dependencies.duty.begin('machine record');
     if (permit === null) return;
     // Each unknown worker reports to all controllers once a second until it is recorded, so all that fit go
     // at once, on credit of the request rate.
-    const batch = this.input.queue.take(this.input.store.maxTransactionWrites);
-    const unrecorded = batch.filter(({ id }) => this.input.cache.get(machineKey(id)) === undefined);
+    const batch = this.dependencies.queue.take(this.dependencies.store.maxTransactionWrites);
+    const unrecorded = batch.filter(({ id }) => this.dependencies.cache.get(machineKey(id)) === undefined);
     if (unrecorded.length > 0) {
-      const result = yield* this.input.recorder.record(permit, unrecorded);
+      const result = yield* this.dependencies.recorder.record(permit, unrecorded);
       log.info({ event: 'machine.adopted', machines: unrecorded.map(({ id }) => id), result });
     }
     permit.end();
   });
 
   /** Adopts listed machines that have had no record for longer than the list may be late. */
-  readonly adoptFromList: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    const now = this.input.now();
-    if (now - this.listedAt < MACHINE_LIST_INTERVAL_MS) return;
-    this.listedAt = now;
-    const listed = yield* this.readList;
+  readonly adoptListedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+    const now = this.dependencies.now();
+    if (now - this.listReadAt < MACHINE_LIST_INTERVAL_MS) return;
+    this.listReadAt = now;
+    const listed = yield* this.readMachineList;
     if (listed === null) return;
-    const lagS = this.input.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
-    this.input.scaleIn.forgetReleasesOlderThan(lagS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
+    const minAgeS = this.dependencies.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
+    this.dependencies.scaleIn.forgetReleasesOlderThan(minAgeS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
     for (const { id, type, zone, spot, ageS } of listed) {
-      if (ageS >= lagS) this.adopt(id, { type, zone, spot }, this.input.wall() - ageS * 1_000);
+      if (ageS >= minAgeS) this.adopt(id, { type, zone, spot }, this.dependencies.wall() - ageS * 1_000);
     }
   });
 
   /** All pages of the machine list; null: one could not be read. */
-  private readonly readList: Effect.Effect<readonly ListedMachine[] | null> = Effect.gen(
+  private readonly readMachineList: Effect.Effect<readonly ListedMachine[] | null> = Effect.gen(
     { self: this },
     function* () {
       const listed: ListedMachine[] = [];
       let after: string | null = null;
       for (;;) {
-        const page: MachinePageResult = yield* this.input.cloud.page(after);
+        const page: MachinePageResult = yield* this.dependencies.cloud.listMachines(after);
         if (page._tag === 'failed') return null;
         listed.push(...page.machines);
         const last = page.machines.at(-1);
--- a/src/fleet/adoption-queue.ts
+++ b/src/fleet/adoption-queue.ts
@@ -22,10 +22,10 @@
   }
 
   /** Takes out the first few. */
-  take(most: number): readonly NewMachine[] {
+  take(limit: number): readonly NewMachine[] {
     const batch: NewMachine[] = [];
     for (const [id, record] of this.waiting) {
-      if (batch.length >= most) break;
+      if (batch.length >= limit) break;
       batch.push({ id, record });
     }
     for (const { id } of batch) this.remove(id);
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -7,33 +7,36 @@
 /** A pause, in ms; `at` is its end by the steady clock. */
 interface Pause {
   readonly at: number;
-  readonly spanMs: number;
+  readonly durationMs: number;
 }
 
 /** State: the refused kinds, and until when they are not asked for. */
 export class CapacityRefusals {
-  private readonly until = new Map<string, Pause>();
+  private readonly pauses = new Map<string, Pause>();
 
   constructor(private readonly now: () => number) {}
 
   /** There was no capacity, or less than asked for: repeated refusals double the pause. */
   recordRefusal(kind: string): void {
-    const before = this.until.get(kind);
-    const spanMs = Math.min(MAX_NO_CAPACITY_PAUSE_MS, before ? before.spanMs * 2 : NO_CAPACITY_PAUSE_MS);
-    this.until.set(kind, { at: this.now() + spanMs, spanMs });
+    const previous = this.pauses.get(kind);
+    const durationMs = Math.min(
+      MAX_NO_CAPACITY_PAUSE_MS,
+      previous ? previous.durationMs * 2 : NO_CAPACITY_PAUSE_MS,
+    );
+    this.pauses.set(kind, { at: this.now() + durationMs, durationMs });
   }
 
   /** The call failed, which says nothing about capacity. */
   recordFailure(kind: string): void {
-    this.until.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, spanMs: NO_CAPACITY_PAUSE_MS / 2 });
+    this.pauses.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, durationMs: NO_CAPACITY_PAUSE_MS / 2 });
   }
 
   /** There is capacity, or some was released. */
   clear(kind: string): void {
-    this.until.delete(kind);
+    this.pauses.delete(kind);
   }
 
   isRefused(kind: string): boolean {
-    return (this.until.get(kind)?.at ?? 0) > this.now();
+    return (this.pauses.get(kind)?.at ?? 0) > this.now();
   }
 }
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -11,7 +11,7 @@
 import { log } from '../log.js';
 import type { Write } from '../kv-store/model.js';
 import { CATALOG_KEY } from '../kv-store/keys.js';
-import { isStored, storeCatalog } from './catalog.js';
+import { areTypesStored, catalogWrites } from './catalog.js';
 import type { FleetDependencies } from './dependencies.js';
 
 /** What the keeper needs of the leader. */
@@ -28,53 +28,55 @@
 /** State: when the cloud was last asked. */
 export class CatalogKeeper {
   /** ms, by the steady clock; 0: never. */
-  private readAt = 0;
+  private lastReadAt = 0;
 
-  constructor(private readonly input: CatalogKeeperDependencies) {}
+  constructor(private readonly dependencies: CatalogKeeperDependencies) {}
 
-  private isDue(leads: boolean): boolean {
-    const known = this.input.catalog() !== null;
-    if (!this.input.cache.ready || (known && !leads)) return false;
+  private isDue(isLeader: boolean): boolean {
+    const known = this.dependencies.catalog() !== null;
+    if (!this.dependencies.cache.ready || (known && !isLeader)) return false;
     return (
-      this.readAt === 0 ||
-      this.input.now() - this.readAt >= (known ? CATALOG_REFRESH_INTERVAL_MS : CLOUD_RETRY_DELAY_MS)
+      this.lastReadAt === 0 ||
+      this.dependencies.now() - this.lastReadAt >=
+        (known ? CATALOG_REFRESH_INTERVAL_MS : CLOUD_RETRY_DELAY_MS)
     );
   }
 
   /** Reads the cloud's catalog if it is time to, and stores it if it differs. */
   readonly refresh: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    if (!this.isDue(this.input.duty.state._tag === 'held')) return;
-    this.readAt = this.input.now();
-    const result = yield* this.input.cloud.catalog;
+    if (!this.isDue(this.dependencies.duty.state._tag === 'held')) return;
+    this.lastReadAt = this.dependencies.now();
+    const result = yield* this.dependencies.cloud.catalog;
     if (result._tag === 'failed') {
       log.info({ event: 'catalog.failed', why: result.why });
       return;
     }
-    const known = this.input.cache.get(CATALOG_KEY);
-    if (known && isStored(result.types, known, (key) => this.input.cache.get(key))) return;
-    const writes = storeCatalog(
+    const storedEntry = this.dependencies.cache.get(CATALOG_KEY);
+    if (storedEntry && areTypesStored(result.types, storedEntry, (key) => this.dependencies.cache.get(key)))
+      return;
+    const writes = catalogWrites(
       result.types,
-      this.input.valueBytes * VALUE_FILL_FRACTION,
-      this.input.store.maxTransactionWrites,
-      this.input.maySplit(),
+      this.dependencies.valueBytes * VALUE_FILL_FRACTION,
+      this.dependencies.store.maxTransactionWrites,
+      this.dependencies.maySplit(),
     );
     if (writes === null) {
       log.error({ event: 'catalog.too_long', types: result.types.length });
       return;
     }
-    yield* this.write(writes, known?.version ?? 0);
+    yield* this.write(writes, storedEntry?.version ?? 0);
   });
 
   private write(writes: readonly Write[], version: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const when = [{ key: CATALOG_KEY, version }];
-      const permit = this.input.duty.begin('catalog');
+      const permit = this.dependencies.duty.begin('catalog');
       if (permit) {
-        yield* fencedTransaction(this.input.store, permit, when, writes, 'user');
+        yield* fencedTransaction(this.dependencies.store, permit, when, writes, 'user');
         permit.end();
-      } else if (this.input.catalog() === null) {
+      } else if (this.dependencies.catalog() === null) {
         // Without a catalog no controller is ready, and there is nothing that a late copy could replace.
-        yield* this.input.store.compareAndSwap(when, writes, 'user');
+        yield* this.dependencies.store.compareAndSwap(when, writes, 'user');
       }
     });
   }
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -13,31 +13,32 @@
   type StoredPartCount,
 } from './catalog-codec.js';
 
-const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /**
  * The writes that store a catalog; null: it doesn't fit in one transaction. `bytes` bounds each value;
  * without `maySplit` the catalog is one value all the same, since controllers of an earlier version may have
  * to read it.
  */
-export const storeCatalog = (
+export const catalogWrites = (
   types: readonly MachineType[],
-  bytes: number,
+  maxValueBytes: number,
   maxTransactionWrites: number,
   maySplit: boolean,
 ): readonly Write[] | null => {
   const stored = types.map(writeMachineType);
-  if (!maySplit || bytesOf(stored) <= bytes) return [{ _tag: 'put', key: CATALOG_KEY, value: stored }];
+  if (!maySplit || jsonBytes(stored) <= maxValueBytes)
+    return [{ _tag: 'put', key: CATALOG_KEY, value: stored }];
   const parts: StoredMachineType[][] = [[]];
   let size = JSON_BRACKETS_BYTES;
   for (const type of stored) {
-    const more = bytesOf(type) + JSON_COMMA_BYTES;
-    if (size + more > bytes) {
+    const typeBytes = jsonBytes(type) + JSON_COMMA_BYTES;
+    if (size + typeBytes > maxValueBytes) {
       parts.push([]);
       size = JSON_BRACKETS_BYTES;
     }
     parts.at(-1)?.push(type);
-    size += more;
+    size += typeBytes;
   }
   if (parts.length + 1 > maxTransactionWrites) return null;
   const count: StoredPartCount = { p: parts.length };
@@ -48,33 +49,33 @@
 };
 
 /** The stored types in their stored form, or null while a part is not there yet. */
-const storedTypes = (
+const collectStoredTypes = (
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
 ): readonly StoredMachineType[] | null => {
   if (Array.isArray(entry.value)) return entry.value as StoredMachineType[];
   const types: StoredMachineType[] = [];
   for (let part = 0; part < (entry.value as StoredPartCount).p; part += 1) {
-    const found = get(catalogPartKey(part));
-    if (found?.version !== entry.version) return null;
-    types.push(...(found.value as StoredMachineType[]));
+    const partEntry = get(catalogPartKey(part));
+    if (partEntry?.version !== entry.version) return null;
+    types.push(...(partEntry.value as StoredMachineType[]));
   }
   return types;
 };
 
 /** The stored types, or null while a part is not there yet. */
-export const readStored = (
+export const readStoredTypes = (
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
-): readonly MachineType[] | null => storedTypes(entry, get)?.map(readMachineType) ?? null;
+): readonly MachineType[] | null => collectStoredTypes(entry, get)?.map(readMachineType) ?? null;
 
 /** Are exactly these types stored? What another version stored with other fields differs. */
-export const isStored = (
+export const areTypesStored = (
   types: readonly MachineType[],
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
 ): boolean => {
-  const stored = storedTypes(entry, get);
+  const stored = collectStoredTypes(entry, get);
   return stored !== null && JSON.stringify(stored) === JSON.stringify(types.map(writeMachineType));
 };
 
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -53,7 +53,7 @@
   );
 
   /** Reads the page of the machine list after this machine; null: the first page. */
-  page(after: string | null): Effect.Effect<MachinePageResult> {
+  listMachines(after: string | null): Effect.Effect<MachinePageResult> {
     return Effect.promise(async () => readMachinePage(await this.read(machinePagePath(after))));
   }
 
@@ -62,14 +62,16 @@
    */
   provision(request: ProvisioningRequest, permit: Permit): Effect.Effect<ProvisioningResult> {
     return Effect.promise(async () =>
-      readProvisioningResult(await this.act('/machines', writeProvisioningRequest(request), permit)),
+      readProvisioningResult(
+        await this.sendWithPermit('/machines', writeProvisioningRequest(request), permit),
+      ),
     );
   }
 
   /** True: by the time of the answer these machines and all on them are gone. */
   release(machines: readonly string[], permit: Permit): Effect.Effect<boolean> {
     return Effect.promise(async () =>
-      readReleased(await this.act('/machines/release', writeReleaseRequest(machines), permit)),
+      readReleased(await this.sendWithPermit('/machines/release', writeReleaseRequest(machines), permit)),
     );
   }
 
@@ -79,11 +81,11 @@
   }
 
   /** A call with an effect: the right to make it is asked for again as its bytes leave. */
-  private async act(path: string, body: unknown, permit: Permit): Promise<CallOutcome> {
+  private async sendWithPermit(path: string, body: unknown, permit: Permit): Promise<CallOutcome> {
     const { duty, token } = permit;
-    const inRate = await this.rateLimiter.take(1, 'user');
-    log.debug({ event: 'cloud.rate_answered', path, duty, token, granted: inRate });
-    if (!inRate) return RATE_EXCEEDED;
+    const withinRate = await this.rateLimiter.take(1, 'user');
+    log.debug({ event: 'cloud.rate_answered', path, duty, token, granted: withinRate });
+    if (!withinRate) return RATE_EXCEEDED;
     return this.client.request('POST', path, body, CLOUD_REQUEST_TIMEOUT_MS, () => {
       const granted = permit.mayProceed();
       log.debug({ event: 'cloud.permit_checked', path, duty, token, granted });
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -22,7 +22,7 @@
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 import type { ScalingStep } from './scaling-model.js';
-import { planSteps } from './scaling-plan.js';
+import { planScaling } from './scaling-plan.js';
 import type { ShardSummary } from './shard-summary.js';
 import { TransferOrders, type SendTransferOrder } from './transfer-orders.js';
 
@@ -59,36 +59,36 @@
   private readonly adopter: Adopter;
   private readonly catalogKeeper: CatalogKeeper;
 
-  constructor(private readonly input: LeaderDependencies) {
-    const { cache, duties, now } = input;
+  constructor(private readonly dependencies: LeaderDependencies) {
+    const { cache, duties, now } = dependencies;
     const { adoptionQueue, machines } = this;
     const refusals = (this.refusals = new CapacityRefusals(now));
-    const recorder = (this.recorder = new MachineRecorder(input.store));
+    const recorder = (this.recorder = new MachineRecorder(dependencies.store));
     this.activeReservations = new ActiveReservations(now);
     this.transfers = new TransferOrders({
       cache,
       now,
       duty: duties.leader('move'),
       machines,
-      send: input.orderTransfers,
+      send: dependencies.orderTransfers,
     });
     this.scaleOut = new ScaleOut({
-      ...input,
+      ...dependencies,
       duty: duties.leader('rent'),
       recorder,
       adoptionQueue,
       refusals,
     });
-    this.scaleIn = new ScaleIn({ ...input, duty: duties.leader('release'), machines, refusals });
+    this.scaleIn = new ScaleIn({ ...dependencies, duty: duties.leader('release'), machines, refusals });
     this.adopter = new Adopter({
-      ...input,
+      ...dependencies,
       duty: duties.leader('adopt'),
       queue: adoptionQueue,
       machines,
       recorder,
       scaleIn: this.scaleIn,
     });
-    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leader('catalog') });
+    this.catalogKeeper = new CatalogKeeper({ ...dependencies, duty: duties.leader('catalog') });
     cache.onEvent((event) => machines.onEvent(event));
   }
 
@@ -126,10 +126,10 @@
   readonly run: Effect.Effect<unknown> = Effect.suspend(() =>
     Effect.all(
       [
-        this.whileLeading(Effect.andThen(this.adopter.recordWaiting, this.carryOutPlan)),
+        this.whileLeading(Effect.andThen(this.adopter.recordQueuedMachines, this.executePlan)),
         this.whileLeading(this.scaleOut.settle),
-        this.whileLeading(this.scaleIn.releaseRequested),
-        this.whileLeading(this.adopter.adoptFromList),
+        this.whileLeading(this.scaleIn.releaseRequestedMachines),
+        this.whileLeading(this.adopter.adoptListedMachines),
         this.refreshCatalog,
       ],
       { concurrency: 'unbounded' },
@@ -137,19 +137,19 @@
   );
 
   /** Repeats what only the leader does, as long as this controller leads. */
-  private whileLeading(work: Effect.Effect<void>): Effect.Effect<never> {
+  private whileLeading(round: Effect.Effect<void>): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
-      let leads = false;
+      let isLeading = false;
       for (;;) {
-        yield* Effect.sleep(leads ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS);
-        leads = this.input.actingRevision() !== null && this.input.cache.ready;
-        if (leads) yield* work;
-        else this.forgetLeadership();
+        yield* Effect.sleep(isLeading ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS);
+        isLeading = this.dependencies.actingRevision() !== null && this.dependencies.cache.ready;
+        if (isLeading) yield* round;
+        else this.clearLeaderState();
       }
     });
   }
 
-  private forgetLeadership(): void {
+  private clearLeaderState(): void {
     this.adoptionQueue.clear();
     this.activeReservations.clear();
   }
@@ -157,28 +157,28 @@
   /** Without a catalog no controller is ready, so its refresh is considered more often then. */
   private readonly refreshCatalog: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      const known = this.input.catalog() !== null;
+      const known = this.dependencies.catalog() !== null;
       yield* Effect.sleep(known ? LEADERSHIP_CHECK_INTERVAL_MS : LEADER_ROUND_INTERVAL_MS);
       yield* this.catalogKeeper.refresh;
     }
   });
 
-  private readonly carryOutPlan: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    const catalog = this.input.catalog();
+  private readonly executePlan: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+    const catalog = this.dependencies.catalog();
     if (!catalog) return;
-    const steps = this.plan(catalog, this.input.summaries());
+    const steps = this.plan(catalog, this.dependencies.summaries());
     yield* this.transfers.order(steps.filter((step) => step._tag === 'transfer'));
-    for (const step of steps) if (step._tag === 'provision') this.scaleOut.begin(step);
+    for (const step of steps) if (step._tag === 'provision') this.scaleOut.startProvisioning(step);
   });
 
   private plan(catalog: Catalog, summaries: readonly ShardSummary[]): readonly ScalingStep[] {
-    this.transfers.forgetArrived(summaries);
-    const previous = this.activeReservations.aged();
-    const { steps, reservations } = planSteps({
+    this.transfers.removeCompleted(summaries);
+    const previous = this.activeReservations.withCurrentAges();
+    const { steps, reservations } = planScaling({
       summaries,
       catalog,
       isRefused: (type, zone, spot) => this.refusals.isRefused(kindKey(type, zone, spot)),
-      machineCount: (type, zone, spot) => this.machines.ofKind(type, zone, spot),
+      machineCount: (type, zone, spot) => this.machines.countOfKind(type, zone, spot),
       reservations: previous,
       outdatedShards: this.outdatedShards(summaries),
       pendingTransfers: this.transfers.pending(),
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -33,7 +33,7 @@
 /** State: the records as the watch cache shows them, and counts over them. */
 export class MachineIndex {
   private readonly records = new Map<string, MachineRecord>();
-  private readonly byKind = new Map<string, number>();
+  private readonly countsByKind = new Map<string, number>();
   readonly shards = new ShardMachineCounts();
   /** Machines that the holders of their shards want released. */
   readonly releasing = new Set<string>();
@@ -42,8 +42,8 @@
     const key = parseSharedKey(event._tag === 'put' ? event.entry.key : event.key);
     if (key._tag !== 'machine') return;
     const id = key.machine;
-    const before = this.records.get(id);
-    if (before) this.count(id, before, -1);
+    const previous = this.records.get(id);
+    if (previous) this.count(id, previous, -1);
     this.records.delete(id);
     if (event._tag !== 'put') return;
     const record = readMachineRecord(event.entry.value);
@@ -58,7 +58,7 @@
     else this.releasing.delete(id);
     if (releasing) return;
     const kind = kindKey(type, zone, spot);
-    this.byKind.set(kind, (this.byKind.get(kind) ?? 0) + change);
+    this.countsByKind.set(kind, (this.countsByKind.get(kind) ?? 0) + change);
   }
 
   get(id: string): MachineRecord | undefined {
@@ -66,7 +66,7 @@
   }
 
   /** Machines of this kind, in any shard, that are not being released. */
-  ofKind(type: string, zone: string, spot: boolean): number {
-    return this.byKind.get(kindKey(type, zone, spot)) ?? 0;
+  countOfKind(type: string, zone: string, spot: boolean): number {
+    return this.countsByKind.get(kindKey(type, zone, spot)) ?? 0;
   }
 }
--- a/src/fleet/machine-offers.ts
+++ b/src/fleet/machine-offers.ts
@@ -13,20 +13,20 @@
   readonly zone: string;
   readonly spot: boolean;
   /** Tasks of the demand that one such machine takes. */
-  readonly usedTasks: number;
+  readonly tasksServed: number;
   /** Tasks of this size that it has room for. */
   readonly taskCapacity: number;
   /** Price a task. */
-  readonly cost: number;
+  readonly pricePerTask: number;
 }
 
 type OfferInput = Pick<ScalingPlanInput, 'catalog' | 'isRefused'>;
 
 const compareText = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
-/** By cost, then type and zone; spot before on-demand where all are equal. */
+/** By price per task, then type and zone; spot before on-demand where all are equal. */
 const compareOffers = (a: MachineOffer, b: MachineOffer): number =>
-  a.cost - b.cost || compareText(a.type.name, b.type.name) || (a.zone < b.zone ? -1 : 1);
+  a.pricePerTask - b.pricePerTask || compareText(a.type.name, b.type.name) || (a.zone < b.zone ? -1 : 1);
 
 /**
  * Is spot asked for, in the order of preference? Urgent work may go to on-demand machines though spot would
@@ -42,16 +42,16 @@
   type: MachineType,
   { isRefused }: OfferInput,
 ): readonly MachineOffer[] => {
-  const usedTasks = howMany(demand, type, demand.tasks);
-  if (usedTasks === 0) return [];
+  const tasksServed = howMany(demand, type, demand.tasks);
+  if (tasksServed === 0) return [];
   const taskCapacity = howMany(demand, type, MAX_TASKS_PER_JOB);
   const offers: MachineOffer[] = [];
   for (const zone of type.zones) {
     if (demand.zone !== null && demand.zone !== zone) continue;
     for (const spot of spotChoices(demand)) {
       if (isRefused(type.name, zone, spot)) continue;
-      const cost = (spot ? type.spotPrice : type.price) / usedTasks;
-      offers.push({ type, zone, spot, usedTasks, taskCapacity, cost });
+      const pricePerTask = (spot ? type.spotPrice : type.price) / tasksServed;
+      offers.push({ type, zone, spot, tasksServed, taskCapacity, pricePerTask });
     }
   }
   return offers;
@@ -59,14 +59,14 @@
 
 /** Offers for each demand of one round. State: those found so far, since many gangs share one demand. */
 export class MachineOffers {
-  private readonly found = new Map<UnmetDemand, readonly MachineOffer[]>();
+  private readonly offersByDemand = new Map<UnmetDemand, readonly MachineOffer[]>();
 
   constructor(private readonly input: OfferInput) {}
 
   /** Offers for the demand, cheapest for each task first. */
   for(demand: UnmetDemand): readonly MachineOffer[] {
-    let offers = this.found.get(demand);
-    if (!offers) this.found.set(demand, (offers = this.find(demand)));
+    let offers = this.offersByDemand.get(demand);
+    if (!offers) this.offersByDemand.set(demand, (offers = this.find(demand)));
     return offers;
   }
 
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -31,16 +31,16 @@
   /** By machine, ms by the steady clock. */
   private readonly releasedAt = new Map<string, number>();
 
-  constructor(private readonly input: ScaleInDependencies) {}
+  constructor(private readonly dependencies: ScaleInDependencies) {}
 
   /** Was the machine released lately by this process? */
-  wasReleased(machine: string): boolean {
+  wasRecentlyReleased(machine: string): boolean {
     return this.releasedAt.has(machine);
   }
 
   /** Forgets releases that are older, whose machines the cloud's list no longer shows. */
   forgetReleasesOlderThan(ms: number): void {
-    const now = this.input.now();
+    const now = this.dependencies.now();
     for (const [id, at] of this.releasedAt) if (now - at > ms) this.releasedAt.delete(id);
   }
 
@@ -51,12 +51,12 @@
    */
   async releaseNow(machines: readonly string[]): Promise<boolean> {
     if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
-    const permit = this.input.duty.begin('return at once');
+    const permit = this.dependencies.duty.begin('return at once');
     if (permit === null) return false;
     try {
-      const released = await Effect.runPromise(this.input.cloud.release(machines, permit));
+      const released = await Effect.runPromise(this.dependencies.cloud.release(machines, permit));
       log.info({ event: 'machine.released_at_once', machines, ok: released });
-      if (released) for (const id of machines) this.releasedAt.set(id, this.input.now());
+      if (released) for (const id of machines) this.releasedAt.set(id, this.dependencies.now());
       return released;
     } finally {
       permit.end();
@@ -67,28 +67,28 @@
    * Releases the machines whose records ask for it: that record is the durable intent, which no holder of the
    * shard takes back.
    */
-  readonly releaseRequested: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly releaseRequestedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     // As many as one call takes: the cloud's request rate is scarce, and provisioning needs it too.
-    const ids = [...this.input.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
+    const ids = [...this.dependencies.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
-    const permit = this.input.duty.begin('release request');
+    const permit = this.dependencies.duty.begin('release request');
     if (permit === null) return;
     yield* Effect.ensuring(this.release(permit, ids), Effect.sync(permit.end));
   });
 
   private release(permit: Permit, ids: readonly string[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const entries = ids.flatMap((id) => this.input.cache.get(machineKey(id)) ?? []);
-      const released = yield* this.input.cloud.release(ids, permit);
+      const entries = ids.flatMap((id) => this.dependencies.cache.get(machineKey(id)) ?? []);
+      const released = yield* this.dependencies.cloud.release(ids, permit);
       log.info({ event: 'machine.released', machines: ids, ok: released });
       if (!released) return;
       for (const id of ids) {
-        this.releasedAt.set(id, this.input.now());
-        const record = this.input.machines.get(id);
+        this.releasedAt.set(id, this.dependencies.now());
+        const record = this.dependencies.machines.get(id);
         // What was released may be provisioned again.
-        if (record) this.input.refusals.clear(kindKey(record.type, record.zone, record.spot));
+        if (record) this.dependencies.refusals.clear(kindKey(record.type, record.zone, record.spot));
       }
-      const { maxTransactionWrites } = this.input.store;
+      const { maxTransactionWrites } = this.dependencies.store;
       const batchSize = Math.min(maxTransactionWrites, MAX_RECORD_DELETIONS_PER_TRANSACTION);
       while (entries.length > 0) yield* this.deleteRecords(permit, entries.splice(0, batchSize));
     });
@@ -102,7 +102,7 @@
     return Effect.gen({ self: this }, function* () {
       for (let attempt = 0; attempt < RECORD_DELETION_ATTEMPTS; attempt += 1) {
         const result = yield* fencedTransaction(
-          this.input.store,
+          this.dependencies.store,
           permit,
           entries.map(({ key, version }) => ({ key, version })),
           entries.map(({ key }) => ({ _tag: 'delete', key })),
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -94,22 +94,22 @@
   private sequence = 0;
   private readonly requestedKinds = new Set<string>();
 
-  constructor(private readonly input: ScaleOutDependencies) {}
+  constructor(private readonly dependencies: ScaleOutDependencies) {}
 
   /** Asks for what the plan wants, unless the same kind or too much is under way already. */
-  begin(step: ProvisioningStep): void {
+  startProvisioning(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
     // What is under way shows in later summaries.
     if (this.requestedKinds.has(kind)) return;
     if (this.requestedKinds.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
-    const permit = this.input.duty.begin('rental request');
+    const permit = this.dependencies.duty.begin('rental request');
     if (permit === null) return;
     this.requestedKinds.add(kind);
-    const done = Effect.sync(() => {
+    const finish = Effect.sync(() => {
       this.requestedKinds.delete(kind);
       permit.end();
     });
-    Effect.runFork(Effect.ensuring(this.provision(permit, this.intentOf(permit, step)), done));
+    Effect.runFork(Effect.ensuring(this.provision(permit, this.intentOf(permit, step)), finish));
   }
 
   private intentOf(permit: Permit, step: ProvisioningStep): ProvisioningIntent {
@@ -121,13 +121,13 @@
       zone: step.zone,
       spot: step.spot,
       shardIds: step.shardIds,
-      at: this.input.wall(),
+      at: this.dependencies.wall(),
     };
   }
 
   private provision(permit: Permit, intent: ProvisioningIntent): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const { journal } = this.input;
+      const { journal } = this.dependencies;
       log.debug({ event: 'provisioning.decided', name: intent.name });
       if (journal) {
         const announced = yield* Effect.promise(() => journal.announce(intent));
@@ -138,7 +138,7 @@
         log.debug({ event: 'provisioning.announced', name: intent.name });
       }
       const result = yield* this.request(permit, intent);
-      this.noteCapacity(intent, result);
+      this.updateRefusals(intent, result);
       if (result._tag === 'rented') yield* this.record(permit, intent, result.machines);
       journal?.recordOutcome(intent.name, OUTCOMES[result._tag], machinesOf(result).length);
     });
@@ -150,17 +150,17 @@
    */
   private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
-      const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
+      const maxRetries = this.dependencies.journal ? PROVISIONING_RETRIES : 0;
       for (let attempt = 0; ; attempt += 1) {
-        const result = yield* this.input.cloud.provision(requestOf(intent), permit);
+        const result = yield* this.dependencies.cloud.provision(requestOf(intent), permit);
         logAnswer(intent, result);
-        if (result._tag !== 'unknown' || attempt >= repeats) return result;
+        if (result._tag !== 'unknown' || attempt >= maxRetries) return result;
       }
     });
   }
 
-  private noteCapacity(intent: ProvisioningIntent, result: ProvisioningResult): void {
-    const { refusals } = this.input;
+  private updateRefusals(intent: ProvisioningIntent, result: ProvisioningResult): void {
+    const { refusals } = this.dependencies;
     const kind = kindKey(intent.machineType, intent.zone, intent.spot);
     switch (result._tag) {
       case 'rented':
@@ -185,7 +185,7 @@
     machines: readonly string[],
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const { store, recorder, adoptionQueue, wall } = this.input;
+      const { store, recorder, adoptionQueue, wall } = this.dependencies;
       const unrecorded = [...newMachines(intent, machines, wall())];
       while (unrecorded.length > 0) {
         const batch = unrecorded.splice(0, store.batchWrites);
@@ -201,24 +201,24 @@
    * succeeds.
    */
   readonly settle: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    const { duty } = this.input;
+    const { duty } = this.dependencies;
     const permit = duty.beginSettlement('settlement of rental requests');
     if (permit === null) return;
-    const settled = yield* Effect.ensuring(this.settleUnder(permit), Effect.sync(permit.end));
+    const settled = yield* Effect.ensuring(this.settleWithPermit(permit), Effect.sync(permit.end));
     if (settled) duty.apply({ _tag: 'settled', token: permit.token });
     else yield* Effect.sleep(PROVISIONING_RECOVERY_RETRY_DELAY_MS);
   });
 
-  private settleUnder(permit: Permit): Effect.Effect<boolean> {
+  private settleWithPermit(permit: Permit): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
-      const { journal } = this.input;
+      const { journal } = this.dependencies;
       if (journal === null) return true;
       const record = yield* Effect.promise(() => journal.load(permit.token));
       if (record === null) return false;
       if (record.malformed.length > 0)
         log.error({ event: 'provisioning.intents_malformed', entries: record.malformed });
-      for (const settlement of settlementsFor(record, this.input.wall())) {
-        const outcome = yield* this.settleOne(permit, settlement);
+      for (const settlement of settlementsFor(record, this.dependencies.wall())) {
+        const outcome = yield* this.settleIntent(permit, settlement);
         // This controller lost the leader claim: the new leader settles them.
         if (outcome === 'withheld') return false;
         journal.recordOutcome(settlement.intent.name, outcome);
@@ -227,7 +227,7 @@
     });
   }
 
-  private settleOne(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<ProvisioningOutcome> {
+  private settleIntent(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<ProvisioningOutcome> {
     return Effect.gen({ self: this }, function* () {
       log.info({ event: 'provisioning.intent_settled', how: _tag, name: intent.name });
       if (_tag === 'abandon') return 'abandoned';
@@ -236,7 +236,7 @@
       if (result._tag !== 'rented') return 'abandoned';
       // Some may have been recorded by the earlier leader: the adopter leaves out those that have a record.
       for (const { id, record } of newMachines(intent, result.machines, intent.at))
-        this.input.adoptionQueue.add(id, record);
+        this.dependencies.adoptionQueue.add(id, record);
       return 'repeated by successor';
     });
   }
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -50,8 +50,10 @@
 /** How many machines of the offer are worth asking for. */
 const machinesToProvision = (demand: UnmetDemand, offer: MachineOffer, missing: number): number => {
   // An on-demand machine for work that could use spot is worth its price only when it is filled.
-  const onlyFilled = demand.spot && !offer.spot;
-  const count = onlyFilled ? Math.floor(missing / offer.taskCapacity) : Math.ceil(missing / offer.usedTasks);
+  const fullMachinesOnly = demand.spot && !offer.spot;
+  const count = fullMachinesOnly
+    ? Math.floor(missing / offer.taskCapacity)
+    : Math.ceil(missing / offer.tasksServed);
   return Math.min(MAX_MACHINES_PER_PROVISIONING_REQUEST, count);
 };
 
@@ -110,13 +112,13 @@
   private planOneZoneGang(gang: JobDemand): void {
     const { shardId, demand, job, zoneCapacity } = gang;
     const previous = this.previousReservation(gang);
-    const provisionable = new Set(this.offers.for(demand).map(({ zone }) => zone));
-    const zones = new Set([...provisionable, ...Object.keys(zoneCapacity), ...this.spares.zones()]);
+    const provisionableZones = new Set(this.offers.for(demand).map(({ zone }) => zone));
+    const zones = new Set([...provisionableZones, ...Object.keys(zoneCapacity), ...this.spares.zones()]);
     if (this.input.outdatedShards.has(shardId)) {
       if (previous) this.reserve(gang, zones, previous);
       return;
     }
-    const best = this.bestZone(gang, zones, provisionable);
+    const best = this.bestZone(gang, zones, provisionableZones);
     if (best === null) {
       this.reserve(gang, zones, previous);
       return;
@@ -168,9 +170,9 @@
 
   /** The zone that lacks least among those that may be reserved; null: there is none. */
   private zoneToReserve(job: JobDemand, zones: ReadonlySet<string>): string | null {
-    const ofCatalog = [...this.input.catalog.values()].flatMap((type) => type.zones);
+    const catalogZones = [...this.input.catalog.values()].flatMap((type) => type.zones);
     let best: ZoneShortage | null = null;
-    for (const zone of [...new Set([...zones, ...ofCatalog])].sort()) {
+    for (const zone of [...new Set([...zones, ...catalogZones])].sort()) {
       if (!this.canReserve(job, zone)) continue;
       const missing = this.missingIn(zone, job);
       if (!best || missing < best.missing) best = { zone, missing };
@@ -236,4 +238,4 @@
 }
 
 /** Plans one round. */
-export const planSteps = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
+export const planScaling = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
--- a/src/fleet/spare-pools.ts
+++ b/src/fleet/spare-pools.ts
@@ -7,7 +7,7 @@
 import type { ScalingPlanInput, TransferStep } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
 
-interface NamedSpare {
+interface ListedSpare {
   readonly id: string;
   readonly shardId: number;
 }
@@ -18,13 +18,13 @@
   readonly zone: string;
   readonly spot: boolean;
   /** Those that summaries name, in the order of their ids. */
-  named: NamedSpare[];
+  listed: ListedSpare[];
   /** By shard: how many it has beyond those that it names. */
   readonly unlisted: Map<number, number>;
 }
 
 /** What became of gathering machines for a demand. */
-export interface Gathered {
+export interface GatherResult {
   readonly transfers: readonly TransferStep[];
   /** Tasks that still lack a machine. */
   readonly missing: number;
@@ -45,25 +45,25 @@
 /** Pools by kind; machines of types that the catalog doesn't have are left out. */
 const collectPools = ({ summaries, catalog, pendingTransfers }: PoolInput): readonly SparePool[] => {
   const pools = new Map<string, SparePool>();
-  const onTheirWay = new Set(pendingTransfers.map(({ machine }) => machine));
+  const inTransfer = new Set(pendingTransfers.map(({ machine }) => machine));
   const poolOf = (kind: MachineKind): SparePool | undefined => {
     const type = catalog.get(kind.type);
     if (!type) return undefined;
     const key = kindKey(kind.type, kind.zone, kind.spot);
     let pool = pools.get(key);
     if (!pool) {
-      pool = { type, zone: kind.zone, spot: kind.spot, named: [], unlisted: new Map<number, number>() };
+      pool = { type, zone: kind.zone, spot: kind.spot, listed: [], unlisted: new Map<number, number>() };
       pools.set(key, pool);
     }
     return pool;
   };
   for (const { shardId, spares, unlisted } of summaries) {
     for (const spare of spares)
-      if (!onTheirWay.has(spare.id)) poolOf(spare)?.named.push({ id: spare.id, shardId });
+      if (!inTransfer.has(spare.id)) poolOf(spare)?.listed.push({ id: spare.id, shardId });
     for (const kind of unlisted ?? []) poolOf(kind)?.unlisted.set(shardId, kind.count);
   }
   const sorted = [...pools].sort(([a], [b]) => (a < b ? -1 : 1)).map(([, pool]) => pool);
-  for (const pool of sorted) pool.named.sort((a, b) => (a.id < b.id ? -1 : 1));
+  for (const pool of sorted) pool.listed.sort((a, b) => (a.id < b.id ? -1 : 1));
   return sorted;
 };
 
@@ -72,8 +72,8 @@
   const tasks = tasksOnMachine(demand, pool);
   if (tasks === 0) return 0;
   let capacity = 0;
-  for (const machine of pool.named) if (machine.shardId !== shardId) capacity += tasks;
-  for (const [owner, count] of pool.unlisted) if (owner !== shardId) capacity += tasks * count;
+  for (const machine of pool.listed) if (machine.shardId !== shardId) capacity += tasks;
+  for (const [ownerShardId, count] of pool.unlisted) if (ownerShardId !== shardId) capacity += tasks * count;
   return capacity;
 };
 
@@ -112,30 +112,30 @@
    * Takes spare machines of other shards, in the zone or (null) anywhere, until `missing` tasks have one or
    * none is left.
    */
-  gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): Gathered {
+  gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): GatherResult {
     const transfers: TransferStep[] = [];
-    let left = missing;
+    let stillMissing = missing;
     for (const pool of this.pools) {
-      if (left <= 0) break;
+      if (stillMissing <= 0) break;
       if (zone !== null && pool.zone !== zone) continue;
       const tasks = tasksOnMachine(demand, pool);
       if (tasks === 0) continue;
-      for (const machine of this.takeNamed(pool, shardId, Math.ceil(left / tasks))) {
+      for (const machine of this.takeListed(pool, shardId, Math.ceil(stillMissing / tasks))) {
         transfers.push({ _tag: 'transfer', machine: machine.id, from: machine.shardId, to: shardId });
-        left -= tasks;
+        stillMissing -= tasks;
       }
-      left = this.takeUnlisted(pool, tasks, shardId, left);
+      stillMissing = this.takeUnlisted(pool, tasks, shardId, stillMissing);
     }
-    return { transfers, missing: left };
+    return { transfers, missing: stillMissing };
   }
 
-  private takeNamed(pool: SparePool, shardId: number, most: number): readonly NamedSpare[] {
-    const taken: NamedSpare[] = [];
-    const remaining: NamedSpare[] = [];
-    for (const machine of pool.named)
-      (machine.shardId !== shardId && taken.length < most ? taken : remaining).push(machine);
+  private takeListed(pool: SparePool, shardId: number, limit: number): readonly ListedSpare[] {
+    const taken: ListedSpare[] = [];
+    const remaining: ListedSpare[] = [];
+    for (const machine of pool.listed)
+      (machine.shardId !== shardId && taken.length < limit ? taken : remaining).push(machine);
     if (taken.length === 0) return taken;
-    pool.named = remaining;
+    pool.listed = remaining;
     this.capacities.clear();
     return taken;
   }
@@ -145,15 +145,15 @@
    * rounds. Returns the tasks that lack a machine even so.
    */
   private takeUnlisted(pool: SparePool, tasks: number, shardId: number, missing: number): number {
-    let left = missing;
-    for (const [owner, count] of pool.unlisted) {
-      if (left <= 0) break;
-      if (owner === shardId || count === 0) continue;
-      const used = Math.min(count, Math.ceil(left / tasks));
-      pool.unlisted.set(owner, count - used);
+    let stillMissing = missing;
+    for (const [ownerShardId, count] of pool.unlisted) {
+      if (stillMissing <= 0) break;
+      if (ownerShardId === shardId || count === 0) continue;
+      const used = Math.min(count, Math.ceil(stillMissing / tasks));
+      pool.unlisted.set(ownerShardId, count - used);
       this.capacities.clear();
-      left -= used * tasks;
+      stillMissing -= used * tasks;
     }
-    return left;
+    return stillMissing;
   }
 }
--- a/src/fleet/transfer-orders.ts
+++ b/src/fleet/transfer-orders.ts
@@ -37,57 +37,65 @@
  * machine, no summary does, and a job that it was gathered for would be planned for in another zone.
  */
 export class TransferOrders {
-  private readonly ordered = new Map<string, OrderedTransfer>();
+  private readonly orderedTransfers = new Map<string, OrderedTransfer>();
 
-  constructor(private readonly input: TransferOrdersDependencies) {}
+  constructor(private readonly dependencies: TransferOrdersDependencies) {}
 
   /** Transfers that don't show yet. */
   pending(): readonly PendingTransfer[] {
-    return [...this.ordered.values()].map(({ transfer }) => transfer);
+    return [...this.orderedTransfers.values()].map(({ transfer }) => transfer);
   }
 
   /** Forgets transfers that the new shard's summary shows, and those that took too long. */
-  forgetArrived(summaries: readonly ShardSummary[]): void {
-    const now = this.input.now();
-    for (const [machine, { transfer, orderedAt }] of this.ordered) {
+  removeCompleted(summaries: readonly ShardSummary[]): void {
+    const now = this.dependencies.now();
+    for (const [machine, { transfer, orderedAt }] of this.orderedTransfers) {
       const expired = now - orderedAt > MOVE_CONFIRMATION_TIMEOUT_MS;
-      if (expired || this.hasArrived(transfer, summaries)) this.ordered.delete(machine);
+      if (expired || this.hasArrived(transfer, summaries)) this.orderedTransfers.delete(machine);
     }
   }
 
   private hasArrived({ machine, to }: PendingTransfer, summaries: readonly ShardSummary[]): boolean {
-    const entry = this.input.cache.get(machineKey(machine));
-    const shown = summaries.find(({ shardId }) => shardId === to)?.revision ?? 0;
-    return entry !== undefined && this.input.machines.get(machine)?.shardId === to && shown >= entry.version;
+    const entry = this.dependencies.cache.get(machineKey(machine));
+    const summaryRevision = summaries.find(({ shardId }) => shardId === to)?.revision ?? 0;
+    return (
+      entry !== undefined &&
+      this.dependencies.machines.get(machine)?.shardId === to &&
+      summaryRevision >= entry.version
+    );
   }
 
   /** Sends the orders, all shards at once. */
   order(steps: readonly TransferStep[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       if (steps.length === 0) return;
-      const bySource = this.remember(steps);
-      const permit = this.input.duty.begin('order to the holder of a share');
+      const bySource = this.recordTransfers(steps);
+      const permit = this.dependencies.duty.begin('order to the holder of a share');
       if (permit === null) return;
-      yield* Effect.forEach(bySource, ([from, transfers]) => this.input.send(from, transfers, permit), {
-        concurrency: 'unbounded',
-        discard: true,
-      });
+      yield* Effect.forEach(
+        bySource,
+        ([from, transfers]) => this.dependencies.send(from, transfers, permit),
+        {
+          concurrency: 'unbounded',
+          discard: true,
+        },
+      );
       permit.end();
     });
   }
 
   /** The transfers by the shard that has the machines. */
-  private remember(steps: readonly TransferStep[]): ReadonlyMap<number, readonly MachineTransfer[]> {
-    const orderedAt = this.input.now();
+  private recordTransfers(steps: readonly TransferStep[]): ReadonlyMap<number, readonly MachineTransfer[]> {
+    const orderedAt = this.dependencies.now();
     const bySource = new Map<number, MachineTransfer[]>();
     for (const { from, machine, to } of steps) {
       const transfers = bySource.get(from) ?? [];
       bySource.set(from, transfers);
       transfers.push({ machine, to });
-      const record = this.input.machines.get(machine);
+      const record = this.dependencies.machines.get(machine);
       if (!record) continue;
       const { type, zone, spot } = record;
-      this.ordered.set(machine, { transfer: { machine, to, type, zone, spot }, orderedAt });
+      this.orderedTransfers.set(machine, { transfer: { machine, to, type, zone, spot }, orderedAt });
     }
     return bySource;
   }
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -7,7 +7,7 @@
 } from '@dalegate/fencing';
 import { readDurableAcknowledgement, writeDurableAcknowledgement } from '../cancellation/codec.js';
 import { releaseWithoutIntent } from '../duties/release-without-intent.js';
-import { readStored, storeCatalog } from '../fleet/catalog.js';
+import { readStoredTypes, catalogWrites } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
 import {
   readFinalRecord,
@@ -125,8 +125,8 @@
   ...written('run', runs(), (run) => run),
   'list of followed jobs': packIds(FOLLOWED),
   'list of followed jobs, in parts': splitIds(FOLLOWED, 12).map(packIds),
-  'catalog in one value': storeCatalog(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
-  'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
+  'catalog in one value': catalogWrites(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
+  'catalog in parts': catalogWrites(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
   ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
   'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
   'mark of a holder': writeDurableAcknowledgement(ACKNOWLEDGEMENT),
@@ -154,9 +154,9 @@
     value: rows[key],
     version: 7,
   });
-  const types = readStored(itemOf(keys.CATALOG_KEY), itemOf);
+  const types = readStoredTypes(itemOf(keys.CATALOG_KEY), itemOf);
   const room = keys.catalogPartKey(0) in rows ? 2 * LITTLE_ROOM : ROOM;
-  return types && storeCatalog(types, room, TXN_OPS, true)?.map(storedChange);
+  return types && catalogWrites(types, room, TXN_OPS, true)?.map(storedChange);
 };
 
 /** Reads stored values and writes them again, by the beginning of their names. */
