--- a/src/fleet/active-reservations.ts
+++ b/src/fleet/active-reservations.ts
@@ -1,5 +1,5 @@
 /**
- * The reservations in force: what the scaling plan decided last, with their ages. Used by the leader, each
+ * The reservations in force: those of the last scaling plan, with their ages. The leader updates them in each
  * round; the controller announces them to the shards.
  */
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
@@ -7,28 +7,29 @@
 import type { Reservation } from './reservation.js';
 import type { ShardSummary } from './shard-summary.js';
 
-/** State: the reservations of the last round, and when it was. */
+/** State: the reservations of the last round, and the time of that round. */
 export class ActiveReservations {
   private current: readonly Reservation[] = [];
-  /** ms, by the steady clock. */
+  /** Time of the last round, in ms on the steady clock. */
   private updatedAt = 0;
 
   constructor(private readonly now: () => number) {}
 
-  /** As of the last round, ages included. */
+  /** The reservations with their ages at the last round. */
   get list(): readonly Reservation[] {
     return this.current;
   }
 
-  /** The same, as old as they are now. */
+  /** The reservations with their ages at this moment. */
   withCurrentAges(): readonly Reservation[] {
     const elapsedMs = this.now() - this.updatedAt;
     return this.current.map((reservation) => ({ ...reservation, ageMs: reservation.ageMs + elapsedMs }));
   }
 
   /**
-   * Takes over what the plan decided. Those of a shard without a summary stay too, within their bound: a
-   * shard whose heartbeats fail for a moment does not lose what was gathered for it.
+   * Replaces the reservations with those of the plan. Reservations of a shard without a summary remain too,
+   * up to their maximum age: a shard whose heartbeats fail briefly does not lose the machines gathered for
+   * it.
    */
   update(
     previous: readonly Reservation[],
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -1,6 +1,7 @@
 /**
- * Adopts machines that have no record: workers that report, and machines that the cloud lists. Each goes to
- * the shard that has the fewest of its kind. Called by the leader; the machines wait in the `AdoptionQueue`.
+ * Adopts machines that have no record: machines whose workers report, and machines that the cloud lists. Each
+ * is assigned to the shard with the fewest machines of its kind. Called by the leader; the machines wait in
+ * the `AdoptionQueue`.
  */
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -20,7 +21,7 @@
 import { newMachineRecord, type MachineKind } from './machine-record.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** What the adopter needs of the leader. */
+/** Dependencies of the adopter on the leader. */
 export interface AdopterDependencies extends FleetDependencies {
   readonly duty: Duty;
   readonly queue: AdoptionQueue;
@@ -28,22 +29,22 @@
   readonly recorder: MachineRecorder;
   readonly scaleIn: ScaleIn;
   readonly shardCount: number;
-  /** How late the cloud's machine list may be, in s. */
+  /** Maximum staleness of the cloud's machine list, in s. */
   readonly listLagS: number;
 }
 
 /** State: when the machine list was last read. */
 export class Adopter {
-  /** ms, by the steady clock. */
+  /** When the machine list was last read, in ms on the steady clock. */
   private listReadAt = 0;
 
   constructor(private readonly dependencies: AdopterDependencies) {}
 
   /**
-   * A worker reported whose machine has no record, or the cloud lists the machine. `at`: when it was
-   * provisioned, in ms since the epoch. A report doesn't tell that, and a late copy may speak of a machine
-   * long gone: with 0 it is not taken for one that boots, and is released if its worker doesn't report within
-   * a lease.
+   * Queues a machine without a record, whose worker reported or which the cloud lists. `at` is the time of
+   * its provisioning, in ms since the epoch. A report doesn't contain that time, and a late copy of a report
+   * may name a machine that is long gone. With 0 the machine doesn't count as booting, and is released if its
+   * worker doesn't report within a lease.
    */
   adopt(id: string, kind: MachineKind, at = 0): void {
     const { cache, queue, scaleIn } = this.dependencies;
@@ -65,12 +66,12 @@
     return best;
   }
 
-  /** Writes the records of machines that wait for them. */
+  /** Writes the records of machines in the queue. */
   readonly recordQueuedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const permit = this.dependencies.duty.begin('machine record');
     if (permit === null) return;
-    // Each unknown worker reports to all controllers once a second until it is recorded, so all that fit go
-    // at once, on credit of the request rate.
+    // Each unknown worker reports to all controllers once a second until its machine is recorded. Therefore
+    // one transaction holds as many records as it can; the rate limiter lets it overdraw the request rate.
     const batch = this.dependencies.queue.take(this.dependencies.store.maxTransactionWrites);
     const unrecorded = batch.filter(({ id }) => this.dependencies.cache.get(machineKey(id)) === undefined);
     if (unrecorded.length > 0) {
@@ -80,7 +81,7 @@
     permit.end();
   });
 
-  /** Adopts listed machines that have had no record for longer than the list may be late. */
+  /** Adopts listed machines without a record that are too old for the list's staleness to explain that. */
   readonly adoptListedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const now = this.dependencies.now();
     if (now - this.listReadAt < MACHINE_LIST_INTERVAL_MS) return;
@@ -94,7 +95,7 @@
     }
   });
 
-  /** All pages of the machine list; null: one could not be read. */
+  /** Reads all pages of the machine list; null: a page could not be read. */
   private readonly readMachineList: Effect.Effect<readonly ListedMachine[] | null> = Effect.gen(
     { self: this },
     function* () {
--- a/src/fleet/adoption-queue.ts
+++ b/src/fleet/adoption-queue.ts
@@ -1,14 +1,14 @@
 /**
- * Machines that reported, were listed, or were provisioned without a record: each waits here until its record
- * is written. Scale-out and the adopter add to the queue, the adopter empties it.
+ * Machines without a record that reported, that the cloud lists, or that scale-out could not record. Each
+ * waits here until the adopter writes its record. Scale-out and the adopter add to the queue.
  */
 import { ShardMachineCounts } from './machine-index.js';
 import type { MachineRecord, NewMachine } from './machine-record.js';
 
-/** State: the machines that wait, with the records that they are to have. */
+/** State: the machines in the queue, with the records to write for them. */
 export class AdoptionQueue {
   private readonly waiting = new Map<string, MachineRecord>();
-  /** What the shards will have once all that wait are recorded. */
+  /** Counts of the machines in the queue by the shard to which they will belong. */
   readonly counts = new ShardMachineCounts();
 
   has(id: string): boolean {
@@ -21,7 +21,7 @@
     this.counts.add(record, 1);
   }
 
-  /** Takes out the first few. */
+  /** Removes and returns the first machines, at most `limit`. */
   take(limit: number): readonly NewMachine[] {
     const batch: NewMachine[] = [];
     for (const [id, record] of this.waiting) {
@@ -32,7 +32,7 @@
     return batch;
   }
 
-  /** Shards that machines in the queue are meant for. */
+  /** Shards to which machines in the queue will belong. */
   shardIds(): ReadonlySet<number> {
     return new Set([...this.waiting.values()].map((record) => record.shardId));
   }
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -1,22 +1,24 @@
 /**
- * Kinds of machines that are not asked for at the moment because the cloud refused them. Scale-out and
- * scale-in record what they learn; the scaling plan leaves refused kinds out.
+ * Machine kinds that are not requested for a while because the cloud refused them. Scale-out records
+ * refusals, scale-out and scale-in clear them; the scaling plan leaves refused kinds out.
  */
 import { CLOUD_RETRY_DELAY_MS, MAX_NO_CAPACITY_PAUSE_MS, NO_CAPACITY_PAUSE_MS } from '../constants/fleet.js';
 
-/** A pause, in ms; `at` is its end by the steady clock. */
+/** A period in which a machine kind is not requested. */
 interface Pause {
+  /** End of the pause, in ms on the steady clock. */
   readonly at: number;
+  /** Half of the length of the next pause if the cloud refuses the kind again, in ms. */
   readonly durationMs: number;
 }
 
-/** State: the refused kinds, and until when they are not asked for. */
+/** State: the refused kinds, and until when they are not requested. */
 export class CapacityRefusals {
   private readonly pauses = new Map<string, Pause>();
 
   constructor(private readonly now: () => number) {}
 
-  /** There was no capacity, or less than asked for: repeated refusals double the pause. */
+  /** Records that the cloud had less capacity than requested, or none. Repeated refusals double the pause. */
   recordRefusal(kind: string): void {
     const previous = this.pauses.get(kind);
     const durationMs = Math.min(
@@ -26,12 +28,12 @@
     this.pauses.set(kind, { at: this.now() + durationMs, durationMs });
   }
 
-  /** The call failed, which says nothing about capacity. */
+  /** Records that a request failed, which indicates nothing about capacity: the pause is short. */
   recordFailure(kind: string): void {
     this.pauses.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, durationMs: NO_CAPACITY_PAUSE_MS / 2 });
   }
 
-  /** There is capacity, or some was released. */
+  /** Ends the pause, because the cloud had capacity or machines of the kind were released. */
   clear(kind: string): void {
     this.pauses.delete(kind);
   }
--- a/src/fleet/catalog-codec.ts
+++ b/src/fleet/catalog-codec.ts
@@ -1,4 +1,4 @@
-/** The stored form of machine types in the catalog; names of the fields and their order are fixed. */
+/** The stored format of machine types in the catalog. The names of the fields and their order are fixed. */
 import type { MachineType } from '../jobs/model.js';
 
 /** A stored machine type. */
@@ -14,12 +14,13 @@
   readonly zones: readonly string[];
 }
 
-/** What stands in place of a catalog that is stored in parts. */
+/** The value of the catalog's key if the catalog is stored in parts. */
 export interface StoredPartCount {
+  /** Number of parts. */
   readonly p: number;
 }
 
-/** Writes a machine type as it is stored. */
+/** Converts a machine type to its stored format. */
 export const writeMachineType = (type: MachineType): StoredMachineType => ({
   name: type.name,
   cpus: type.cpus,
@@ -32,7 +33,7 @@
   zones: type.zones,
 });
 
-/** Reads a stored machine type. */
+/** Converts a machine type from its stored format. */
 export const readMachineType = (stored: StoredMachineType): MachineType => ({
   name: stored.name,
   cpus: stored.cpus,
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the stored copy of the cloud's catalog: the leader refreshes it, any controller stores it while there
- * is none.
+ * Keeps the stored copy of the cloud's catalog up to date: the leader refreshes it; while none is stored, any
+ * controller stores it.
  */
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -14,20 +14,20 @@
 import { areTypesStored, catalogWrites } from './catalog.js';
 import type { FleetDependencies } from './dependencies.js';
 
-/** What the keeper needs of the leader. */
+/** Dependencies of the catalog keeper on the leader. */
 export interface CatalogKeeperDependencies extends Omit<FleetDependencies, 'wall'> {
   readonly duty: Duty;
-  /** The largest value that the key-value store takes, now and later, in bytes. */
+  /** Largest value that the key-value store accepts, now or later, in bytes. */
   readonly valueBytes: number;
-  /** Does every controller read a catalog that is stored in parts? */
+  /** Whether every controller can read a catalog that is stored in parts. */
   readonly maySplit: () => boolean;
-  /** Null: not known yet. */
+  /** The known catalog; null: none is known yet. */
   readonly catalog: () => Catalog | null;
 }
 
-/** State: when the cloud was last asked. */
+/** State: when the catalog was last read from the cloud. */
 export class CatalogKeeper {
-  /** ms, by the steady clock; 0: never. */
+  /** When the catalog was last read, in ms on the steady clock; 0: never. */
   private lastReadAt = 0;
 
   constructor(private readonly dependencies: CatalogKeeperDependencies) {}
@@ -42,7 +42,7 @@
     );
   }
 
-  /** Reads the cloud's catalog if it is time to, and stores it if it differs. */
+  /** Reads the cloud's catalog if the refresh interval has passed, and stores it if it has changed. */
   readonly refresh: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     if (!this.isDue(this.dependencies.duty.state._tag === 'held')) return;
     this.lastReadAt = this.dependencies.now();
@@ -75,7 +75,7 @@
         yield* fencedTransaction(this.dependencies.store, permit, when, writes, 'user');
         permit.end();
       } else if (this.dependencies.catalog() === null) {
-        // Without a catalog no controller is ready, and there is nothing that a late copy could replace.
+        // Without a catalog no controller is ready, and a late copy of the write has no catalog to replace.
         yield* this.dependencies.store.compareAndSwap(when, writes, 'user');
       }
     });
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,6 +1,6 @@
 /**
- * The stored catalog: one value, or, where one can't hold it, several of the same revision. No state; the
- * catalog keeper writes it, every controller reads it.
+ * The stored catalog: one value or, if it is too long for one value, several values of the same revision. No
+ * state. The catalog keeper writes the catalog, every controller reads it.
  */
 import { JSON_BRACKETS_BYTES, JSON_COMMA_BYTES } from '../constants/key-value-store.js';
 import type { Catalog, MachineType } from '../jobs/model.js';
@@ -16,9 +16,9 @@
 const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /**
- * The writes that store a catalog; null: it doesn't fit in one transaction. `bytes` bounds each value;
- * without `maySplit` the catalog is one value all the same, since controllers of an earlier version may have
- * to read it.
+ * The writes that store a catalog; null: they don't fit in one transaction. Each value has at most
+ * `maxValueBytes` bytes. Without `maySplit`, the catalog is one value whatever its size, because controllers
+ * of an earlier version, which cannot read parts, may have to read it.
  */
 export const catalogWrites = (
   types: readonly MachineType[],
@@ -48,7 +48,7 @@
   ];
 };
 
-/** The stored types in their stored form, or null while a part is not there yet. */
+/** The machine types of all parts in their stored format; null: a part of this revision is missing. */
 const collectStoredTypes = (
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
@@ -63,13 +63,13 @@
   return types;
 };
 
-/** The stored types, or null while a part is not there yet. */
+/** The stored machine types; null: a part of this revision is missing. */
 export const readStoredTypes = (
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
 ): readonly MachineType[] | null => collectStoredTypes(entry, get)?.map(readMachineType) ?? null;
 
-/** Are exactly these types stored? What another version stored with other fields differs. */
+/** Whether exactly these types are stored; a type that another version stored with other fields differs. */
 export const areTypesStored = (
   types: readonly MachineType[],
   entry: StoredEntry,
--- a/src/fleet/cloud-codec.ts
+++ b/src/fleet/cloud-codec.ts
@@ -1,4 +1,4 @@
-/** The wire form of requests to the cloud and of its answers; no other module knows the cloud's words. */
+/** The wire format of requests to the cloud and of its responses. No other module uses the cloud's names. */
 import { MACHINE_LIST_PAGE_ITEMS } from '../constants/fleet.js';
 import type { CallOutcome } from '../http/model.js';
 import type { MachineType } from '../jobs/model.js';
@@ -12,7 +12,7 @@
 
 const HTTP_OK = 200;
 const HTTP_UNAVAILABLE = 503;
-/** The `error` of an answer that says that there are no such machines. */
+/** Value of `error` in a response which says that the cloud has no machine of the requested kind. */
 const NO_CAPACITY = 'no capacity';
 
 interface WireMachineType {
@@ -55,7 +55,7 @@
   ageS: machine.ageS,
 });
 
-/** Why an answer can't be read; null: it can. */
+/** The reason why a request failed; null: it succeeded. */
 const failureOf = (answer: CallOutcome): string | null => {
   if (answer._tag === 'noResponse') return answer.why;
   return answer.status === HTTP_OK ? null : `status ${answer.status}`;
@@ -63,7 +63,7 @@
 
 const bodyOf = (answer: CallOutcome): unknown => (answer._tag === 'response' ? answer.body : null);
 
-/** Reads the answer to a request for the catalog. */
+/** Reads the response to a catalog request. */
 export const readCatalog = (answer: CallOutcome): CatalogResult => {
   const why = failureOf(answer);
   if (why !== null) return { _tag: 'failed', why };
@@ -71,7 +71,7 @@
   return { _tag: 'types', types: breeds.map(readMachineType) };
 };
 
-/** The path of a page of the machine list, after this machine; null: the first page. */
+/** The path of the machine list page that follows the machine `after`; null: the first page. */
 export const machinePagePath = (after: string | null): string => {
   const since = after === null ? '' : `&since=${encodeURIComponent(after)}`;
   return `/machines?most=${MACHINE_LIST_PAGE_ITEMS}${since}`;
@@ -97,7 +97,7 @@
   howMany: request.count,
 });
 
-/** Reads the answer to a provisioning request. */
+/** Reads the response to a provisioning request. */
 export const readProvisioningResult = (answer: CallOutcome): ProvisioningResult => {
   if (answer._tag === 'noResponse')
     return answer.sent === false ? { _tag: 'withheld' } : { _tag: 'unknown', why: answer.why };
@@ -110,5 +110,5 @@
 /** Writes the body of a release request. */
 export const writeReleaseRequest = (machines: readonly string[]): unknown => ({ drovers: machines });
 
-/** Does the answer to a release request say that the machines are gone? */
+/** Whether the response to a release request confirms that the machines are gone. */
 export const readReleased = (answer: CallOutcome): boolean => failureOf(answer) === null;
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -1,7 +1,7 @@
 /**
- * Client of the cloud's API: catalog, machine list, provisioning and release, within this controller's part
- * of the request rate. Its wire form is `src/fleet/cloud-codec.ts`. Used by the leader's parts, and for the
- * catalog by every controller.
+ * Client of the cloud's API: catalog, machine list, provisioning and release. It limits its requests to this
+ * controller's part of the request rate. `src/fleet/cloud-codec.ts` has the wire format. The parts of the
+ * leader use the client; every controller reads the catalog through it.
  */
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -25,15 +25,15 @@
   ProvisioningResult,
 } from './cloud-model.js';
 
-/** As the cloud itself answers when its rate is exceeded: not carried out. */
+/** The cloud's own response to a request above its rate: the request was not carried out. */
 const RATE_EXCEEDED: CallOutcome = { _tag: 'response', status: 429, body: null };
 
-/** State: the connections, and what is left of the request rate. */
+/** State: the connections and the remaining request rate. */
 export class Cloud {
   private readonly client: HttpClient;
   private readonly rateLimiter: RateLimiter;
 
-  /** `rps`: requests a second that the cloud allows all controllers together; `now` in ms. */
+  /** `rps`: requests per second that the cloud allows for all controllers together; `now`: returns ms. */
   constructor(
     target: Target,
     rps: number,
@@ -42,23 +42,24 @@
     createHttpClient: HttpClientFactory,
   ) {
     this.client = createHttpClient(target, CLOUD_SOCKETS);
-    // Only the leader calls regularly; the others read the catalog at their start.
+    // Only the leader sends requests regularly; the other controllers only read the catalog at startup.
     const ownRps = rps * (controllers > 1 ? CLOUD_RATE_FRACTION : 1);
     this.rateLimiter = new RateLimiter(ownRps, 0, CLOUD_REQUEST_TIMEOUT_MS, now);
   }
 
-  /** Reads the machine types that there are. */
+  /** Reads the machine types that the cloud offers. */
   readonly catalog: Effect.Effect<CatalogResult> = Effect.promise(async () =>
     readCatalog(await this.read('/catalog')),
   );
 
-  /** Reads the page of the machine list after this machine; null: the first page. */
+  /** Reads the page of the machine list that follows the machine `after`; null: the first page. */
   listMachines(after: string | null): Effect.Effect<MachinePageResult> {
     return Effect.promise(async () => readMachinePage(await this.read(machinePagePath(after))));
   }
 
   /**
-   * Asks for machines. Sent again under its name, a request is not carried out twice, and tells its outcome.
+   * Provisions machines. If a request of the same name was carried out before, the cloud provisions nothing
+   * and returns the outcome of that request.
    */
   provision(request: ProvisioningRequest, permit: Permit): Effect.Effect<ProvisioningResult> {
     return Effect.promise(async () =>
@@ -68,7 +69,7 @@
     );
   }
 
-  /** True: by the time of the answer these machines and all on them are gone. */
+  /** Releases machines; returns whether the cloud confirmed that they and all processes on them are gone. */
   release(machines: readonly string[], permit: Permit): Effect.Effect<boolean> {
     return Effect.promise(async () =>
       readReleased(await this.sendWithPermit('/machines/release', writeReleaseRequest(machines), permit)),
@@ -80,7 +81,7 @@
     return this.client.request('GET', path, undefined, CLOUD_REQUEST_TIMEOUT_MS);
   }
 
-  /** A call with an effect: the right to make it is asked for again as its bytes leave. */
+  /** Sends a request that has an effect. The permit is checked again immediately before the first byte. */
   private async sendWithPermit(path: string, body: unknown, permit: Permit): Promise<CallOutcome> {
     const { duty, token } = permit;
     const withinRate = await this.rateLimiter.take(1, 'user');
--- a/src/fleet/demand-queue.ts
+++ b/src/fleet/demand-queue.ts
@@ -1,24 +1,24 @@
 /**
- * The unmet demand of all shards in the order in which the scaling plan serves it. Pure, without state;
- * called once a round.
+ * The unmet demand of all shards, in the order in which the scaling plan serves it. Pure functions; the
+ * planner builds one queue per round.
  */
 import type { ScalingPlanInput } from './scaling-model.js';
 import type { ShardSummary, UnmetDemand, WaitingGang } from './shard-summary.js';
 import { tasksOnMachine } from './spare-pools.js';
 
-/** One job that machines are to be found for as a whole. */
+/** One job for which machines are to be found as a whole. */
 export interface JobDemand {
   readonly shardId: number;
   readonly demand: UnmetDemand;
   readonly job: WaitingGang;
   /**
-   * Tasks that the shard has capacity for, by zone, machines on their way included. The gangs of one demand
-   * share it, and each takes its part as it is planned for.
+   * Number of tasks that the shard has capacity for, by zone, including machines in transfer to it. The gangs
+   * of one demand share this object; planning a gang subtracts the capacity that the gang uses.
    */
   readonly zoneCapacity: Record<string, number>;
 }
 
-/** All tasks of one demand, wherever they run. */
+/** All tasks of one demand, in any zone that the demand allows. */
 export interface TasksDemand {
   readonly shardId: number;
   readonly demand: UnmetDemand;
@@ -27,7 +27,7 @@
 /** An entry of the queue. */
 export type QueuedDemand = { readonly waitedMs: number } & (
   | ({ readonly _tag: 'oneZoneGang' } & JobDemand)
-  /** A job that may run anywhere, and may need a reservation to begin. */
+  /** A job other than a one-zone gang, which may need a reservation to start. */
   | ({ readonly _tag: 'waitingJob' } & JobDemand)
   | ({ readonly _tag: 'tasks' } & TasksDemand)
 );
@@ -70,7 +70,7 @@
       _tag: 'waitingJob',
       shardId,
       demand,
-      // A job that is no gang begins with one machine.
+      // A job other than a gang can start with one task.
       job: demand.gang ? job : { ...job, tasks: 1 },
       zoneCapacity,
       waitedMs: job.waitedMs,
@@ -78,13 +78,13 @@
   ];
 };
 
-/** The queue: by priority, then jobs that already have a reservation, then the longest wait. */
+/** Builds the queue: by priority, then jobs that already have a reservation, then the longest wait. */
 export const queueDemand = (input: QueueInput): readonly QueuedDemand[] => {
   const queue: QueuedDemand[] = [];
   for (const summary of input.summaries)
     for (const demand of summary.needs) queue.push(...entriesOf(summary, demand, input));
   const reservedJobs = new Set(input.reservations.map(({ job }) => job));
-  // Else two jobs would take the gathered machines from each other in turn.
+  // Without this rule, two jobs would take the gathered machines from each other in turn.
   const isReserved = (entry: QueuedDemand): number =>
     Number(entry._tag !== 'tasks' && reservedJobs.has(entry.job.job));
   return queue.sort(
--- a/src/fleet/dependencies.ts
+++ b/src/fleet/dependencies.ts
@@ -1,16 +1,16 @@
-/** What the leader and its parts need of the controller; each part picks what it uses. Types only. */
+/** Dependencies of the leader and its parts on the controller; each part picks a subset. Types only. */
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import type { Cloud } from './cloud.js';
 
-/** Clocks, key-value store and cloud. */
+/** Key-value store, cloud and clocks. */
 export interface FleetDependencies {
   readonly store: KeyValueStore;
   /** This controller's copy of the shared keys. */
   readonly cache: WatchCache;
   readonly cloud: Cloud;
-  /** The steady clock, ms. */
+  /** The steady clock, in ms. */
   readonly now: () => number;
-  /** ms since the epoch. */
+  /** The wall clock, in ms since the epoch. */
   readonly wall: () => number;
 }
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -1,7 +1,7 @@
 /**
  * The leader: plans for all shards, provisions, releases and adopts machines, and orders their transfer.
- * Every controller has one; it acts only while this controller holds the leader claim. Each part owns its
- * state: the leader itself has none but the loop.
+ * Every controller has a leader object, which acts only while the controller holds the leader claim. Each
+ * part of the leader owns its state; the leader itself only runs the loops.
  */
 import type { ProvisioningJournal } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -26,27 +26,27 @@
 import type { ShardSummary } from './shard-summary.js';
 import { TransferOrders, type SendTransferOrder } from './transfer-orders.js';
 
-/** What the leader needs of the rest of the controller. */
+/** Dependencies of the leader on the rest of the controller. */
 export interface LeaderDependencies extends FleetDependencies {
   readonly duties: Pick<DutyRegistry, 'leader'>;
-  /** Announces provisioning requests durably before they are sent; null: they are sent at once. */
+  /** Stores provisioning requests durably before they are sent; null: they are sent without a journal. */
   readonly journal: ProvisioningJournal | null;
   readonly shardCount: number;
-  /** How late the cloud's machine list may be, in s. */
+  /** Maximum staleness of the cloud's machine list, in s. */
   readonly listLagS: number;
-  /** The largest value that the key-value store takes, now and later, in bytes. */
+  /** Largest value that the key-value store accepts, now or later, in bytes. */
   readonly valueBytes: number;
-  /** Does every controller read a catalog that is stored in parts? */
+  /** Whether every controller can read a catalog that is stored in parts. */
   readonly maySplit: () => boolean;
-  /** Null: not known yet. */
+  /** The known catalog; null: none is known yet. */
   readonly catalog: () => Catalog | null;
-  /** Revision of this controller's leader claim; null: it must not act as the leader now. */
+  /** Revision of this controller's leader claim; null: the controller must not act as the leader now. */
   readonly actingRevision: () => number | null;
   readonly summaries: () => readonly ShardSummary[];
   readonly orderTransfers: SendTransferOrder;
 }
 
-/** Composes the parts, and runs their rounds while this controller leads. */
+/** Composes the parts of the leader, and runs their rounds while this controller leads. */
 export class Leader {
   private readonly adoptionQueue = new AdoptionQueue();
   private readonly machines = new MachineIndex();
@@ -92,22 +92,22 @@
     cache.onEvent((event) => machines.onEvent(event));
   }
 
-  /** The reservations in force; empty unless this controller leads. */
+  /** The reservations in force; empty unless this controller is the leader. */
   get reservations(): readonly Reservation[] {
     return this.activeReservations.list;
   }
 
-  /** A worker reported whose machine has no record. */
+  /** Adopts the machine of a worker that reported although the machine has no record. */
   adopt(id: string, type: string, zone: string, spot: boolean): void {
     this.adopter.adopt(id, { type, zone, spot });
   }
 
-  /** Releases machines while nothing can be written; true: they are gone. */
+  /** Releases machines while the key-value store is not writable; resolves with whether they are gone. */
   releaseNow(machines: readonly string[]): Promise<boolean> {
     return this.scaleIn.releaseNow(machines);
   }
 
-  /** Machines whose records ask for their release. */
+  /** Machines whose records request their release. */
   get releaseIntents(): readonly ReleaseIntent[] {
     return [...this.machines.releasing].map((machine): ReleaseIntent => {
       const record = this.machines.get(machine);
@@ -121,7 +121,8 @@
   }
 
   /**
-   * All rounds, at once: a slow answer of the cloud must not delay transfers, nor a long list the releases.
+   * Runs all loops concurrently: a slow response of the cloud must not delay transfers, and reading a long
+   * machine list must not delay releases.
    */
   readonly run: Effect.Effect<unknown> = Effect.suspend(() =>
     Effect.all(
@@ -136,7 +137,7 @@
     ),
   );
 
-  /** Repeats what only the leader does, as long as this controller leads. */
+  /** Repeats a round of the leader whenever this controller leads; clears the leader's state otherwise. */
   private whileLeading(round: Effect.Effect<void>): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
       let isLeading = false;
@@ -154,7 +155,7 @@
     this.activeReservations.clear();
   }
 
-  /** Without a catalog no controller is ready, so its refresh is considered more often then. */
+  /** Checks more often whether a refresh is due while there is no catalog: no controller is ready then. */
   private readonly refreshCatalog: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       const known = this.dependencies.catalog() !== null;
@@ -187,7 +188,7 @@
     return steps;
   }
 
-  /** Shards whose summaries don't show yet all machines that were provisioned or adopted for them. */
+  /** Shards whose summaries don't reflect yet all machines that were provisioned or adopted for them. */
   private outdatedShards(summaries: readonly ShardSummary[]): ReadonlySet<number> {
     const outdated = new Set(this.adoptionQueue.shardIds());
     for (const { shardId, revision } of summaries)
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -1,6 +1,7 @@
 /**
- * All machine records together, indexed by what the leader asks. Kept in step with the watch cache, event by
- * event: to walk over thousands of machines several times a second would take much of a small core.
+ * Indexes of all machine records for the queries of the leader. Each event of the watch cache updates them
+ * incrementally: iterating over thousands of machines several times per second would take a large part of a
+ * small CPU core.
  */
 import { SAME_ZONE_WEIGHT } from '../constants/fleet.js';
 import type { WatchEvent } from '../kv-store/model.js';
@@ -8,7 +9,7 @@
 import { readMachineRecord } from './machine-record-codec.js';
 import { kindKey, type MachineRecord } from './machine-record.js';
 
-/** State: how many machines of each kind each shard has. */
+/** State: the number of machines of each kind in each shard. */
 export class ShardMachineCounts {
   private readonly counts = new Map<string, number>();
 
@@ -18,7 +19,7 @@
       this.counts.set(key, (this.counts.get(key) ?? 0) + change);
   }
 
-  /** How many machines of this type and kind the shard has; those of the zone count a little more. */
+  /** Number of the shard's machines of this type and market; a machine in the zone has a larger weight. */
   weight(shardId: number, type: string, zone: string, spot: boolean): number {
     const all = this.counts.get(`${shardId}|${type}|${spot}`) ?? 0;
     const inZone = this.counts.get(`${shardId}|${kindKey(type, zone, spot)}`) ?? 0;
@@ -30,12 +31,12 @@
   }
 }
 
-/** State: the records as the watch cache shows them, and counts over them. */
+/** State: the machine records in the watch cache, and counts of them. */
 export class MachineIndex {
   private readonly records = new Map<string, MachineRecord>();
   private readonly countsByKind = new Map<string, number>();
   readonly shards = new ShardMachineCounts();
-  /** Machines that the holders of their shards want released. */
+  /** Machines whose release the holders of their shards have requested. */
   readonly releasing = new Set<string>();
 
   onEvent(event: WatchEvent): void {
@@ -65,7 +66,7 @@
     return this.records.get(id);
   }
 
-  /** Machines of this kind, in any shard, that are not being released. */
+  /** Number of machines of this kind in all shards, without those that are to be released. */
   countOfKind(type: string, zone: string, spot: boolean): number {
     return this.countsByKind.get(kindKey(type, zone, spot)) ?? 0;
   }
--- a/src/fleet/machine-offers.ts
+++ b/src/fleet/machine-offers.ts
@@ -1,22 +1,22 @@
 /**
- * The kinds of machines that could be provisioned for an unmet demand, cheapest first. Part of the scaling
- * plan, which creates one `MachineOffers` a round.
+ * The machine kinds that could be provisioned for an unmet demand, cheapest first. Part of the scaling plan,
+ * which creates one `MachineOffers` per round.
  */
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
 import type { ScalingPlanInput } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
 
-/** A kind of machine that serves a demand. */
+/** A machine kind that can run tasks of a demand. */
 export interface MachineOffer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Tasks of the demand that one such machine takes. */
+  /** Number of tasks of the demand that one machine runs; at most as many as the demand has. */
   readonly tasksServed: number;
-  /** Tasks of this size that it has room for. */
+  /** Number of tasks of this size that one machine has capacity for. */
   readonly taskCapacity: number;
-  /** Price a task. */
+  /** Price of the machine divided by `tasksServed`. */
   readonly pricePerTask: number;
 }
 
@@ -29,8 +29,8 @@
   a.pricePerTask - b.pricePerTask || compareText(a.type.name, b.type.name) || (a.zone < b.zone ? -1 : 1);
 
 /**
- * Is spot asked for, in the order of preference? Urgent work may go to on-demand machines though spot would
- * do.
+ * The values of `spot` to request, in order of preference. Urgent demand may use on-demand machines although
+ * it allows spot machines.
  */
 const spotChoices = (demand: UnmetDemand): readonly boolean[] => {
   if (!demand.spot) return [false];
@@ -57,13 +57,13 @@
   return offers;
 };
 
-/** Offers for each demand of one round. State: those found so far, since many gangs share one demand. */
+/** The offers for each demand of one round. State: a cache of them, because many gangs share one demand. */
 export class MachineOffers {
   private readonly offersByDemand = new Map<UnmetDemand, readonly MachineOffer[]>();
 
   constructor(private readonly input: OfferInput) {}
 
-  /** Offers for the demand, cheapest for each task first. */
+  /** The offers for the demand, in ascending order of the price per task. */
   for(demand: UnmetDemand): readonly MachineOffer[] {
     let offers = this.offersByDemand.get(demand);
     if (!offers) this.offersByDemand.set(demand, (offers = this.find(demand)));
--- a/src/fleet/machine-record-codec.ts
+++ b/src/fleet/machine-record-codec.ts
@@ -1,7 +1,7 @@
-/** The stored form of a machine record; names of the fields and their order are fixed. */
+/** The stored format of a machine record. The names of the fields and their order are fixed. */
 import type { MachineRecord } from './machine-record.js';
 
-/** Writes a machine record as it is stored. */
+/** Converts a machine record to its stored format. */
 export const writeMachineRecord = (record: MachineRecord): unknown => ({
   s: record.shardId,
   b: record.type,
@@ -14,7 +14,7 @@
   ...(record.release ? { w: record.release.reason, k: record.release.token } : {}),
 });
 
-/** Reads a stored machine record. */
+/** Converts a machine record from its stored format. */
 export const readMachineRecord = (data: unknown): MachineRecord => {
   const raw = data as {
     s: number;
--- a/src/fleet/machine-record.ts
+++ b/src/fleet/machine-record.ts
@@ -1,7 +1,7 @@
 /**
- * The durable record of a machine: which shard it belongs to, and whether it is to be released. Plain data;
- * the stored form is `src/fleet/machine-record-codec.ts`. The leader creates and deletes records, the holder
- * of a shard changes them.
+ * The durable record of a machine: which shard the machine belongs to, and whether it is to be released.
+ * Plain data; `src/fleet/machine-record-codec.ts` has the stored format. The leader creates and deletes
+ * records; the holder of a shard updates them.
  */
 
 /** A type, zone and market (spot or on-demand) of machines. */
@@ -11,38 +11,38 @@
   readonly spot: boolean;
 }
 
-/** Names a kind of machine; key of maps. */
+/** The key of a machine kind in maps. */
 export const kindKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
-/** Why a machine is to be released, and under which fencing token the holder of its shard said so. */
+/** The reason for a release, and the fencing token under which the holder of the shard requested it. */
 export interface ReleaseIntent {
   readonly reason: string;
   readonly token: number;
 }
 
-/** The durable record of a machine. Its revision takes part in the token of its worker. */
+/** The durable record of a machine. Its revision is one input of the token that the worker checks. */
 export interface MachineRecord extends MachineKind {
   readonly shardId: number;
-  /** When it was provisioned, ms since the epoch; 0: not known. */
+  /** When the machine was provisioned, in ms since the epoch; 0: not known. */
   readonly at: number;
-  /** The holder of its shard wants it released and binds nothing to it any more. */
+  /** Whether the holder of the shard requests the machine's release; it binds no task to the machine then. */
   readonly releasing: boolean;
-  /** Address (`host:port`) at which its worker was last reached, for the next holder; empty: not known. */
+  /** Last known address (`host:port`) of the worker, for the next holder of the shard; empty: not known. */
   readonly addr: string;
   readonly agentEpoch: number;
-  /** Images that it has, most recently used last; for the shard that it is transferred to. */
+  /** Images on the machine, the most recently used last, for the shard that it is transferred to. */
   readonly images?: readonly string[];
-  /** With `releasing`; for reading only. Earlier versions don't write it. */
+  /** Set together with `releasing`; only shown to operators. Earlier versions don't write it. */
   readonly release?: ReleaseIntent;
 }
 
-/** A machine with the record that it is to have. */
+/** A machine without a record, and the record to write for it. */
 export interface NewMachine {
   readonly id: string;
   readonly record: MachineRecord;
 }
 
-/** The record of a machine whose worker has not reported yet; `at` in ms since the epoch. */
+/** Creates the record of a machine whose worker has not reported yet; `at`: see {@link MachineRecord}. */
 export const newMachineRecord = (shardId: number, kind: MachineKind, at: number): MachineRecord => ({
   shardId,
   ...kind,
--- a/src/fleet/machine-recorder.ts
+++ b/src/fleet/machine-recorder.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the records of machines that are new to the service, and owns the revisions at which they were
- * written. Used by scale-out and the adopter; the leader asks whether a summary shows them.
+ * Writes the records of new machines, and owns the revisions at which they were written. Scale-out and the
+ * adopter write records; the leader queries whether a summary reflects them.
  */
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -11,13 +11,13 @@
 import { writeMachineRecord } from './machine-record-codec.js';
 import type { NewMachine } from './machine-record.js';
 
-/** State: for each shard the revision at which machines were last recorded for it. */
+/** State: for each shard, the revision at which the last machine records were written for it. */
 export class MachineRecorder {
   private readonly recordedRevisions = new Map<number, number>();
 
   constructor(private readonly store: KeyValueStore) {}
 
-  /** Writes records, as many as fit in one transaction; none is written where a machine has one already. */
+  /** Writes records in one transaction, which fails if one of the machines already has a record. */
   record(permit: Permit, machines: readonly NewMachine[]): Effect.Effect<TransactionResult['_tag']> {
     return Effect.gen({ self: this }, function* () {
       const result = yield* fencedTransaction(
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Does a summary of this revision show all machines that were recorded for the shard? */
+  /** Whether a summary of this revision reflects all machines that were recorded for the shard. */
   isReflected(shardId: number, revision: number): boolean {
     return revision >= (this.recordedRevisions.get(shardId) ?? 0);
   }
--- a/src/fleet/machine-transfer.ts
+++ b/src/fleet/machine-transfer.ts
@@ -1,12 +1,12 @@
-/** Transfers of free machines between shards, as the leader orders them. Plain data. */
+/** Transfers of free machines between shards, which the leader orders. Plain data. */
 import type { MachineKind } from './machine-record.js';
 
-/** A free machine that the leader wants in another shard. */
+/** A free machine, and the shard that the leader assigns it to. */
 export interface MachineTransfer {
   readonly machine: string;
-  /** Id of the shard. */
+  /** Id of the receiving shard. */
   readonly to: number;
 }
 
-/** A transfer that was ordered and that the summary of the receiving shard does not show yet. */
+/** A transfer that was ordered, but that the summary of the receiving shard does not reflect yet. */
 export type PendingTransfer = MachineTransfer & MachineKind;
--- a/src/fleet/reservation.ts
+++ b/src/fleet/reservation.ts
@@ -1,13 +1,14 @@
 /**
- * A reservation: free machines of one zone that are kept for one waiting job. Plain data; the leader decides
- * on reservations, the shards leave reserved machines to the job.
+ * A reservation: free machines of one zone that are kept for one waiting job. Plain data. The leader creates
+ * reservations; the shards place no other work of the job's priority or below on reserved machines.
  */
 import { howMany, typeAllowed, type Demand } from '../jobs/model.js';
 import type { MachineKind } from './machine-record.js';
 
 /**
- * Free machines of one zone are gathered for a gang that found no zone with room: whatever comes free there,
- * in whichever shard, goes to the gang's shard and is left alone by work of its priority and below.
+ * Free machines of one zone are gathered for a gang for which no zone has enough capacity. Every matching
+ * machine that becomes free in the zone, in any shard, is transferred to the gang's shard, and work of the
+ * gang's priority or below is not placed on it.
  */
 export interface Reservation {
   readonly shardId: number;
@@ -20,11 +21,11 @@
   readonly memoryGb: number;
   readonly tasks: number;
   readonly priority: number;
-  /** Age in ms; `MAX_RESERVATION_AGE_MS` bounds it. */
+  /** Age in ms; `MAX_RESERVATION_AGE_MS` limits how long the zone is kept for the job. */
   readonly ageMs: number;
 }
 
-/** The reservation that a machine of this kind with these amounts in all belongs to; null: none. */
+/** The first reservation that accepts a machine of this kind with these total amounts; null: none. */
 export const findReservation = (
   reservations: readonly Reservation[],
   machine: MachineKind & { readonly total: Demand },
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -19,35 +19,35 @@
 import type { MachineIndex } from './machine-index.js';
 import { kindKey } from './machine-record.js';
 
-/** What scale-in needs of the leader. */
+/** Dependencies of scale-in on the leader. */
 export interface ScaleInDependencies extends Omit<FleetDependencies, 'wall'> {
   readonly duty: Duty;
   readonly machines: MachineIndex;
   readonly refusals: CapacityRefusals;
 }
 
-/** State: machines that this process released lately. */
+/** State: machines that this process released recently. */
 export class ScaleIn {
-  /** By machine, ms by the steady clock. */
+  /** By machine: the time of its release, in ms on the steady clock. */
   private readonly releasedAt = new Map<string, number>();
 
   constructor(private readonly dependencies: ScaleInDependencies) {}
 
-  /** Was the machine released lately by this process? */
+  /** Whether this process released the machine recently. */
   wasRecentlyReleased(machine: string): boolean {
     return this.releasedAt.has(machine);
   }
 
-  /** Forgets releases that are older, whose machines the cloud's list no longer shows. */
+  /** Forgets releases that are older than `ms`: the cloud's list no longer shows their machines. */
   forgetReleasesOlderThan(ms: number): void {
     const now = this.dependencies.now();
     for (const [id, at] of this.releasedAt) if (now - at > ms) this.releasedAt.delete(id);
   }
 
   /**
-   * Releases machines at the request of their shard's holder while nothing can be written; true: they are
-   * gone. Their records are deleted as usual later, after one more release, which changes nothing. Only a
-   * controller that certainly leads may say that they are gone.
+   * Releases machines at the request of the holder of their shard while the key-value store is not writable.
+   * Resolves with whether they are gone, which only a controller with a valid leader claim may confirm. Their
+   * records are deleted later as usual, after one more release request, which has no effect.
    */
   async releaseNow(machines: readonly string[]): Promise<boolean> {
     if (machines.length > MAX_MACHINES_PER_RELEASE_REQUEST) return false;
@@ -64,11 +64,11 @@
   }
 
   /**
-   * Releases the machines whose records ask for it: that record is the durable intent, which no holder of the
-   * shard takes back.
+   * Releases the machines whose records request it. The record is the durable intent, which no holder of the
+   * shard withdraws.
    */
   readonly releaseRequestedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    // As many as one call takes: the cloud's request rate is scarce, and provisioning needs it too.
+    // A request takes as many machines as it can: the cloud's rate is low, and provisioning needs it too.
     const ids = [...this.dependencies.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
     const permit = this.dependencies.duty.begin('release request');
@@ -85,7 +85,7 @@
       for (const id of ids) {
         this.releasedAt.set(id, this.dependencies.now());
         const record = this.dependencies.machines.get(id);
-        // What was released may be provisioned again.
+        // The cloud has capacity for this kind again.
         if (record) this.dependencies.refusals.clear(kindKey(record.type, record.zone, record.spot));
       }
       const { maxTransactionWrites } = this.dependencies.store;
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Deletes records of machines that are gone. What is not deleted is released once more, which changes
-   * nothing.
+   * Deletes records of machines that are gone. A machine whose record could not be deleted is released once
+   * more, which has no effect.
    */
   private deleteRecords(permit: Permit, entries: readonly StoredEntry[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -1,6 +1,6 @@
 /**
- * Provisions machines: sends the requests of the scaling plan, records the machines that come of them, and
- * settles the requests that an earlier leader left open. Called by the leader.
+ * Provisions machines: sends the requests of the scaling plan, writes the records of the provisioned
+ * machines, and settles the requests that an earlier leader left open. Called by the leader.
  */
 import {
   settlementsFor,
@@ -26,17 +26,17 @@
 import type { MachineRecorder } from './machine-recorder.js';
 import type { ProvisioningStep } from './scaling-model.js';
 
-/** What scale-out needs of the leader. */
+/** Dependencies of scale-out on the leader. */
 export interface ScaleOutDependencies extends Pick<FleetDependencies, 'store' | 'cloud' | 'wall'> {
   readonly duty: Duty;
-  /** Announces requests durably before they are sent; null: they are sent at once. */
+  /** Stores requests durably before they are sent; null: they are sent without a journal. */
   readonly journal: ProvisioningJournal | null;
   readonly recorder: MachineRecorder;
   readonly adoptionQueue: AdoptionQueue;
   readonly refusals: CapacityRefusals;
 }
 
-/** Outcomes as the journal stores them. */
+/** The outcome that the journal stores for each result. */
 const OUTCOMES: Readonly<Record<ProvisioningResult['_tag'], ProvisioningOutcome>> = {
   rented: 'rented',
   noCapacity: 'no capacity',
@@ -61,7 +61,8 @@
   result._tag === 'rented' ? result.machines : [];
 
 /**
- * The machines that came of a request, each with the record that it is to have; `at` in ms since the epoch.
+ * The machines that a request provisioned, each with the record to write for it. `at` is the provisioning
+ * time, in ms since the epoch.
  */
 const newMachines = (
   intent: ProvisioningIntent,
@@ -88,7 +89,7 @@
 };
 
 /**
- * State: the kinds that are asked for at the moment (one request each), and the number of requests so far.
+ * State: the kinds for which a request is in flight (one request each), and the number of requests so far.
  */
 export class ScaleOut {
   private sequence = 0;
@@ -96,10 +97,10 @@
 
   constructor(private readonly dependencies: ScaleOutDependencies) {}
 
-  /** Asks for what the plan wants, unless the same kind or too much is under way already. */
+  /** Starts a request of the plan, unless one of the same kind or too many requests are in flight. */
   startProvisioning(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
-    // What is under way shows in later summaries.
+    // Later summaries reflect the machines of the request in flight.
     if (this.requestedKinds.has(kind)) return;
     if (this.requestedKinds.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
     const permit = this.dependencies.duty.begin('rental request');
@@ -115,7 +116,7 @@
   private intentOf(permit: Permit, step: ProvisioningStep): ProvisioningIntent {
     this.sequence += 1;
     return {
-      // The claim's revision is durable and belongs to this process alone: no name is used twice.
+      // The revision of the claim is durable and belongs to this process alone: no name is used twice.
       name: `r-${permit.token}-${this.sequence}`,
       machineType: step.type,
       zone: step.zone,
@@ -145,8 +146,8 @@
   }
 
   /**
-   * Without an answer the request is sent again under its name, which provisions nothing more and tells its
-   * outcome.
+   * Sends the request. If there is no response, the request is sent again under the same name: the cloud does
+   * not carry it out a second time and returns its outcome.
    */
   private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
@@ -190,15 +191,15 @@
       while (unrecorded.length > 0) {
         const batch = unrecorded.splice(0, store.batchWrites);
         const written = yield* recorder.record(permit, batch);
-        // Without an answer they may be recorded yet; if they are, that shows before the next attempt.
+        // Without a response the write may still be applied; the cache shows that before the next attempt.
         if (written !== 'committed') for (const { id, record } of batch) adoptionQueue.add(id, record);
       }
     });
   }
 
   /**
-   * Settles what an earlier leader left open, before this one provisions anything. Repeated until it
-   * succeeds.
+   * Settles the requests that an earlier leader left open, before this leader provisions anything. Repeated
+   * until it succeeds.
    */
   readonly settle: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const { duty } = this.dependencies;
@@ -219,7 +220,7 @@
         log.error({ event: 'provisioning.intents_malformed', entries: record.malformed });
       for (const settlement of settlementsFor(record, this.dependencies.wall())) {
         const outcome = yield* this.settleIntent(permit, settlement);
-        // This controller lost the leader claim: the new leader settles them.
+        // This controller lost the leader claim: the new leader settles the remaining requests.
         if (outcome === 'withheld') return false;
         journal.recordOutcome(settlement.intent.name, outcome);
       }
@@ -234,7 +235,7 @@
       const result = yield* this.request(permit, intent);
       if (result._tag === 'withheld') return 'withheld';
       if (result._tag !== 'rented') return 'abandoned';
-      // Some may have been recorded by the earlier leader: the adopter leaves out those that have a record.
+      // The earlier leader may have recorded some of them: the adopter skips machines that have a record.
       for (const { id, record } of newMachines(intent, result.machines, intent.at))
         this.dependencies.adoptionQueue.add(id, record);
       return 'repeated by successor';
--- a/src/fleet/scaling-model.ts
+++ b/src/fleet/scaling-model.ts
@@ -1,48 +1,48 @@
-/** What the leader's scaling plan is made from, and what it consists of. Plain data. */
+/** Input and result of the leader's scaling plan. Plain data. */
 import type { Catalog } from '../jobs/model.js';
 import type { MachineKind } from './machine-record.js';
 import type { MachineTransfer, PendingTransfer } from './machine-transfer.js';
 import type { Reservation } from './reservation.js';
 import type { ShardSummary } from './shard-summary.js';
 
-/** A spare machine goes from one shard to another. */
+/** Transfers a spare machine from one shard to another. */
 export interface TransferStep extends MachineTransfer {
   readonly _tag: 'transfer';
-  /** Id of the shard that has it. */
+  /** Id of the shard that has the machine. */
   readonly from: number;
 }
 
-/** New machines of one kind are asked for. */
+/** Requests new machines of one kind. */
 export interface ProvisioningStep extends MachineKind {
   readonly _tag: 'provision';
-  /** For each machine the shard that it is for. */
+  /** For each new machine, the id of the shard that gets it. */
   readonly shardIds: readonly number[];
 }
 
 /** One step of a scaling plan. */
 export type ScalingStep = TransferStep | ProvisioningStep;
 
-/** All that a round's plan depends on. */
+/** Everything that the plan of one round depends on. */
 export interface ScalingPlanInput {
   readonly summaries: readonly ShardSummary[];
   readonly catalog: Catalog;
-  /** Did the cloud lately refuse machines of this kind? */
+  /** Whether the cloud recently refused machines of this kind. */
   readonly isRefused: (type: string, zone: string, spot: boolean) => boolean;
-  /** Machines of this kind that are up or booting, in all shards together. */
+  /** Number of machines of this kind in all shards, booting ones included. */
   readonly machineCount: (type: string, zone: string, spot: boolean) => number;
-  /** Those of the last round. */
+  /** The reservations of the last round. */
   readonly reservations: readonly Reservation[];
   /**
-   * Shards whose summary doesn't show yet the machines that were provisioned or adopted for them: nothing
-   * more is done for them, but what is reserved for them stays reserved.
+   * Shards whose summaries don't reflect yet the machines that were provisioned or adopted for them. Nothing
+   * more is provisioned for these shards, but their reservations remain.
    */
   readonly outdatedShards: ReadonlySet<number>;
   readonly pendingTransfers: readonly PendingTransfer[];
 }
 
-/** What the leader does this round, and the reservations in force after it. */
+/** The steps that the leader takes in a round, and the reservations in force after it. */
 export interface ScalingPlan {
-  /** Transfers in the order in which they were chosen, then one provisioning step a kind. */
+  /** Transfers in the order in which they were chosen, then one provisioning step per kind. */
   readonly steps: readonly ScalingStep[];
   readonly reservations: readonly Reservation[];
 }
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's plan of one round: which spare machines go to other shards, which machines are provisioned,
- * and for which jobs machines of a zone are reserved. Pure: the same input gives the same plan. The leader
- * calls `planSteps` each round; the state of the planner ends with the call.
+ * The leader's plan for one round: which spare machines are transferred to other shards, which machines are
+ * provisioned, and for which jobs the machines of a zone are reserved. Pure: the same input yields the same
+ * plan. The leader calls `planScaling` in each round; no state of the planner outlives the call.
  */
 import { MAX_MACHINES_PER_PROVISIONING_REQUEST } from '../constants/fleet.js';
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
@@ -15,7 +15,7 @@
 import { SparePools } from './spare-pools.js';
 import type { UnmetDemand } from './shard-summary.js';
 
-/** A zone, and how many tasks of a job lack a machine there. */
+/** A zone, and the number of tasks of a job that lack a machine there. */
 interface ZoneShortage {
   readonly zone: string;
   readonly missing: number;
@@ -39,7 +39,7 @@
   ageMs: previous?.zone === zone ? previous.ageMs : 0,
 });
 
-/** Takes what the job can use of the shard's own capacity in the zone; returns the tasks that are left. */
+/** Subtracts the shard's own capacity that the job uses in the zone; returns the number of remaining tasks. */
 const takeOwnCapacity = ({ job, zoneCapacity }: JobDemand, zone: string): number => {
   const capacity = zoneCapacity[zone] ?? 0;
   const used = Math.min(job.tasks, Math.max(0, capacity));
@@ -47,9 +47,9 @@
   return job.tasks - used;
 };
 
-/** How many machines of the offer are worth asking for. */
+/** Number of machines of the offer that are worth provisioning. */
 const machinesToProvision = (demand: UnmetDemand, offer: MachineOffer, missing: number): number => {
-  // An on-demand machine for work that could use spot is worth its price only when it is filled.
+  // For tasks that may use spot machines, an on-demand machine is worth its price only if they fill it.
   const fullMachinesOnly = demand.spot && !offer.spot;
   const count = fullMachinesOnly
     ? Math.floor(missing / offer.taskCapacity)
@@ -57,7 +57,7 @@
   return Math.min(MAX_MACHINES_PER_PROVISIONING_REQUEST, count);
 };
 
-/** Machines of one kind go in one request, for whichever shards they are. */
+/** Merges the steps into one request per machine kind, across shards. */
 const mergeByKind = (steps: readonly ProvisioningStep[]): readonly ProvisioningStep[] => {
   const merged = new Map<string, ProvisioningStep>();
   for (const step of steps) {
@@ -68,7 +68,7 @@
   return [...merged.values()];
 };
 
-/** One round of planning. State: the steps and reservations decided so far, and the spare machines left. */
+/** One round of planning. State: the steps and reservations so far, and the remaining spare machines. */
 class ScalingPlanner {
   private readonly transfers: TransferStep[] = [];
   private readonly provisioning: ProvisioningStep[] = [];
@@ -108,7 +108,7 @@
     if (missing > 0) this.provision(demand, shardId, null, missing);
   }
 
-  /** A one-zone gang gets its machines in the zone that lacks least, or else a reservation. */
+  /** Gets machines for a one-zone gang in the zone with the fewest missing tasks, or else reserves a zone. */
   private planOneZoneGang(gang: JobDemand): void {
     const { shardId, demand, job, zoneCapacity } = gang;
     const previous = this.previousReservation(gang);
@@ -126,12 +126,12 @@
     const needed = takeOwnCapacity(gang, best);
     const missing = this.gather(demand, shardId, best, needed);
     if (missing > 0) this.provision(demand, shardId, best, missing);
-    // What is on its way to the gang's shard must not be taken there by others before the last one arrives.
+    // In the gang's shard, other jobs must not take transferred machines before the last one has arrived.
     else if (job.tasks > 1 && (needed > 0 || previous))
       this.reservations.push(newReservation(gang, best, previous));
   }
 
-  /** The zone in which the gang lacks least and what it lacks can be provisioned; null: there is none. */
+  /** The zone with the fewest missing tasks, where machines for them can be provisioned; null: none. */
   private bestZone(
     gang: JobDemand,
     zones: ReadonlySet<string>,
@@ -150,13 +150,13 @@
     return best?.zone ?? null;
   }
 
-  /** A job that may run anywhere, but can't begin because machines are always gathered for gangs. */
+  /** Reserves a zone for a job that can't start because free machines are always gathered for gangs. */
   private planWaitingJob(waiting: JobDemand): void {
     if (waiting.job.waitedMs < waiting.job.reserveAfterMs || waiting.demand.gang) return;
     this.reserve({ ...waiting, zoneCapacity: {} }, new Set(), this.previousReservation(waiting));
   }
 
-  /** Reserves a zone for a job that has waited long enough, and gathers machines there. */
+  /** Reserves a zone for a job that has waited long enough, and gathers spare machines there. */
   private reserve(job: JobDemand, zones: ReadonlySet<string>, previous: Reservation | undefined): void {
     if (job.job.waitedMs < job.job.reserveAfterMs) return;
     const zone =
@@ -168,7 +168,7 @@
     this.gather(job.demand, job.shardId, zone, takeOwnCapacity(job, zone));
   }
 
-  /** The zone that lacks least among those that may be reserved; null: there is none. */
+  /** The zone with the fewest missing tasks among those that may be reserved; null: none. */
   private zoneToReserve(job: JobDemand, zones: ReadonlySet<string>): string | null {
     const catalogZones = [...this.input.catalog.values()].flatMap((type) => type.zones);
     let best: ZoneShortage | null = null;
@@ -180,7 +180,7 @@
     return best?.zone ?? null;
   }
 
-  /** One reservation a zone, so that two never block each other, and only where the job could ever run. */
+  /** Whether the zone could ever run the job and has no reservation: two would block each other. */
   private canReserve({ demand, job }: JobDemand, zone: string): boolean {
     return (
       (demand.zone === null || demand.zone === zone) &&
@@ -189,7 +189,7 @@
     );
   }
 
-  /** Could the machines that the zone has already run the job, if all were free? */
+  /** Whether the existing machines of the zone could run the job if all of them were free. */
   private couldRun(demand: UnmetDemand, zone: string, tasks: number): boolean {
     let capacity = 0;
     for (const type of this.input.catalog.values()) {
@@ -207,19 +207,19 @@
     );
   }
 
-  /** Tasks of the job that neither its shard nor spare machines of others in the zone take. */
+  /** Number of tasks that neither the shard's own capacity nor other shards' spare machines can run. */
   private missingIn(zone: string, { shardId, demand, job, zoneCapacity }: JobDemand): number {
     return job.tasks - (zoneCapacity[zone] ?? 0) - this.spares.capacity(demand, shardId, zone);
   }
 
-  /** Transfers spare machines of other shards; returns the tasks that still lack one. */
+  /** Transfers spare machines of other shards; returns the number of tasks that still lack a machine. */
   private gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): number {
     const gathered = this.spares.gather(demand, shardId, zone, missing);
     this.transfers.push(...gathered.transfers);
     return gathered.missing;
   }
 
-  /** Asks for machines of the cheapest kind; what the cloud refuses is tried elsewhere in the next round. */
+  /** Provisions machines of the cheapest kind. If the cloud refuses it, the next round tries another kind. */
   private provision(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): void {
     for (const offer of this.offers.for(demand)) {
       if (zone !== null && offer.zone !== zone) continue;
@@ -237,5 +237,5 @@
   }
 }
 
-/** Plans one round. */
+/** Computes the plan of one round. */
 export const planScaling = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
--- a/src/fleet/scarce-types.ts
+++ b/src/fleet/scarce-types.ts
@@ -1,20 +1,20 @@
 /**
- * Machine types that some job can't do without. Every controller has one set, which grows as jobs are
- * submitted; work that has alternatives leaves such machines to the jobs that have none.
+ * Machine types that are the only suitable type for some job. Every controller has one set, which grows as
+ * jobs are submitted. Jobs with other suitable types leave machines of these types to the jobs without.
  */
 import { fitsIn, fittingTypes, type Catalog, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
- * State: types that are the only one for some job seen since this process began; jobs on spot machines don't
- * count.
+ * State: types that are the only suitable type for some job seen since this process started. Jobs that may
+ * use spot machines don't count.
  */
 export class ScarceTypes {
-  /** The most that one task of such jobs takes, by type. */
+  /** By type: the largest amounts that one task of such a job needs. */
   private readonly types = new Map<string, Demand>();
 
   constructor(private readonly catalog: () => Catalog | null) {}
 
-  /** Takes note of a job that was submitted. */
+  /** Records a submitted job. */
   note(spec: JobSpec): void {
     const catalog = this.catalog();
     if (!catalog || spec.spot) return;
@@ -29,7 +29,7 @@
     });
   }
 
-  /** What one task of the work that needs this type may take; null: all work has other types to go to. */
+  /** The largest amounts that one task of a job that needs this type takes; null: no known job needs it. */
   demand(type: string): Demand | null {
     return this.types.get(type) ?? null;
   }
--- a/src/fleet/spare-pools.ts
+++ b/src/fleet/spare-pools.ts
@@ -1,12 +1,13 @@
 /**
- * The spare machines of all shards during one round of the scaling plan. `SparePools` owns them: what is
- * gathered for one demand is no longer there for the next.
+ * The spare machines of all shards during one round of the scaling plan. `SparePools` owns them: machines
+ * that are gathered for one demand are no longer available to the next.
  */
 import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
 import { kindKey, type MachineKind } from './machine-record.js';
 import type { ScalingPlanInput, TransferStep } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
 
+/** A spare machine that a summary lists. */
 interface ListedSpare {
   readonly id: string;
   readonly shardId: number;
@@ -17,20 +18,20 @@
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Those that summaries name, in the order of their ids. */
+  /** Spare machines that summaries list, in the order of their ids. */
   listed: ListedSpare[];
-  /** By shard: how many it has beyond those that it names. */
+  /** By shard: number of spare machines that its summary does not list. */
   readonly unlisted: Map<number, number>;
 }
 
-/** What became of gathering machines for a demand. */
+/** The result of gathering machines for a demand. */
 export interface GatherResult {
   readonly transfers: readonly TransferStep[];
-  /** Tasks that still lack a machine. */
+  /** Number of tasks that still lack a machine. */
   readonly missing: number;
 }
 
-/** Tasks of the demand that one machine of this kind takes. */
+/** Number of tasks of the demand that one machine of this kind can run. */
 export const tasksOnMachine = (
   demand: UnmetDemand,
   machine: { readonly type: MachineType; readonly zone: string; readonly spot: boolean },
@@ -42,7 +43,7 @@
 
 type PoolInput = Pick<ScalingPlanInput, 'summaries' | 'catalog' | 'pendingTransfers'>;
 
-/** Pools by kind; machines of types that the catalog doesn't have are left out. */
+/** The pools in the order of their kinds, without machines of types that the catalog doesn't have. */
 const collectPools = ({ summaries, catalog, pendingTransfers }: PoolInput): readonly SparePool[] => {
   const pools = new Map<string, SparePool>();
   const inTransfer = new Set(pendingTransfers.map(({ machine }) => machine));
@@ -67,7 +68,7 @@
   return sorted;
 };
 
-/** Tasks that spare machines of other shards in the pool take. */
+/** Number of tasks that spare machines of other shards in the pool can run. */
 const capacityOfPool = (demand: UnmetDemand, shardId: number, pool: SparePool): number => {
   const tasks = tasksOnMachine(demand, pool);
   if (tasks === 0) return 0;
@@ -77,23 +78,24 @@
   return capacity;
 };
 
-/** The spare machines of one round. State: those not gathered yet, and the capacities worked out since. */
+/** The spare machines of one round. State: those not gathered yet, and a cache of computed capacities. */
 export class SparePools {
   private readonly pools: readonly SparePool[];
-  /** By demand and zone; hundreds of gangs with few demands wait at the worst times. */
+  /** By demand and zone; under the heaviest load, hundreds of waiting gangs share a few demands. */
   private readonly capacities = new Map<UnmetDemand, Map<string, number>>();
 
   constructor(input: PoolInput) {
     this.pools = collectPools(input);
   }
 
-  /** Zones with a pool. */
+  /** Zones of the pools, with duplicates. */
   zones(): readonly string[] {
     return this.pools.map(({ zone }) => zone);
   }
 
   /**
-   * Tasks of the demand that spare machines of other shards in the zone take. A demand belongs to one shard.
+   * Number of tasks of the demand that spare machines of other shards in the zone can run. A demand belongs
+   * to one shard.
    */
   capacity(demand: UnmetDemand, shardId: number, zone: string): number {
     let zones = this.capacities.get(demand);
@@ -109,8 +111,8 @@
   }
 
   /**
-   * Takes spare machines of other shards, in the zone or (null) anywhere, until `missing` tasks have one or
-   * none is left.
+   * Takes spare machines of other shards, in the zone or (null) in all zones, until `missing` tasks have a
+   * machine or no spare machine is left.
    */
   gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): GatherResult {
     const transfers: TransferStep[] = [];
@@ -141,8 +143,8 @@
   }
 
   /**
-   * Counts on spare machines that other shards don't name yet: they are named, and transferred, in the next
-   * rounds. Returns the tasks that lack a machine even so.
+   * Counts spare machines that the summaries of other shards don't list yet: they will be listed, and
+   * transferred, in the next rounds. Returns the number of tasks that still lack a machine.
    */
   private takeUnlisted(pool: SparePool, tasks: number, shardId: number, missing: number): number {
     let stillMissing = missing;
--- a/src/fleet/transfer-orders.ts
+++ b/src/fleet/transfer-orders.ts
@@ -1,6 +1,6 @@
 /**
- * Orders the transfers of spare machines that the scaling plan wants, and remembers them until they show.
- * Used by the leader, each round.
+ * Orders the transfers of spare machines in the scaling plan, and keeps them until a summary reflects them.
+ * The leader calls it in each round.
  */
 import type { Duty, Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -12,14 +12,14 @@
 import type { TransferStep } from './scaling-model.js';
 import type { ShardSummary } from './shard-summary.js';
 
-/** Sends an order to the holder of the shard that has the machines. */
+/** Sends a transfer order to the holder of the shard `from`, which has the machines. */
 export type SendTransferOrder = (
   from: number,
   transfers: readonly MachineTransfer[],
   permit: Permit,
 ) => Effect.Effect<unknown>;
 
-/** What ordering transfers needs of the leader. */
+/** Dependencies of the transfer orders on the leader. */
 export interface TransferOrdersDependencies extends Pick<FleetDependencies, 'cache' | 'now'> {
   readonly duty: Duty;
   readonly machines: MachineIndex;
@@ -28,25 +28,26 @@
 
 interface OrderedTransfer {
   readonly transfer: PendingTransfer;
-  /** ms, by the steady clock. */
+  /** Time of the order, in ms on the steady clock. */
   readonly orderedAt: number;
 }
 
 /**
- * State: transfers that were ordered and don't show yet. Until the summary of the new shard shows such a
- * machine, no summary does, and a job that it was gathered for would be planned for in another zone.
+ * State: transfers that were ordered, but that no summary reflects yet. Until the summary of the receiving
+ * shard shows such a machine, no summary shows it; if the plan did not count it, the job for which it was
+ * gathered would be planned in another zone.
  */
 export class TransferOrders {
   private readonly orderedTransfers = new Map<string, OrderedTransfer>();
 
   constructor(private readonly dependencies: TransferOrdersDependencies) {}
 
-  /** Transfers that don't show yet. */
+  /** Transfers that no summary reflects yet. */
   pending(): readonly PendingTransfer[] {
     return [...this.orderedTransfers.values()].map(({ transfer }) => transfer);
   }
 
-  /** Forgets transfers that the new shard's summary shows, and those that took too long. */
+  /** Removes transfers that the receiving shard's summary reflects, and those that have timed out. */
   removeCompleted(summaries: readonly ShardSummary[]): void {
     const now = this.dependencies.now();
     for (const [machine, { transfer, orderedAt }] of this.orderedTransfers) {
@@ -65,7 +66,7 @@
     );
   }
 
-  /** Sends the orders, all shards at once. */
+  /** Sends the orders to all shards concurrently. */
   order(steps: readonly TransferStep[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       if (steps.length === 0) return;
@@ -84,7 +85,7 @@
     });
   }
 
-  /** The transfers by the shard that has the machines. */
+  /** Records the transfers as pending, and returns them by the shard that has the machines. */
   private recordTransfers(steps: readonly TransferStep[]): ReadonlyMap<number, readonly MachineTransfer[]> {
     const orderedAt = this.dependencies.now();
     const bySource = new Map<number, MachineTransfer[]>();
