--- a/src/fleet/boot-bound-types.test.ts
+++ b/src/fleet/boot-bound-types.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the machine types of which idle machines are kept. */
+/** Tests of the set of machine types of which idle machines are kept. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog, JobSpec } from '../jobs/model.js';
@@ -11,12 +11,12 @@
   ['cpu', { ...machineType, name: 'cpu', cpus: 64, gpus: 0, bootS: 25 }],
   ['gpu', { ...machineType, name: 'gpu', cpus: 96, gpus: 8, bootS: 30 }],
 ]);
-const waits = (...seconds: readonly number[]): readonly unknown[] =>
+const waitObjectives = (...seconds: readonly number[]): readonly unknown[] =>
   seconds.map((within) => ({ kind: 'wait', class: 'c', within_s: within, share: 0.9 }));
 
 /**
- * Guards that idle machines are kept where a boot is always too late: else they are released idle and
- * provisioned again all day, without the images that they had.
+ * Guards that idle machines are kept where a boot always takes longer than the start target. Otherwise the
+ * machines would be released when idle and provisioned again all day, without their cached images.
  */
 const cases: readonly {
   readonly name: string;
@@ -25,18 +25,33 @@
   readonly types: readonly string[];
 }[] = [
   {
-    name: 'every start target is sooner than any boot',
-    objectives: waits(1),
+    name: 'every start target is shorter than any boot',
+    objectives: waitObjectives(1),
     spec: {},
     types: ['cpu', 'gpu'],
   },
-  { name: 'the loosest target decides', objectives: waits(1, 7), spec: {}, types: ['gpu'] },
-  { name: 'a boot meets the loosest target', objectives: waits(10, 70), spec: {}, types: [] },
-  // With a target of 25 s and a boot of 35 s, idle machines cost more than they save.
-  { name: 'targets about as long as a boot', objectives: waits(20), spec: {}, types: [] },
-  { name: 'only types that fit', objectives: waits(1), spec: { gpus: 8 }, types: ['gpu'] },
-  { name: 'only types that are allowed', objectives: waits(1), spec: { types: ['cpu'] }, types: ['cpu'] },
-  { name: 'work that may use spot machines', objectives: waits(1), spec: { spot: true }, types: [] },
+  { name: 'the loosest target decides', objectives: waitObjectives(1, 7), spec: {}, types: ['gpu'] },
+  { name: 'a boot meets the loosest target', objectives: waitObjectives(10, 70), spec: {}, types: [] },
+  // With a target of 25 s and a boot of 35 s, keeping idle machines costs more than it saves.
+  { name: 'targets about as long as a boot', objectives: waitObjectives(20), spec: {}, types: [] },
+  {
+    name: 'only types that the job fits on',
+    objectives: waitObjectives(1),
+    spec: { gpus: 8 },
+    types: ['gpu'],
+  },
+  {
+    name: 'only types that the job allows',
+    objectives: waitObjectives(1),
+    spec: { types: ['cpu'] },
+    types: ['cpu'],
+  },
+  {
+    name: 'a job that may use spot machines',
+    objectives: waitObjectives(1),
+    spec: { spot: true },
+    types: [],
+  },
   { name: 'no start target', objectives: [], spec: {}, types: [] },
 ];
 for (const row of cases) {
--- a/src/fleet/catalog-codec.test.ts
+++ b/src/fleet/catalog-codec.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the stored catalog: its bytes, its parts, and what another version stored. */
+/** Tests of the stored catalog: its exact bytes, its parts, and values that another version stored. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
@@ -20,11 +20,11 @@
 const TYPE =
   '{"name":"g8","cpus":1,"gpus":2,"memoryGb":3.5,"cacheGb":4,"price":5.5,"spotPrice":1.25,"bootS":40,' +
   '"zones":["x","y"]}';
-/** As a later version might store it. */
+/** The type as a later version might store it, with an additional field. */
 const LATER_TYPE = TYPE.replace('"name"', '"later":1,"name"');
 const LARGE = 10_000;
 const none = (): undefined => undefined;
-const itemOf = (value: unknown): StoredEntry => ({ key: 'w/catalog', value, version: 7 });
+const entryOf = (value: unknown): StoredEntry => ({ key: 'w/catalog', value, version: 7 });
 
 test('catalog codec: a machine type', () => {
   assert.equal(JSON.stringify(writeMachineType(type)), TYPE);
@@ -36,7 +36,7 @@
   assert.equal(JSON.stringify(writes), `[{"_tag":"put","key":"w/catalog","value":[${TYPE}]}]`);
 });
 
-test('catalog codec: a catalog in parts names their number', () => {
+test('catalog codec: a catalog in parts stores the number of parts', () => {
   const writes = catalogWrites([type, type], TYPE.length + 5, 32, true);
   assert.equal(
     JSON.stringify(writes),
@@ -50,14 +50,14 @@
   { name: 'the same types', text: `[${TYPE}]`, same: true },
   { name: 'another price', text: `[${TYPE.replace('5.5', '6')}]`, same: false },
   { name: 'a field of another version', text: `[${LATER_TYPE}]`, same: false },
-  { name: 'parts that are not there yet', text: '{"p":1}', same: false },
+  { name: 'missing parts', text: '{"p":1}', same: false },
 ];
 for (const row of stored) {
-  test(`catalog codec: what is stored is compared as it is: ${row.name}`, () =>
-    assert.equal(areTypesStored([type], itemOf(JSON.parse(row.text)), none), row.same));
+  test(`catalog codec: stored types are compared in their stored format: ${row.name}`, () =>
+    assert.equal(areTypesStored([type], entryOf(JSON.parse(row.text)), none), row.same));
 }
 
-test('catalog codec: fields of another version are not read', () => {
-  const item = itemOf(JSON.parse(`[${LATER_TYPE}]`));
-  assert.deepEqual(readStoredTypes(item, none), [type]);
+test('catalog codec: fields of another version are ignored', () => {
+  const entry = entryOf(JSON.parse(`[${LATER_TYPE}]`));
+  assert.deepEqual(readStoredTypes(entry, none), [type]);
 });
--- a/src/fleet/catalog.test.ts
+++ b/src/fleet/catalog.test.ts
@@ -1,4 +1,4 @@
-/** Catalogs fit the smallest limits of the key-value store, and are read as they were written. */
+/** Tests that catalogs fit the smallest limits of the key-value store, and that reading restores them. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -21,22 +21,22 @@
       true,
     );
     assert.ok(writes !== null && writes.length <= SMALLEST_TRANSACTION);
-    const items = new Map<string, StoredEntry>();
+    const entries = new Map<string, StoredEntry>();
     for (const write of writes) {
       assert.ok(write._tag === 'put' && bytesOf(write.value) <= SMALLEST_VALUE_BYTES);
-      items.set(write.key, { key: write.key, value: write.value, version: 7 });
+      entries.set(write.key, { key: write.key, value: write.value, version: 7 });
     }
-    const whole = items.get('w/catalog');
-    assert.ok(whole);
+    const catalogEntry = entries.get('w/catalog');
+    assert.ok(catalogEntry);
     assert.deepEqual(
-      readStoredTypes(whole, (key) => items.get(key)),
+      readStoredTypes(catalogEntry, (key) => entries.get(key)),
       longMachineTypes(count),
     );
-    // A part of another version is not read.
+    // A part with another version is not read.
     const earlierPart = (key: string): StoredEntry | undefined => {
-      const item = items.get(key);
-      return item && { ...item, version: 6 };
+      const entry = entries.get(key);
+      return entry && { ...entry, version: 6 };
     };
-    assert.equal(readStoredTypes(whole, earlierPart) === null, count > 1);
+    assert.equal(readStoredTypes(catalogEntry, earlierPart) === null, count > 1);
   });
 }
--- a/src/fleet/cloud.test.ts
+++ b/src/fleet/cloud.test.ts
@@ -1,5 +1,6 @@
 /**
- * What each answer of the cloud is taken to mean, and that nothing with an effect goes out without a permit.
+ * Tests how responses of the cloud are interpreted, and that no request with an effect is sent without a
+ * permit.
  */
 
 import assert from 'node:assert/strict';
@@ -13,16 +14,20 @@
 const at = { host: 'h', port: 1 };
 
 const provisionings: readonly { name: string; answer: CallOutcome; expect: string }[] = [
-  { name: 'rented, perhaps fewer', answer: status(200, { drovers: ['i-1'] }), expect: 'rented' },
+  {
+    name: 'provisioned, possibly fewer than requested',
+    answer: status(200, { drovers: ['i-1'] }),
+    expect: 'rented',
+  },
   { name: 'no capacity', answer: status(503, { error: 'no capacity' }), expect: 'noCapacity' },
   {
-    name: 'an outage is not a lack of capacity',
+    name: 'an outage does not count as lack of capacity',
     answer: status(503, { error: 'trouble' }),
     expect: 'refused',
   },
   { name: 'too many requests', answer: status(429), expect: 'refused' },
-  { name: 'no answer: machines may come up that nobody expects', answer: TIMED_OUT, expect: 'unknown' },
-  { name: 'the right to send it was lost on the way: surely not sent', answer: WITHHELD, expect: 'withheld' },
+  { name: 'no response: unexpected machines may boot', answer: TIMED_OUT, expect: 'unknown' },
+  { name: 'permit lost before sending: certainly not sent', answer: WITHHELD, expect: 'withheld' },
 ];
 for (const row of provisionings) {
   test(`provision: ${row.name}`, async () => {
@@ -37,7 +42,7 @@
   });
 }
 
-test('cloud: what a duty must cover neither compiles nor runs without its permit', async () => {
+test('cloud: a request with an effect neither compiles nor is sent without a permit', async () => {
   let requests = 0;
   const counting: HttpClientFactory = () => ({
     request: () => {
@@ -47,9 +52,9 @@
   });
   const cloud = new Cloud(at, 10, 1, () => 0, counting);
   const request = { name: 'r', type: 'g', zone: 'a', spot: false, count: 2 };
-  // @ts-expect-error a provisioning without a permit
+  // @ts-expect-error a provisioning request without a permit
   await assert.rejects(Effect.runPromise(cloud.provision(request)));
-  // @ts-expect-error a release without a permit
+  // @ts-expect-error a release request without a permit
   await assert.rejects(Effect.runPromise(cloud.release(['i-1'])));
   assert.equal(requests, 0);
 });
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the whole leader against stand-ins of the key-value store and the cloud, on a virtual clock. */
+/** Tests of the leader with all its parts against stand-ins of store and cloud, on a virtual clock. */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
@@ -14,17 +14,20 @@
 import { writeMachineRecord } from './machine-record-codec.js';
 
 const MACHINES = 230;
-const CHANGES_A_SECOND = 50;
+const CHANGES_PER_SECOND = 50;
 
 const type = { sku: 'g', vcpus: 8, accelerators: 1, memoryGb: 8, localGb: 1, hourly: 1, marketPrice: 1 };
 
-/** A machine that its holder wants released. */
+/** The record of a machine whose release the holder of its shard requests. */
 const RECORD = machineRecord({ spot: true, releasing: true });
 
-/** The leader alone, against the state stand-in and a cloud that counts, on a virtual clock. */
+/**
+ * Runs a leader against the key-value store stand-in and a cloud that records request paths, for `seconds` on
+ * a virtual clock. `onReady` is called once the watch cache is loaded.
+ */
 const withLeader = async (
-  known: readonly string[],
-  work: (leader: Leader, state: KeyValueStoreStandIn) => void,
+  releasingIds: readonly string[],
+  onReady: (leader: Leader, state: KeyValueStoreStandIn) => void,
   seconds: number,
   mayAct: () => boolean = () => true,
 ): Promise<{ calls: string[]; state: KeyValueStoreStandIn }> => {
@@ -46,18 +49,18 @@
         });
       },
     });
-    const assignments = [
+    const writes = [
       { write: 'w/c/L', data: { n: 'n0', i: '1' } },
-      ...known.map((id) => ({ write: `w/m/${id}`, data: writeMachineRecord(RECORD) })),
+      ...releasingIds.map((id) => ({ write: `w/m/${id}`, data: writeMachineRecord(RECORD) })),
     ];
-    // All records are put at once; from then on what the settings say holds.
-    state.limits = { valueBytes: 16 * 1024, ops: assignments.length };
-    await state.handle('n0', 'POST', '/txn', { when: [], writes: assignments });
+    // One transaction writes all records; afterwards the normal limit applies.
+    state.limits = { valueBytes: 16 * 1024, ops: writes.length };
+    await state.handle('n0', 'POST', '/txn', { when: [], writes });
     state.limits.ops = 48;
     const now = (): number => Date.now();
     const limits = {
       requestsPerSecond: 150,
-      changesPerSecond: CHANGES_A_SECOND,
+      changesPerSecond: CHANGES_PER_SECOND,
       maxTransactionWrites: 48,
       nodes: 1,
     };
@@ -81,13 +84,13 @@
       wall: now,
     });
     const fibers = [Effect.runFork(cache.run), Effect.runFork(leader.run)];
-    let begun = false;
+    let isStarted = false;
     for (let at = 0; at < seconds * 1_000; at += 20) {
       for (let k = 0; k < 6; k += 1) await new Promise((resolve) => setImmediate(resolve));
       mock.timers.tick(20);
-      if (!begun && cache.ready) {
-        begun = true;
-        work(leader, state);
+      if (!isStarted && cache.ready) {
+        isStarted = true;
+        onReady(leader, state);
       }
     }
     for (const fiber of fibers) Effect.runFork(Fiber.interrupt(fiber));
@@ -101,19 +104,20 @@
   Array.from({ length: count }, (_, n) => `i-${String(n).padStart(6, '0')}`);
 
 /**
- * Neither number of machines may need more calls or changes than there are machines to name.
+ * Guards that releasing or adopting many machines takes no more requests and changes than their number
+ * requires.
  */
 for (const machines of [MACHINES, 4_000]) {
-  const seconds = (machines / CHANGES_A_SECOND) * 2;
+  const seconds = (machines / CHANGES_PER_SECOND) * 2;
 
-  test(`leader: ${machines} machines lost together go back in as few calls as the cloud allows`, async () => {
-    // With a few a call, replacements would wait for the cloud's request rate.
+  test(`leader: ${machines} machines to release together need as few requests as the cloud allows`, async () => {
+    // With few machines per request, provisioning replacements would wait for the cloud's request rate.
     const { calls, state } = await withLeader(ids(machines), () => undefined, seconds + 10);
     assert.equal(calls.filter((path) => path === '/machines/release').length, Math.ceil(machines / 100));
-    assert.deepEqual(state.keys('w/m/'), [], 'and their records are gone');
+    assert.deepEqual(state.keys('w/m/'), [], 'the records of the machines are deleted');
   });
 
-  test(`leader: ${machines} machines that are up at the start are adopted at the rate of the state service`, async () => {
+  test(`leader: ${machines} machines running at startup are adopted at the change rate of the key-value store`, async () => {
     // Each worker reports to all controllers once a second until its machine is recorded.
     const { state } = await withLeader(
       [],
@@ -127,22 +131,22 @@
   });
 }
 
-test('leader: after its lease was in doubt it releases machines again under the same claim', async () => {
-  // Guards against duties that stay where they are after an outage: nothing would be released until the next
+test('leader: releases machines again under the same claim after its lease was in doubt', async () => {
+  // Guards against duties that remain suspended after an outage: no machine would be released until the next
   // leader.
-  const doubtful = (): boolean => Date.now() > 3_000 && Date.now() < 6_000;
-  const inDoubt: boolean[] = [];
+  const isLeaseInDoubt = (): boolean => Date.now() > 3_000 && Date.now() < 6_000;
+  const resultsInDoubt: boolean[] = [];
   const { calls, state } = await withLeader(
     [],
-    (leader, stateService) => {
-      setTimeout(() => void leader.releaseNow(['i-000001']).then((done) => inDoubt.push(done)), 4_000);
+    (leader, storeStandIn) => {
+      setTimeout(() => void leader.releaseNow(['i-000001']).then((done) => resultsInDoubt.push(done)), 4_000);
       const put = { write: 'w/m/i-000002', data: writeMachineRecord(RECORD) };
-      setTimeout(() => void stateService.handle('n0', 'POST', '/txn', { when: [], writes: [put] }), 8_000);
+      setTimeout(() => void storeStandIn.handle('n0', 'POST', '/txn', { when: [], writes: [put] }), 8_000);
     },
     20,
-    () => !doubtful(),
+    () => !isLeaseInDoubt(),
   );
-  assert.deepEqual(inDoubt, [false], 'nothing is sent while the lease is in doubt');
+  assert.deepEqual(resultsInDoubt, [false], 'no request is sent while the lease is in doubt');
   assert.equal(calls.filter((path) => path === '/machines/release').length, 1);
-  assert.equal(state.version('w/m/i-000002'), 0, 'and its record is gone');
+  assert.equal(state.version('w/m/i-000002'), 0, 'the record of the machine is deleted');
 });
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the counts over all machine records. */
+/** Tests of the machine index and of the counts in the adoption queue. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { WatchEvent } from '../kv-store/model.js';
@@ -8,48 +8,48 @@
 import { writeMachineRecord } from './machine-record-codec.js';
 import type { MachineRecord } from './machine-record.js';
 
-const put = (id: string, over: Partial<MachineRecord> = {}): WatchEvent => ({
+const put = (id: string, overrides: Partial<MachineRecord> = {}): WatchEvent => ({
   _tag: 'put',
-  entry: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(over)), version: 1 },
+  entry: { key: `w/m/${id}`, value: writeMachineRecord(machineRecord(overrides)), version: 1 },
 });
 const remove = (id: string): WatchEvent => ({ _tag: 'delete', key: `w/m/${id}`, version: 2 });
 
-/** Guards the counts that stand in for a walk over all machines several times a second. */
+/** Guards the incremental counts, which replace iterating over all machines several times per second. */
 const cases: readonly {
   readonly name: string;
   readonly events: readonly WatchEvent[];
-  readonly ofKind: number;
+  readonly countOfKind: number;
   readonly releasing: readonly string[];
 }[] = [
-  { name: 'each machine once', events: [put('a'), put('b'), put('a')], ofKind: 2, releasing: [] },
+  { name: 'counts each machine once', events: [put('a'), put('b'), put('a')], countOfKind: 2, releasing: [] },
   {
-    name: 'only of the kind',
+    name: 'counts only machines of the kind',
     events: [put('a'), put('b', { spot: true }), put('c', { zone: 'y' })],
-    ofKind: 1,
+    countOfKind: 1,
     releasing: [],
   },
   {
-    name: 'not those that go back',
+    name: 'does not count machines to be released',
     events: [put('a'), put('b'), put('b', { releasing: true })],
-    ofKind: 1,
+    countOfKind: 1,
     releasing: ['b'],
   },
   {
-    name: 'nor those that are gone',
+    name: 'does not count deleted records',
     events: [put('a', { releasing: true }), put('b'), remove('a'), remove('b')],
-    ofKind: 0,
+    countOfKind: 0,
     releasing: [],
   },
   {
-    name: 'one that is kept after all',
+    name: 'counts a machine whose release request was removed',
     events: [put('a', { releasing: true }), put('a')],
-    ofKind: 1,
+    countOfKind: 1,
     releasing: [],
   },
   {
-    name: 'nothing of other keys',
+    name: 'ignores other keys',
     events: [{ _tag: 'delete', key: 'w/j/a', version: 3 }, put('a')],
-    ofKind: 1,
+    countOfKind: 1,
     releasing: [],
   },
 ];
@@ -57,12 +57,12 @@
   test(`machine index: ${row.name}`, () => {
     const index = new MachineIndex();
     for (const event of row.events) index.onEvent(event);
-    assert.equal(index.countOfKind('g', 'x', false), row.ofKind);
+    assert.equal(index.countOfKind('g', 'x', false), row.countOfKind);
     assert.deepEqual([...index.releasing], row.releasing);
   });
 }
 
-test('machine index: machines that wait for their record count for the shard that they are meant for', () => {
+test('machine index: queued machines count for the shard to which they will belong', () => {
   const queue = new AdoptionQueue();
   queue.add('a', machineRecord({ shardId: 1 }));
   queue.add('b', machineRecord({ shardId: 1, zone: 'y' }));
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -1,4 +1,4 @@
-/** Tests of provisioning requests: answered, lost, repeated, and settled by the next leader. */
+/** Tests of provisioning requests that are answered, lost, repeated, or settled by the next leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -22,7 +22,7 @@
 import { ScaleOut } from './scale-out.js';
 import type { ProvisioningStep } from './scaling-model.js';
 
-const SILENCE: CallOutcome = { _tag: 'noResponse', why: 'timeout' };
+const NO_RESPONSE: CallOutcome = { _tag: 'noResponse', why: 'timeout' };
 const step: ProvisioningStep = {
   _tag: 'provision',
   type: 'g',
@@ -32,13 +32,13 @@
 };
 
 /**
- * What becomes of a request on its way: `lost` never arrives, `unanswered` is carried out and its answer
- * lost.
+ * How the simulated cloud handles a request. `lost`: the request never arrives; `unanswered`: the cloud
+ * carries out the request, but its response is lost; `trouble`: status 503 for another reason than capacity.
  */
-type Fate = 'answered' | 'lost' | 'unanswered' | 'no capacity' | 'trouble';
+type RequestHandling = 'answered' | 'lost' | 'unanswered' | 'no capacity' | 'trouble';
 
-/** Scale-out against the stand-ins, with the fate of each of its requests drawn up beforehand. */
-const setUp = async (fates: Fate[], wall = () => Date.now()) => {
+/** Creates scale-out with the stand-ins; `handlings` says how each of its cloud requests is handled. */
+const setUp = async (handlings: RequestHandling[], wall = () => Date.now()) => {
   const state = new KeyValueStoreStandIn();
   const cloudStandIn = new CloudStandIn();
   const claim = await state.handle('n0', 'POST', '/txn', {
@@ -50,12 +50,12 @@
   const createHttpClient = (target: { host: string }) => ({
     request: async (method: string, path: string, body: unknown): Promise<CallOutcome> => {
       if (target.host === 'state') return state.handle('n0', method, path, body);
-      const fate = fates.shift() ?? 'answered';
-      if (fate === 'no capacity') return reply(503, { error: 'no capacity' });
-      if (fate === 'trouble') return reply(503, { error: 'trouble' });
-      if (fate === 'lost') return SILENCE;
+      const handling = handlings.shift() ?? 'answered';
+      if (handling === 'no capacity') return reply(503, { error: 'no capacity' });
+      if (handling === 'trouble') return reply(503, { error: 'trouble' });
+      if (handling === 'lost') return NO_RESPONSE;
       const answer = cloudStandIn.handle('n0', method, path, body);
-      return fate === 'unanswered' ? SILENCE : answer;
+      return handling === 'unanswered' ? NO_RESPONSE : answer;
     },
   });
   const now = (): number => performance.now();
@@ -79,48 +79,55 @@
     refusals,
     wall,
   });
-  const book = () => readProvisioningRecord(state.value('i/rent') ?? { t: 1, o: [] });
-  return { state, cloud: cloudStandIn, duty, scaleOut, adoptionQueue, refusals, book };
+  const provisioningRecord = () => readProvisioningRecord(state.value('i/rent') ?? { t: 1, o: [] });
+  return { state, cloud: cloudStandIn, duty, scaleOut, adoptionQueue, refusals, provisioningRecord };
 };
-const settle = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 80));
+const waitForRequests = (): Promise<void> => new Promise((resolve) => setTimeout(resolve, 80));
 
 const requests: readonly {
   name: string;
-  fates: Fate[];
+  handlings: RequestHandling[];
   machines: number;
   recorded: number;
   outcome: string;
   refused: boolean;
 }[] = [
-  { name: 'answered', fates: [], machines: 2, recorded: 2, outcome: 'rented', refused: false },
+  { name: 'answered', handlings: [], machines: 2, recorded: 2, outcome: 'rented', refused: false },
   {
-    name: 'its answer lost: sent again under its name, and carried out once',
-    fates: ['unanswered'],
+    name: 'repeated under its name after a lost response, and carried out once',
+    handlings: ['unanswered'],
     machines: 2,
     recorded: 2,
     outcome: 'rented',
     refused: false,
   },
-  { name: 'lost on its way', fates: ['lost'], machines: 2, recorded: 2, outcome: 'rented', refused: false },
   {
-    name: 'never answered: found by the list, if it was carried out',
-    fates: ['lost', 'lost', 'unanswered'],
+    name: 'repeated after the first copy is lost',
+    handlings: ['lost'],
+    machines: 2,
+    recorded: 2,
+    outcome: 'rented',
+    refused: false,
+  },
+  {
+    name: 'never answered: only the machine list shows whether it was carried out',
+    handlings: ['lost', 'lost', 'unanswered'],
     machines: 2,
     recorded: 0,
     outcome: 'unanswered',
     refused: true,
   },
   {
-    name: 'no capacity',
-    fates: ['no capacity'],
+    name: 'refused for lack of capacity',
+    handlings: ['no capacity'],
     machines: 0,
     recorded: 0,
     outcome: 'no capacity',
     refused: true,
   },
   {
-    name: 'the cloud is in trouble',
-    fates: ['trouble'],
+    name: 'refused during a fault of the cloud',
+    handlings: ['trouble'],
     machines: 0,
     recorded: 0,
     outcome: 'refused',
@@ -129,14 +136,14 @@
 ];
 for (const row of requests) {
   test(`scale-out: a provisioning request is ${row.name}`, async () => {
-    const { scaleOut, state, cloud, refusals, book } = await setUp([...row.fates]);
+    const { scaleOut, state, cloud, refusals, provisioningRecord } = await setUp([...row.handlings]);
     await Effect.runPromise(scaleOut.settle);
     scaleOut.startProvisioning(step);
-    await settle();
+    await waitForRequests();
     assert.equal(cloud.machines.size, row.machines);
     assert.equal(state.keys('w/m/').length, row.recorded);
-    assert.deepEqual(book().open, [], 'nothing is left open');
-    assert.equal(book().settled.at(-1)?.outcome, row.outcome);
+    assert.deepEqual(provisioningRecord().open, [], 'no request is left open');
+    assert.equal(provisioningRecord().settled.at(-1)?.outcome, row.outcome);
     assert.equal(refusals.isRefused('g|x|false'), row.refused);
   });
 }
@@ -152,23 +159,32 @@
 const takeovers: readonly {
   name: string;
   ageMs: number;
-  fates: Fate[];
+  handlings: RequestHandling[];
   machines: number;
   outcome: string;
 }[] = [
-  { name: 'repeated under its name', ageMs: 1_000, fates: [], machines: 1, outcome: 'repeated by successor' },
   {
-    name: 'left, if the cloud has none',
+    name: 'repeated under its name',
     ageMs: 1_000,
-    fates: ['no capacity'],
+    handlings: [],
+    machines: 1,
+    outcome: 'repeated by successor',
+  },
+  {
+    name: 'abandoned if the cloud has no capacity',
+    ageMs: 1_000,
+    handlings: ['no capacity'],
     machines: 0,
     outcome: 'abandoned',
   },
-  { name: 'left, if it is old', ageMs: 60_000, fates: [], machines: 0, outcome: 'abandoned' },
+  { name: 'abandoned if it is old', ageMs: 60_000, handlings: [], machines: 0, outcome: 'abandoned' },
 ];
 for (const row of takeovers) {
-  test(`scale-out: what an earlier leader left open is ${row.name}`, async () => {
-    const { scaleOut, state, cloud, duty, adoptionQueue, book } = await setUp([...row.fates], () => 100_000);
+  test(`scale-out: a request that an earlier leader left open is ${row.name}`, async () => {
+    const { scaleOut, state, cloud, duty, adoptionQueue, provisioningRecord } = await setUp(
+      [...row.handlings],
+      () => 100_000,
+    );
     await state.handle('n0', 'POST', '/txn', {
       when: [],
       writes: [
@@ -183,14 +199,18 @@
       ],
     });
     scaleOut.startProvisioning(step);
-    assert.equal(cloud.actions.length, 0, 'nothing is provisioned before that is settled');
+    assert.equal(cloud.actions.length, 0, 'nothing is provisioned before the open request is settled');
     await Effect.runPromise(scaleOut.settle);
     assert.equal(duty.state._tag, 'held');
-    await settle();
+    await waitForRequests();
     assert.equal(cloud.machines.size, row.machines);
-    assert.equal(adoptionQueue.shardIds().has(2), row.machines === 1, 'for the shard that it was meant for');
+    assert.equal(
+      adoptionQueue.shardIds().has(2),
+      row.machines === 1,
+      'the machine is queued for the shard of its request',
+    );
     assert.deepEqual(
-      book().settled.map(({ name, outcome }) => ({ name, outcome })),
+      provisioningRecord().settled.map(({ name, outcome }) => ({ name, outcome })),
       [{ name: 'r-1-1', outcome: row.outcome }],
     );
   });
--- a/src/fleet/scaling-plan.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the scaling plan, and of the rate limiter that bounds what follows from it. */
+/** Tests of the scaling plan, and of the rate limiter that bounds the requests that follow from it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog } from '../jobs/model.js';
@@ -44,7 +44,7 @@
   waitedMs,
   reserveAfterMs: 8_000,
 });
-const need = (over: Partial<UnmetDemand>): UnmetDemand => ({
+const unmetDemand = (overrides: Partial<UnmetDemand>): UnmetDemand => ({
   cpus: 4,
   gpus: 1,
   memoryGb: 16,
@@ -59,15 +59,15 @@
   gangs: [],
   zoneCapacity: {},
   waitedMs: 0,
-  ...over,
+  ...overrides,
 });
-const spare = (id: string, over: Partial<SpareMachine> = {}): SpareMachine => ({
+const spare = (id: string, overrides: Partial<SpareMachine> = {}): SpareMachine => ({
   id,
   type: 'large',
   zone: 'a',
   spot: true,
   idleS: 1,
-  ...over,
+  ...overrides,
 });
 const summary = (
   shardId: number,
@@ -81,10 +81,10 @@
   spares,
 });
 
-const full = ['large a false', 'large b false', 'small a false', 'small b false'];
-const whole = (over: Partial<UnmetDemand>): UnmetDemand =>
-  need({ spot: false, gang: true, oneZone: true, gpus: 4, cpus: 16, ...over });
-const reservation = (over: Partial<Reservation>): Reservation => ({
+const allRefused = ['large a false', 'large b false', 'small a false', 'small b false'];
+const wholeMachineGang = (overrides: Partial<UnmetDemand>): UnmetDemand =>
+  unmetDemand({ spot: false, gang: true, oneZone: true, gpus: 4, cpus: 16, ...overrides });
+const reservation = (overrides: Partial<Reservation>): Reservation => ({
   shardId: 0,
   job: 'job-4',
   zone: 'b',
@@ -96,7 +96,7 @@
   tasks: 4,
   priority: 1,
   ageMs: 1_000,
-  ...over,
+  ...overrides,
 });
 
 const rows: readonly {
@@ -110,20 +110,20 @@
   expect: readonly string[];
 }[] = [
   {
-    name: 'the cheapest for each task',
-    summaries: [summary(0, [need({})])],
+    name: 'provisions the kind with the lowest price per task',
+    summaries: [summary(0, [unmetDemand({})])],
     expect: ['rent 0 large a spot 1'],
   },
   {
-    name: 'a spare machine of another shard first',
-    summaries: [summary(0, [need({})]), summary(1, [], [spare('m')])],
+    name: 'transfers a spare machine of another shard rather than provisioning',
+    summaries: [summary(0, [unmetDemand({})]), summary(1, [], [spare('m')])],
     expect: ['move m 1>0'],
   },
-  // A summary names a few dozen spares of a kind; those beyond must not be provisioned anew.
+  // A summary lists a few dozen spares of a kind; machines must not be provisioned in place of the others.
   {
-    name: 'also where the other shard has more than it names',
+    name: 'provisions nothing if another shard has enough unlisted spares',
     summaries: [
-      summary(0, [need({ tasks: 1_000 })]),
+      summary(0, [unmetDemand({ tasks: 1_000 })]),
       {
         ...summary(1, [], [spare('m')]),
         unlisted: [{ type: 'large', zone: 'a', spot: true, count: 300 }],
@@ -132,9 +132,9 @@
     expect: ['move m 1>0'],
   },
   {
-    name: 'and new ones for what is missing beyond those',
+    name: 'provisions what listed and unlisted spares do not cover',
     summaries: [
-      summary(0, [need({ tasks: 20 })]),
+      summary(0, [unmetDemand({ tasks: 20 })]),
       {
         ...summary(1, [], [spare('m')]),
         unlisted: [{ type: 'large', zone: 'a', spot: true, count: 3 }],
@@ -143,33 +143,33 @@
     expect: ['move m 1>0', 'rent 0 large a spot 1'],
   },
   {
-    name: 'not one that the need may not use',
-    summaries: [summary(0, [need({ spot: false })]), summary(1, [], [spare('m')])],
+    name: 'does not transfer a spare machine that the demand may not use',
+    summaries: [summary(0, [unmetDemand({ spot: false })]), summary(1, [], [spare('m')])],
     expect: ['rent 0 large a ordinary 1'],
   },
   {
-    name: 'where capacity was refused, the next best',
-    summaries: [summary(0, [need({})])],
+    name: 'provisions the next kind if the cloud refused the cheapest',
+    summaries: [summary(0, [unmetDemand({})])],
     refused: ['large a true'],
     expect: ['rent 0 large b spot 1'],
   },
   {
-    name: 'work that may use spot waits for it rather than take ordinary ones',
-    summaries: [summary(0, [need({})])],
+    name: 'waits for spot machines rather than provisioning on-demand ones',
+    summaries: [summary(0, [unmetDemand({})])],
     refused: ['large a true', 'large b true', 'small a true', 'small b true'],
     expect: [],
   },
   {
-    name: 'unless a target is at stake, and then fills them',
-    summaries: [summary(0, [need({ urgent: true, tasks: 6 })])],
+    name: 'provisions on-demand machines for urgent spot demand, only as many as it fills',
+    summaries: [summary(0, [unmetDemand({ urgent: true, tasks: 6 })])],
     refused: ['large a true', 'large b true', 'small a true', 'small b true'],
     expect: ['rent 0 large a ordinary 1'],
   },
   {
-    name: 'a one-zone gang is completed in the zone that lacks least',
+    name: 'a one-zone gang gets its machines in the zone with the fewest missing tasks',
     summaries: [
       summary(0, [
-        need({
+        unmetDemand({
           spot: false,
           gang: true,
           oneZone: true,
@@ -184,10 +184,10 @@
     expect: ['rent 0 large b ordinary 1'],
   },
   {
-    name: 'a gang larger than any shard is gathered from several',
+    name: 'machines for a gang larger than any shard are gathered from several shards',
     summaries: [
       summary(0, [
-        need({
+        unmetDemand({
           gang: true,
           oneZone: true,
           gpus: 4,
@@ -202,82 +202,82 @@
     ],
     expect: ['move m 1>0', 'move n 2>0', 'hold a 0 job-3'],
   },
-  // Else smaller jobs of its priority take whatever comes free first, and the largest gangs wait for ever.
+  // Otherwise smaller jobs of its priority take every machine that becomes free, and large gangs starve.
   {
-    name: 'a gang that no zone has room for, nor the cloud, has machines gathered in one',
+    name: 'a gang without capacity in any zone or at the cloud gets a reservation in one zone',
     summaries: [
-      summary(0, [whole({ gangs: [gang(4, 20_000)] })]),
+      summary(0, [wholeMachineGang({ gangs: [gang(4, 20_000)] })]),
       summary(1, [], [spare('m', { zone: 'b', spot: false })]),
     ],
-    refused: full,
+    refused: allRefused,
     machines: { 'large a': 3, 'large b': 5 },
     expect: ['move m 1>0', 'hold b 0 job-4'],
   },
   {
-    name: 'not at once: the next few to come free may be enough',
-    summaries: [summary(0, [whole({ gangs: [gang(4, 2_000)] })])],
-    refused: full,
+    name: 'no reservation before the delay: machines that become free may suffice',
+    summaries: [summary(0, [wholeMachineGang({ gangs: [gang(4, 2_000)] })])],
+    refused: allRefused,
     machines: { 'large b': 5 },
     expect: [],
   },
   {
-    name: 'one gang a zone, the one that has waited longest: two would block each other',
+    name: 'reserves a zone for one gang only, the longest waiting: two would block each other',
     summaries: [
-      summary(0, [whole({ gangs: [gang(4, 20_000), gang(5, 30_000)] })]),
-      summary(1, [whole({ gangs: [gang(3, 25_000)] })]),
+      summary(0, [wholeMachineGang({ gangs: [gang(4, 20_000), gang(5, 30_000)] })]),
+      summary(1, [wholeMachineGang({ gangs: [gang(3, 25_000)] })]),
     ],
-    refused: full,
+    refused: allRefused,
     machines: { 'large a': 4, 'large b': 6 },
     expect: ['hold b 0 job-5', 'hold a 1 job-3'],
   },
   {
-    name: 'a gang that is being gathered for keeps its zone, though another waits longer',
+    name: 'a gang with a reservation keeps its zone although another has waited longer',
     summaries: [
-      summary(0, [whole({ gangs: [gang(4, 20_000)] })]),
-      summary(1, [whole({ gangs: [gang(5, 90_000)] })], [spare('m', { zone: 'b', spot: false })]),
+      summary(0, [wholeMachineGang({ gangs: [gang(4, 20_000)] })]),
+      summary(1, [wholeMachineGang({ gangs: [gang(5, 90_000)] })], [spare('m', { zone: 'b', spot: false })]),
     ],
-    refused: full,
+    refused: allRefused,
     machines: { 'large b': 6 },
     reservations: [reservation({})],
     expect: ['move m 1>0', 'hold b 0 job-4'],
   },
   {
-    name: 'but not for ever',
-    summaries: [summary(0, [whole({ gangs: [gang(4, 20_000)] })], [])],
-    refused: full,
+    name: 'a reservation that is too old moves to another zone',
+    summaries: [summary(0, [wholeMachineGang({ gangs: [gang(4, 20_000)] })], [])],
+    refused: allRefused,
     machines: { 'large a': 5, 'large b': 6 },
     reservations: [reservation({ ageMs: 200_000 })],
     expect: ['hold a 0 job-4'],
   },
   {
-    name: 'a zone that could never run it is not reserved',
-    summaries: [summary(0, [whole({ gangs: [gang(4, 20_000)] })])],
-    refused: full,
+    name: 'does not reserve a zone that could never run the gang',
+    summaries: [summary(0, [wholeMachineGang({ gangs: [gang(4, 20_000)] })])],
+    refused: allRefused,
     machines: { 'large a': 3, 'large b': 3 },
     expect: [],
   },
-  // Else what was gathered for a gang goes to the next one each time machines are provisioned for its shard.
+  // Otherwise each provisioning for a gang's shard would give the machines gathered for it to the next gang.
   {
-    name: 'a shard whose summary does not show its new machines keeps its reservation, and gets no more',
+    name: 'a shard with an outdated summary keeps its reservation and gets no new machines',
     summaries: [
-      summary(0, [whole({ gangs: [gang(4, 20_000)] }), need({})]),
-      summary(1, [whole({ gangs: [gang(3, 50_000)] })], [spare('m', { zone: 'b', spot: false })]),
+      summary(0, [wholeMachineGang({ gangs: [gang(4, 20_000)] }), unmetDemand({})]),
+      summary(1, [wholeMachineGang({ gangs: [gang(3, 50_000)] })], [spare('m', { zone: 'b', spot: false })]),
     ],
     outdatedShards: [0],
-    refused: full,
+    refused: allRefused,
     machines: { 'large b': 6 },
     reservations: [reservation({})],
     expect: ['move m 1>0', 'hold b 0 job-4'],
   },
-  // Else a gang changes its zone each time machines on their way show nowhere.
+  // Otherwise a gang changes its zone each time no summary shows the machines in transfer to its shard.
   {
-    name: 'machines on their way count where they go, and are not ordered elsewhere',
+    name: 'machines in transfer count for the receiving shard, and are not transferred again',
     summaries: [
-      summary(0, [whole({ gangs: [gang(2, 20_000)] })]),
-      summary(1, [whole({ gangs: [gang(1, 5_000)] })]),
+      summary(0, [wholeMachineGang({ gangs: [gang(2, 20_000)] })]),
+      summary(1, [wholeMachineGang({ gangs: [gang(1, 5_000)] })]),
       summary(2, [], [spare('n', { zone: 'b', spot: false }), spare('m', { zone: 'b', spot: false })]),
     ],
-    refused: full,
+    refused: allRefused,
     machines: { 'large a': 6, 'large b': 6 },
     reservations: [reservation({ job: 'job-2', tasks: 2 })],
     pendingTransfers: [
@@ -287,8 +287,8 @@
     expect: ['hold b 0 job-2'],
   },
   {
-    name: 'shards get machines of one kind in one request',
-    summaries: [summary(0, [need({})]), summary(1, [need({})])],
+    name: 'one request provisions the machines of one kind for all shards',
+    summaries: [summary(0, [unmetDemand({})]), summary(1, [unmetDemand({})])],
     expect: ['rent 0,1 large a spot 2'],
   },
 ];
@@ -319,29 +319,29 @@
   });
 }
 
-// Users and renewals never leave the bucket full: a batch as large as it would be refused for minutes, and
-// machines would stand idle beside waiting work.
-test('budget: a batch as large as the bucket passes beside steady small calls, and is paid for', () => {
+// Users' calls and renewals keep the bucket from being full. If a batch as large as the bucket needed a full
+// bucket, it would be refused for minutes, and machines would be idle while jobs wait.
+test('budget: a batch as large as the bucket passes despite steady small requests, within the rate', () => {
   let now = 0;
-  const budget = new RateLimiter(12, 0.35, 2_000, () => now);
+  const rateLimiter = new RateLimiter(12, 0.35, 2_000, () => now);
   let batches = 0;
   let users = 0;
   for (; now < 60_000; now += 100) {
-    if (now % 300 === 0 && budget.tryTake(1, 'user')) users += 1;
-    if (budget.tryTake(12, 'work')) batches += 1;
+    if (now % 300 === 0 && rateLimiter.tryTake(1, 'user')) users += 1;
+    if (rateLimiter.tryTake(12, 'work')) batches += 1;
   }
   assert.ok(batches >= 20, `${batches} batches`);
-  assert.ok(users * 1 + batches * 12 <= 12 * 61 + 12, 'no more than the rate in all');
+  assert.ok(users * 1 + batches * 12 <= 12 * 61 + 12, 'the total does not exceed the rate');
 });
 
-test('budget: renewals pass when background work and users have used theirs', () => {
+test('budget: renewals pass when background work and users have used up their tokens', () => {
   let now = 0;
-  const budget = new RateLimiter(100, 0.35, 1_000, () => now);
-  assert.equal(budget.tryTake(65, 'work'), true);
-  assert.equal(budget.tryTake(1, 'work'), false);
-  assert.equal(budget.tryTake(35, 'user'), true);
-  assert.equal(budget.tryTake(1, 'user'), false);
-  assert.equal(budget.tryTake(5, 'vital'), true);
+  const rateLimiter = new RateLimiter(100, 0.35, 1_000, () => now);
+  assert.equal(rateLimiter.tryTake(65, 'work'), true);
+  assert.equal(rateLimiter.tryTake(1, 'work'), false);
+  assert.equal(rateLimiter.tryTake(35, 'user'), true);
+  assert.equal(rateLimiter.tryTake(1, 'user'), false);
+  assert.equal(rateLimiter.tryTake(5, 'vital'), true);
   now += 500;
-  assert.equal(budget.tryTake(1, 'work'), true);
+  assert.equal(rateLimiter.tryTake(1, 'work'), true);
 });
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -39,7 +39,7 @@
   ageMs: previous?.zone === zone ? previous.ageMs : 0,
 });
 
-/** Subtracts the shard's own capacity that the job uses in the zone; returns the number of remaining tasks. */
+/** Subtracts the shard's own capacity that the job uses in the zone; returns the number of tasks left. */
 const takeOwnCapacity = ({ job, zoneCapacity }: JobDemand, zone: string): number => {
   const capacity = zoneCapacity[zone] ?? 0;
   const used = Math.min(job.tasks, Math.max(0, capacity));
