--- a/src/fleet/machine-record.ts
+++ b/src/fleet/machine-record.ts
@@ -29,6 +29,7 @@
   readonly releasing: boolean;
   /** Last known address (`host:port`) of the worker, for the next holder of the shard; empty: not known. */
   readonly addr: string;
+  /** Number of that worker's session, which grows each time the worker starts. */
   readonly agentEpoch: number;
   /** Images on the machine, the most recently used last, for the shard that it is transferred to. */
   readonly images?: readonly string[];
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -180,7 +180,7 @@
     return best?.zone ?? null;
   }
 
-  /** Whether the zone could ever run the job and has no reservation: two would block each other. */
+  /** Whether the job could ever run in the zone, which has no reservation yet: two would block each other. */
   private canReserve({ demand, job }: JobDemand, zone: string): boolean {
     return (
       (demand.zone === null || demand.zone === zone) &&
