--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -79,7 +79,7 @@
   }
 
   private actingToken(claimName: string): FencingToken | null {
-    const revision = this.dependencies.leases.actingRevision(claimName);
+    const revision = this.dependencies.leases.actingClaimRevision(claimName);
     return revision === null ? null : tokenOf(revision);
   }
 
@@ -108,7 +108,7 @@
   /** A claim changed in this controller's copy of the shared keys. */
   claimChanged(claimName: string): void {
     this.auditHolder(claimName);
-    const ownRevision = this.dependencies.leases.ownRevision(claimName);
+    const ownRevision = this.dependencies.leases.heldClaimRevision(claimName);
     for (const duty of this.dutiesOf(claimName)) {
       if (ownRevision === null) duty.apply({ _tag: 'released' });
       else this.applyClaim(duty, tokenOf(ownRevision));
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -18,11 +18,11 @@
 } from '../jobs/job-record-codec.js';
 import { packIds, splitIds, unpackIds } from '../pipelines/codec.js';
 import {
-  partsOf,
-  prepared,
+  partCountOf,
+  asPrepared,
   readRunRecord,
-  storeRun,
-  validating,
+  encodeRun,
+  withValidAttempt,
   type StoredRun,
 } from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
@@ -59,12 +59,12 @@
   Object.fromEntries(Object.entries(objects).map(([name, object]) => [`${kind}, ${name}`, write(object)]));
 
 const runs = (): Readonly<Record<string, StoredRun>> => ({
-  plain: storeRun(RUN, RUN_CHUNK, ROOM, true),
-  'as earlier versions read it': storeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, false),
-  'in parts': storeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true),
-  prepared: prepared(storeRun(RUN, RUN_CHUNK, ROOM, true)),
-  'prepared, in parts': prepared(storeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true)),
-  'that makes its attempt valid': validating(storeRun(RUN, RUN_CHUNK, ROOM, true), RUN.attempt),
+  plain: encodeRun(RUN, RUN_CHUNK, ROOM, true),
+  'as earlier versions read it': encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, false),
+  'in parts': encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true),
+  prepared: asPrepared(encodeRun(RUN, RUN_CHUNK, ROOM, true)),
+  'prepared, in parts': asPrepared(encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true)),
+  'that makes its attempt valid': withValidAttempt(encodeRun(RUN, RUN_CHUNK, ROOM, true), RUN.attempt),
 });
 
 const keysOfState = (): readonly string[] => [
@@ -142,9 +142,9 @@
   const { record, parts } = stored as StoredRun;
   const marks = record as { readonly q?: number; readonly v?: number };
   const run = readRunRecord(record, RUN_CHUNK, parts);
-  const again = storeRun(run, RUN_CHUNK, partsOf(record) > 0 ? LITTLE_ROOM : ROOM, true);
-  const valid = marks.v === undefined ? again : validating(again, marks.v);
-  return marks.q === undefined ? valid : prepared(valid);
+  const again = encodeRun(run, RUN_CHUNK, partCountOf(record) > 0 ? LITTLE_ROOM : ROOM, true);
+  const valid = marks.v === undefined ? again : withValidAttempt(again, marks.v);
+  return marks.q === undefined ? valid : asPrepared(valid);
 };
 
 const rereadCatalog = (stored: unknown): unknown => {
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -79,7 +79,7 @@
   let jobs = 0;
   const add = (gang: boolean) => {
     jobs += 1;
-    return shardState.adoptJob(
+    return shardState.applyJobRecord(
       {
         spec: specOf(jobs, gang),
         at: now - 20_000,
