--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the stored copy of the cloud's catalog: the leader refreshes it, any controller stores it while there
- * is none.
+ * Keeps the stored copy of the cloud's catalog up to date: the leader refreshes it; while none is stored, any
+ * controller stores it.
  */
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -14,67 +14,69 @@
 import { areTypesStored, catalogWrites } from './catalog.js';
 import type { FleetDependencies } from './dependencies.js';
 
-/** What the keeper needs of the leader. */
+/** Dependencies of the catalog keeper on the leader. */
 export interface CatalogKeeperDependencies extends Omit<FleetDependencies, 'wall'> {
   readonly duty: Duty;
-  /** The largest value that the key-value store takes, now and later, in bytes. */
+  /** Largest value that the key-value store accepts, now or later, in bytes. */
   readonly valueBytes: number;
-  /** Does every controller read a catalog that is stored in parts? */
+  /** Whether every controller can read a catalog that is stored in parts. */
   readonly maySplit: () => boolean;
-  /** Null: not known yet. */
+  /** The known catalog; null: none is known yet. */
   readonly catalog: () => Catalog | null;
 }
 
-/** State: when the cloud was last asked. */
+/** State: when the catalog was last read from the cloud. */
 export class CatalogKeeper {
-  /** ms, by the steady clock; 0: never. */
-  private readAt = 0;
+  /** When the catalog was last read, in ms on the steady clock; 0: never. */
+  private lastReadAt = 0;
 
-  constructor(private readonly input: CatalogKeeperDependencies) {}
+  constructor(private readonly dependencies: CatalogKeeperDependencies) {}
 
-  private isDue(leads: boolean): boolean {
-    const known = this.input.catalog() !== null;
-    if (!this.input.cache.ready || (known && !leads)) return false;
+  private isDue(isLeader: boolean): boolean {
+    const known = this.dependencies.catalog() !== null;
+    if (!this.dependencies.cache.ready || (known && !isLeader)) return false;
     return (
-      this.readAt === 0 ||
-      this.input.now() - this.readAt >= (known ? CATALOG_REFRESH_INTERVAL_MS : CLOUD_RETRY_DELAY_MS)
+      this.lastReadAt === 0 ||
+      this.dependencies.now() - this.lastReadAt >=
+        (known ? CATALOG_REFRESH_INTERVAL_MS : CLOUD_RETRY_DELAY_MS)
     );
   }
 
-  /** Reads the cloud's catalog if it is time to, and stores it if it differs. */
+  /** Reads the cloud's catalog if the refresh interval has passed, and stores it if it has changed. */
   readonly refresh: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    if (!this.isDue(this.input.duty.state._tag === 'held')) return;
-    this.readAt = this.input.now();
-    const result = yield* this.input.cloud.catalog;
+    if (!this.isDue(this.dependencies.duty.state._tag === 'held')) return;
+    this.lastReadAt = this.dependencies.now();
+    const result = yield* this.dependencies.cloud.catalog;
     if (result._tag === 'failed') {
       log.info({ event: 'catalog.failed', why: result.why });
       return;
     }
-    const known = this.input.cache.get(CATALOG_KEY);
-    if (known && areTypesStored(result.types, known, (key) => this.input.cache.get(key))) return;
+    const storedEntry = this.dependencies.cache.get(CATALOG_KEY);
+    if (storedEntry && areTypesStored(result.types, storedEntry, (key) => this.dependencies.cache.get(key)))
+      return;
     const writes = catalogWrites(
       result.types,
-      this.input.valueBytes * VALUE_FILL_FRACTION,
-      this.input.store.maxTransactionWrites,
-      this.input.maySplit(),
+      this.dependencies.valueBytes * VALUE_FILL_FRACTION,
+      this.dependencies.store.maxTransactionWrites,
+      this.dependencies.maySplit(),
     );
     if (writes === null) {
       log.error({ event: 'catalog.too_long', types: result.types.length });
       return;
     }
-    yield* this.write(writes, known?.version ?? 0);
+    yield* this.write(writes, storedEntry?.version ?? 0);
   });
 
   private write(writes: readonly Write[], version: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
       const when = [{ key: CATALOG_KEY, version }];
-      const permit = this.input.duty.begin('catalog');
+      const permit = this.dependencies.duty.begin('catalog');
       if (permit) {
-        yield* fencedTransaction(this.input.store, permit, when, writes, 'user');
+        yield* fencedTransaction(this.dependencies.store, permit, when, writes, 'user');
         permit.end();
-      } else if (this.input.catalog() === null) {
-        // Without a catalog no controller is ready, and there is nothing that a late copy could replace.
-        yield* this.input.store.compareAndSwap(when, writes, 'user');
+      } else if (this.dependencies.catalog() === null) {
+        // Without a catalog no controller is ready, and a late copy of the write has no catalog to replace.
+        yield* this.dependencies.store.compareAndSwap(when, writes, 'user');
       }
     });
   }
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -1,7 +1,7 @@
 /**
  * The leader: plans for all shards, provisions, releases and adopts machines, and orders their transfer.
- * Every controller has one; it acts only while this controller holds the leader claim. Each part owns its
- * state: the leader itself has none but the loop.
+ * Every controller has a leader object, which acts only while the controller holds the leader claim. Each
+ * part of the leader owns its state; the leader itself only runs the loops.
  */
 import type { ProvisioningJournal } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -26,27 +26,27 @@
 import type { ShardSummary } from './shard-summary.js';
 import { TransferOrders, type SendTransferOrder } from './transfer-orders.js';
 
-/** What the leader needs of the rest of the controller. */
+/** Dependencies of the leader on the rest of the controller. */
 export interface LeaderDependencies extends FleetDependencies {
   readonly duties: Pick<DutyRegistry, 'leader'>;
-  /** Announces provisioning requests durably before they are sent; null: they are sent at once. */
+  /** Stores provisioning requests durably before they are sent; null: they are sent without a journal. */
   readonly journal: ProvisioningJournal | null;
   readonly shardCount: number;
-  /** How late the cloud's machine list may be, in s. */
+  /** Maximum staleness of the cloud's machine list, in s. */
   readonly listLagS: number;
-  /** The largest value that the key-value store takes, now and later, in bytes. */
+  /** Largest value that the key-value store accepts, now or later, in bytes. */
   readonly valueBytes: number;
-  /** Does every controller read a catalog that is stored in parts? */
+  /** Whether every controller can read a catalog that is stored in parts. */
   readonly maySplit: () => boolean;
-  /** Null: not known yet. */
+  /** The known catalog; null: none is known yet. */
   readonly catalog: () => Catalog | null;
-  /** Revision of this controller's leader claim; null: it must not act as the leader now. */
+  /** Revision of this controller's leader claim; null: the controller must not act as the leader now. */
   readonly actingRevision: () => number | null;
   readonly summaries: () => readonly ShardSummary[];
   readonly orderTransfers: SendTransferOrder;
 }
 
-/** Composes the parts, and runs their rounds while this controller leads. */
+/** Composes the parts of the leader, and runs their rounds while this controller leads. */
 export class Leader {
   private readonly adoptionQueue = new AdoptionQueue();
   private readonly machines = new MachineIndex();
@@ -59,55 +59,55 @@
   private readonly adopter: Adopter;
   private readonly catalogKeeper: CatalogKeeper;
 
-  constructor(private readonly input: LeaderDependencies) {
-    const { cache, duties, now } = input;
+  constructor(private readonly dependencies: LeaderDependencies) {
+    const { cache, duties, now } = dependencies;
     const { adoptionQueue, machines } = this;
     const refusals = (this.refusals = new CapacityRefusals(now));
-    const recorder = (this.recorder = new MachineRecorder(input.store));
+    const recorder = (this.recorder = new MachineRecorder(dependencies.store));
     this.activeReservations = new ActiveReservations(now);
     this.transfers = new TransferOrders({
       cache,
       now,
       duty: duties.leader('move'),
       machines,
-      send: input.orderTransfers,
+      send: dependencies.orderTransfers,
     });
     this.scaleOut = new ScaleOut({
-      ...input,
+      ...dependencies,
       duty: duties.leader('rent'),
       recorder,
       adoptionQueue,
       refusals,
     });
-    this.scaleIn = new ScaleIn({ ...input, duty: duties.leader('release'), machines, refusals });
+    this.scaleIn = new ScaleIn({ ...dependencies, duty: duties.leader('release'), machines, refusals });
     this.adopter = new Adopter({
-      ...input,
+      ...dependencies,
       duty: duties.leader('adopt'),
       queue: adoptionQueue,
       machines,
       recorder,
       scaleIn: this.scaleIn,
     });
-    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leader('catalog') });
+    this.catalogKeeper = new CatalogKeeper({ ...dependencies, duty: duties.leader('catalog') });
     cache.onEvent((event) => machines.onEvent(event));
   }
 
-  /** The reservations in force; empty unless this controller leads. */
+  /** The reservations in force; empty unless this controller is the leader. */
   get reservations(): readonly Reservation[] {
     return this.activeReservations.list;
   }
 
-  /** A worker reported whose machine has no record. */
+  /** Adopts the machine of a worker that reported although the machine has no record. */
   adopt(id: string, type: string, zone: string, spot: boolean): void {
     this.adopter.adopt(id, { type, zone, spot });
   }
 
-  /** Releases machines while nothing can be written; true: they are gone. */
+  /** Releases machines while the key-value store is not writable; resolves with whether they are gone. */
   releaseNow(machines: readonly string[]): Promise<boolean> {
     return this.scaleIn.releaseNow(machines);
   }
 
-  /** Machines whose records ask for their release. */
+  /** Machines whose records request their release. */
   get releaseIntents(): readonly ReleaseIntent[] {
     return [...this.machines.releasing].map((machine): ReleaseIntent => {
       const record = this.machines.get(machine);
@@ -121,12 +121,13 @@
   }
 
   /**
-   * All rounds, at once: a slow answer of the cloud must not delay transfers, nor a long list the releases.
+   * Runs all loops concurrently: a slow response of the cloud must not delay transfers, and reading a long
+   * machine list must not delay releases.
    */
   readonly run: Effect.Effect<unknown> = Effect.suspend(() =>
     Effect.all(
       [
-        this.whileLeading(Effect.andThen(this.adopter.recordQueuedMachines, this.carryOutPlan)),
+        this.whileLeading(Effect.andThen(this.adopter.recordQueuedMachines, this.executePlan)),
         this.whileLeading(this.scaleOut.settle),
         this.whileLeading(this.scaleIn.releaseRequestedMachines),
         this.whileLeading(this.adopter.adoptListedMachines),
@@ -136,37 +137,37 @@
     ),
   );
 
-  /** Repeats what only the leader does, as long as this controller leads. */
-  private whileLeading(work: Effect.Effect<void>): Effect.Effect<never> {
+  /** Repeats a round of the leader whenever this controller leads; clears the leader's state otherwise. */
+  private whileLeading(round: Effect.Effect<void>): Effect.Effect<never> {
     return Effect.gen({ self: this }, function* () {
-      let leads = false;
+      let isLeading = false;
       for (;;) {
-        yield* Effect.sleep(leads ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS);
-        leads = this.input.actingRevision() !== null && this.input.cache.ready;
-        if (leads) yield* work;
-        else this.forgetLeadership();
+        yield* Effect.sleep(isLeading ? LEADER_ROUND_INTERVAL_MS : LEADERSHIP_CHECK_INTERVAL_MS);
+        isLeading = this.dependencies.actingRevision() !== null && this.dependencies.cache.ready;
+        if (isLeading) yield* round;
+        else this.clearLeaderState();
       }
     });
   }
 
-  private forgetLeadership(): void {
+  private clearLeaderState(): void {
     this.adoptionQueue.clear();
     this.activeReservations.clear();
   }
 
-  /** Without a catalog no controller is ready, so its refresh is considered more often then. */
+  /** Checks more often whether a refresh is due while there is no catalog: no controller is ready then. */
   private readonly refreshCatalog: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      const known = this.input.catalog() !== null;
+      const known = this.dependencies.catalog() !== null;
       yield* Effect.sleep(known ? LEADERSHIP_CHECK_INTERVAL_MS : LEADER_ROUND_INTERVAL_MS);
       yield* this.catalogKeeper.refresh;
     }
   });
 
-  private readonly carryOutPlan: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    const catalog = this.input.catalog();
+  private readonly executePlan: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+    const catalog = this.dependencies.catalog();
     if (!catalog) return;
-    const steps = this.plan(catalog, this.input.summaries());
+    const steps = this.plan(catalog, this.dependencies.summaries());
     yield* this.transfers.order(steps.filter((step) => step._tag === 'transfer'));
     for (const step of steps) if (step._tag === 'provision') this.scaleOut.startProvisioning(step);
   });
@@ -187,7 +188,7 @@
     return steps;
   }
 
-  /** Shards whose summaries don't show yet all machines that were provisioned or adopted for them. */
+  /** Shards whose summaries don't reflect yet all machines that were provisioned or adopted for them. */
   private outdatedShards(summaries: readonly ShardSummary[]): ReadonlySet<number> {
     const outdated = new Set(this.adoptionQueue.shardIds());
     for (const { shardId, revision } of summaries)
--- a/src/fleet/machine-offers.ts
+++ b/src/fleet/machine-offers.ts
@@ -1,22 +1,22 @@
 /**
- * The kinds of machines that could be provisioned for an unmet demand, cheapest first. Part of the scaling
- * plan, which creates one `MachineOffers` a round.
+ * The machine kinds that could be provisioned for an unmet demand, cheapest first. Part of the scaling plan,
+ * which creates one `MachineOffers` per round.
  */
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
 import type { ScalingPlanInput } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
 
-/** A kind of machine that serves a demand. */
+/** A machine kind that can run tasks of a demand. */
 export interface MachineOffer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Tasks of the demand that one such machine takes. */
+  /** Number of tasks of the demand that one machine runs; at most as many as the demand has. */
   readonly tasksServed: number;
-  /** Tasks of this size that it has room for. */
+  /** Number of tasks of this size that one machine has capacity for. */
   readonly taskCapacity: number;
-  /** Price a task. */
+  /** Price of the machine divided by `tasksServed`. */
   readonly pricePerTask: number;
 }
 
@@ -24,13 +24,13 @@
 
 const compareText = (a: string, b: string): number => (a < b ? -1 : a > b ? 1 : 0);
 
-/** By cost, then type and zone; spot before on-demand where all are equal. */
+/** By price per task, then type and zone; spot before on-demand where all are equal. */
 const compareOffers = (a: MachineOffer, b: MachineOffer): number =>
   a.pricePerTask - b.pricePerTask || compareText(a.type.name, b.type.name) || (a.zone < b.zone ? -1 : 1);
 
 /**
- * Is spot asked for, in the order of preference? Urgent work may go to on-demand machines though spot would
- * do.
+ * The values of `spot` to request, in order of preference. Urgent demand may use on-demand machines although
+ * it allows spot machines.
  */
 const spotChoices = (demand: UnmetDemand): readonly boolean[] => {
   if (!demand.spot) return [false];
@@ -42,31 +42,31 @@
   type: MachineType,
   { isRefused }: OfferInput,
 ): readonly MachineOffer[] => {
-  const usedTasks = howMany(demand, type, demand.tasks);
-  if (usedTasks === 0) return [];
+  const tasksServed = howMany(demand, type, demand.tasks);
+  if (tasksServed === 0) return [];
   const taskCapacity = howMany(demand, type, MAX_TASKS_PER_JOB);
   const offers: MachineOffer[] = [];
   for (const zone of type.zones) {
     if (demand.zone !== null && demand.zone !== zone) continue;
     for (const spot of spotChoices(demand)) {
       if (isRefused(type.name, zone, spot)) continue;
-      const cost = (spot ? type.spotPrice : type.price) / usedTasks;
-      offers.push({ type, zone, spot, tasksServed: usedTasks, taskCapacity, pricePerTask: cost });
+      const pricePerTask = (spot ? type.spotPrice : type.price) / tasksServed;
+      offers.push({ type, zone, spot, tasksServed, taskCapacity, pricePerTask });
     }
   }
   return offers;
 };
 
-/** Offers for each demand of one round. State: those found so far, since many gangs share one demand. */
+/** The offers for each demand of one round. State: a cache of them, because many gangs share one demand. */
 export class MachineOffers {
-  private readonly found = new Map<UnmetDemand, readonly MachineOffer[]>();
+  private readonly offersByDemand = new Map<UnmetDemand, readonly MachineOffer[]>();
 
   constructor(private readonly input: OfferInput) {}
 
-  /** Offers for the demand, cheapest for each task first. */
+  /** The offers for the demand, in ascending order of the price per task. */
   for(demand: UnmetDemand): readonly MachineOffer[] {
-    let offers = this.found.get(demand);
-    if (!offers) this.found.set(demand, (offers = this.find(demand)));
+    let offers = this.offersByDemand.get(demand);
+    if (!offers) this.offersByDemand.set(demand, (offers = this.find(demand)));
     return offers;
   }
 
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -1,6 +1,6 @@
 /**
- * Provisions machines: sends the requests of the scaling plan, records the machines that come of them, and
- * settles the requests that an earlier leader left open. Called by the leader.
+ * Provisions machines: sends the requests of the scaling plan, writes the records of the provisioned
+ * machines, and settles the requests that an earlier leader left open. Called by the leader.
  */
 import {
   settlementsFor,
@@ -26,17 +26,17 @@
 import type { MachineRecorder } from './machine-recorder.js';
 import type { ProvisioningStep } from './scaling-model.js';
 
-/** What scale-out needs of the leader. */
+/** Dependencies of scale-out on the leader. */
 export interface ScaleOutDependencies extends Pick<FleetDependencies, 'store' | 'cloud' | 'wall'> {
   readonly duty: Duty;
-  /** Announces requests durably before they are sent; null: they are sent at once. */
+  /** Stores requests durably before they are sent; null: they are sent without a journal. */
   readonly journal: ProvisioningJournal | null;
   readonly recorder: MachineRecorder;
   readonly adoptionQueue: AdoptionQueue;
   readonly refusals: CapacityRefusals;
 }
 
-/** Outcomes as the journal stores them. */
+/** The outcome that the journal stores for each result. */
 const OUTCOMES: Readonly<Record<ProvisioningResult['_tag'], ProvisioningOutcome>> = {
   rented: 'rented',
   noCapacity: 'no capacity',
@@ -61,7 +61,8 @@
   result._tag === 'rented' ? result.machines : [];
 
 /**
- * The machines that came of a request, each with the record that it is to have; `at` in ms since the epoch.
+ * The machines that a request provisioned, each with the record to write for it. `at` is the provisioning
+ * time, in ms since the epoch.
  */
 const newMachines = (
   intent: ProvisioningIntent,
@@ -88,46 +89,46 @@
 };
 
 /**
- * State: the kinds that are asked for at the moment (one request each), and the number of requests so far.
+ * State: the kinds for which a request is in flight (one request each), and the number of requests so far.
  */
 export class ScaleOut {
   private sequence = 0;
   private readonly requestedKinds = new Set<string>();
 
-  constructor(private readonly input: ScaleOutDependencies) {}
+  constructor(private readonly dependencies: ScaleOutDependencies) {}
 
-  /** Asks for what the plan wants, unless the same kind or too much is under way already. */
+  /** Starts a request of the plan, unless one of the same kind or too many requests are in flight. */
   startProvisioning(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
-    // What is under way shows in later summaries.
+    // Later summaries reflect the machines of the request in flight.
     if (this.requestedKinds.has(kind)) return;
     if (this.requestedKinds.size >= MAX_CONCURRENT_PROVISIONING_REQUESTS) return;
-    const permit = this.input.duty.begin('rental request');
+    const permit = this.dependencies.duty.begin('rental request');
     if (permit === null) return;
     this.requestedKinds.add(kind);
-    const done = Effect.sync(() => {
+    const finish = Effect.sync(() => {
       this.requestedKinds.delete(kind);
       permit.end();
     });
-    Effect.runFork(Effect.ensuring(this.provision(permit, this.intentOf(permit, step)), done));
+    Effect.runFork(Effect.ensuring(this.provision(permit, this.intentOf(permit, step)), finish));
   }
 
   private intentOf(permit: Permit, step: ProvisioningStep): ProvisioningIntent {
     this.sequence += 1;
     return {
-      // The claim's revision is durable and belongs to this process alone: no name is used twice.
+      // The revision of the claim is durable and belongs to this process alone: no name is used twice.
       name: `r-${permit.token}-${this.sequence}`,
       machineType: step.type,
       zone: step.zone,
       spot: step.spot,
       shardIds: step.shardIds,
-      at: this.input.wall(),
+      at: this.dependencies.wall(),
     };
   }
 
   private provision(permit: Permit, intent: ProvisioningIntent): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const { journal } = this.input;
+      const { journal } = this.dependencies;
       log.debug({ event: 'provisioning.decided', name: intent.name });
       if (journal) {
         const announced = yield* Effect.promise(() => journal.announce(intent));
@@ -138,29 +139,29 @@
         log.debug({ event: 'provisioning.announced', name: intent.name });
       }
       const result = yield* this.request(permit, intent);
-      this.noteCapacity(intent, result);
+      this.updateRefusals(intent, result);
       if (result._tag === 'rented') yield* this.record(permit, intent, result.machines);
       journal?.recordOutcome(intent.name, OUTCOMES[result._tag], machinesOf(result).length);
     });
   }
 
   /**
-   * Without an answer the request is sent again under its name, which provisions nothing more and tells its
-   * outcome.
+   * Sends the request. If there is no response, the request is sent again under the same name: the cloud does
+   * not carry it out a second time and returns its outcome.
    */
   private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
-      const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
+      const maxRetries = this.dependencies.journal ? PROVISIONING_RETRIES : 0;
       for (let attempt = 0; ; attempt += 1) {
-        const result = yield* this.input.cloud.provision(requestOf(intent), permit);
+        const result = yield* this.dependencies.cloud.provision(requestOf(intent), permit);
         logAnswer(intent, result);
-        if (result._tag !== 'unknown' || attempt >= repeats) return result;
+        if (result._tag !== 'unknown' || attempt >= maxRetries) return result;
       }
     });
   }
 
-  private noteCapacity(intent: ProvisioningIntent, result: ProvisioningResult): void {
-    const { refusals } = this.input;
+  private updateRefusals(intent: ProvisioningIntent, result: ProvisioningResult): void {
+    const { refusals } = this.dependencies;
     const kind = kindKey(intent.machineType, intent.zone, intent.spot);
     switch (result._tag) {
       case 'rented':
@@ -185,41 +186,41 @@
     machines: readonly string[],
   ): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
-      const { store, recorder, adoptionQueue, wall } = this.input;
+      const { store, recorder, adoptionQueue, wall } = this.dependencies;
       const unrecorded = [...newMachines(intent, machines, wall())];
       while (unrecorded.length > 0) {
         const batch = unrecorded.splice(0, store.batchWrites);
         const written = yield* recorder.record(permit, batch);
-        // Without an answer they may be recorded yet; if they are, that shows before the next attempt.
+        // Without a response the write may still be applied; the cache shows that before the next attempt.
         if (written !== 'committed') for (const { id, record } of batch) adoptionQueue.add(id, record);
       }
     });
   }
 
   /**
-   * Settles what an earlier leader left open, before this one provisions anything. Repeated until it
-   * succeeds.
+   * Settles the requests that an earlier leader left open, before this leader provisions anything. Repeated
+   * until it succeeds.
    */
   readonly settle: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    const { duty } = this.input;
+    const { duty } = this.dependencies;
     const permit = duty.beginSettlement('settlement of rental requests');
     if (permit === null) return;
-    const settled = yield* Effect.ensuring(this.settleUnder(permit), Effect.sync(permit.end));
+    const settled = yield* Effect.ensuring(this.settleWithPermit(permit), Effect.sync(permit.end));
     if (settled) duty.apply({ _tag: 'settled', token: permit.token });
     else yield* Effect.sleep(PROVISIONING_RECOVERY_RETRY_DELAY_MS);
   });
 
-  private settleUnder(permit: Permit): Effect.Effect<boolean> {
+  private settleWithPermit(permit: Permit): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
-      const { journal } = this.input;
+      const { journal } = this.dependencies;
       if (journal === null) return true;
       const record = yield* Effect.promise(() => journal.load(permit.token));
       if (record === null) return false;
       if (record.malformed.length > 0)
         log.error({ event: 'provisioning.intents_malformed', entries: record.malformed });
-      for (const settlement of settlementsFor(record, this.input.wall())) {
-        const outcome = yield* this.settleOne(permit, settlement);
-        // This controller lost the leader claim: the new leader settles them.
+      for (const settlement of settlementsFor(record, this.dependencies.wall())) {
+        const outcome = yield* this.settleIntent(permit, settlement);
+        // This controller lost the leader claim: the new leader settles the remaining requests.
         if (outcome === 'withheld') return false;
         journal.recordOutcome(settlement.intent.name, outcome);
       }
@@ -227,16 +228,16 @@
     });
   }
 
-  private settleOne(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<ProvisioningOutcome> {
+  private settleIntent(permit: Permit, { _tag, intent }: Settlement): Effect.Effect<ProvisioningOutcome> {
     return Effect.gen({ self: this }, function* () {
       log.info({ event: 'provisioning.intent_settled', how: _tag, name: intent.name });
       if (_tag === 'abandon') return 'abandoned';
       const result = yield* this.request(permit, intent);
       if (result._tag === 'withheld') return 'withheld';
       if (result._tag !== 'rented') return 'abandoned';
-      // Some may have been recorded by the earlier leader: the adopter leaves out those that have a record.
+      // The earlier leader may have recorded some of them: the adopter skips machines that have a record.
       for (const { id, record } of newMachines(intent, result.machines, intent.at))
-        this.input.adoptionQueue.add(id, record);
+        this.dependencies.adoptionQueue.add(id, record);
       return 'repeated by successor';
     });
   }
