--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -68,27 +68,27 @@
     this.transfers = new TransferOrders({
       cache,
       now,
-      duty: duties.leader('move'),
+      duty: duties.leaderDuty('move'),
       machines,
       send: dependencies.orderTransfers,
     });
     this.scaleOut = new ScaleOut({
       ...dependencies,
-      duty: duties.leader('rent'),
+      duty: duties.leaderDuty('rent'),
       recorder,
       adoptionQueue,
       refusals,
     });
-    this.scaleIn = new ScaleIn({ ...dependencies, duty: duties.leader('release'), machines, refusals });
+    this.scaleIn = new ScaleIn({ ...dependencies, duty: duties.leaderDuty('release'), machines, refusals });
     this.adopter = new Adopter({
       ...dependencies,
-      duty: duties.leader('adopt'),
+      duty: duties.leaderDuty('adopt'),
       queue: adoptionQueue,
       machines,
       recorder,
       scaleIn: this.scaleIn,
     });
-    this.catalogKeeper = new CatalogKeeper({ ...dependencies, duty: duties.leader('catalog') });
+    this.catalogKeeper = new CatalogKeeper({ ...dependencies, duty: duties.leaderDuty('catalog') });
     cache.onEvent((event) => machines.onEvent(event));
   }
 
