--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -68,7 +68,7 @@
     store: storeAccess.store,
     cache: storeAccess.cache,
     announcedVersions: () => peers.announcedVersions(),
-    beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
+    beginAgreement: () => duties.registry.leaderDuty('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
     self: deployment.me,
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -46,7 +46,7 @@
       releaseWithoutIntent(
         {
           shardId,
-          duty: duties.registry.shard(shardId, 'reclaim'),
+          duty: duties.registry.shardDuty(shardId, 'reclaim'),
           ownNode: context.deployment.me.node,
           leaderNode,
           msSinceStoreAnswered: context.storeAccess.msSinceAnswered,
@@ -55,7 +55,7 @@
         },
         machines,
       ),
-    cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    cleanUp: context.features.fencing ? duties.registry.shardDuty(shardId, 'clean-up') : null,
     onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -28,7 +28,7 @@
 
 /** What the leader needs of the rest of the controller. */
 export interface LeaderDependencies extends FleetDependencies {
-  readonly duties: Pick<DutyRegistry, 'leader'>;
+  readonly duties: Pick<DutyRegistry, 'leaderDuty'>;
   /** Announces provisioning requests durably before they are sent; null: they are sent at once. */
   readonly journal: ProvisioningJournal | null;
   readonly shardCount: number;
@@ -68,27 +68,27 @@
     this.transfers = new TransferOrders({
       cache,
       now,
-      duty: duties.leader('move'),
+      duty: duties.leaderDuty('move'),
       machines,
       send: input.orderTransfers,
     });
     this.scaleOut = new ScaleOut({
       ...input,
-      duty: duties.leader('rent'),
+      duty: duties.leaderDuty('rent'),
       recorder,
       adoptionQueue,
       refusals,
     });
-    this.scaleIn = new ScaleIn({ ...input, duty: duties.leader('release'), machines, refusals });
+    this.scaleIn = new ScaleIn({ ...input, duty: duties.leaderDuty('release'), machines, refusals });
     this.adopter = new Adopter({
       ...input,
-      duty: duties.leader('adopt'),
+      duty: duties.leaderDuty('adopt'),
       queue: adoptionQueue,
       machines,
       recorder,
       scaleIn: this.scaleIn,
     });
-    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leader('catalog') });
+    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leaderDuty('catalog') });
     cache.onEvent((event) => machines.onEvent(event));
   }
 
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -93,7 +93,7 @@
   await releaseWithoutIntent(
     {
       shardId: 1,
-      duty: leaderDuties(TOKEN, () => 0).leader('release'),
+      duty: leaderDuties(TOKEN, () => 0).leaderDuty('release'),
       ownNode: 'n1',
       leaderNode: () => 'n0',
       msSinceStoreAnswered: () => ROOM,
