--- a/packages/fencing/src/audit.ts
+++ b/packages/fencing/src/audit.ts
@@ -1,30 +1,31 @@
 /**
- * The audit of a process's duties: who held which claim from when to when, and which effects were refused.
+ * The audit of a process's duties: which process held which claim in which period, and which effects were
+ * refused.
  *
- * State: {@link DutyAudit} owns bounded lists of both, for the administration API; nothing is decided by
- * them. `Duty` and the checks of received orders record refusals, and whoever follows the claims in the
- * state service records holders. Each entry also goes to the listener that the audit was made with, which
- * logs it.
+ * State: {@link DutyAudit} owns bounded lists of both, for the administration API; no decision depends on
+ * them. `Duty` and the verifier of received orders record refusals; the component that follows the claims in
+ * the key-value store records holders. The audit also passes each entry to the listener given to its
+ * constructor, which logs the entry.
  */
 import type { DutyName } from './duty-definitions.js';
 import type { FencingToken } from './token.js';
 
-/** Ended periods of all claims that stay listed. */
+/** Maximum number of ended holding periods that are kept, over all claims. */
 const MAX_ENDED_PERIODS = 128;
-/** Refused effects that stay listed. */
+/** Maximum number of refused effects that are kept. */
 const MAX_REFUSALS = 128;
 
-/** For how long somebody held a claim, as seen in the state service. */
+/** A period in which one process held a claim, as observed in the key-value store. */
 export interface HoldingPeriod {
   readonly claim: string;
   readonly token: FencingToken;
   readonly node: string;
   readonly process: string;
-  /** ms since the epoch, when this process saw it. */
+  /** When this process observed the holder, in ms since the epoch. */
   readonly from: number;
-  /** ms since the epoch; null: the period has not ended. */
+  /** When the period ended, in ms since the epoch; null if it has not ended. */
   readonly to: number | null;
-  /** Why it ended; null: it has not. */
+  /** Why the period ended; null if it has not ended. */
   readonly ended: string | null;
 }
 
@@ -32,25 +33,28 @@
 export type RefusalReason =
   /** The lease behind the claim may have expired. */
   | 'lease in doubt'
-  /** Another process holds the claim, or nobody. */
+  /** Another process holds the claim, or no process does. */
   | 'claim lost'
-  /** This process holds the duty again, under a later token than the effect's. */
+  /** This process holds the duty again, under a later token than that of the effect. */
   | 'later token held'
-  /** An order of another process carried a token below the highest seen. */
+  /** An order from another process carried a token below the highest one seen for the claim. */
   | 'stale order';
 
-/** An effect that was not carried out because its token, or the lease behind it, was no longer valid. */
+/**
+ * An effect whose token, or the lease behind it, was no longer valid. It was not carried out, unless fencing
+ * is off for the duty.
+ */
 export interface Refusal {
   readonly duty: DutyName;
   readonly claim: string;
   readonly effect: string;
   readonly token: FencingToken;
   readonly reason: RefusalReason;
-  /** ms since the epoch. */
+  /** When the effect was refused, in ms since the epoch. */
   readonly at: number;
 }
 
-/** An entry of the audit, as its listener receives it. */
+/** An entry of the audit, as the listener receives it. */
 export type AuditEvent =
   | { readonly _tag: 'holderChanged'; readonly period: HoldingPeriod }
   | { readonly _tag: 'holderEnded'; readonly period: HoldingPeriod }
@@ -60,7 +64,7 @@
   if (list.length > maxLength) list.splice(0, list.length - maxLength);
 };
 
-/** A bounded record of who held which claim, why it ended, and which late effects were refused. */
+/** A bounded record of the holders of each claim, why their periods ended, and the refused effects. */
 export class DutyAudit {
   private readonly endedPeriods: HoldingPeriod[] = [];
   private readonly currentPeriods = new Map<string, HoldingPeriod>();
@@ -68,38 +72,38 @@
   private refusedSinceStart = 0;
 
   constructor(
-    /** ms since the epoch. */
+    /** The wall clock, in ms since the epoch. */
     private readonly timeOfDay: () => number,
     private readonly onEvent: (event: AuditEvent) => void = () => undefined,
   ) {}
 
-  /** All refusals since the start, also those that are no longer listed. */
+  /** The number of refusals since the start, including those that are no longer kept. */
   get refusalCount(): number {
     return this.refusedSinceStart;
   }
 
-  /** The state service shows a claim with this holder; nothing changes if it is known already. */
+  /** Records the holder of a claim in the key-value store; does nothing if this token is already recorded. */
   recordHolder(claim: string, token: FencingToken, node: string, process: string): void {
-    const known = this.currentPeriods.get(claim);
-    if (known?.token === token) return;
-    if (known) this.recordHolderEnd(claim, 'taken over');
+    const current = this.currentPeriods.get(claim);
+    if (current?.token === token) return;
+    if (current) this.recordHolderEnd(claim, 'taken over');
     const period = { claim, token, node, process, from: this.timeOfDay(), to: null, ended: null };
     this.currentPeriods.set(claim, period);
     this.onEvent({ _tag: 'holderChanged', period });
   }
 
-  /** The claim has no holder any more, or another one. */
+  /** Ends the current period of a claim, which has no holder any more or another one. */
   recordHolderEnd(claim: string, reason: string): void {
-    const known = this.currentPeriods.get(claim);
-    if (!known) return;
+    const current = this.currentPeriods.get(claim);
+    if (!current) return;
     this.currentPeriods.delete(claim);
-    const period = { ...known, to: this.timeOfDay(), ended: reason };
+    const period = { ...current, to: this.timeOfDay(), ended: reason };
     this.endedPeriods.push(period);
     dropOldest(this.endedPeriods, MAX_ENDED_PERIODS);
     this.onEvent({ _tag: 'holderEnded', period });
   }
 
-  /** An effect was refused just now. */
+  /** Records an effect that was refused at the current time. */
   recordRefusal(refusal: Omit<Refusal, 'at'>): void {
     const entry = { ...refusal, at: this.timeOfDay() };
     this.refusedSinceStart += 1;
@@ -108,14 +112,14 @@
     this.onEvent({ _tag: 'refused', refusal: entry });
   }
 
-  /** Who holds the claim now, and who did before, the latest last. */
+  /** Returns the periods of a claim that are kept, the oldest first; the current one, if any, is the last. */
   listPeriods(claim: string): readonly HoldingPeriod[] {
     const current = this.currentPeriods.get(claim);
     const ended = this.endedPeriods.filter((period) => period.claim === claim);
     return current === undefined ? ended : [...ended, current];
   }
 
-  /** The last refused effects, of one duty or of all, the latest last. */
+  /** Returns the refused effects that are kept, of one duty or of all duties, the oldest first. */
   listRefusals(duty?: DutyName): readonly Refusal[] {
     return this.refusals.filter((refusal) => duty === undefined || refusal.duty === duty);
   }
--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -1,50 +1,51 @@
 /**
- * A clock that tells whether a lease may still be relied on. The steady clock of a suspended host stands
- * still while leases expire elsewhere; the time of day goes on, but somebody may set it. Time counts as
- * passed when either of the two says so: a suspension and a jump forward both make a lease look older than
- * it is, which costs at most the duty, and a jump back gives nothing.
+ * A clock that measures whether a lease may still be valid. The steady clock of a suspended host stops while
+ * leases expire elsewhere; the wall clock continues, but an operator may set it. This clock counts time as
+ * elapsed if either of the two shows it: a suspension is counted, a forward jump of the wall clock makes a
+ * lease look older than it is, which costs at most the duty, and a backward jump does not make it look
+ * younger.
  *
- * Evidence that something is *over* elsewhere (a worker's lease, say) must not use this clock: it may run
- * ahead.
+ * Evidence that something has *ended* elsewhere, for example a worker's lease, must not be measured with this
+ * clock, since it may run ahead of real time.
  *
  * State: each clock owns its anchor (a reading of both sources) and the time that it has added.
  */
 
 /**
- * ms: the anchor is renewed this often, so that drift between the two clocks never adds up to a difference
- * that counts.
+ * ms: interval at which the anchor is renewed, so that the drift between the two clocks never adds up to a
+ * difference above the tolerance.
  */
 const ANCHOR_RENEWAL_INTERVAL_MS = 5_000;
-/** ms: two clocks are read one after the other, and a timer's turn may end in between. */
-const READING_DELAY_TOLERANCE_MS = 20;
 /**
- * Clocks read as bounded by their error on both sides: an error of either sign may begin and end the
- * interval.
+ * ms: tolerated delay between the readings of the two clocks, since the process may be descheduled in
+ * between.
  */
+const READING_DELAY_TOLERANCE_MS = 20;
+/** An interval is measured with two readings, and each of them may have an error of either sign. */
 const READINGS_PER_INTERVAL = 2;
 
-/** What the clock reads. */
+/** The two clocks that a {@link SuspensionAwareClock} reads. */
 export interface ClockSources {
-  /** ms, steady. */
+  /** The steady clock, in ms: it is never set, and stops while the host is suspended. */
   readonly steady: () => number;
-  /** ms since the epoch. */
+  /** The wall clock, in ms since the epoch. */
   readonly timeOfDay: () => number;
-  /** ms: how far the time of day may be from true time. */
+  /** ms: maximum deviation of the wall clock from true time. */
   readonly timeOfDayErrorMs: number;
 }
 
-/** A steady clock that also counts the time for which its host stood still. */
+/** A steady clock that also counts the time for which its host was suspended. */
 export class SuspensionAwareClock {
   private anchorSteady: number;
   private anchorTimeOfDay: number;
-  /** ms: suspensions and jumps forward so far. */
+  /** ms: total of the suspensions and forward jumps that were detected. */
   private addedMs = 0;
-  /** ms: differences up to this much are clock error, not suspension. */
+  /** ms: a difference between the clocks up to this value is clock error, not a suspension. */
   readonly toleranceMs: number;
 
   constructor(
     private readonly sources: ClockSources,
-    /** Told of each suspension or jump forward that was found (ms). */
+    /** Called with the length (ms) of each suspension or forward jump that was detected. */
     private readonly onGap: (gapMs: number) => void = () => undefined,
   ) {
     this.toleranceMs = READINGS_PER_INTERVAL * sources.timeOfDayErrorMs + READING_DELAY_TOLERANCE_MS;
@@ -52,7 +53,7 @@
     this.anchorTimeOfDay = sources.timeOfDay();
   }
 
-  /** ms: never goes back, never behind the steady clock's own pace. */
+  /** Returns the time in ms: it never decreases, and never advances slower than the steady clock. */
   readonly now = (): number => {
     const steady = this.sources.steady();
     const timeOfDay = this.sources.timeOfDay();
--- a/packages/fencing/src/duty-definitions.ts
+++ b/packages/fencing/src/duty-definitions.ts
@@ -1,18 +1,21 @@
 /**
- * The duties of a deployment, and every effect that each has outside its process. A duty hangs on a claim in
- * the state service; all duties on one claim share its holder and its fencing token.
+ * The duties of a deployment, and every effect that each duty has outside its process. A duty belongs to a
+ * claim in the key-value store; all duties of one claim share its holder and its fencing token.
  *
- * The names of duties and effects and the texts on late effects appear in answers of the administration API
- * and in logs as they stand here. Pure data.
+ * The names of duties and effects and the texts on late effects appear unchanged in answers of the
+ * administration API and in logs. Pure data.
  */
 
-/** How a late effect of a replaced holder is kept from doing harm. */
+/** How a late effect of a replaced holder is made harmless. */
 export type Fence =
-  /** A transaction with the claim among its conditions: the state service refuses it. */
+  /** The effect is a transaction with the claim among its conditions: the key-value store refuses it. */
   | 'conditional'
-  /** The receiver compares tokens, and refuses lower ones than it has seen. */
+  /** The receiver compares tokens, and refuses one below the highest that it has seen. */
   | 'receiver'
-  /** The receiver cannot check: a durable intent comes first, which no later holder contradicts. */
+  /**
+   * The receiver cannot compare tokens: a durable intent is written first, and no later holder contradicts
+   * it.
+   */
   | 'intent';
 
 /** One kind of effect of a duty. */
@@ -23,16 +26,16 @@
   readonly late: string;
 }
 
-/** Which claim a duty hangs on: that of the leader, or that of each shard. */
+/** The claim that a duty belongs to: the leader's, or that of each shard. */
 export type ClaimKind = 'leader' | 'shard';
 
-/** A duty. */
+/** The claim and the effects of one duty. */
 export interface DutyDefinition {
   readonly claim: ClaimKind;
   readonly effects: readonly EffectDefinition[];
 }
 
-/** Duties that hang on the leader's claim. */
+/** Duties that belong to the leader's claim. */
 export const LEADER_DUTIES = [
   'rent',
   'release',
@@ -45,7 +48,7 @@
 /** The name of a duty of the leader. */
 export type LeaderDutyName = (typeof LEADER_DUTIES)[number];
 
-/** Duties that hang on the claim of each shard. */
+/** Duties that belong to the claim of each shard. */
 export const SHARD_DUTIES = ['reclaim', 'clean-up', 'preempt'] as const;
 /** The name of a duty of the holder of a shard. */
 export type ShardDutyName = (typeof SHARD_DUTIES)[number];
@@ -136,6 +139,6 @@
   },
 };
 
-/** Reads a duty's name; null: there is none of that name. */
+/** Returns the name of a duty if the text is one; null if no duty has that name. */
 export const parseDutyName = (text: string): DutyName | null =>
   DUTY_NAMES.find((name) => name === text) ?? null;
--- a/packages/fencing/src/duty.ts
+++ b/packages/fencing/src/duty.ts
@@ -1,40 +1,42 @@
 /**
- * A duty in one process, and the permits that its effects need.
+ * A duty in one process, and the permits that its effects require.
  *
- * State: a {@link Duty} owns its {@link DutyState}, which only `nextDutyState` changes. Whoever follows the
- * claims in the state service applies events to it; whoever carries out effects asks it for permits.
+ * State: a {@link Duty} owns its {@link DutyState}, which only `nextDutyState` changes. The component that
+ * follows the claims in the key-value store applies events to the duty; components that carry out effects
+ * request permits from it.
  */
 import type { DutyAudit, RefusalReason } from './audit.js';
 import type { DutyName } from './duty-definitions.js';
 import { nextDutyState, tokenOfState, type DutyEvent, type DutyState } from './duty-state.js';
 import type { FencingToken } from './token.js';
 
-/** What a duty needs of its process. */
+/** What a duty requires of its process. */
 export interface DutyDependencies {
   readonly name: DutyName;
-  /** The claim in the state service that the duty hangs on. */
+  /** The name of the claim in the key-value store that the duty belongs to. */
   readonly claim: string;
   /**
-   * The token under which this process may act right now; null: it may not, because the claim is not its own
-   * or the lease may have expired. Read from the clock at each call.
+   * Returns the token under which this process may act now; null if it does not hold the claim, or if its
+   * lease may have expired. Each call reads the clock.
    */
   readonly actingToken: () => FencingToken | null;
   readonly audit: DutyAudit;
-  /** Refuses late effects. When off they go out all the same, and are only recorded in the audit. */
+  /** Whether late effects are refused. If false, they are carried out and only recorded in the audit. */
   readonly enforceFencing: boolean;
 }
 
 /**
- * Permission to carry out one effect. It is asked again immediately before bytes leave the process, after
- * any wait, and for each retry: between the decision and that moment the process may have stood still.
+ * Permission to carry out one effect. The caller checks it again immediately before bytes leave the process,
+ * after any wait, and for each retry: between the decision and that moment the process may have been
+ * suspended.
  */
 export interface Permit {
   readonly duty: DutyName;
   readonly claim: string;
   readonly token: FencingToken;
-  /** May the effect be carried out at this very moment? A no is recorded in the audit. */
+  /** Returns whether the effect may be carried out now; a refusal is recorded in the audit. */
   readonly mayProceed: () => boolean;
-  /** The effect has its answer, or is given up. Further calls change nothing. */
+  /** Ends the permit once the effect was answered or given up. Further calls change nothing. */
   readonly end: () => void;
 }
 
@@ -58,7 +60,7 @@
     this.current = nextDutyState(this.current, event);
   }
 
-  /** Suspends or restores the duty by what the lease says now. */
+  /** Suspends or restores the duty, depending on whether its lease is valid now. */
   refresh(): void {
     const token = tokenOfState(this.current);
     const mayAct = token !== null && this.dependencies.actingToken() === token;
@@ -66,13 +68,15 @@
     else if (this.current._tag === 'draining') this.apply({ _tag: 'restored' });
   }
 
-  /** A permit for an effect of the current holder; null: this process is not the holder now. */
+  /**
+   * Returns a permit for an effect of the current holder; null if this process does not hold the duty now.
+   */
   begin(effect: string): Permit | null {
     this.refresh();
     return this.current._tag === 'held' ? this.createPermit(effect, this.current.token) : null;
   }
 
-  /** A permit for settling what an earlier holder left open; null: there is nothing to settle now. */
+  /** Returns a permit for settling what an earlier holder left open; null if nothing is to be settled now. */
   beginSettlement(effect: string): Permit | null {
     this.refresh();
     return this.current._tag === 'acquiring' ? this.createPermit(effect, this.current.token) : null;
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -1,10 +1,10 @@
 /**
- * The garbage collector of one shard: puts tombstones on orphaned keys, and removes the keys in a later
+ * The garbage collector of one shard: writes tombstones for orphaned keys, and removes the keys in a later
  * pass.
  *
  * State: {@link GarbageCollector} owns its copy of the shard's tombstone record, the record's revision, and
  * the orphaned keys that have no tombstone yet. The holder of the shard enqueues keys and calls `step`
- * whenever `hasWork`; a failed step changes nothing and is tried again by a later one, or by a successor.
+ * whenever `hasWork` is true; a failed step changes nothing, and a later step or a successor retries it.
  */
 import type { Permit } from './duty.js';
 import type { FencedValue } from './fenced-value.js';
@@ -22,35 +22,35 @@
   type TombstoneRecord,
 } from './tombstones.js';
 
-/** A key that seems to be orphaned. */
+/** A key that appears to be orphaned. */
 export interface OrphanedKey {
   readonly key: string;
-  /** 0: the key does not exist; null: not known, it has to be read. */
+  /** 0 if the key does not exist; null if the revision is unknown and has to be read. */
   readonly revision: number | null;
   readonly reason: OrphanReason;
 }
 
-/** What a key's present revision is. */
+/** The outcome of reading the current revision of a key. */
 export type RevisionOutcome =
   | { readonly _tag: 'revision'; readonly revision: number }
   | { readonly _tag: 'absent' }
   | { readonly _tag: 'unavailable' };
 
-/** What the garbage collector needs of its shard. */
+/** What the garbage collector requires of its shard. */
 export interface GarbageCollectorDependencies {
   readonly value: FencedValue;
-  /** A permit for one step; null: this process does not hold the duty now. */
+  /** Returns a permit for one step; null if this process does not hold the duty now. */
   readonly beginStep: () => Permit | null;
   readonly revisionOf: (key: string) => Promise<RevisionOutcome>;
-  /** Asked just before the removal: does the key belong to something after all? */
+  /** Returns whether the key belongs to something after all; called immediately before the removal. */
   readonly inUse: (key: string) => boolean;
-  /** Keys that one transaction may remove at the present rate. */
+  /** Returns the number of keys that one transaction may remove at the current rate. */
   readonly batchSize: () => number;
   /** bytes: the largest value that may be stored. */
   readonly maxBytes: number;
-  /** ms since the epoch. */
+  /** The wall clock, in ms since the epoch. */
   readonly timeOfDay: () => number;
-  /** Called after a removal, with the tombstones of the keys. */
+  /** Called after a removal, with the tombstones of the removed keys. */
   readonly onCollected: (collected: readonly Tombstone[]) => void;
 }
 
@@ -58,33 +58,33 @@
 export class GarbageCollector {
   private record: TombstoneRecord = EMPTY_TOMBSTONE_RECORD;
   private revision = 0;
-  /** The record has been read, and no write since is without an answer. */
+  /** Whether the record has been read, and every write since then was answered. */
   private loaded = false;
   private readonly unmarked: OrphanedKey[] = [];
-  /** ms since the epoch: until then there is no room for more tombstones. */
+  /** ms since the epoch: time until which the record counts as full, and no tombstones are added. */
   private fullUntil = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly dependencies: GarbageCollectorDependencies) {}
 
-  /** Has these keys marked, and removed after {@link COLLECTION_DELAY_MS} at the earliest. */
+  /** Queues keys to be marked, and removed {@link COLLECTION_DELAY_MS} after the mark at the earliest. */
   enqueue(keys: readonly OrphanedKey[]): void {
     this.unmarked.push(...keys);
   }
 
-  /** Is there anything for `step` to do now? */
+  /** Whether `step` has anything to do now. */
   get hasWork(): boolean {
     if (!this.loaded) return true;
     if (this.unmarked.length > 0 && this.dependencies.timeOfDay() >= this.fullUntil) return true;
     return this.collectableTombstones().length > 0;
   }
 
-  /** One step: reads the record, marks a batch of keys or removes one. */
+  /** Performs one step: reads the record, removes a batch of keys, or marks a batch of keys. */
   async step(): Promise<void> {
     const permit = this.dependencies.beginStep();
     if (permit === null) return;
     try {
       if (!this.loaded) await this.load();
-      // Removals go first: they make room for more tombstones.
+      // Removals come first: they free space for more tombstones.
       else if (this.collectableTombstones().length > 0) await this.removeBatch(permit.token);
       else if (this.unmarked.length > 0) await this.markBatch(permit.token);
     } finally {
@@ -117,7 +117,7 @@
     this.enqueue(remaining.map(({ key, revision, reason }) => ({ key, revision, reason })));
   }
 
-  /** Tombstones for the keys that exist; those whose revision could not be read are enqueued again. */
+  /** Returns tombstones for the keys that exist; keys whose revision could not be read are enqueued again. */
   private async createTombstones(
     orphans: readonly OrphanedKey[],
     token: FencingToken,
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Writes the record and removes keys in the same transaction. False: not written; it is tried again later,
-   * by whoever holds the duty then.
+   * Writes the record and removes keys in the same transaction. Returns false if that failed or was not
+   * answered; a later step retries it, possibly that of a later holder of the duty.
    */
   private async write(
     next: TombstoneRecord,
@@ -179,15 +179,16 @@
       case 'notCarriedOut':
         return false;
       case 'unanswered':
-        // Carried out or not: the record says, since it changes with every write.
+        // The record shows whether the write was applied, since every write changes it: read it again.
         this.loaded = false;
         return false;
     }
   }
 
   /**
-   * The write met another revision: of the record, which is then read anew, or of keys to be removed. These
-   * stay; one that still exists, and is not in use, is marked anew.
+   * Handles a write that failed on another revision. If no key to be removed conflicts, the record does: it
+   * is read again. Conflicting keys are not removed; those that still exist and are not in use are marked
+   * again.
    */
   private async resolveConflict(
     conflicting: ReadonlySet<string>,
--- a/packages/fencing/src/index.ts
+++ b/packages/fencing/src/index.ts
@@ -1,4 +1,4 @@
-/** Single duties with fencing tokens: one current holder, and nothing late from a replaced one. */
+/** Duties with one holder at a time; fencing tokens make late effects of a replaced holder harmless. */
 export * from './audit.js';
 export * from './clock.js';
 export * from './duty-definitions.js';
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -1,9 +1,10 @@
 /**
- * The journal of provisioning requests: makes each one durable before it is sent, and notes its outcome.
+ * The journal of provisioning requests: makes each request durable before it is sent, and records its
+ * outcome.
  *
- * State: {@link ProvisioningJournal} owns the holder's copy of the record, its revision in the state
- * service, and what waits for the next write. Scale out announces requests and records outcomes; a new
- * leader loads the record first and settles what was left open.
+ * State: {@link ProvisioningJournal} owns the holder's copy of the record, its revision in the key-value
+ * store, and the entries that wait for the next write. Scale-out announces requests and records outcomes; a
+ * new leader first loads the record and settles the requests that were left open.
  */
 import type { FencedValue } from './fenced-value.js';
 import {
@@ -23,32 +24,32 @@
 import type { FencingToken } from './token.js';
 
 /**
- * ms: outcomes wait this long for a write that is made anyway; until then a successor repeats the request in
- * vain.
+ * ms: how long an outcome waits for a write that announces requests. Until it is written, a successor repeats
+ * the request, which has no effect.
  */
 const OUTCOME_WRITE_DELAY_MS = 3_000;
-/** Attempts of a write that gets no answer. */
+/** Maximum number of attempts of a write that is not answered. */
 const WRITE_ATTEMPTS = 4;
-/** ms: pause before the next attempt of a write without an answer. */
+/** ms: pause before the next attempt of a write that was not answered. */
 const RETRY_DELAY_MS = 300;
 
-/** What the journal needs of its process. */
+/** What the journal requires of its process. */
 export interface ProvisioningJournalDependencies {
   readonly value: FencedValue;
   /** bytes: the largest value that may be stored. */
   readonly maxBytes: number;
-  /** ms since the epoch. */
+  /** The wall clock, in ms since the epoch. */
   readonly timeOfDay: () => number;
   readonly sleep: (ms: number) => Promise<void>;
 }
 
-/** Whether a request may be sent; logged in these words. */
+/** Whether an announced request may be sent; the texts of the failures are logged. */
 export type AnnouncementOutcome =
-  /** It is durable: send it. */
+  /** The request is durable and may be sent. */
   | 'announced'
   /** Another process holds the duty, or the record has not been loaded in this tenure. */
   | 'claim lost'
-  /** It is not durable now: the state service does not answer or refuses, or the record is full. */
+  /** The request is not durable: the key-value store does not answer or refuses, or the record is full. */
   | 'unavailable';
 
 interface Announcement {
@@ -57,9 +58,9 @@
 }
 
 /**
- * The holder's side of the durable intents. Requests that are announced at the same time share one write,
- * and outcomes go along with the next one: a wave of requests costs one change of the state service, not
- * two a request.
+ * Writes the durable intents of the holder of the duty. Requests that are announced at the same time share
+ * one write, and outcomes are part of the next write: a batch of requests costs one change of the key-value
+ * store instead of two for each request.
  */
 export class ProvisioningJournal {
   private record: ProvisioningRecord = EMPTY_PROVISIONING_RECORD;
@@ -67,19 +68,21 @@
   private token: FencingToken | null = null;
   private readonly pendingAnnouncements: Announcement[] = [];
   private pendingOutcomes: SettledProvisioning[] = [];
-  /** Names of requests of this tenure that are not over. */
+  /**
+   * Names of the requests without an outcome: those announced in this tenure, and those left open before it.
+   */
   private readonly openRequestNames = new Set<string>();
   private writing = false;
   private delayedWriteScheduled = false;
 
   constructor(private readonly dependencies: ProvisioningJournalDependencies) {}
 
-  /** The open requests and the last outcomes, as this process knows them. */
+  /** The open requests and the latest outcomes, as this process last read or wrote them. */
   get current(): ProvisioningRecord {
     return this.record;
   }
 
-  /** Reads what earlier holders left, at the beginning of a tenure; null: it could not be read. */
+  /** Reads the record of earlier holders at the beginning of a tenure; null if it could not be read. */
   async load(token: FencingToken): Promise<ProvisioningRecord | null> {
     const outcome = await this.dependencies.value.read();
     if (outcome._tag === 'unavailable') return null;
@@ -92,7 +95,7 @@
     return this.record;
   }
 
-  /** Makes a request durable before it is sent. */
+  /** Makes a request durable; the caller may send it only if the outcome is `announced`. */
   announce(intent: ProvisioningIntent): Promise<AnnouncementOutcome> {
     return new Promise((resolve) => {
       this.openRequestNames.add(intent.name);
@@ -107,7 +110,7 @@
     });
   }
 
-  /** A request is over; the outcome is written with the next announcement, or after a delay. */
+  /** Records that a request is over; the outcome is written with the next announcement, or after a delay. */
   recordOutcome(name: string, outcome: ProvisioningOutcome, machines = 0): void {
     this.openRequestNames.delete(name);
     this.pendingOutcomes.push({ name, outcome, machines, at: this.dependencies.timeOfDay() });
@@ -123,20 +126,23 @@
     });
   }
 
-  /** Writes what is pending, one write at a time, until nothing is or the state service is unavailable. */
+  /**
+   * Writes pending entries, one write at a time, until none is left or the key-value store is unavailable.
+   */
   private async writePending(): Promise<void> {
     if (this.writing) return;
     this.writing = true;
-    // What is announced in the same turn goes along.
+    // Requests that are announced in the same turn of the event loop share the write.
     await Promise.resolve();
     while (this.pendingAnnouncements.length + this.pendingOutcomes.length > 0) {
       const announcements = this.pendingAnnouncements.splice(0);
       const outcomes = this.pendingOutcomes.splice(0);
       const result = await this.writeBatch(announcements, outcomes);
       for (const { complete: settle } of announcements) settle(result);
-      // After a lost claim the outcomes are the successor's to settle; else they wait for the next write.
+      // If the claim is lost, the successor settles the requests; otherwise the outcomes wait for the next
+      // write.
       if (result === 'unavailable') this.pendingOutcomes.unshift(...outcomes);
-      // Whoever announced something meanwhile waits for its own write.
+      // Requests that were announced during the failed write still need a write of their own.
       if (result === 'unavailable' && this.pendingAnnouncements.length === 0) break;
     }
     if (this.pendingOutcomes.length > 0) this.scheduleDelayedWrite();
@@ -160,7 +166,9 @@
     return result;
   }
 
-  /** Not all requests fit in one value: the last one has to wait until others are over. */
+  /**
+   * Writes all but the last request if they do not fit in one value: the last waits until others are over.
+   */
   private writeSmallerBatch(
     announcements: readonly Announcement[],
     outcomes: readonly SettledProvisioning[],
@@ -172,8 +180,8 @@
   }
 
   /**
-   * Without an answer a write may still be applied later. It is repeated on the same condition, which then
-   * tells whether it was.
+   * Retries a write that is not answered: it may still be applied later. Each attempt has the same condition,
+   * whose failure shows that an earlier attempt may have been applied.
    */
   private async writeWithRetries(
     stored: StoredProvisioningRecord,
@@ -199,8 +207,8 @@
   }
 
   /**
-   * The value has another revision. Only the holder writes it, so that is the revision of an unanswered
-   * write of this process, or of a successor.
+   * Reads the value again after its revision differed. Only the holder writes it, so the revision is that of
+   * an unanswered write of this process, or of a write of a successor.
    */
   private async resolveConflict(stored: StoredProvisioningRecord): Promise<AnnouncementOutcome> {
     const outcome = await this.dependencies.value.read();
@@ -212,7 +220,10 @@
     return 'unavailable';
   }
 
-  /** A write that was given up without an answer was applied late: the requests in it were never sent. */
+  /**
+   * Records that open requests were withheld if their write was given up without an answer and applied late:
+   * they were never sent.
+   */
   private withdrawUnsent(): void {
     const at = this.dependencies.timeOfDay();
     for (const { name } of this.record.open) {
--- a/packages/fencing/src/provisioning-record-codec.ts
+++ b/packages/fencing/src/provisioning-record-codec.ts
@@ -1,6 +1,6 @@
 /**
  * The stored form of the record of provisioning requests. Controllers of earlier and later versions read it
- * too, so its short field names are fixed.
+ * too, so its short field names must not change.
  */
 import type { VersionedValue } from './fenced-value.js';
 import {
@@ -13,51 +13,53 @@
 import { lastThatFit, storedBytes } from './stored-size.js';
 import { parseToken, type FencingToken } from './token.js';
 
-/** UTF-16 units of the malformed entries as JSON: beyond that they might leave no room for good ones. */
+/**
+ * Maximum length of the malformed entries in JSON, in UTF-16 units: longer ones could displace valid entries.
+ */
 const MALFORMED_MAX_LENGTH = 512;
 
 interface StoredIntent {
-  /** Name. */
+  /** Name of the request. */
   readonly n: string;
   /** Machine type. */
   readonly b: string;
   /** Zone. */
   readonly z: string;
-  /** Spot. */
+  /** Whether spot machines are requested. */
   readonly p: boolean;
-  /** Shards. */
+  /** Shard of each machine. */
   readonly s: readonly number[];
-  /** Announced, ms since the epoch. */
+  /** When the request was created, in ms since the epoch. */
   readonly a: number;
 }
 
 interface StoredSettled {
-  /** Name. */
+  /** Name of the request. */
   readonly n: string;
   /** Outcome. */
   readonly o: ProvisioningOutcome;
-  /** Machines. */
+  /** Number of machines that were provisioned. */
   readonly m: number;
-  /** Settled, ms since the epoch. */
+  /** When the outcome was recorded, in ms since the epoch. */
   readonly a: number;
 }
 
 /** The record as it is stored. */
 export interface StoredProvisioningRecord {
-  /** Fencing token. */
+  /** Fencing token under which the record was written. */
   readonly t: number;
   /** Open requests. */
   readonly o: readonly StoredIntent[];
   /** Requests that are over. */
   readonly d: readonly StoredSettled[];
-  /** Malformed entries; missing if there are none. */
+  /** Malformed entries; omitted if there are none. */
   readonly q?: readonly unknown[];
 }
 
 const isNonEmptyString = (value: unknown): value is string => typeof value === 'string' && value !== '';
 const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 
-/** Null: the entry is malformed. */
+/** Returns null if the entry is malformed. */
 const readIntent = (raw: unknown): ProvisioningIntent | null => {
   if (typeof raw !== 'object' || raw === null) return null;
   const { n, b, z, p, s, a } = raw as Partial<StoredIntent>;
@@ -68,7 +70,7 @@
   return { name: n, machineType: b, zone: z, spot: p, shardIds: s, at: a };
 };
 
-/** No entry if it is malformed: past outcomes are only shown. */
+/** Returns no entry if it is malformed: past outcomes are only displayed, so they may be dropped. */
 const readSettled = (raw: unknown): SettledProvisioning[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { n, o, m, a } = raw as Partial<StoredSettled>;
@@ -76,7 +78,7 @@
   return [{ name: n, outcome: o, machines: m, at: a }];
 };
 
-/** Reads a stored record; malformed entries, or the whole value, end up in `malformed`. */
+/** Reads a stored record; `malformed` receives the malformed entries, or the whole value. */
 export const readProvisioningRecord = (value: unknown): ProvisioningRecord => {
   const unreadable = { ...EMPTY_PROVISIONING_RECORD, malformed: [value] };
   if (typeof value !== 'object' || value === null) return unreadable;
@@ -114,8 +116,8 @@
   JSON.stringify(malformed).length <= MALFORMED_MAX_LENGTH ? malformed : [];
 
 /**
- * Writes a record under a token, in at most `maxBytes`: past outcomes are left out as far as there is no
- * room, the oldest first. Null: its open requests alone do not fit.
+ * Writes a record under a token, in at most `maxBytes`: the oldest outcomes are omitted as far as necessary.
+ * Returns null if the record does not fit without outcomes either.
  */
 export const writeProvisioningRecord = (
   record: ProvisioningRecord,
@@ -134,6 +136,6 @@
   return storedBytes(stored) <= maxBytes ? stored : null;
 };
 
-/** Reads the record from its key; one that was never written is empty. */
+/** Reads the record from the value of its key; a record that was never written is empty. */
 export const readProvisioningEntry = ({ value, revision }: VersionedValue): ProvisioningRecord =>
   revision === 0 ? EMPTY_PROVISIONING_RECORD : readProvisioningRecord(value);
--- a/packages/fencing/src/provisioning-record.ts
+++ b/packages/fencing/src/provisioning-record.ts
@@ -1,22 +1,24 @@
 /**
- * The record of provisioning requests: those that are announced and not over, and the last outcomes.
+ * The record of provisioning requests: those that were announced and have no outcome, and the latest
+ * outcomes.
  *
- * The cloud compares no tokens, but it knows requests by name: one that is repeated gets the first one's
- * answer and provisions nothing. So a request is named in the state service before it is sent, and whoever
- * holds the duty next repeats it under the same name. From then on a late copy of it changes nothing.
+ * The cloud does not compare fencing tokens, but it identifies requests by name: a repeated request receives
+ * the answer of the first one and provisions nothing. A request is therefore recorded by name in the
+ * key-value store before it is sent, and the next holder of the duty repeats it under the same name. From
+ * then on a late copy of the request changes nothing.
  *
- * Pure; `ProvisioningJournal` holds the record of the present tenure, the codec beside this module has its
- * stored form.
+ * Pure; `ProvisioningJournal` holds the record of the current tenure, and `provisioning-record-codec.ts`
+ * defines its stored form.
  */
 import type { FencingToken } from './token.js';
 
 /**
- * ms: a request older than this answers a need of the past. It is not repeated; should it still be carried
- * out, its machines are adopted when they report or are listed. Longer than a change of holder takes,
- * shorter than a boot.
+ * ms: maximum age at which a new holder repeats a request; the demand for an older one is outdated. If the
+ * cloud still carries out an older one, its machines are adopted when they report or are listed. Longer than
+ * a change of holder takes, shorter than a boot.
  */
 export const INTENT_REPEAT_WINDOW_MS = 30_000;
-/** Outcomes that stay in the record. */
+/** Maximum number of outcomes in the record. */
 const MAX_SETTLED = 24;
 
 /** A provisioning request as it is announced. */
@@ -25,13 +27,13 @@
   readonly machineType: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** The shard that each machine is meant for. */
+  /** The shard that each machine is intended for. */
   readonly shardIds: readonly number[];
-  /** ms since the epoch. */
+  /** When the request was created, in ms since the epoch. */
   readonly at: number;
 }
 
-/** How a provisioning request ended; stored, and shown to operators, in these words. */
+/** How a provisioning request ended; these texts are stored and shown to operators. */
 export type ProvisioningOutcome =
   'rented' | 'no capacity' | 'refused' | 'withheld' | 'unanswered' | 'abandoned' | 'repeated by successor';
 
@@ -39,20 +41,20 @@
 export interface SettledProvisioning {
   readonly name: string;
   readonly outcome: ProvisioningOutcome;
-  /** Machines that it brought. */
+  /** Number of machines that were provisioned. */
   readonly machines: number;
-  /** ms since the epoch. */
+  /** When the outcome was recorded, in ms since the epoch. */
   readonly at: number;
 }
 
-/** What the state service holds: open requests, and the last that ended. */
+/** The record in the key-value store: the open requests, and the latest that ended. */
 export interface ProvisioningRecord {
-  /** The token under which it was written last; null: it never was, or could not be read. */
+  /** The token under which the record was last written; null if it never was, or could not be read. */
   readonly token: FencingToken | null;
   readonly open: readonly ProvisioningIntent[];
-  /** The oldest first. */
+  /** Oldest first. */
   readonly settled: readonly SettledProvisioning[];
-  /** Stored entries that could not be read: never acted on, preserved for an operator. */
+  /** Stored entries that could not be read: they are never acted on, and kept for an operator. */
   readonly malformed: readonly unknown[];
 }
 
@@ -64,18 +66,19 @@
   malformed: [],
 };
 
-/** What a new holder does with a request that an earlier one left open. */
+/** What a new holder does with a request that an earlier holder left open. */
 export type Settlement =
   /**
-   * Send it again under its name: either it was carried out, or it is now; a late copy then changes nothing.
+   * Send the request again under its name: the cloud carries it out now, unless it already did. A late copy
+   * then changes nothing.
    */
   | { readonly _tag: 'repeat'; readonly intent: ProvisioningIntent }
-  /** Leave it: its machines, if any come, are adopted and returned when idle. */
+  /** Do not send the request again: its machines, if there are any, are adopted and released when idle. */
   | { readonly _tag: 'abandon'; readonly intent: ProvisioningIntent };
 
 /**
- * Decides about each open request by its age at `now` (ms since the epoch). An intent from the future, by a
- * clock that was set back, is repeated.
+ * Decides on each open request by its age at `now` (ms since the epoch). A request dated in the future,
+ * because clocks differ or one was set back, is repeated.
  */
 export const settlementsFor = (record: ProvisioningRecord, now: number): readonly Settlement[] =>
   record.open.map((intent) => ({
@@ -83,7 +86,7 @@
     intent,
   }));
 
-/** The record with these requests announced. */
+/** Returns the record with these requests added to the open ones. */
 export const withOpenRequests = (
   record: ProvisioningRecord,
   intents: readonly ProvisioningIntent[],
@@ -92,7 +95,7 @@
   open: [...record.open, ...intents],
 });
 
-/** The record with the outcomes of these requests, which are no longer open. */
+/** Returns the record with these outcomes added, and their requests no longer open. */
 export const withSettledRequests = (
   record: ProvisioningRecord,
   settled: readonly SettledProvisioning[],
--- a/packages/fencing/src/stored-size.ts
+++ b/packages/fencing/src/stored-size.ts
@@ -1,9 +1,9 @@
-/** Fits lists of entries into the largest value that the state service takes. Pure. */
+/** Limits lists of entries to the largest value that the key-value store accepts. Pure. */
 
-/** bytes of a value as the state service measures it: in its JSON form. */
+/** Returns the size of a value in bytes as the key-value store measures it: in its JSON form. */
 export const storedBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** The longest of ever shorter lists whose encoding fits; `shorten` leaves out one entry. */
+/** Removes entries with `shorten`, one at a time, until the encoded list fits in `maxBytes`. */
 const longestThatFits = <T>(
   entries: readonly T[],
   maxBytes: number,
@@ -15,14 +15,18 @@
   return fitting;
 };
 
-/** The last entries of a list with which a value still fits; `encode` gives the value with these entries. */
+/**
+ * Returns as many of the last entries as fit in `maxBytes`; `encode` returns the value with given entries.
+ */
 export const lastThatFit = <T>(
   entries: readonly T[],
   maxBytes: number,
   encode: (entries: readonly T[]) => unknown,
 ): readonly T[] => longestThatFits(entries, maxBytes, encode, (list) => list.slice(1));
 
-/** The first entries of a list with which a value still fits; `encode` gives the value with these entries. */
+/**
+ * Returns as many of the first entries as fit in `maxBytes`; `encode` returns the value with given entries.
+ */
 export const firstThatFit = <T>(
   entries: readonly T[],
   maxBytes: number,
--- a/packages/fencing/src/token.ts
+++ b/packages/fencing/src/token.ts
@@ -1,13 +1,13 @@
 /**
- * Fencing tokens. A token is the revision at which the state service recorded the present claim on a duty:
- * it belongs to one process, and each change of holder gives a higher one.
+ * Fencing tokens. A token is the revision at which the key-value store recorded the current claim on a duty:
+ * it belongs to one process, and each change of holder results in a higher token.
  *
  * State: a {@link TokenRegister} owns the highest token seen for each claim.
  */
 
 declare const fencingToken: unique symbol;
 
-/** A checked fencing token; only {@link parseToken} makes one from plain data. */
+/** A validated fencing token; only {@link parseToken} creates one from plain data. */
 export type FencingToken = number & { readonly [fencingToken]: true };
 
 /** The outcome of reading a token from a message or a stored value. */
@@ -15,7 +15,7 @@
   | { readonly _tag: 'token'; readonly token: FencingToken }
   | { readonly _tag: 'invalid'; readonly field: string; readonly reason: string };
 
-/** Reads a token: a positive integer that a double holds exactly. */
+/** Reads a token: a positive integer that a double represents exactly. */
 export const parseToken = (value: unknown, field: string): ParsedToken => {
   if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < 1) {
     return {
@@ -28,8 +28,8 @@
 };
 
 /**
- * The revision of a claim as a token. Revisions come from the state service, so a malformed one is a defect:
- * throws a RangeError.
+ * Returns the revision of a claim as a token. Revisions come from the key-value store, so a malformed one is
+ * a defect: throws a RangeError.
  */
 export const tokenOf = (revision: number): FencingToken => {
   const parsed = parseToken(revision, 'revision');
@@ -41,17 +41,17 @@
 export type TokenCheck =
   { readonly _tag: 'accepted' } | { readonly _tag: 'stale'; readonly current: FencingToken };
 
-/** What a receiver remembers: the highest token that it has seen for each claim. */
+/** The highest token that a receiver has seen for each claim. */
 export class TokenRegister {
   private readonly highest = new Map<string, FencingToken>();
 
-  /** Notes a token that was seen; lower ones than before change nothing. */
+  /** Records a token that was seen; a token that is not higher than the recorded one changes nothing. */
   note(claim: string, token: FencingToken): void {
     const before = this.highest.get(claim);
     if (before === undefined || token > before) this.highest.set(claim, token);
   }
 
-  /** Refuses a token below the highest one seen, and remembers a higher one. */
+  /** Refuses a token below the highest one seen, and records a higher one. */
   check(claim: string, token: FencingToken): TokenCheck {
     const current = this.highest.get(claim);
     if (current !== undefined && token < current) return { _tag: 'stale', current };
@@ -59,7 +59,7 @@
     return { _tag: 'accepted' };
   }
 
-  /** The highest token seen for a claim; undefined: none. */
+  /** Returns the highest token seen for a claim; undefined if there is none. */
   current(claim: string): FencingToken | undefined {
     return this.highest.get(claim);
   }
--- a/packages/fencing/src/tombstone-record-codec.ts
+++ b/packages/fencing/src/tombstone-record-codec.ts
@@ -1,6 +1,6 @@
 /**
  * The stored form of a shard's tombstones. Controllers of earlier and later versions read it too, so its
- * short field names and the numbers of the reasons are fixed.
+ * short field names and the numbers of the reasons must not change.
  */
 import { firstThatFit, lastThatFit } from './stored-size.js';
 import { parseToken } from './token.js';
@@ -12,32 +12,32 @@
   type TombstoneRecord,
 } from './tombstones.js';
 
-/** A reason is stored as its index here. */
+/** A reason is stored as its index in this list. */
 const REASONS: readonly OrphanReason[] = ['job over', 'belongs to no job', 'part not named'];
 
 interface StoredTombstone {
   /** Key. */
   readonly k: string;
-  /** Revision. */
+  /** Revision of the key when it was marked. */
   readonly v: number;
-  /** Reason. */
+  /** Reason, as an index of `REASONS`. */
   readonly r: number;
-  /** Fencing token. */
+  /** Fencing token under which the key was marked. */
   readonly t: number;
-  /** Marked, ms since the epoch. */
+  /** When the key was marked, in ms since the epoch. */
   readonly a: number;
 }
 
 interface StoredCollectedKey {
   /** Key. */
   readonly k: string;
-  /** Reason. */
+  /** Reason, as an index of `REASONS`. */
   readonly r: number;
-  /** Token under which it was marked. */
+  /** Fencing token under which the key was marked. */
   readonly t: number;
-  /** Token under which it was removed. */
+  /** Fencing token under which the key was removed. */
   readonly u: number;
-  /** Removed, ms since the epoch. */
+  /** When the key was removed, in ms since the epoch. */
   readonly a: number;
 }
 
@@ -51,7 +51,7 @@
 
 const isInteger = (value: unknown): value is number => Number.isSafeInteger(value);
 
-/** No entry if it is malformed. */
+/** Returns no entry if it is malformed. */
 const readTombstone = (raw: unknown): Tombstone[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { k, v, r, t, a } = raw as Partial<StoredTombstone>;
@@ -62,7 +62,7 @@
   return [{ key: k, revision: v, reason, token: token.token, at: a }];
 };
 
-/** No entry if it is malformed. */
+/** Returns no entry if it is malformed. */
 const readCollectedKey = (raw: unknown): CollectedKey[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { k, r, t, u, a } = raw as Partial<StoredCollectedKey>;
@@ -74,7 +74,7 @@
   return [{ key: k, reason, markedUnder: markedUnder.token, removedUnder: removedUnder.token, at: a }];
 };
 
-/** Reads a stored record; malformed entries are left out, so the keys that they name stay where they are. */
+/** Reads a stored record; malformed entries are omitted, so the keys that they name are not removed. */
 export const readTombstoneRecord = (value: unknown): TombstoneRecord => {
   if (typeof value !== 'object' || value === null) return EMPTY_TOMBSTONE_RECORD;
   const { m, d } = value as { m?: unknown; d?: unknown };
@@ -105,14 +105,16 @@
   d: removed.map(writeCollectedKey),
 });
 
-/** Writes a record with as many past removals as there is room for in `maxBytes`, the last ones. */
+/** Writes a record with as many of the latest removals as fit in `maxBytes`. */
 export const writeTombstoneRecord = (record: TombstoneRecord, maxBytes: number): StoredTombstoneRecord => {
   const { marked } = record;
   const removed = lastThatFit(record.removed, maxBytes, (last) => encode({ marked, removed: last }));
   return encode({ marked, removed });
 };
 
-/** As many of these tombstones, the first ones, as a record has room for in `maxBytes`. */
+/**
+ * Returns as many of the first tombstones as fit in `maxBytes` with those of the record, without removals.
+ */
 export const tombstonesThatFit = (
   record: TombstoneRecord,
   tombstones: readonly Tombstone[],
--- a/packages/fencing/src/tombstones.ts
+++ b/packages/fencing/src/tombstones.ts
@@ -1,27 +1,29 @@
 /**
- * Garbage collection of orphaned keys in two steps. A key first gets a tombstone, durably, with its
- * revision, the reason and the token of whoever marks it; a later pass checks again whether it is still
- * orphaned, and removes it only at that very revision. What was removed, by whom and why stays readable for
- * a while.
+ * Garbage collection of orphaned keys in two steps. A key first gets a durable tombstone with its revision,
+ * the reason, and the fencing token of the process that marks it; a later pass checks again whether the key
+ * is still orphaned, and removes it only if it still has that revision. The record keeps the latest removals
+ * with their reasons and tokens.
  *
- * Pure; `GarbageCollector` holds the record of one shard, the codec beside this module has its stored form.
+ * Pure; `GarbageCollector` holds the record of one shard, and `tombstone-record-codec.ts` defines its stored
+ * form.
  */
 import type { FencingToken } from './token.js';
 
 /**
- * ms between the mark and the removal: longer than a change of holder, so that a successor checks again too.
+ * ms: minimum time between the mark and the removal. Longer than a change of holder takes, so that a
+ * successor checks again too.
  */
 export const COLLECTION_DELAY_MS = 10_000;
-/** Removals that stay in the record. */
+/** Maximum number of removals in the record. */
 const MAX_COLLECTED = 32;
 
-/** Why a key is orphaned; logged in these words. */
+/** Why a key is orphaned; these texts are logged. */
 export type OrphanReason =
-  /** The job that it belongs to is over. */
+  /** The job that the key belongs to is over. */
   | 'job over'
-  /** It was found at a takeover and belongs to no job. */
+  /** The key was found at a takeover and belongs to no job. */
   | 'belongs to no job'
-  /** Part of a record that no longer names it. */
+  /** The key is part of a record that no longer names it. */
   | 'part not named';
 
 /** A key marked for removal. */
@@ -31,7 +33,7 @@
   readonly revision: number;
   readonly reason: OrphanReason;
   readonly token: FencingToken;
-  /** ms since the epoch. */
+  /** When the key was marked, in ms since the epoch. */
   readonly at: number;
 }
 
@@ -41,21 +43,21 @@
   readonly reason: OrphanReason;
   readonly markedUnder: FencingToken;
   readonly removedUnder: FencingToken;
-  /** ms since the epoch. */
+  /** When the key was removed, in ms since the epoch. */
   readonly at: number;
 }
 
-/** What the state service holds for one shard. */
+/** The tombstone record of one shard in the key-value store. */
 export interface TombstoneRecord {
   readonly marked: readonly Tombstone[];
-  /** The oldest first. */
+  /** Oldest first. */
   readonly removed: readonly CollectedKey[];
 }
 
 /** A record without entries. */
 export const EMPTY_TOMBSTONE_RECORD: TombstoneRecord = { marked: [], removed: [] };
 
-/** The record with these tombstones; a key that has one already keeps it. */
+/** Returns the record with these tombstones added; a key that already has a tombstone keeps it. */
 export const withTombstones = (
   record: TombstoneRecord,
   tombstones: readonly Tombstone[],
@@ -64,24 +66,26 @@
   return { ...record, marked: [...record.marked, ...tombstones.filter(({ key }) => !known.has(key))] };
 };
 
-/** Tombstones that are old enough at `now` (ms since the epoch), `limit` at most. */
+/** Returns at most `limit` tombstones that are old enough for removal at `now` (ms since the epoch). */
 export const dueTombstones = (record: TombstoneRecord, now: number, limit: number): readonly Tombstone[] =>
   record.marked.filter(({ at }) => Math.abs(now - at) >= COLLECTION_DELAY_MS).slice(0, limit);
 
-/** The record without the tombstones of keys that are not removed: they changed, or are in use again. */
+/**
+ * Returns the record without the tombstones of these keys: they changed, are in use again, or were removed.
+ */
 export const withoutTombstones = (record: TombstoneRecord, keys: ReadonlySet<string>): TombstoneRecord => ({
   ...record,
   marked: record.marked.filter(({ key }) => !keys.has(key)),
 });
 
-/** The record after these keys were removed under a token at `now` (ms since the epoch). */
+/** Returns the record after these keys were removed under a token at `now` (ms since the epoch). */
 export const withCollectedKeys = (
   record: TombstoneRecord,
   collected: readonly Tombstone[],
   token: FencingToken,
   now: number,
 ): TombstoneRecord => {
-  const rest = withoutTombstones(record, new Set(collected.map(({ key }) => key)));
+  const remaining = withoutTombstones(record, new Set(collected.map(({ key }) => key)));
   const removed = collected.map((tombstone): CollectedKey => ({
     key: tombstone.key,
     reason: tombstone.reason,
@@ -89,5 +93,5 @@
     removedUnder: token,
     at: now,
   }));
-  return { ...rest, removed: [...rest.removed, ...removed].slice(-MAX_COLLECTED) };
+  return { ...remaining, removed: [...remaining.removed, ...removed].slice(-MAX_COLLECTED) };
 };
