--- a/packages/fencing/src/audit.test.ts
+++ b/packages/fencing/src/audit.test.ts
@@ -1,10 +1,10 @@
-/** The audit lists who held what, within bounds. */
+/** The audit lists the holders of each claim, within bounds. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyAudit } from './audit.js';
 import { tokenOf } from './token.js';
 
-test('audit: bounded, and says who held what until when', () => {
+test('audit: each period has its holder, start and end, and the number of periods is bounded', () => {
   let now = 0;
   const audit = new DutyAudit(() => now);
   audit.recordHolder('L', tokenOf(1), 'a', 'a1');
--- a/packages/fencing/src/clock.test.ts
+++ b/packages/fencing/src/clock.test.ts
@@ -1,4 +1,6 @@
-/** The clock counts the time for which its host stood still, and never runs behind the steady clock. */
+/**
+ * The clock counts the time for which its host was suspended, and never runs slower than the steady clock.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SuspensionAwareClock } from './clock.js';
@@ -6,12 +8,14 @@
 const ERROR_MS = 25;
 
 interface Step {
-  /** ms that pass on either clock before the next reading. */
+  /** ms by which each clock advances before the next reading. */
   readonly steady: number;
   readonly timeOfDay: number;
 }
 
-const passed = (steps: readonly Step[]): { readonly ms: number; readonly gaps: readonly number[] } => {
+const measureElapsed = (
+  steps: readonly Step[],
+): { readonly ms: number; readonly gaps: readonly number[] } => {
   let steady = 1_000;
   let timeOfDay = 1_700_000_000_000;
   const gaps: number[] = [];
@@ -31,23 +35,28 @@
 const repeat = (count: number, step: Step): readonly Step[] => Array.from({ length: count }, () => step);
 
 const rows: readonly { name: string; steps: readonly Step[]; ms: number; gaps: number }[] = [
-  { name: 'both go on', steps: repeat(10, { steady: 100, timeOfDay: 100 }), ms: 1_000, gaps: 0 },
+  {
+    name: 'both clocks advance alike',
+    steps: repeat(10, { steady: 100, timeOfDay: 100 }),
+    ms: 1_000,
+    gaps: 0,
+  },
   { name: 'the host is suspended', steps: [{ steady: 1, timeOfDay: 8_001 }], ms: 8_001, gaps: 1 },
-  { name: 'the process alone is stopped', steps: [{ steady: 8_000, timeOfDay: 8_000 }], ms: 8_000, gaps: 0 },
+  { name: 'only the process is stopped', steps: [{ steady: 8_000, timeOfDay: 8_000 }], ms: 8_000, gaps: 0 },
   {
-    name: 'somebody sets the time forward',
+    name: 'the wall clock is set forward',
     steps: [{ steady: 10, timeOfDay: 3_600_010 }],
     ms: 3_600_010,
     gaps: 1,
   },
   {
-    name: 'somebody sets it back: nothing is gained',
+    name: 'the wall clock is set back: the time does not decrease',
     steps: [{ steady: 10, timeOfDay: -3_600_000 }],
     ms: 10,
     gaps: 0,
   },
   {
-    name: 'set back, then suspended: the suspension still counts',
+    name: 'the wall clock is set back, then the host is suspended: the suspension counts',
     steps: [
       { steady: 10, timeOfDay: -3_600_000 },
       { steady: 1, timeOfDay: 8_001 },
@@ -56,19 +65,19 @@
     gaps: 1,
   },
   {
-    name: 'clocks that drift apart within their bounds make no gap in an hour',
+    name: 'a steady clock that runs fast within its bounds makes no gap in an hour',
     steps: repeat(3_600, { steady: 1_000.5, timeOfDay: 1_000 }),
     ms: 3_601_800,
     gaps: 0,
   },
   {
-    name: 'nor the other way',
+    name: 'a wall clock that runs fast within its bounds makes no gap in an hour',
     steps: repeat(3_600, { steady: 1_000, timeOfDay: 1_000.5 }),
     ms: 3_600_000,
     gaps: 0,
   },
   {
-    name: 'error of the time of day at both ends',
+    name: 'an error of the wall clock at both ends of the interval makes no gap',
     steps: [{ steady: 100, timeOfDay: 150 }],
     ms: 100,
     gaps: 0,
@@ -76,7 +85,7 @@
 ];
 for (const row of rows) {
   test(`clock: ${row.name}`, () => {
-    const result = passed(row.steps);
+    const result = measureElapsed(row.steps);
     assert.ok(Math.abs(result.ms - row.ms) < 1, `${result.ms} ms`);
     assert.equal(result.gaps.length, row.gaps);
   });
--- a/packages/fencing/src/duty-state.test.ts
+++ b/packages/fencing/src/duty-state.test.ts
@@ -9,64 +9,63 @@
 const open = 0;
 const idle: DutyState = { _tag: 'idle' };
 
-/** The one transition function, row by row. */
 const rows: readonly { name: string; from: DutyState; event: DutyEvent; to: DutyState }[] = [
   {
-    name: 'a claim begins with settling what was left open',
+    name: 'a claim starts with settling what earlier holders left open',
     from: idle,
     event: { _tag: 'claimed', token: first },
     to: { _tag: 'acquiring', token: first, open },
   },
   {
-    name: 'settled: the one current holder',
+    name: 'settled: the process becomes the current holder',
     from: { _tag: 'acquiring', token: first, open: 1 },
     event: { _tag: 'settled', token: first },
     to: { _tag: 'held', token: first, open: 1 },
   },
   {
-    name: 'settled under an earlier token says nothing about the present one',
+    name: 'settled under an earlier token does not count for the current one',
     from: { _tag: 'acquiring', token: second, open },
     event: { _tag: 'settled', token: first },
     to: { _tag: 'acquiring', token: second, open },
   },
   {
-    name: 'a claim that is shown late does not lower the token',
+    name: 'an outdated claim does not lower the token',
     from: { _tag: 'held', token: second, open },
     event: { _tag: 'claimed', token: first },
     to: { _tag: 'held', token: second, open },
   },
   {
-    name: 'regained by the same process: a new tenure, whose open effects are none',
+    name: 'regained by the same process: a new tenure without open effects',
     from: { _tag: 'lost', token: first, open: 2 },
     event: { _tag: 'claimed', token: second },
     to: { _tag: 'acquiring', token: second, open: 0 },
   },
   {
-    name: 'an effect of the earlier tenure that ends does not count for the present one',
+    name: 'an effect of an earlier tenure that ends does not count for the current one',
     from: { _tag: 'held', token: second, open: 1 },
     event: { _tag: 'effectEnded', token: first },
     to: { _tag: 'held', token: second, open: 1 },
   },
   {
-    name: 'the lease is in doubt: nothing begins',
+    name: 'the lease is in doubt: the duty drains',
     from: { _tag: 'held', token: first, open: 1 },
     event: { _tag: 'suspended' },
     to: { _tag: 'draining', token: first, open: 1, resumeAs: 'held' },
   },
   {
-    name: 'renewed after all: held again, since nobody else can have acted under the same claim',
+    name: 'renewed: held again, since no other process can have acted under the same claim',
     from: { _tag: 'draining', token: first, open: 1, resumeAs: 'held' },
     event: { _tag: 'restored' },
     to: { _tag: 'held', token: first, open: 1 },
   },
   {
-    name: 'in doubt before everything was settled: that is still to be done',
+    name: 'the lease is in doubt before everything was settled: settling remains to be done',
     from: { _tag: 'acquiring', token: first, open },
     event: { _tag: 'suspended' },
     to: { _tag: 'draining', token: first, open, resumeAs: 'acquiring' },
   },
   {
-    name: 'and is, once the lease is renewed',
+    name: 'renewed before everything was settled: settling continues',
     from: { _tag: 'draining', token: first, open, resumeAs: 'acquiring' },
     event: { _tag: 'restored' },
     to: { _tag: 'acquiring', token: first, open },
@@ -84,19 +83,19 @@
     to: { _tag: 'held', token: first, open },
   },
   {
-    name: 'the claim is gone while calls are under way',
+    name: 'the claim is lost while calls are in flight',
     from: { _tag: 'draining', token: first, open: 1, resumeAs: 'held' },
     event: { _tag: 'released' },
     to: { _tag: 'lost', token: first, open: 1 },
   },
   {
-    name: 'the claim is gone with nothing under way',
+    name: 'the claim is lost with no call in flight',
     from: { _tag: 'held', token: first, open },
     event: { _tag: 'released' },
     to: idle,
   },
   {
-    name: 'the last call under way ends',
+    name: 'the last call in flight ends',
     from: { _tag: 'lost', token: first, open: 1 },
     event: { _tag: 'effectEnded', token: first },
     to: idle,
--- a/packages/fencing/src/duty-transitions.test.ts
+++ b/packages/fencing/src/duty-transitions.test.ts
@@ -1,6 +1,6 @@
 /**
- * Every event at every state of a duty: one that does not belong to the state, or names an earlier token,
- * changes nothing.
+ * Every event in every state of a duty: an event that does not belong to the state, or names an earlier
+ * token, changes nothing.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -65,7 +65,7 @@
 ];
 for (const { name, event, to } of rows) {
   for (const from of Object.keys(states) as Tag[])
-    test(`duty: ${name} at ${from} leads to ${to[from]}`, () => {
+    test(`duty: ${name} in state ${from} leads to ${to[from]}`, () => {
       assert.equal(nextDutyState(states[from], event)._tag, to[from]);
     });
 }
--- a/packages/fencing/src/duty.test.ts
+++ b/packages/fencing/src/duty.test.ts
@@ -1,11 +1,11 @@
-/** A duty gives permits to its current holder only, and refuses effects once claim or lease are in doubt. */
+/** A duty issues permits only to its current holder, and refuses effects once claim or lease are in doubt. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyAudit, type RefusalReason } from './audit.js';
 import { Duty } from './duty.js';
 import { tokenOf, type FencingToken } from './token.js';
 
-/** A duty that is held under token 5, with its lease in the test's hands. */
+/** Returns a duty that is held under token 5, with a lease that the test controls. */
 const heldDuty = (enforceFencing = true) => {
   const audit = new DutyAudit(() => 1_000);
   const lease: { token: FencingToken | null } = { token: tokenOf(5) };
@@ -23,20 +23,20 @@
 
 const rows: readonly {
   name: string;
-  happens: (held: ReturnType<typeof heldDuty>) => void;
+  change: (held: ReturnType<typeof heldDuty>) => void;
   proceeds: boolean;
   reason?: RefusalReason;
 }[] = [
-  { name: 'nothing happened', happens: () => undefined, proceeds: true },
+  { name: 'nothing changed', change: () => undefined, proceeds: true },
   {
-    name: 'the lease ran out while the effect waited',
-    happens: ({ lease }) => (lease.token = null),
+    name: 'the lease expired while the effect waited',
+    change: ({ lease }) => (lease.token = null),
     proceeds: false,
     reason: 'lease in doubt',
   },
   {
-    name: 'another process took the claim',
-    happens: ({ lease, duty }) => {
+    name: 'another process acquired the claim',
+    change: ({ lease, duty }) => {
       lease.token = null;
       duty.apply({ _tag: 'released' });
     },
@@ -44,8 +44,8 @@
     reason: 'claim lost',
   },
   {
-    name: 'lost and regained by the same process: its old call is still an old one',
-    happens: ({ lease, duty }) => {
+    name: 'lost and regained by the same process: a call under the earlier token is refused',
+    change: ({ lease, duty }) => {
       duty.apply({ _tag: 'released' });
       lease.token = tokenOf(9);
       duty.apply({ _tag: 'claimed', token: tokenOf(9) });
@@ -55,8 +55,8 @@
     reason: 'later token held',
   },
   {
-    name: 'in doubt for a moment, and renewed under the same claim',
-    happens: ({ lease, duty }) => {
+    name: 'the lease is in doubt for a moment, and renewed under the same claim',
+    change: ({ lease, duty }) => {
       lease.token = null;
       duty.refresh();
       lease.token = tokenOf(5);
@@ -69,7 +69,7 @@
     const held = heldDuty();
     const permit = held.duty.begin('rental request');
     assert.ok(permit);
-    row.happens(held);
+    row.change(held);
     assert.equal(permit.mayProceed(), row.proceeds);
     assert.deepEqual(
       held.audit.listRefusals().map(({ reason, token, effect }) => ({ reason, token, effect })),
@@ -80,7 +80,7 @@
   });
 }
 
-test('permit: where fencing is off a late effect is counted, and the effect goes out as before', () => {
+test('permit: with fencing off a late effect is counted, and carried out as before', () => {
   const { duty, lease, audit } = heldDuty(false);
   const permit = duty.begin('rental request');
   lease.token = null;
@@ -88,18 +88,18 @@
   assert.equal(audit.refusalCount, 1);
 });
 
-test('duty: only the current holder begins, and only an acquiring one settles', () => {
+test('duty: only a held duty begins effects, and only an acquiring one settles', () => {
   const { duty, lease } = heldDuty();
   assert.equal(duty.beginSettlement('settlement'), null);
   lease.token = null;
   assert.equal(duty.begin('rental request'), null);
   lease.token = tokenOf(5);
   assert.equal(duty.beginSettlement('settlement'), null);
-  // Guards against a duty that nobody settles again: after an outage machines were neither adopted nor
-  // returned.
+  // Guards against a duty that is never settled again: after an outage machines were neither adopted nor
+  // released.
   assert.ok(duty.begin('rental request'), 'held again under the same claim');
   lease.token = tokenOf(9);
   duty.apply({ _tag: 'claimed', token: tokenOf(9) });
-  assert.equal(duty.begin('rental request'), null, 'what was left open is settled first');
+  assert.equal(duty.begin('rental request'), null, 'open requests are settled first');
   assert.ok(duty.beginSettlement('settlement'));
 });
--- a/packages/fencing/src/history.test.ts
+++ b/packages/fencing/src/history.test.ts
@@ -1,18 +1,21 @@
 /**
- * Histories of pauses, suspensions, clock jumps, lost and late messages: no late effect of a replaced
- * holder lands.
+ * In histories of pauses, suspensions, clock jumps, and lost and late messages no late effect of a replaced
+ * holder is carried out.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
 import { HistorySimulation, type HistoryStep } from './testing/history.js';
 
-/** Histories in CI; `FENCING_HISTORIES` runs more by hand, from a seed of its own (`FENCING_SEED`). */
+/**
+ * Number of histories in CI; `FENCING_HISTORIES` sets the number of a run by hand, and `FENCING_SEED` its
+ * seed.
+ */
 const HISTORIES = Number(process.env.FENCING_HISTORIES ?? 400);
 const SEED = Number(process.env.FENCING_SEED ?? 20_261_202);
 const PROCESSES = 3;
 const HOUR_MS = 3_600_000;
-/** Steps of a shrunk history that a person still reads at a glance: two paused requests at most. */
+/** Maximum length of a shrunk history that is easy to read: two paused requests. */
 const READABLE_STEPS = 20;
 
 const anyProcess = fc.nat({ max: PROCESSES - 1 });
@@ -46,8 +49,8 @@
 );
 
 /**
- * A process sends a request, and stands still for about a lease somewhere on the way. Single steps alone
- * seldom come to that.
+ * A process sends a request, and is paused for about the duration of a lease at some point. Single random
+ * steps rarely result in this.
  */
 const pausedRequest: fc.Arbitrary<readonly HistoryStep[]> = fc
   .record({
@@ -85,7 +88,7 @@
   return simulation;
 };
 
-test(`histories: ${HISTORIES} drawn ones, no late action lands`, async () => {
+test(`histories: no late action is carried out in ${HISTORIES} random ones`, async () => {
   let refused = 0;
   await fc.assert(
     fc.asyncProperty(history, async (steps) => {
@@ -95,13 +98,13 @@
     }),
     { seed: SEED, numRuns: HISTORIES },
   );
-  // Histories in which nothing had to be refused would show nothing.
+  // Histories without a late action would not test fencing.
   assert.ok(refused > 0, 'some late actions were refused');
   if (process.env.FENCING_HISTORIES !== undefined)
     console.log(`${HISTORIES} histories from seed ${SEED}: ${refused} late actions refused, none landed`);
 });
 
-test('histories: with fencing taken out the checker finds a late action, and shrinks it to a few steps', async () => {
+test('histories: without fencing the checker finds a late action, and shrinks its history to a few steps', async () => {
   const found = await fc.check(
     fc.asyncProperty(history, async (steps) => (await runHistory(steps, false)).violations.length === 0),
     { seed: SEED, numRuns: HISTORIES },
@@ -111,70 +114,79 @@
   assert.ok(steps.length <= READABLE_STEPS, JSON.stringify(steps));
   const { violations } = await runHistory(steps, false);
   assert.equal(violations[0]?.rule, 'late send');
-  assert.deepEqual((await runHistory(steps, true)).violations, [], 'and fencing is what prevents it');
+  assert.deepEqual((await runHistory(steps, true)).violations, [], 'fencing prevents the late action');
 });
 
-/** The first process holds the duty; a successor is there after the pause. */
-const held: readonly HistoryStep[] = [advanceBy(1), advanceBy(1), advanceBy(1)];
+/** The first process acquires the duty; after the pause a successor holds it. */
+const acquireDuty: readonly HistoryStep[] = [advanceBy(1), advanceBy(1), advanceBy(1)];
 const pause: readonly HistoryStep[] = [advanceBy(4_000), advanceBy(1_200), advanceBy(10), advanceBy(10)];
-const woken: readonly HistoryStep[] = [{ _tag: 'resume', process: 0 }, advanceBy(10), advanceBy(10)];
+const resumeFirst: readonly HistoryStep[] = [{ _tag: 'resume', process: 0 }, advanceBy(10), advanceBy(10)];
 const provision: HistoryStep = { _tag: 'provision', process: 0 };
 const stop: HistoryStep = { _tag: 'stop', process: 0 };
 const suspend: HistoryStep = { _tag: 'suspend', process: 0 };
-const arrives: HistoryStep = { _tag: 'deliver', index: 0, again: false };
+const deliverRequest: HistoryStep = { _tag: 'deliver', index: 0, again: false };
 
 const scripted: readonly {
   name: string;
   steps: readonly HistoryStep[];
-  /** Without fencing the same history breaks a rule. */
+  /** Whether the same history has a violation without fencing. */
   needsFencing: boolean;
 }[] = [
   {
-    name: 'stopped between decision and intent: the state service refuses the intent',
+    name: 'stopped between decision and intent: the key-value store refuses the intent',
     steps: [
-      ...held,
+      ...acquireDuty,
       { _tag: 'nextWrite', how: 'late' },
       provision,
       stop,
       ...pause,
       { _tag: 'deliverWrites' },
-      ...woken,
-      arrives,
+      ...resumeFirst,
+      deliverRequest,
     ],
     needsFencing: false,
   },
   {
     name: 'stopped between intent and call: the call is withheld',
-    steps: [...held, provision, advanceBy(1), stop, ...pause, ...woken, arrives],
+    steps: [...acquireDuty, provision, advanceBy(1), stop, ...pause, ...resumeFirst, deliverRequest],
     needsFencing: true,
   },
   {
-    name: 'stopped between call and answer: the successor repeated it, and the late call rents nothing',
-    steps: [...held, provision, advanceBy(1), advanceBy(1), stop, ...pause, arrives, ...woken],
+    name: 'stopped between call and answer: the successor repeats it, and the late call provisions nothing',
+    steps: [
+      ...acquireDuty,
+      provision,
+      advanceBy(1),
+      advanceBy(1),
+      stop,
+      ...pause,
+      deliverRequest,
+      ...resumeFirst,
+    ],
     needsFencing: false,
   },
   {
-    name: 'suspended with its host between intent and call: its steady clock says that nothing passed',
-    steps: [...held, provision, advanceBy(1), suspend, ...pause, ...woken, arrives],
+    name: 'host suspended between intent and call: the steady clock shows no elapsed time',
+    steps: [...acquireDuty, provision, advanceBy(1), suspend, ...pause, ...resumeFirst, deliverRequest],
     needsFencing: true,
   },
   {
-    name: 'the time of the holder is set back an hour, then its host is suspended',
+    name: 'the wall clock of the holder is set back an hour, then its host is suspended',
     steps: [
-      ...held,
+      ...acquireDuty,
       { _tag: 'setTime', process: 0, ms: -HOUR_MS },
       provision,
       advanceBy(1),
       suspend,
       ...pause,
-      ...woken,
+      ...resumeFirst,
     ],
     needsFencing: true,
   },
   {
     name: 'two changes of holder within one pause',
     steps: [
-      ...held,
+      ...acquireDuty,
       provision,
       advanceBy(1),
       stop,
@@ -183,18 +195,18 @@
       advanceBy(1),
       { _tag: 'stop', process: 1 },
       ...pause,
-      ...woken,
+      ...resumeFirst,
       { _tag: 'resume', process: 1 },
       advanceBy(10),
-      arrives,
-      arrives,
+      deliverRequest,
+      deliverRequest,
     ],
     needsFencing: true,
   },
   {
-    name: 'lost and regained by the same process, with its own old call waiting',
+    name: 'lost and regained by the same process, while a call under the earlier token waits',
     steps: [
-      ...held,
+      ...acquireDuty,
       provision,
       advanceBy(1),
       stop,
@@ -206,19 +218,19 @@
       { _tag: 'resume', process: 0 },
       advanceBy(1),
       advanceBy(1),
-      arrives,
+      deliverRequest,
     ],
     needsFencing: true,
   },
   {
-    name: 'the time of the holder jumps forward: at most the duty is lost',
+    name: 'the wall clock of the holder jumps forward: at most the duty is lost',
     steps: [
-      ...held,
+      ...acquireDuty,
       { _tag: 'setTime', process: 0, ms: HOUR_MS },
       provision,
       advanceBy(1),
       advanceBy(1),
-      arrives,
+      deliverRequest,
     ],
     needsFencing: false,
   },
--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -1,4 +1,4 @@
-/** Provisioning requests are durable before they are sent, and a successor finds those that are left open. */
+/** Provisioning requests are durable before they are sent, and a successor finds those left open. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { INTENT_REPEAT_WINDOW_MS, settlementsFor } from './provisioning-record.js';
@@ -16,7 +16,7 @@
 
 const journalOn = async (
   value: MemoryValue,
-  under = token,
+  tenureToken = token,
   maxBytes = MAX_BYTES,
 ): Promise<ProvisioningJournal> => {
   const journal = new ProvisioningJournal({
@@ -25,22 +25,42 @@
     timeOfDay: () => 0,
     sleep: () => new Promise((resolve) => setImmediate(resolve)),
   });
-  assert.ok(await journal.load(under));
+  assert.ok(await journal.load(tenureToken));
   return journal;
 };
-const settle = async (): Promise<void> => {
+const runPendingTasks = async (): Promise<void> => {
   for (let turn = 0; turn < 20; turn += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 const stored = (value: MemoryValue): readonly string[] =>
   value.entry.revision === 0 ? [] : readProvisioningRecord(value.entry.value).open.map(({ name }) => name);
 
-const opened: readonly { name: string; next: NextWrite; outcome: string; durable: readonly string[] }[] = [
-  { name: 'written before it is sent', next: 'normal', outcome: 'announced', durable: ['r-5-1'] },
-  { name: 'only the answer is lost', next: 'answer lost', outcome: 'announced', durable: ['r-5-1'] },
-  { name: 'held up: the same is sent again', next: 'late', outcome: 'announced', durable: ['r-5-1'] },
-  { name: 'refused: nothing may be sent', next: 'refused', outcome: 'unavailable', durable: [] },
+const announcements: readonly {
+  name: string;
+  next: NextWrite;
+  outcome: string;
+  durable: readonly string[];
+}[] = [
+  {
+    name: 'the intent is written before the request is sent',
+    next: 'normal',
+    outcome: 'announced',
+    durable: ['r-5-1'],
+  },
+  { name: 'the answer of the write is lost', next: 'answer lost', outcome: 'announced', durable: ['r-5-1'] },
+  {
+    name: 'the write is delayed: the same write is sent again',
+    next: 'late',
+    outcome: 'announced',
+    durable: ['r-5-1'],
+  },
+  {
+    name: 'the write is refused: the request may not be sent',
+    next: 'refused',
+    outcome: 'unavailable',
+    durable: [],
+  },
 ];
-for (const row of opened) {
+for (const row of announcements) {
   test(`provisioning journal: ${row.name}`, async () => {
     const value = new MemoryValue(token);
     const journal = await journalOn(value);
@@ -55,7 +75,7 @@
   });
 }
 
-test('provisioning journal: requests of one turn share a write, and outcomes go along with the next', async () => {
+test('provisioning journal: requests announced together share a write, and outcomes are part of the next one', async () => {
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
   await Promise.all(['r-5-1', 'r-5-2', 'r-5-3'].map((name) => journal.announce(provisioningIntent(name))));
@@ -65,8 +85,8 @@
   await journal.announce(provisioningIntent('r-5-4'));
   assert.equal(value.writes, 2);
   assert.deepEqual(stored(value), ['r-5-3', 'r-5-4']);
-  await settle();
-  assert.equal(value.writes, 2, 'nothing is left to say');
+  await runPendingTasks();
+  assert.equal(value.writes, 2, 'nothing is left to write');
 });
 
 test('provisioning journal: a replaced holder announces nothing', async () => {
@@ -77,17 +97,17 @@
   assert.deepEqual(stored(value), []);
 });
 
-test('provisioning journal: what was given up without an answer and applied late is taken back', async () => {
-  // Its request was never sent; a successor that found it open would provision machines that nobody asked
-  // for.
+test('provisioning journal: a write given up without an answer and applied late is withdrawn', async () => {
+  // Guards against a successor that finds a request open that was never sent: it would provision machines
+  // that are not needed.
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
   const write = value.write;
-  let tries = 0;
+  let attempts = 0;
   Object.assign(value, {
     write: (...args: Parameters<typeof write>) => {
-      tries += 1;
-      if (tries <= 4) value.nextWrite = 'late';
+      attempts += 1;
+      if (attempts <= 4) value.nextWrite = 'late';
       return write(...args);
     },
   });
@@ -96,7 +116,7 @@
   assert.equal(
     await journal.announce(provisioningIntent('r-5-2')),
     'unavailable',
-    'the condition failed: read anew',
+    'the condition fails: the record is read again',
   );
   assert.equal(await journal.announce(provisioningIntent('r-5-3')), 'announced');
   assert.deepEqual(stored(value), ['r-5-3']);
@@ -110,18 +130,18 @@
   const ages: readonly { now: number; how: string }[] = [
     { now: INTENT_REPEAT_WINDOW_MS, how: 'repeat' },
     { now: INTENT_REPEAT_WINDOW_MS + 1, how: 'abandon' },
-    // Its holder's clock was ahead.
+    // The clock of the earlier holder was ahead.
     { now: -60_000, how: 'repeat' },
   ];
   for (const { now, how } of ages)
     assert.deepEqual(
-      settlementsFor(successor.current, now).map(({ _tag, intent: left }) => [_tag, left.name]),
+      settlementsFor(successor.current, now).map(({ _tag, intent }) => [_tag, intent.name]),
       [[how, 'r-5-1']],
     );
 });
 
-test('provisioning journal: where values are small old outcomes make way, and requests that do not fit wait', async () => {
-  // A record that outgrew its value would be refused at every write, and nothing would be provisioned any
+test('provisioning journal: if the size is limited old outcomes are dropped, and requests that do not fit wait', async () => {
+  // Guards against a record above the maximum size: each write would be refused, and nothing provisioned any
   // more.
   const value = new MemoryValue(token);
   const journal = await journalOn(value, token, 600);
@@ -144,8 +164,8 @@
   assert.ok(storedBytes(value.entry.value) <= 600);
 });
 
-test('provisioning journal: a request that is announced while outcomes fail to be written is not left waiting', async () => {
-  // An announcement that no write takes up would keep its kind of machine from being provisioned.
+test('provisioning journal: a request announced while a write of outcomes fails is not left waiting', async () => {
+  // Guards against an announcement that no write includes: its kind of machine could not be provisioned.
   const value = new MemoryValue(token);
   const journal = await journalOn(value);
   await journal.announce(provisioningIntent('r-5-1'));
@@ -156,11 +176,11 @@
   });
   Object.assign(value, { write: () => refused });
   journal.recordOutcome('r-5-1', 'rented', 1);
-  await settle();
+  await runPendingTasks();
   const second = journal.announce(provisioningIntent('r-5-2'));
   Object.assign(value, { write });
   refuse();
-  assert.equal(await Promise.race([second, settle().then(() => 'left waiting')]), 'announced');
-  await settle();
-  assert.deepEqual(stored(value), ['r-5-2'], 'and the outcome is written in the end');
+  assert.equal(await Promise.race([second, runPendingTasks().then(() => 'left waiting')]), 'announced');
+  await runPendingTasks();
+  assert.deepEqual(stored(value), ['r-5-2'], 'the outcome is written in the end');
 });
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -24,8 +24,8 @@
 import type { FencingToken } from './token.js';
 
 /**
- * ms: how long an outcome waits for a write that announces requests. Until it is written, a successor repeats
- * the request, which has no effect.
+ * ms: how long an outcome waits for a write that announces requests, before it is written alone. Until it is
+ * written, a successor repeats the request, which has no effect.
  */
 const OUTCOME_WRITE_DELAY_MS = 3_000;
 /** Maximum number of attempts of a write that is not answered. */
@@ -132,7 +132,7 @@
   private async writePending(): Promise<void> {
     if (this.writing) return;
     this.writing = true;
-    // Requests that are announced in the same turn of the event loop share the write.
+    // Wait for one microtask, so that requests that are announced synchronously together share the write.
     await Promise.resolve();
     while (this.pendingAnnouncements.length + this.pendingOutcomes.length > 0) {
       const announcements = this.pendingAnnouncements.splice(0);
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -1,10 +1,9 @@
 /**
- * A simulation in which several processes compete for the duty of provisioning, driven step by step through
- * a history of pauses, suspensions, clock jumps, lost answers and delayed messages. The processes use the
- * real duty, clock and journal; the state service and the cloud are models.
+ * A simulation in which several processes compete for the provisioning duty. It executes a history step by
+ * step: pauses, suspensions, clock jumps, lost answers and delayed messages. The processes use the real duty,
+ * clock and journal; the key-value store and the cloud are models.
  *
- * State: a {@link HistorySimulation} owns the claim, the requests on their way to the cloud, and the
- * violations.
+ * State: a {@link HistorySimulation} owns the claim, the requests in flight to the cloud, and the violations.
  */
 import { DutyAudit } from '../audit.js';
 import type { Permit } from '../duty.js';
@@ -13,38 +12,40 @@
 import { MemoryValue, type NextWrite } from './memory-value.js';
 import { SimulatedProcess } from './simulated-process.js';
 
-/** ms: the lease behind the claim, in the state service. */
+/** ms: duration of the lease behind the claim, in the key-value store. */
 const LEASE_MS = 5_000;
-/** ms: by which a holder counts its lease shorter, for late timers. */
+/** ms: by how much a holder shortens its lease, to allow for late timers. */
 const LEASE_SAFETY_MARGIN_MS = 300;
-/** Fraction: drift of two clocks against each other, as the protocol bounds it, doubled. */
+/** Drift between two clocks, as a fraction of the elapsed time: the bound of the protocol, doubled. */
 const CLOCK_DRIFT_FRACTION = 0.001;
 
 /** One step of a history. */
 export type HistoryStep =
   | { readonly _tag: 'advance'; readonly ms: number }
-  /** The process stands still, its clocks run on (SIGSTOP). */
+  /** The process is stopped, and its clocks continue (SIGSTOP). */
   | { readonly _tag: 'stop'; readonly process: number }
-  /** The host stands still, and its steady clock with it. */
+  /** The host is suspended, and its steady clock stops. */
   | { readonly _tag: 'suspend'; readonly process: number }
   | { readonly _tag: 'resume'; readonly process: number }
   | { readonly _tag: 'setTime'; readonly process: number; readonly ms: number }
   | { readonly _tag: 'provision'; readonly process: number }
-  /** The next request on its way to the cloud arrives; `again` leaves a copy under way. */
+  /**
+   * One of the requests in flight, selected by `index`, reaches the cloud; `again` leaves a copy in flight.
+   */
   | { readonly _tag: 'deliver'; readonly index: number; readonly again: boolean }
   | { readonly _tag: 'nextWrite'; readonly how: NextWrite }
   | { readonly _tag: 'deliverWrites' };
 
-/** Something that must never happen. */
+/** The violation of an invariant. */
 export interface Violation {
   readonly rule:
-    /** A process sent a request after another had taken the duty. */
+    /** A process sent a request after another process had acquired the duty. */
     | 'late send'
     /** The cloud carried out a request that had not been announced. */
     | 'not announced'
-    /** The cloud carried out a request anew after a successor had settled it. */
+    /** The cloud carried out a request for the first time after a successor had settled it. */
     | 'late rental'
-    /** A token was not higher than the one before. */
+    /** A token was not higher than the previous one. */
     | 'token order';
   readonly detail: string;
 }
@@ -54,7 +55,7 @@
   readonly onAnswer: () => void;
 }
 
-/** Runs one history and gathers what must never happen. */
+/** Runs one history and collects the violations. */
 export class HistorySimulation {
   readonly violations: Violation[] = [];
   readonly audit = new DutyAudit(() => this.now);
@@ -82,7 +83,7 @@
     }
   }
 
-  /** Lets promises of processes that run go on. */
+  /** Lets pending promises of running processes continue. */
   private async runPendingPromises(): Promise<void> {
     for (let turn = 0; turn < 12; turn += 1) await Promise.resolve();
   }
@@ -97,7 +98,7 @@
         this.pause(step.process, step._tag === 'suspend');
         return;
       case 'resume':
-        // What waited inside the process goes on before it learns anything new.
+        // Operations that wait inside the process continue before it receives anything new.
         this.processes[step.process]?.resume();
         return;
       case 'setTime':
@@ -128,7 +129,7 @@
     const process = this.processes[index];
     if (!process?.running) return;
     process.timeOfDayMs += ms;
-    // A process that runs reads its clock many times a second.
+    // A running process reads its clock many times a second.
     process.clock.now();
   }
 
@@ -168,7 +169,7 @@
     process.leaseUntil = process.clock.now() + LEASE_MS * (1 - CLOCK_DRIFT_FRACTION) - LEASE_SAFETY_MARGIN_MS;
   }
 
-  /** The watch: only processes that run learn of the claim. */
+  /** Simulates the watch: only running processes receive the state of the claim. */
   private deliverClaimUpdates(): void {
     this.processes.forEach((process, index) => {
       if (!process.running) return;
@@ -201,7 +202,7 @@
       }
       if (!permit.mayProceed()) return false;
       this.checkSend(permit, intent.name);
-      // The repeat is answered before anything else of it can arrive.
+      // The repeated request is answered before another copy of it can arrive.
       this.execute(intent.name);
       this.settledBySuccessor.add(intent.name);
       await process.whenRunning();
@@ -229,7 +230,7 @@
     const outcome = await process.journal.announce(intent);
     if (outcome !== 'announced') return;
     this.announced.add(intent.name);
-    // It waits for the cloud's rate, and for a connection.
+    // The request waits for the rate limit of the cloud, and for a connection.
     await process.delay();
     if (!permit.mayProceed()) {
       process.journal.recordOutcome(intent.name, 'withheld');
@@ -245,9 +246,9 @@
   }
 
   private checkSend(permit: Permit, name: string): void {
-    // Whether the later holder is still there makes no difference: it has acted.
+    // A later holder has acted, even if it no longer holds the duty.
     if (this.lastToken <= permit.token) return;
-    const detail = `${name} under ${permit.token}, held under ${this.lastToken} since`;
+    const detail = `${name} sent under token ${permit.token}, but token ${this.lastToken} was issued before`;
     this.violations.push({ rule: 'late send', detail });
   }
 
@@ -264,7 +265,7 @@
     request.onAnswer();
   }
 
-  /** A repeated name gets the same answer, and provisions nothing. */
+  /** Carries out a request; a request with a repeated name provisions nothing. */
   private execute(name: string): void {
     this.executed.add(name);
   }
--- a/packages/fencing/src/testing/memory-value.ts
+++ b/packages/fencing/src/testing/memory-value.ts
@@ -1,31 +1,31 @@
 /**
- * A fenced value in memory: the tests' stand-in for the state service.
+ * A fenced value in memory, which replaces the key-value store in tests.
  *
- * State: a {@link MemoryValue} owns the value, the keys beside it and delayed writes. A test sets the
- * claim, the keys, and how the next write goes.
+ * State: a {@link MemoryValue} owns the value, other keys, and delayed writes. A test sets the claim, the
+ * other keys, and how the next write behaves.
  */
 import type { FencedValue, ReadOutcome, Removal, VersionedValue, WriteOutcome } from '../fenced-value.js';
 import type { FencingToken } from '../token.js';
 
-/** How the next write goes. */
+/** How the next write behaves. */
 export type NextWrite =
   | 'normal'
-  /** Carried out, and the answer is lost. */
+  /** The write is applied, and its answer is lost. */
   | 'answer lost'
-  /** Not carried out now, but when {@link MemoryValue.deliverLate} is called; no answer. */
+  /** The write is not answered, and applied when {@link MemoryValue.applyDelayedWrites} is called. */
   | 'late'
-  /** Answered 503. */
+  /** The write is not applied, and answered with status 503. */
   | 'refused';
 
-/** A fenced value in memory, with other keys beside it. */
+/** A fenced value in memory, with other keys that its writes may remove. */
 export class MemoryValue implements FencedValue {
   /** The stored value. */
   entry: VersionedValue = { value: null, revision: 0 };
-  /** Revisions of the keys beside it. */
+  /** Revisions of the other keys. */
   readonly otherKeys = new Map<string, number>();
   claim: FencingToken;
   nextWrite: NextWrite = 'normal';
-  /** Writes that were applied. */
+  /** Number of writes that were applied. */
   writes = 0;
   private lastRevision = 100;
   private readonly delayedWrites: (() => WriteOutcome)[] = [];
@@ -45,9 +45,9 @@
   ): Promise<WriteOutcome> => {
     const stored = structuredClone(value);
     const apply = (): WriteOutcome => this.apply(stored, revision, token, removals);
-    const how = this.nextWrite;
+    const behavior = this.nextWrite;
     this.nextWrite = 'normal';
-    switch (how) {
+    switch (behavior) {
       case 'normal':
         return Promise.resolve(apply());
       case 'answer lost':
@@ -61,7 +61,7 @@
     }
   };
 
-  /** Applies delayed writes. */
+  /** Applies the delayed writes, and returns their outcomes. */
   applyDelayedWrites(): readonly WriteOutcome[] {
     return this.delayedWrites.splice(0).map((apply) => apply());
   }
--- a/packages/fencing/src/testing/provisioning-intent.ts
+++ b/packages/fencing/src/testing/provisioning-intent.ts
@@ -1,7 +1,7 @@
 /** Provisioning intents for tests. */
 import type { ProvisioningIntent } from '../provisioning-record.js';
 
-/** An intent of this name, announced at a time (ms since the epoch). */
+/** Returns an intent with this name, created at a time (ms since the epoch). */
 export const provisioningIntent = (name: string, at = 0): ProvisioningIntent => ({
   name,
   machineType: 'g8',
--- a/packages/fencing/src/testing/simulated-process.ts
+++ b/packages/fencing/src/testing/simulated-process.ts
@@ -1,8 +1,8 @@
 /**
  * A process of the history simulation, with the real duty, clock and journal.
  *
- * State: a {@link SimulatedProcess} owns its clocks, whether it runs, its lease, and what waits inside it.
- * The simulation sets clocks and lease; the process alone resumes what waits.
+ * State: a {@link SimulatedProcess} owns its clocks, whether it runs, its lease, and its pending waits. The
+ * simulation sets the clocks and the lease; only the process completes its waits.
  */
 import type { DutyAudit } from '../audit.js';
 import { SuspensionAwareClock } from '../clock.js';
@@ -11,24 +11,24 @@
 import { ProvisioningJournal } from '../provisioning-journal.js';
 import type { FencingToken } from '../token.js';
 
-/** ms: how far the time of day of a process may be from true time. */
+/** ms: maximum deviation of the wall clock of a process from true time. */
 const TIME_OF_DAY_ERROR_MS = 25;
 /** bytes: the largest value that may be stored. */
 const MAX_VALUE_BYTES = 16 * 1024;
 
-/** A process that may stand still, with its clocks, its duty and its journal. */
+/** A process that can be stopped or suspended, with its clocks, its duty and its journal. */
 export class SimulatedProcess {
-  /** False while the process, or its host, stands still. */
+  /** Whether the process runs: false while it is stopped or its host is suspended. */
   running = true;
-  /** Its host stands still, and its steady clock with it. */
+  /** Whether the host is suspended, which stops the steady clock. */
   suspended = false;
   steadyMs = 0;
   timeOfDayMs = 1_700_000_000_000;
-  /** The token of its last claim; null: it never had one. */
+  /** The token of the last claim of the process; null if it never had one. */
   token: FencingToken | null = null;
-  /** ms on its own clock. */
+  /** When the lease ends, in ms on the clock of the process. */
   leaseUntil = Number.NEGATIVE_INFINITY;
-  /** Requests that it named so far. */
+  /** Number of requests that the process has named. */
   requestCount = 0;
   private readonly resumeWaiters: (() => void)[] = [];
   private readonly pendingDelays: (() => void)[] = [];
@@ -60,13 +60,13 @@
     });
   }
 
-  /** Time on the network, or in a queue: over with the next step of time in which the process runs. */
+  /** Waits for the network or a queue: until the next time step in which the process runs. */
   async delay(): Promise<void> {
     await new Promise<void>((resolve) => this.pendingDelays.push(resolve));
     await this.whenRunning();
   }
 
-  /** Time passes: what was on its way arrives. */
+  /** Completes all pending delays, because time has passed. */
   completeDelays(): void {
     for (const resolve of this.pendingDelays.splice(0)) resolve();
   }
@@ -87,7 +87,7 @@
     for (const resolve of this.resumeWaiters.splice(0)) resolve();
   }
 
-  /** An answer is on the network for a while, and is read once the process runs. */
+  /** Delays an answer on the network, and returns it once the process runs. */
   private async receive<T>(answer: Promise<T>): Promise<T> {
     const received = await answer;
     await this.delay();
--- a/packages/fencing/src/token.test.ts
+++ b/packages/fencing/src/token.test.ts
@@ -1,4 +1,4 @@
-/** Tokens are read strictly, and a receiver refuses lower ones than it has seen. */
+/** Tokens are read strictly, and a receiver refuses a token below the highest that it has seen. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseToken, TokenRegister, tokenOf } from './token.js';
@@ -21,7 +21,7 @@
   });
 }
 
-test('register: a receiver refuses below the highest token seen, for each claim by itself', () => {
+test('register: a receiver refuses a token below the highest one seen, for each claim separately', () => {
   const register = new TokenRegister();
   assert.deepEqual(register.check('L', tokenOf(5)), { _tag: 'accepted' });
   assert.deepEqual(register.check('L', tokenOf(5)), { _tag: 'accepted' }, 'the same holder again');
