--- a/src/duties/admin-api.test.ts
+++ b/src/duties/admin-api.test.ts
@@ -1,4 +1,4 @@
-/** The administration API for duties answers what an operator needs, to those who may ask. */
+/** The administration API for duties answers operators, and refuses callers without access. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -12,7 +12,7 @@
 import type { WireDutiesOverview } from './admin-codec.js';
 
 /** The revision of the leader's claim. */
-const HELD_UNDER = 40;
+const CLAIM_REVISION = 40;
 
 interface ApiCase {
   readonly name: string;
@@ -22,13 +22,13 @@
   readonly from?: string;
   readonly provisioning?: ProvisioningRecord | null;
   readonly status: number;
-  readonly says: (body: unknown) => void;
+  readonly checkBody: (body: unknown) => void;
 }
 
-const answerOf = async (row: ApiCase): Promise<ServerResponse> => {
+const responseTo = async (row: ApiCase): Promise<ServerResponse> => {
   const api = new DutiesApi({
     node: 'n0',
-    registry: leaderDuties(HELD_UNDER, () => 5_000),
+    registry: leaderDuties(CLAIM_REVISION, () => 5_000),
     access: { allows: (address) => address === '127.0.0.1' },
     ready: () => row.ready ?? true,
     releaseIntents: () => [{ machine: 'i-1', shardId: 2, reason: 'idle', token: 7 }],
@@ -51,73 +51,79 @@
     name: 'holders and open intents',
     path: [],
     status: 200,
-    says: (body) => {
+    checkBody: (body) => {
       const view = body as WireDutiesOverview;
       const rent = view.duties.find(({ duty }) => duty === 'rent');
       assert.equal(rent?.holder?.node, 'n0');
-      assert.equal(rent.holder.token, HELD_UNDER);
-      assert.equal(rent.state, 'acquiring', 'renting waits until open requests are settled');
+      assert.equal(rent.holder.token, CLAIM_REVISION);
+      assert.equal(rent.state, 'acquiring', 'provisioning waits until open requests are settled');
       assert.equal(view.duties.find(({ duty }) => duty === 'release')?.state, 'held');
       assert.deepEqual(view.releaseIntents, [{ machine: 'i-1', share: 2, reason: 'idle', token: 7 }]);
       assert.deepEqual(view.openRentals, []);
     },
   },
   {
-    name: 'a state service that does not answer: said so, not invented',
+    name: 'the key-value store does not answer: open rentals are null, not empty',
     path: [],
     provisioning: null,
     status: 200,
-    says: (body) => assert.equal((body as WireDutiesOverview).openRentals, null),
+    checkBody: (body) => assert.equal((body as WireDutiesOverview).openRentals, null),
   },
   {
     name: 'a malformed stored intent is shown',
     path: [],
     provisioning: readProvisioningRecord({ t: 1, o: [{ n: 5 }] }),
     status: 200,
-    says: (body) => assert.deepEqual((body as WireDutiesOverview).malformedIntents, [{ n: 5 }]),
+    checkBody: (body) => assert.deepEqual((body as WireDutiesOverview).malformedIntents, [{ n: 5 }]),
   },
   {
     name: 'one duty',
     path: ['move'],
     status: 200,
-    says: (body) =>
+    checkBody: (body) =>
       assert.deepEqual(
         (body as WireDutiesOverview).duties.map(({ duty }) => duty),
         ['move'],
       ),
   },
   {
-    name: 'an unknown duty, by its name',
+    name: 'an unknown duty: the error contains its name',
     path: ['lease-out'],
     status: 404,
-    says: (body) => assert.match(errorOf(body), /"lease-out"/),
+    checkBody: (body) => assert.match(errorOf(body), /"lease-out"/),
   },
   {
-    name: 'nothing below a duty',
+    name: 'a path below a duty does not exist',
     path: ['rent', 'x'],
     status: 404,
-    says: (body) => assert.match(errorOf(body), /"rent\/x"/),
+    checkBody: (body) => assert.match(errorOf(body), /"rent\/x"/),
   },
   {
-    name: 'a caller from elsewhere',
+    name: 'a caller from an address without access',
     path: [],
     from: '192.0.2.7',
     status: 403,
-    says: (body) => assert.match(errorOf(body), /not open to this address/),
+    checkBody: (body) => assert.match(errorOf(body), /not open to this address/),
   },
-  { name: 'it only reads', path: ['rent'], method: 'POST', status: 405, says: () => undefined },
   {
-    name: 'a node that has not read the claims does not guess',
+    name: 'other methods than GET are refused',
+    path: ['rent'],
+    method: 'POST',
+    status: 405,
+    checkBody: () => undefined,
+  },
+  {
+    name: 'a controller that has not read the claims refuses',
     path: [],
     ready: false,
     status: 503,
-    says: (body) => assert.match(errorOf(body), /not read the claims/),
+    checkBody: (body) => assert.match(errorOf(body), /not read the claims/),
   },
 ];
 for (const row of cases) {
   test(`duties endpoint: ${row.name}`, async () => {
-    const reply = await answerOf(row);
+    const reply = await responseTo(row);
     assert.equal(reply.status, row.status);
-    row.says(JSON.parse(reply.text ?? 'null'));
+    row.checkBody(JSON.parse(reply.text ?? 'null'));
   });
 }
--- a/src/duties/admin-api.ts
+++ b/src/duties/admin-api.ts
@@ -1,6 +1,6 @@
 /**
- * `GET /admin/v1/duties` and `GET /admin/v1/duties/NAME`: who holds which duty, open intents, refused
- * effects. Only reads. The controller's router calls it with the path below `/admin/v1/duties`.
+ * `GET /admin/v1/duties` and `GET /admin/v1/duties/NAME`: the holder of each duty, open intents, and refused
+ * effects. Read only. The controller's router passes it the path below `/admin/v1/duties`.
  */
 import { DUTY_NAMES, parseDutyName, type DutyName, type ProvisioningRecord } from '@dalegate/fencing';
 import type { ServerRequest, ServerResponse } from '../http/model.js';
@@ -9,15 +9,15 @@
 import { reportDuty, type DutiesReport, type DutyReport, type ReleaseIntent } from './duties-report.js';
 import type { DutyRegistry } from './duty-registry.js';
 
-/** What the endpoint needs of its controller. */
+/** What the endpoint requires of its controller. */
 export interface DutiesApiDependencies {
   readonly node: string;
   readonly registry: DutyRegistry;
   readonly access: AdminAccess;
-  /** This controller has read the claims. */
+  /** Returns whether this controller has read the claims. */
   readonly ready: () => boolean;
   readonly releaseIntents: () => readonly ReleaseIntent[];
-  /** Provisioning requests, as the state service holds them; null: it does not answer. */
+  /** Reads the provisioning requests in the key-value store; null if it does not answer. */
   readonly loadProvisioningRecord: () => Promise<ProvisioningRecord | null>;
 }
 
@@ -27,11 +27,11 @@
   headers: { 'content-type': 'application/json' },
 });
 
-/** Reads duties, holders and open intents; changes nothing. */
+/** Answers requests for duties, holders and open intents; changes nothing. */
 export class DutiesApi {
   constructor(private readonly dependencies: DutiesApiDependencies) {}
 
-  /** Answers a request; `path` is split at its slashes, and empty for all duties. */
+  /** Answers a request; `path` holds the segments of the path, and is empty for all duties. */
   async handle(request: ServerRequest, path: readonly string[]): Promise<ServerResponse> {
     const refused = this.refuse(request);
     if (refused !== null) return refused;
@@ -43,7 +43,7 @@
     return jsonResponse(200, writeDuties(this.dependencies.node, this.reportDuties(duty)));
   }
 
-  /** Null: the request may be answered. */
+  /** Returns the response to a request that is refused; null if the request may be answered. */
   private refuse(request: ServerRequest): ServerResponse | null {
     if (!this.dependencies.access.allows(request.remoteAddress))
       return jsonResponse(403, { error: 'the administration API is not open to this address' });
@@ -66,7 +66,7 @@
     };
   }
 
-  /** One duty on all its claims, or all duties. */
+  /** Reports one duty on each of its claims, or all duties. */
   private reportDuties(name?: DutyName): readonly DutyReport[] {
     const { registry } = this.dependencies;
     return registry
--- a/src/duties/admin-codec.test.ts
+++ b/src/duties/admin-codec.test.ts
@@ -1,4 +1,4 @@
-/** The administration API's answers with their exact texts, which must not change with names in the code. */
+/** The exact texts of the administration API's answers, which must not change with names in the code. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { tokenOf } from '@dalegate/fencing';
@@ -95,13 +95,13 @@
 const rows: readonly { readonly name: string; readonly written: unknown; readonly text: string }[] = [
   { name: 'all duties', written: writeDutiesOverview(overview), text: OVERVIEW },
   {
-    name: 'while the state service does not answer',
+    name: 'while the key-value store does not answer',
     written: writeDutiesOverview(unanswered),
     text: UNANSWERED,
   },
   { name: 'one duty', written: writeDuties('n0', [duty]), text: `{"node":"n0","duties":[${DUTY}]}` },
   {
-    name: 'a duty that nobody holds',
+    name: 'a duty without a holder',
     written: writeDuties('n0', [idle]),
     text: `{"node":"n0","duties":[${IDLE}]}`,
   },
@@ -115,6 +115,6 @@
 
 const states: readonly DutyReport['state'][] = ['idle', 'acquiring', 'held', 'draining', 'lost'];
 for (const state of states) {
-  test(`duties codec: the state "${state}" is told by that word`, () =>
+  test(`duties codec: the state "${state}" is written as this word`, () =>
     assert.equal(writeDuties('n0', [{ ...duty, state }]).duties[0]?.state, state));
 }
--- a/src/duties/admin-codec.ts
+++ b/src/duties/admin-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The answers of the administration API, which the command line reads and operators' programs too: the names
- * of the fields and their order are fixed.
+ * The answers of the administration API. The command line and operators' programs read them, so the names of
+ * the fields and their order must not change.
  */
 import type {
   DutyState,
@@ -12,7 +12,7 @@
 } from '@dalegate/fencing';
 import type { DutiesReport, DutyReport, ReleaseIntent } from './duties-report.js';
 
-/** For how long somebody held a claim. */
+/** A period in which one process held a claim. */
 export interface WireHoldingPeriod {
   readonly claim: string;
   readonly token: number;
@@ -20,12 +20,12 @@
   readonly process: string;
   /** ms since the epoch. */
   readonly from: number;
-  /** ms since the epoch; null: it holds the claim still. */
+  /** ms since the epoch; null while the process holds the claim. */
   readonly to: number | null;
   readonly ended: string | null;
 }
 
-/** An effect of a duty, and how a late one is kept from doing harm. */
+/** An effect of a duty, and how a late one is made harmless. */
 export interface WireEffect {
   readonly name: string;
   readonly fence: string;
@@ -48,7 +48,7 @@
   readonly duty: string;
   readonly claim: string;
   readonly state: string;
-  /** Effects of the answering process that are under way. */
+  /** Number of effects of the answering process that are in flight. */
   readonly open: number;
   readonly holder: WireHoldingPeriod | null;
   readonly history: readonly WireHoldingPeriod[];
@@ -92,10 +92,10 @@
 
 /** The answer to `GET /admin/v1/duties`. */
 export interface WireDutiesOverview extends WireDuties {
-  /** Null, as the two that follow: the state service does not answer. */
+  /** Null, like the next two fields, if the key-value store does not answer. */
   readonly openRentals: readonly WireOpenRequest[] | null;
   readonly settledRentals: readonly WireSettledRequest[] | null;
-  /** As they are stored. */
+  /** The malformed entries as they are stored. */
   readonly malformedIntents: readonly unknown[] | null;
   readonly releaseIntents: readonly WireReleaseIntent[];
   readonly refusedSinceStart: number;
@@ -185,6 +185,6 @@
   refusedSinceStart: report.refusedSinceStart,
 });
 
-/** Reads either answer: that about one duty lacks the rest. Throws if the text is not JSON. */
+/** Reads either answer; the one about one duty has no other fields. Throws if the text is not JSON. */
 export const readDuties = (text: string): WireDuties & Partial<WireDutiesOverview> =>
   JSON.parse(text) as WireDuties & Partial<WireDutiesOverview>;
--- a/src/duties/compose.ts
+++ b/src/duties/compose.ts
@@ -1,4 +1,6 @@
-/** Builds what a controller needs for its duties; the composition of the controller calls it once. */
+/**
+ * Creates the objects that a controller needs for its duties; called once by the controller's composition.
+ */
 import { ProvisioningJournal, readProvisioningEntry, type ProvisioningRecord } from '@dalegate/fencing';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
@@ -8,22 +10,22 @@
 import { fencedValue } from './fenced-store.js';
 import { OrderVerifier } from './order-verifier.js';
 
-/** What the duties need of their controller. */
+/** What the duties require of their controller. */
 export interface DutiesDependencies extends DutyRegistryDependencies {
   readonly store: KeyValueStore;
-  /** bytes: the largest value that the state service takes, now and later. */
+  /** bytes: the largest value that the key-value store accepts, now and after an announced change. */
   readonly valueBytes: number;
-  /** Every controller sends fencing tokens with its orders. */
+  /** Returns whether every controller sends fencing tokens with its orders. */
   readonly tokensRequired: () => boolean;
 }
 
-/** The duties of one controller, with what guards them. */
+/** The duties of one controller, with the verifier of orders and the journal of provisioning requests. */
 export interface Duties {
   readonly registry: DutyRegistry;
   readonly orderVerifier: OrderVerifier;
-  /** Null where fencing is off: requests are sent without being announced. */
+  /** Null if fencing is off: requests are then sent without being announced. */
   readonly journal: ProvisioningJournal | null;
-  /** Provisioning requests, as the state service holds them; null: it does not answer. */
+  /** Reads the provisioning requests in the key-value store; null if it does not answer. */
   readonly loadProvisioningRecord: () => Promise<ProvisioningRecord | null>;
 }
 
@@ -32,7 +34,7 @@
     setTimeout(resolve, ms);
   });
 
-/** Composes the duties of one controller. */
+/** Creates the duties of one controller. */
 export const composeDuties = (dependencies: DutiesDependencies): Duties => {
   const { store, timeOfDay, enforceFencing, tokensRequired } = dependencies;
   const registry = new DutyRegistry(dependencies);
--- a/src/duties/duties-report.ts
+++ b/src/duties/duties-report.ts
@@ -1,4 +1,4 @@
-/** What the administration API tells of the duties of one controller, before it is encoded. Pure. */
+/** The report of the administration API about the duties of one controller, before it is encoded. Pure. */
 import {
   DUTY_DEFINITIONS,
   type Duty,
@@ -11,41 +11,41 @@
   type Refusal,
 } from '@dalegate/fencing';
 
-/** One duty on one claim, as an operator reads it. */
+/** One duty on one claim, as reported to an operator. */
 export interface DutyReport {
   readonly duty: DutyName;
   readonly claim: string;
   readonly state: DutyState['_tag'];
-  /** Effects of this process that are under way. */
+  /** Number of effects of this process that are in flight. */
   readonly open: number;
-  /** Null: nobody holds the claim. */
+  /** Null if no process holds the claim. */
   readonly holder: HoldingPeriod | null;
   readonly history: readonly HoldingPeriod[];
   readonly effects: readonly EffectDefinition[];
   readonly refused: readonly Refusal[];
 }
 
-/** A machine that the holder of its shard wants released, which is a durable intent. */
+/** A durable intent: the holder of a machine's shard requests the release of the machine. */
 export interface ReleaseIntent {
   readonly machine: string;
   readonly shardId: number;
-  /** Null: written by a version that gives no reasons. */
+  /** Null if the intent was written by a version that records no reasons. */
   readonly reason: string | null;
-  /** Null: written by a version that gives no tokens. */
+  /** Null if the intent was written by a version that records no tokens. */
   readonly token: number | null;
 }
 
-/** All duties of one controller with its open intents, as an operator reads them. */
+/** All duties of one controller with its open intents, as reported to an operator. */
 export interface DutiesReport {
   readonly node: string;
   readonly duties: readonly DutyReport[];
-  /** Provisioning requests, as the state service holds them; null: it does not answer. */
+  /** The provisioning requests in the key-value store; null if it does not answer. */
   readonly provisioning: Pick<ProvisioningRecord, 'open' | 'settled' | 'malformed'> | null;
   readonly releaseIntents: readonly ReleaseIntent[];
   readonly refusedSinceStart: number;
 }
 
-/** Reports on a duty with what the audit lists for it. */
+/** Returns the report on a duty, with its entries in the audit. */
 export const reportDuty = (duty: Duty, audit: DutyAudit): DutyReport => {
   const periods = audit.listPeriods(duty.claim);
   return {
--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -1,9 +1,9 @@
 /**
- * The duties of one controller, for the leader's claim and for each shard's.
+ * The duties of one controller, for the leader's claim and for each shard's claim.
  *
- * State: {@link DutyRegistry} owns every `Duty` and the audit. The change dispatcher tells it of each claim
- * that changed in the cache, and a shard that it is loaded; subsystems take their duty from it at
- * composition.
+ * State: {@link DutyRegistry} owns every `Duty` and the audit. The change dispatcher notifies the registry of
+ * each claim that changed in the watch cache, and a shard notifies it once the shard is loaded; subsystems
+ * get their duties from the registry at composition.
  */
 import {
   Duty,
@@ -21,15 +21,15 @@
 import type { LeaseManager } from '../claims/lease-manager.js';
 import { log } from '../log.js';
 
-/** Duties of the leader that have to settle what an earlier holder left open before they act. */
+/** Duties of the leader that must settle what an earlier holder left open before they begin effects. */
 const LEADER_DUTIES_WITH_SETTLEMENT: ReadonlySet<DutyName> = new Set(['rent']);
 
-/** What the registry needs of its controller. */
+/** What the registry requires of its controller. */
 export interface DutyRegistryDependencies {
   readonly leases: Pick<LeaseManager, 'claimNames' | 'claim' | 'ownRevision' | 'actingRevision'>;
-  /** ms since the epoch. */
+  /** The wall clock, in ms since the epoch. */
   readonly timeOfDay: () => number;
-  /** Refuses late effects; else they are only recorded in the audit. */
+  /** Whether late effects are refused. If false, they are carried out and only recorded in the audit. */
   readonly enforceFencing: boolean;
 }
 
@@ -48,7 +48,7 @@
   }
 };
 
-/** All duties of this controller, kept in step with the claims that the state service shows. */
+/** All duties of this controller, kept consistent with the claims in the key-value store. */
 export class DutyRegistry {
   readonly audit: DutyAudit;
   private readonly leaderDuties: DutiesByName<LeaderDutyName>;
@@ -83,19 +83,20 @@
     return revision === null ? null : tokenOf(revision);
   }
 
-  /** A duty of the leader. */
+  /** Returns a duty of the leader. */
   leaderDuty(name: LeaderDutyName): Duty {
     return this.leaderDuties[name];
   }
 
-  /** A duty of the holder of a shard. Throws a RangeError if the deployment has no such shard. */
+  /** Returns a duty of the holder of a shard. Throws a RangeError if the deployment has no such shard. */
   shardDuty(shardId: number, name: ShardDutyName): Duty {
     const duties = this.shardDuties.get(String(shardId));
-    if (duties === undefined) throw new RangeError(`no duty ${name} on claim ${shardId}`);
+    if (duties === undefined)
+      throw new RangeError(`no duty ${name} for shard ${shardId}: the deployment has no such shard`);
     return duties[name];
   }
 
-  /** All duties in the order of their claims, for an operator. */
+  /** Returns all duties in the order of their claims, for an operator. */
   list(): readonly Duty[] {
     return this.dependencies.leases.claimNames.flatMap((claimName) => this.dutiesOf(claimName));
   }
@@ -105,7 +106,7 @@
     return Object.values(this.shardDuties.get(claimName) ?? {});
   }
 
-  /** A claim changed in this controller's copy of the shared keys. */
+  /** Updates the audit and the duties of a claim that changed in the watch cache. */
   claimChanged(claimName: string): void {
     this.auditHolder(claimName);
     const ownRevision = this.dependencies.leases.ownRevision(claimName);
@@ -127,7 +128,7 @@
       duty.apply({ _tag: 'settled', token });
   }
 
-  /** The shard's state has been rebuilt under the claim of this revision: its duties begin. */
+  /** Starts the duties of a shard whose state has been rebuilt under the claim of this revision. */
   shardLoaded(shardId: number, claimRevision: number): void {
     const token = tokenOf(claimRevision);
     for (const name of SHARD_DUTIES) this.shardDuty(shardId, name).apply({ _tag: 'settled', token });
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -1,6 +1,6 @@
 /**
  * Writes to the key-value store under a claim: transactions of a duty, and the values that only the holder
- * of a claim may write (the port `FencedValue` of the fencing package). Without state.
+ * of a claim may write (the port `FencedValue` of the fencing package). Stateless.
  */
 import type { FencedValue, FencingToken, Permit, ReadOutcome, WriteOutcome } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -9,7 +9,7 @@
 import { claimKey } from '../kv-store/keys.js';
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 
-/** A transaction of a duty: the claim that the permit stands for is always among its conditions. */
+/** Executes a transaction of a duty; the claim of the permit is always among its conditions. */
 export const fencedTransaction = (
   store: KeyValueStore,
   permit: Pick<Permit, 'claim' | 'token'>,
@@ -40,7 +40,9 @@
   }
 };
 
-/** One key of the key-value store that is written under a claim only; reads have a user's priority. */
+/**
+ * Returns a key of the key-value store that is written only under a claim; reads have the priority `user`.
+ */
 export const fencedValue = (
   store: KeyValueStore,
   key: string,
--- a/src/duties/order-verifier.test.ts
+++ b/src/duties/order-verifier.test.ts
@@ -1,4 +1,4 @@
-/** Orders of replaced controllers are refused, and those of present ones carried out. */
+/** Orders of replaced controllers are refused, and those of current ones carried out. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyAudit } from '@dalegate/fencing';
@@ -6,7 +6,7 @@
 import { OrderVerifier } from './order-verifier.js';
 
 /** The revision of the leader's claim. */
-const HELD_UNDER = 40;
+const CLAIM_REVISION = 40;
 
 /** Peer requests that carry out every order that the verifier accepts. */
 const peerRequestsWith = (
@@ -33,28 +33,39 @@
 }
 const moved = { moved: true };
 const orders: readonly OrderCase[] = [
-  { name: 'of the present leader', token: HELD_UNDER, status: 200, body: moved },
-  { name: 'of a later leader than is known here', token: HELD_UNDER + 1, status: 200, body: moved },
+  { name: 'from the current leader', token: CLAIM_REVISION, status: 200, body: moved },
   {
-    name: 'of a replaced leader: refused with the current token',
-    token: HELD_UNDER - 1,
+    name: 'from a later leader than the receiver knows',
+    token: CLAIM_REVISION + 1,
+    status: 200,
+    body: moved,
+  },
+  {
+    name: 'from a replaced leader: refused with the current token',
+    token: CLAIM_REVISION - 1,
     status: 409,
-    body: { error: 'a later holder is known', token: HELD_UNDER },
+    body: { error: 'a later holder is known', token: CLAIM_REVISION },
   },
-  { name: 'of an earlier version, while one is about', status: 200, body: moved },
+  { name: 'without a token, while an earlier version is in use', status: 200, body: moved },
   {
-    name: 'without a token, where every version sends one',
+    name: 'without a token, once every version sends one',
     required: true,
     status: 400,
     body: { error: `token must be an integer from 1 to ${Number.MAX_SAFE_INTEGER}`, field: 'token' },
   },
   {
-    name: 'with a token that is no integer',
+    name: 'with a token that is not an integer',
     token: '40',
     status: 400,
     body: { error: `token must be an integer from 1 to ${Number.MAX_SAFE_INTEGER}`, field: 'token' },
   },
-  { name: 'where fencing is off', token: 1, enforceFencing: false, status: 200, body: moved },
+  {
+    name: 'with an outdated token, while fencing is off',
+    token: 1,
+    enforceFencing: false,
+    status: 200,
+    body: moved,
+  },
 ];
 for (const row of orders) {
   test(`order: ${row.name}`, async () => {
@@ -64,7 +75,7 @@
       tokensRequired: () => row.required ?? false,
       enforceFencing: row.enforceFencing ?? true,
     });
-    orderVerifier.noteClaim('L', HELD_UNDER);
+    orderVerifier.noteClaim('L', CLAIM_REVISION);
     let carriedOut = 0;
     const requests = peerRequestsWith(orderVerifier, () => (carriedOut += 1));
     const order = { from: 0, moves: [], ...(row.token === undefined ? {} : { token: row.token }) };
@@ -75,18 +86,18 @@
   });
 }
 
-test('order: a return asked for by a replaced holder of a share is refused, for that share alone', async () => {
+test('order: a release ordered by a replaced holder of a shard is refused, for that shard only', async () => {
   const orderVerifier = new OrderVerifier({
     audit: new DutyAudit(() => 0),
     tokensRequired: () => true,
     enforceFencing: true,
   });
-  orderVerifier.noteClaim('1', HELD_UNDER);
+  orderVerifier.noteClaim('1', CLAIM_REVISION);
   const requests = peerRequestsWith(orderVerifier);
   const statusOf = async (shardId: number, token: number): Promise<number | undefined> =>
     (await requests.answer('/return', { machines: ['i-1'], share: shardId, token }))?.status;
-  assert.equal(await statusOf(1, HELD_UNDER - 1), 409);
-  assert.equal(await statusOf(1, HELD_UNDER), 200);
+  assert.equal(await statusOf(1, CLAIM_REVISION - 1), 409);
+  assert.equal(await statusOf(1, CLAIM_REVISION), 200);
   assert.equal(await statusOf(2, 1), 200);
   assert.equal(await requests.answer('/nothing', {}), null);
 });
--- a/src/duties/order-verifier.ts
+++ b/src/duties/order-verifier.ts
@@ -1,26 +1,26 @@
 /**
- * The check of fencing tokens in orders that controllers send each other.
+ * Verification of the fencing tokens in orders that controllers send each other.
  *
- * State: {@link OrderVerifier} owns the highest token seen for each claim. The change dispatcher notes each
- * claim that the state service shows; the endpoint for peer requests verifies an order before it is carried
- * out.
+ * State: {@link OrderVerifier} owns the highest token seen for each claim. The change dispatcher passes it
+ * each claim that the key-value store shows; the endpoint for peer requests verifies an order before it is
+ * carried out.
  */
 import { parseToken, TokenRegister, tokenOf, type DutyAudit, type DutyName } from '@dalegate/fencing';
 
-/** Whether an order of another controller is carried out. */
+/** Whether an order from another controller is carried out. */
 export type OrderVerdict =
   | { readonly _tag: 'accepted' }
-  /** The token is malformed: 400 with the field. */
+  /** The token is malformed: the answer is 400 with the field. */
   | { readonly _tag: 'malformed'; readonly field: string; readonly reason: string }
-  /** The sender was replaced: 409 with the current holder's token. */
+  /** The sender was replaced: the answer is 409 with the current holder's token. */
   | { readonly _tag: 'stale'; readonly current: number };
 
-/** What the verifier needs of its controller. */
+/** What the verifier requires of its controller. */
 export interface OrderVerifierDependencies {
   readonly audit: DutyAudit;
-  /** Every controller sends tokens with its orders, so one without is malformed. */
+  /** Returns whether every controller sends tokens with its orders, so that one without is malformed. */
   readonly tokensRequired: () => boolean;
-  /** When off, every order is accepted. */
+  /** Whether tokens are verified. If false, every order is accepted. */
   readonly enforceFencing: boolean;
 }
 
@@ -30,12 +30,12 @@
 
   constructor(private readonly dependencies: OrderVerifierDependencies) {}
 
-  /** The state service shows this revision of a claim. */
+  /** Records the revision of a claim that the key-value store shows. */
   noteClaim(claim: string, revision: number): void {
     this.highestTokens.note(claim, tokenOf(revision));
   }
 
-  /** Verifies an order for one effect of a duty by its token as received; a refusal goes into the audit. */
+  /** Verifies an order for one effect of a duty by its token as received; the audit records a stale token. */
   verify(duty: DutyName, claim: string, effect: string, rawToken: unknown): OrderVerdict {
     if (!this.dependencies.enforceFencing) return { _tag: 'accepted' };
     if (rawToken === undefined && !this.dependencies.tokensRequired()) return { _tag: 'accepted' };
--- a/src/duties/release-without-intent.ts
+++ b/src/duties/release-without-intent.ts
@@ -1,7 +1,7 @@
 /**
- * The release of machines while the state service can't be written, so that no durable intent can come
- * first: the holder of a shard orders the leader to release them at once. The shard calls it for machines
- * with cancelled tasks. Without state.
+ * The release of machines while the key-value store can't be written, so that no durable intent can be
+ * written first: the holder of a shard orders the leader to release them at once. The shard calls it for
+ * machines with cancelled tasks. Stateless.
  */
 import type { Duty } from '@dalegate/fencing';
 import { CLOUD_REQUEST_TIMEOUT_MS, MAX_MACHINES_PER_RELEASE_REQUEST } from '../constants/fleet.js';
@@ -9,25 +9,26 @@
 import { readReleaseAnswer, writeReleaseOrder } from '../peers/order-codec.js';
 import { PEER_PATHS } from '../peers/request-codec.js';
 
-/** What a release without intent needs of its controller. */
+/** What a release without intent requires of its controller. */
 export interface ReleaseWithoutIntentDependencies {
   readonly shardId: number;
   readonly duty: Duty;
   /** The name of this controller. */
   readonly ownNode: string;
-  /** The name of the controller that leads; undefined: nobody does. */
+  /** Returns the name of the controller that leads; undefined if none does. */
   readonly leaderNode: () => string | undefined;
-  /** ms since the state service last answered this controller. */
+  /** Returns the time since the key-value store last answered this controller, in ms. */
   readonly msSinceStoreAnswered: () => number;
-  /** Releases machines as the leader that this controller is. True: they are gone. */
+  /** Releases machines if this controller is the leader. Returns whether they are gone. */
   readonly releaseLocally: (machines: readonly string[]) => Promise<boolean>;
-  /** Sends a request to another controller; null: no usable answer. */
+  /** Sends a request to another controller; returns null if there is no usable answer. */
   readonly sendRequest: (node: string, path: string, body: unknown, timeoutMs: number) => Promise<unknown>;
 }
 
 /**
- * Has machines released at once if the state service does not answer. Where it answers, the machine's
- * record is the way: it tells a later leader too. True: they are gone.
+ * Releases machines at once if the key-value store does not answer. While it answers, the intent in the
+ * machine record requests the release, since a later leader reads it too. Returns whether the machines are
+ * gone.
  */
 export const releaseWithoutIntent = async (
   dependencies: ReleaseWithoutIntentDependencies,
