--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -34,12 +34,7 @@
 const stored = (value: MemoryValue): readonly string[] =>
   value.entry.revision === 0 ? [] : readProvisioningRecord(value.entry.value).open.map(({ name }) => name);
 
-const announcements: readonly {
-  name: string;
-  next: NextWrite;
-  outcome: string;
-  durable: readonly string[];
-}[] = [
+const rows: readonly { name: string; next: NextWrite; outcome: string; durable: readonly string[] }[] = [
   {
     name: 'the intent is written before the request is sent',
     next: 'normal',
@@ -60,7 +55,7 @@
     durable: [],
   },
 ];
-for (const row of announcements) {
+for (const row of rows) {
   test(`provisioning journal: ${row.name}`, async () => {
     const value = new MemoryValue(token);
     const journal = await journalOn(value);
