--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -1,5 +1,5 @@
 /**
- * A clock that measures whether a lease may still be valid. The steady clock of a suspended host stops while
+ * A clock for deciding whether a lease may still be valid. The steady clock of a suspended host stops while
  * leases expire elsewhere; the wall clock continues, but an operator may set it. This clock counts time as
  * elapsed if either of the two shows it: a suspension is counted, a forward jump of the wall clock makes a
  * lease look older than it is, which costs at most the duty, and a backward jump does not make it look
--- a/packages/fencing/src/duty.ts
+++ b/packages/fencing/src/duty.ts
@@ -27,8 +27,7 @@
 
 /**
  * Permission to carry out one effect. The caller checks it again immediately before bytes leave the process,
- * after any wait, and for each retry: between the decision and that moment the process may have been
- * suspended.
+ * after any wait, and for each retry: between the decision and that moment the process may have been paused.
  */
 export interface Permit {
   readonly duty: DutyName;
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -58,7 +58,10 @@
 export class GarbageCollector {
   private record: TombstoneRecord = EMPTY_TOMBSTONE_RECORD;
   private revision = 0;
-  /** Whether the record has been read, and every write since then was answered. */
+  /**
+   * Whether `record` is known to match the stored record: false before the first read, and after a write that
+   * was not answered or met another revision of the record.
+   */
   private loaded = false;
   private readonly unmarked: OrphanedKey[] = [];
   /** ms since the epoch: time until which the record counts as full, and no tombstones are added. */
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -141,7 +141,7 @@
       if (!process.suspended) process.steadyMs += ms * (1 + (index % 2 === 0 ? 0 : CLOCK_DRIFT_FRACTION / 2));
     });
     this.renewLease();
-    this.expireLease();
+    this.reassignExpiredClaim();
     this.deliverClaimUpdates();
     for (const process of this.processes) process.completeDelays();
   }
@@ -154,7 +154,7 @@
     holder.leaseUntil = holder.clock.now() + LEASE_MS * (1 - CLOCK_DRIFT_FRACTION) - LEASE_SAFETY_MARGIN_MS;
   }
 
-  private expireLease(): void {
+  private reassignExpiredClaim(): void {
     if (this.claim && this.now > this.claim.until) this.claim = null;
     if (this.claim) return;
     const index = this.processes.findIndex((process) => process.running);
