--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -79,7 +79,7 @@
   }
 
   private actingToken(claimName: string): FencingToken | null {
-    const revision = this.dependencies.leases.actingRevision(claimName);
+    const revision = this.dependencies.leases.actingClaimRevision(claimName);
     return revision === null ? null : tokenOf(revision);
   }
 
@@ -109,7 +109,7 @@
   /** Updates the audit and the duties of a claim that changed in the watch cache. */
   claimChanged(claimName: string): void {
     this.auditHolder(claimName);
-    const ownRevision = this.dependencies.leases.ownRevision(claimName);
+    const ownRevision = this.dependencies.leases.heldClaimRevision(claimName);
     for (const duty of this.dutiesOf(claimName)) {
       if (ownRevision === null) duty.apply({ _tag: 'released' });
       else this.applyClaim(duty, tokenOf(ownRevision));
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -131,7 +131,7 @@
   test(`scale-out: a provisioning request is ${row.name}`, async () => {
     const { scaleOut, state, cloud, refusals, book } = await setUp([...row.fates]);
     await Effect.runPromise(scaleOut.settle);
-    scaleOut.begin(step);
+    scaleOut.startProvisioning(step);
     await settle();
     assert.equal(cloud.machines.size, row.machines);
     assert.equal(state.keys('w/m/').length, row.recorded);
@@ -182,7 +182,7 @@
         },
       ],
     });
-    scaleOut.begin(step);
+    scaleOut.startProvisioning(step);
     assert.equal(cloud.actions.length, 0, 'nothing is provisioned before that is settled');
     await Effect.runPromise(scaleOut.settle);
     assert.equal(duty.state._tag, 'held');
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -7,7 +7,7 @@
  * of it is under way.
  */
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
-import { onMachine, type Gone, type PhaseEvent } from '../placement/attempt-phase.js';
+import { isOnMachine, type GoneEvidence, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
 
@@ -36,7 +36,7 @@
 
 /** Is a task gone that a report doesn't show? One that never showed may not have arrived yet. */
 const isGone = ({ phase, stop }: Binding, newSession: boolean): boolean => {
-  if (onMachine(phase)) return true;
+  if (isOnMachine(phase)) return true;
   // A machine that began a new session may not reach us at all: what it never took up goes elsewhere.
   return phase._tag === 'bound' && (stop !== null || newSession);
 };
@@ -57,7 +57,7 @@
 ): readonly PhaseChange[] => {
   const changes: PhaseChange[] = [];
   const newSession = isNewSession(machine, heartbeat, underToken);
-  const how: Gone = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
+  const how: GoneEvidence = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
   const reported = new Map(heartbeat.tasks.map((task) => [keyOf(task), task]));
   for (const [key, binding] of machine.bound) {
     if (isOvertaken(binding, heartbeat)) continue;
