--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -28,7 +28,7 @@
 
 /** Dependencies of the leader on the rest of the controller. */
 export interface LeaderDependencies extends FleetDependencies {
-  readonly duties: Pick<DutyRegistry, 'leader'>;
+  readonly duties: Pick<DutyRegistry, 'leaderDuty'>;
   /** Stores provisioning requests durably before they are sent; null: they are sent without a journal. */
   readonly journal: ProvisioningJournal | null;
   readonly shardCount: number;
