--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -48,7 +48,7 @@
   leaderNode: () => string | undefined,
 ): PeerNetwork =>
   new PeerNetwork({
-    me: deployment.self.node,
+    ownNode: deployment.self.node,
     peers: readPeerAddresses(settings),
     now: clocks.lease,
     createHttpClient: ports.createHttpClient,
