--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -46,7 +46,7 @@
   leaderNode: () => string | undefined,
 ): PeerNetwork =>
   new PeerNetwork({
-    me: deployment.me.node,
+    ownNode: deployment.me.node,
     peers: readPeerAddresses(settings),
     now: clocks.lease,
     createHttpClient: ports.createHttpClient,
--- a/src/peers/heartbeat-codec.ts
+++ b/src/peers/heartbeat-codec.ts
@@ -1,14 +1,15 @@
 /**
- * Reads and writes heartbeats as they travel between controllers. Two versions serve side by side during an
- * upgrade, so the names of the fields and their order are fixed. Task counts pass by reference: there are
- * thousands, and they look the same on both sides. No state; the peer network calls it.
+ * Converts heartbeats between controllers from and to their wire form. Controllers of two versions run side
+ * by side during an upgrade, so the names of the fields and their order are fixed. Task counts are passed by
+ * reference instead of copied: there are thousands of them, and their wire form is the same as their internal
+ * form. No state; the peer network calls these functions.
  */
 import type { StoreDemand, PeerHeartbeat, ShardTaskCounts, TaskCounts } from './heartbeat.js';
 import { readReservation, writeReservation, type WireReservation } from './reservation-codec.js';
 import { readSummary, writeSummary, type WireSummary } from './summary-codec.js';
 import { isMap, readEntries } from './wire-values.js';
 
-/** The demand on the key-value store, on the wire: both a second. */
+/** The demand on the key-value store on the wire, in requests and changes per second. */
 export interface WireDemand {
   readonly requests: number;
   readonly changes: number;
@@ -24,14 +25,14 @@
 export interface WireHeartbeat {
   readonly from: string;
   readonly incarnation: string;
-  /** Earlier versions don't send it. */
+  /** The protocol version; earlier versions omit the field. */
   readonly level?: number;
   readonly lease: number | null;
   readonly stateAgeMs: number;
   readonly counts: readonly WireShardCounts[];
   readonly summaries: readonly WireSummary[];
   readonly deaf: boolean;
-  /** Machines by shard. */
+  /** Number of machines by shard id. */
   readonly strays: Readonly<Record<string, number>>;
   readonly demand: WireDemand;
   readonly holds: readonly WireReservation[];
@@ -57,7 +58,7 @@
   jobs: wire.jobs,
 });
 
-/** Writes a heartbeat as it travels. */
+/** Converts a heartbeat to its wire form. */
 export const writeHeartbeat = (heartbeat: PeerHeartbeat): WireHeartbeat => ({
   from: heartbeat.from,
   incarnation: heartbeat.incarnation,
@@ -72,15 +73,15 @@
   holds: heartbeat.reservations.map(writeReservation),
 });
 
-/** The controller that sent a heartbeat; null: the value names none, so it is no heartbeat. */
+/** Returns the name of the controller that sent a heartbeat; null: the value is not a heartbeat. */
 export const readSender = (value: unknown): string | null => {
   const from = (value as Partial<WireHeartbeat> | null | undefined)?.from;
   return typeof from === 'string' ? from : null;
 };
 
 /**
- * Reads a heartbeat; null: it names no sender. Fields that are missing read as empty where that has a
- * meaning.
+ * Reads a heartbeat; null: the value names no sender. A list or map that is missing or malformed is read as
+ * empty.
  */
 export const readHeartbeat = (value: unknown): PeerHeartbeat | null => {
   const from = readSender(value);
--- a/src/peers/heartbeat-exchange.ts
+++ b/src/peers/heartbeat-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * The rhythm of heartbeats: one loop a peer, which exchanges heartbeats about once a second. Owns which peers
- * are to get one ahead of time; the peer network runs it.
+ * Schedules the exchange of heartbeats: one loop per peer, which exchanges heartbeats about once a second.
+ * Owns the set of peers that receive a heartbeat before the next one is due. The peer network runs the loops.
  */
 import * as Effect from 'effect/Effect';
 import {
@@ -14,12 +14,12 @@
 /** What the exchange of heartbeats needs of the peer network. */
 export interface HeartbeatExchangeDependencies {
   /** This controller's name. */
-  readonly me: string;
+  readonly ownNode: string;
   /** The other controllers. */
-  readonly nodes: readonly string[];
-  /** ms, steady. */
+  readonly peerNodes: readonly string[];
+  /** The steady clock, ms. */
   readonly now: () => number;
-  /** ms since the last heartbeat of a peer; null: none came yet. */
+  /** ms since the last heartbeat of a peer; null: none has been received yet. */
   readonly heartbeatAgeMs: (node: string) => number | null;
   /** Sends a heartbeat to a peer and records its answer. */
   readonly exchange: (node: string) => Promise<void>;
@@ -27,39 +27,45 @@
 
 /** The loops that exchange heartbeats with the peers. */
 export class HeartbeatExchange {
-  /** How to end the present pause before the next exchange with a peer. */
+  /** By peer: ends the current pause before the next exchange early. */
   private readonly endPause = new Map<string, () => void>();
-  /** Peers that are to get a heartbeat whether or not one is due. */
-  private readonly notified = new Set<string>();
+  /** Peers to which the next heartbeat is sent whether or not one is due. */
+  private readonly pendingNotifications = new Set<string>();
 
   constructor(private readonly dependencies: HeartbeatExchangeDependencies) {}
 
-  /** Has a peer get a heartbeat soon. */
+  /**
+   * Sends a peer a heartbeat soon: at the earliest `HEARTBEAT_NOTIFICATION_INTERVAL_MS` after the current
+   * pause began.
+   */
   notify(node: string): void {
     this.endPause.get(node)?.();
   }
 
-  /** ms without a heartbeat of a peer after which this controller begins an exchange. */
-  private initiationMs(node: string): number {
-    return HEARTBEAT_INTERVAL_MS * (this.dependencies.me < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
+  /**
+   * ms without a heartbeat of a peer after which this controller begins an exchange; shorter for the
+   * controller of the pair whose name comes first.
+   */
+  private initiationDelayMs(node: string): number {
+    return HEARTBEAT_INTERVAL_MS * (this.dependencies.ownNode < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
   }
 
-  /** ms until this controller would begin an exchange with a peer. */
-  private nextMs(node: string): number {
+  /** ms until this controller begins the next exchange with a peer if no heartbeat arrives before. */
+  private nextExchangeDelayMs(node: string): number {
     const age = this.dependencies.heartbeatAgeMs(node) ?? 0;
-    const wait = this.initiationMs(node);
-    // One that does not answer is tried every heartbeat.
+    const wait = this.initiationDelayMs(node);
+    // A peer whose heartbeat is overdue is contacted once every heartbeat interval.
     return age >= wait ? HEARTBEAT_INTERVAL_MS : Math.max(MIN_HEARTBEAT_PAUSE_MS, wait - age);
   }
 
   private pause(node: string): Promise<void> {
     const { now } = this.dependencies;
     return new Promise((resolve) => {
-      const timer = setTimeout(resolve, this.nextMs(node));
+      const timer = setTimeout(resolve, this.nextExchangeDelayMs(node));
       const begunAt = now();
       this.endPause.set(node, () => {
         this.endPause.delete(node);
-        this.notified.add(node);
+        this.pendingNotifications.add(node);
         clearTimeout(timer);
         setTimeout(resolve, Math.max(0, HEARTBEAT_NOTIFICATION_INTERVAL_MS - (now() - begunAt)));
       });
@@ -67,25 +73,26 @@
   }
 
   /**
-   * Each answers a heartbeat with its own, so of two controllers one need begin: the other does when no
-   * heartbeat came in time.
+   * Whether this controller begins an exchange with the peer now. A controller answers a heartbeat with its
+   * own, so only one controller of each pair needs to begin: the other begins when no heartbeat arrived in
+   * time.
    */
-  private due(node: string): boolean {
+  private isDue(node: string): boolean {
     const age = this.dependencies.heartbeatAgeMs(node);
-    if (age === null || this.notified.delete(node)) return true;
-    return age >= this.initiationMs(node) * HEARTBEAT_DUE_FRACTION;
+    if (age === null || this.pendingNotifications.delete(node)) return true;
+    return age >= this.initiationDelayMs(node) * HEARTBEAT_DUE_FRACTION;
   }
 
   private exchangeWith(node: string): Effect.Effect<never> {
     return Effect.promise(async () => {
-      if (this.due(node)) await this.dependencies.exchange(node);
+      if (this.isDue(node)) await this.dependencies.exchange(node);
     }).pipe(Effect.andThen(Effect.promise(() => this.pause(node))), Effect.forever);
   }
 
-  /** All loops, one a peer. */
+  /** Runs the loops, one per peer. */
   get run(): Effect.Effect<unknown> {
     return Effect.all(
-      this.dependencies.nodes.map((node) => this.exchangeWith(node)),
+      this.dependencies.peerNodes.map((node) => this.exchangeWith(node)),
       { concurrency: 'unbounded' },
     );
   }
--- a/src/peers/heartbeat.ts
+++ b/src/peers/heartbeat.ts
@@ -1,11 +1,12 @@
 /**
- * What controllers tell each other about once a second; `heartbeat-codec.ts` has the form in which it
- * travels. Types only: `controller/heartbeat.ts` builds heartbeats, `peer-view.ts` keeps those of the peers.
+ * The heartbeats that controllers send each other about once a second; `heartbeat-codec.ts` defines their
+ * wire form. Types only: `controller/heartbeat.ts` builds heartbeats, `peer-view.ts` keeps those of the
+ * peers.
  */
 import type { Reservation } from '../fleet/reservation.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 
-/** Requests and changes a second that a controller asks of the key-value store. */
+/** Requests and changes per second that a controller wants to send to the key-value store. */
 export interface StoreDemand {
   readonly requests: number;
   readonly changes: number;
@@ -14,36 +15,42 @@
 /** Task counts of one job. */
 export type TaskCounts = readonly [job: string, done: number, running: number];
 
-/** Task counts of jobs that run in one shard, for display by other controllers. */
+/** Task counts of the jobs of one shard, for display by other controllers. */
 export interface ShardTaskCounts {
   readonly shardId: number;
   readonly jobs: readonly TaskCounts[];
 }
 
-/** What one controller tells another. */
+/** A heartbeat from one controller to another. */
 export interface PeerHeartbeat {
-  /** The name of the controller that sends it. */
+  /** The name of the controller that sends the heartbeat. */
   readonly from: string;
-  /** Differs for every process that ever runs under this name. */
+  /** Identifies the sending process; differs for every process that ever runs under this name. */
   readonly incarnation: string;
-  /** What the sender understands (`protocol-version.ts`); earlier versions don't say. */
+  /**
+   * The protocol version that the sender supports (`protocol-version.ts`); earlier versions omit the field.
+   */
   readonly protocolVersion?: number;
-  /** The id of its lease; null: it has none. */
+  /** The id of the sender's lease; null: the sender has none. */
   readonly lease: number | null;
   /** ms since the key-value store last answered the sender. */
   readonly storeSilenceMs: number;
+  /** Task counts of the shards that the sender holds. */
   readonly counts: readonly ShardTaskCounts[];
-  /** In full for the leader; for the others without needs, and with a few spares of each kind. */
+  /**
+   * Summaries of the shards that the sender holds: complete for the leader; for other peers without unmet
+   * demand, and with one spare machine of each kind.
+   */
   readonly summaries: readonly ShardSummary[];
-  /** Workers lately could not reach the sender. */
+  /** Whether workers could not reach the sender recently. */
   readonly workersUnreachable: boolean;
   /**
-   * Machines whose worker lately sent heartbeats here although another controller holds their shard: by
-   * shard.
+   * By shard id: number of machines whose worker recently sent heartbeats to the sender although another
+   * controller holds the machine's shard.
    */
   readonly misroutedHeartbeats: Readonly<Record<string, number>>;
-  /** What the sender asks of the key-value store. */
+  /** The sender's demand on the key-value store. */
   readonly demand: StoreDemand;
-  /** Of the leader: machines of one zone that are kept free for a gang. */
+  /** Reservations of machines of one zone for a gang, if the sender is the leader; else empty. */
   readonly reservations: readonly Reservation[];
 }
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -1,7 +1,7 @@
 /**
  * The network of controllers: connects the view of the peers, the requests to them and the exchange of
- * heartbeats, and answers what peers send. Holds no state beside these parts; built by the composition root,
- * which serves `handle` on the peer address.
+ * heartbeats, and answers the requests of peers. Has no state besides these components. The composition root
+ * creates it and serves `handle` on the peer address.
  */
 import type * as Effect from 'effect/Effect';
 import type { HttpClientFactory, ServerRequest, ServerResponse } from '../http/model.js';
@@ -15,51 +15,51 @@
 /** What the peer network needs of the rest of the controller. */
 export interface PeerNetworkDependencies {
   /** This controller's name. */
-  readonly me: string;
+  readonly ownNode: string;
   readonly peers: readonly PeerAddress[];
-  /** What this controller tells a peer. */
+  /** Builds this controller's heartbeat to a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
-  /** The controller that leads, as far as this controller knows. */
+  /** The leader, as far as this controller knows; undefined: none is known. */
   readonly leader: () => string | undefined;
-  /** ms, steady. */
+  /** The steady clock, ms. */
   readonly now: () => number;
   readonly createHttpClient: HttpClientFactory;
-  /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
+  /** Answers a peer's request that is not a heartbeat; null: the path is unknown. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
 }
 
 /** Heartbeats and requests between the controllers. */
 export class PeerNetwork {
-  /** What the heartbeats of the peers say. */
+  /** The state of the peers according to their heartbeats. */
   readonly view: PeerView;
   private readonly client: PeerClient;
   private readonly exchange: HeartbeatExchange;
 
   constructor(private readonly dependencies: PeerNetworkDependencies) {
-    const { me, peers, now, createHttpClient } = dependencies;
-    const nodes = peers.map(({ node }) => node);
-    this.view = new PeerView(nodes, now);
+    const { ownNode, peers, now, createHttpClient } = dependencies;
+    const peerNodes = peers.map(({ node }) => node);
+    this.view = new PeerView(peerNodes, now);
     this.client = new PeerClient(peers, createHttpClient);
     this.exchange = new HeartbeatExchange({
-      me,
-      nodes,
+      ownNode,
+      peerNodes,
       now,
       heartbeatAgeMs: (node) => this.view.heartbeatAgeMs(node),
       exchange: (node) => this.exchangeHeartbeats(node),
     });
   }
 
-  /** The loops that exchange heartbeats. */
+  /** Runs the loops that exchange heartbeats. */
   get run(): Effect.Effect<unknown> {
     return this.exchange.run;
   }
 
-  /** Asks a peer; see `PeerClient.request`. */
+  /** Sends a request to a peer; see `PeerClient.request`. */
   request(node: string, path: string, body: unknown, timeoutMs?: number): Promise<unknown> {
     return this.client.request(node, path, body, timeoutMs);
   }
 
-  /** Sends the leader a heartbeat soon, since something changed that it decides about. */
+  /** Sends the leader a heartbeat soon, since something changed that the leader's decisions depend on. */
   notifyLeader(): void {
     const leader = this.dependencies.leader();
     if (leader !== undefined) this.exchange.notify(leader);
@@ -83,7 +83,7 @@
     this.record(await this.client.request(node, PEER_PATHS.heartbeat, own));
   }
 
-  /** What names no sender is no heartbeat. */
+  /** Records a heartbeat; a value that names no sender is ignored. */
   private record(body: unknown): void {
     const heartbeat = readHeartbeat(body);
     if (heartbeat !== null) this.view.record(heartbeat);
--- a/src/peers/order-codec.ts
+++ b/src/peers/order-codec.ts
@@ -1,11 +1,11 @@
 /**
- * Reads and writes orders between controllers and their answers, as they travel; the names of the fields and
- * their order are fixed. No state.
+ * Converts orders between controllers and the answers to them from and to their wire form; the names of the
+ * fields and their order are fixed. No state.
  */
 import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import type { TransferOrder, ReleaseOrder } from './orders.js';
 
-/** A transfer of one machine on the wire. */
+/** The transfer of one machine to the shard `to`, on the wire. */
 export interface WireTransfer {
   readonly machine: string;
   readonly to: number;
@@ -15,15 +15,16 @@
 export interface WireTransferOrder {
   readonly moves: readonly WireTransfer[];
   readonly from: number;
-  /** The leader's fencing token; earlier versions don't send it. */
+  /** The leader's fencing token; earlier versions omit the field. */
   readonly token?: number;
 }
 
 /** The body of an order to release machines. */
 export interface WireReleaseOrder {
   readonly machines: readonly string[];
-  /** Earlier versions send neither the shard nor its holder's fencing token. */
+  /** The shard whose holder sends the order; earlier versions omit this field and the fencing token. */
   readonly share?: number;
+  /** The fencing token of that holder. */
   readonly token?: number;
 }
 
@@ -43,10 +44,10 @@
   readonly field: string;
 }
 
-/** The answer to an order of a replaced holder. */
+/** The answer to an order from a holder that has been replaced. */
 export interface WireStaleOrder {
   readonly error: string;
-  /** The present holder's. */
+  /** The current holder's fencing token. */
   readonly token: number;
 }
 
@@ -72,14 +73,14 @@
   return { from: wire.from, transfers: wire.moves.map(readTransfer) };
 };
 
-/** Writes an order to release machines, under the fencing token of the holder that asks. */
+/** Writes an order to release machines, under the fencing token of the holder that sends the order. */
 export const writeReleaseOrder = (order: ReleaseOrder, token: number): WireReleaseOrder => ({
   machines: order.machines,
   ...(order.shardId === undefined ? {} : { share: order.shardId }),
   token,
 });
 
-/** Reads an order to release machines; throws if there is none. */
+/** Reads an order to release machines; throws if the body is null or undefined. */
 export const readReleaseOrder = (body: unknown): ReleaseOrder => {
   const wire = body as WireReleaseOrder;
   return {
@@ -89,8 +90,8 @@
 };
 
 /**
- * The fencing token of any order, as it came: unchecked, and undefined from earlier versions. Throws if there
- * is none.
+ * Returns the fencing token of any order as received: unchecked, and undefined in an order of an earlier
+ * version. Throws if the body is null or undefined.
  */
 export const readOrderToken = (body: unknown): unknown => (body as { readonly token?: unknown }).token;
 
@@ -100,7 +101,7 @@
 /** Writes the answer to an order to release machines. */
 export const writeReleaseAnswer = (returned: boolean): WireReleaseAnswer => ({ returned });
 
-/** Reads the answer to an order to release machines; true: they are gone. */
+/** Reads the answer to an order to release machines; true: the machines are released. */
 export const readReleaseAnswer = (body: unknown): boolean =>
   (body as Partial<WireReleaseAnswer> | null | undefined)?.returned === true;
 
@@ -110,7 +111,7 @@
   field,
 });
 
-/** Writes the answer to an order of a replaced holder, with the present holder's token. */
+/** Writes the answer to an order from a replaced holder, with the current holder's token. */
 export const writeStaleOrder = (current: number): WireStaleOrder => ({
   error: 'a later holder is known',
   token: current,
--- a/src/peers/orders.ts
+++ b/src/peers/orders.ts
@@ -1,25 +1,25 @@
 /**
- * What controllers order each other to do; `order-codec.ts` and `relay-codec.ts` have the forms on the wire.
- * Types only.
+ * Orders that controllers send each other; `order-codec.ts` and `relay-codec.ts` define their wire and stored
+ * forms. Types only.
  */
 import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import type { Reservation } from '../fleet/reservation.js';
 
-/** The leader's order to the holder of a shard: machines that are to go to other shards. */
+/** The leader's order to the holder of a shard to transfer machines to other shards. */
 export interface TransferOrder {
-  /** The shard that they leave. */
+  /** The shard that the machines leave. */
   readonly from: number;
   readonly transfers: readonly MachineTransfer[];
 }
 
-/** A holder's order to the leader: machines to release to the cloud at once. */
+/** An order from the holder of a shard to the leader to release machines to the cloud at once. */
 export interface ReleaseOrder {
   readonly machines: readonly string[];
-  /** The shard whose holder asks; earlier versions don't say. */
+  /** The shard whose holder sends the order; earlier versions omit the field. */
   readonly shardId?: number;
 }
 
-/** The leader's orders through the key-value store, to a holder that it can't reach. */
+/** The leader's orders that go through the key-value store to a holder that the leader can't reach. */
 export interface RelayedOrders {
   /** The revision of the leader's claim. */
   readonly leaderClaim: number;
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -1,11 +1,12 @@
 /**
- * Requests to other controllers: MessagePack over HTTP, to their peer addresses. Owns the connections to each
- * peer; the heartbeat exchange and whoever gives orders or asks for acknowledgements call it.
+ * Sends requests to other controllers: MessagePack over HTTP, to their peer addresses. Owns the connections
+ * to each peer. The heartbeat exchange and the subsystems that send orders or request acknowledgements call
+ * it.
  */
 import { MAX_SOCKETS_PER_PEER, PEER_REQUEST_TIMEOUT_MS } from '../constants/peers.js';
 import { parseTarget, type HttpClient, type HttpClientFactory } from '../http/model.js';
 
-/** Where a peer takes requests of other controllers. */
+/** The address at which a peer serves requests of other controllers. */
 export interface PeerAddress {
   /** The peer's name. */
   readonly node: string;
@@ -27,8 +28,9 @@
   }
 
   /**
-   * Asks a peer and returns the body of its answer; null: it answered with another status than 200 or not at
-   * all, or the settings don't name it. To callers these are one: nothing was granted.
+   * Sends a request to a peer and returns the body of its answer; null: the peer answered with a status other
+   * than 200 or did not answer, or the settings don't name it. Callers treat these cases alike: the request
+   * was not granted.
    */
   async request(
     node: string,
--- a/src/peers/peer-requests.ts
+++ b/src/peers/peer-requests.ts
@@ -1,7 +1,7 @@
 /**
- * Answers what other controllers ask beside heartbeats: orders to transfer or release machines, and whether a
- * shard's holder acts on cancellations. Checks the fencing token of every order first. No state; the peer
- * network calls it.
+ * Answers requests of other controllers that are not heartbeats: orders to transfer or release machines, and
+ * requests to the holder of a shard to acknowledge cancellations. Checks the fencing token before an order is
+ * carried out. No state; the peer network calls it.
  */
 import { readAcknowledgeRequest, writeAcknowledgeReply } from '../cancellation/codec.js';
 import type { Cancellation } from '../cancellation/model.js';
@@ -20,18 +20,21 @@
 } from './order-codec.js';
 import { PEER_PATHS } from './request-codec.js';
 
-/** What the requests need of the rest of the controller. */
+/** What the answers to peer requests need of the rest of the controller. */
 export interface PeerRequestsDependencies {
   readonly orderVerifier: OrderVerifier;
-  /** Carries out transfers from a shard held here; false: they were not. */
+  /** Carries out transfers from a shard that this controller holds; false: they were not carried out. */
   readonly transferMachines: (from: number, transfers: readonly MachineTransfer[]) => Promise<boolean>;
-  /** Releases machines to the cloud as the leader; false: they were not. */
+  /** Releases machines to the cloud as the leader; false: they were not released. */
   readonly releaseNow: (machines: readonly string[]) => Promise<boolean>;
-  /** Puts a cancellation to the shard held here; false: it is not, or its holder does not act on it yet. */
+  /**
+   * Applies a cancellation to a shard that this controller holds; false: this controller does not hold the
+   * shard under the claim that the cancellation names.
+   */
   readonly acknowledge: (cancellation: Cancellation) => boolean;
 }
 
-/** The claim of an order that does not say which shard's holder gives it. */
+/** The claim name for an order that does not name the shard of its sender. */
 const NO_CLAIM_NAME = '';
 
 const refusal = (verdict: OrderVerdict): ServerResponse | null => {
@@ -45,11 +48,11 @@
   }
 };
 
-/** Answers what other controllers ask beside heartbeats. */
+/** Answers requests of other controllers that are not heartbeats. */
 export class PeerRequests {
   constructor(private readonly dependencies: PeerRequestsDependencies) {}
 
-  /** The answer to a request; null: there is nothing under this path. */
+  /** Returns the answer to a request; null: the path is unknown. */
   async answer(path: string, body: unknown): Promise<ServerResponse | null> {
     switch (path) {
       case PEER_PATHS.transfer:
@@ -68,7 +71,8 @@
   }
 
   /**
-   * The token is checked before the rest is read: a replaced leader is told that it is one, whatever it sent.
+   * Verifies the token before the other fields are read, so that a replaced leader receives the refusal even
+   * if its order is malformed.
    */
   private async transfer(body: unknown): Promise<ServerResponse> {
     const token = readOrderToken(body);
--- a/src/peers/peer-view.ts
+++ b/src/peers/peer-view.ts
@@ -1,31 +1,37 @@
 /**
- * What this controller knows of its peers. Owns the last heartbeat of each, and since when they come without
- * a gap; only the peer network records heartbeats, every other subsystem asks here.
+ * The state of the peers as this controller knows it. Owns the last heartbeat of each peer and the time since
+ * which its heartbeats have arrived without a gap. Only the peer network records heartbeats; every other
+ * subsystem reads the state of the peers here.
  */
 import type { PeerStatus } from '../claims/claim-decisions.js';
 import { HEARTBEAT_FRESHNESS_MS, MAX_STEADY_HEARTBEAT_GAP_MS } from '../constants/peers.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { PeerHeartbeat, ShardTaskCounts, StoreDemand } from './heartbeat.js';
 
-/** The version of a controller whose heartbeat names none. */
-const UNNAMED_VERSION = 0;
+/** The protocol version of a controller whose heartbeat names none. */
+const UNANNOUNCED_VERSION = 0;
 /** `PeerStatus.steadyMs` of a peer that does not answer. */
 const NOT_STEADY = -1;
 const NO_DEMAND: StoreDemand = { requests: 0, changes: 0 };
 
-/** How many tasks of a job are done and how many run. */
+/** Number of tasks of a job that are done and that are running. */
 export interface JobTaskCounts {
   readonly done: number;
   readonly running: number;
 }
 
-/** How many peers can't reach the key-value store, and how many can, of those whose heartbeat is recent. */
+/**
+ * Number of peers with a recent heartbeat that can't reach (`down`) and can reach (`up`) the key-value store.
+ */
 export interface StoreReachability {
   readonly down: number;
   readonly up: number;
 }
 
-/** A controller that receives heartbeats of workers of another one's shard, and from how many machines. */
+/**
+ * A controller that receives worker heartbeats for a shard that another controller holds, and the number of
+ * machines that send them.
+ */
 export interface MisroutedHeartbeats {
   readonly node: string;
   readonly count: number;
@@ -33,13 +39,13 @@
 
 type CountsByShard = ReadonlyMap<number, ReadonlyMap<string, JobTaskCounts>>;
 
-/** The last heartbeat of a peer. Times are ms on the clock of the view. */
+/** The last heartbeat of a peer. Times are in ms on the steady clock. */
 interface ReceivedHeartbeat {
   readonly heartbeat: PeerHeartbeat;
   readonly receivedAt: number;
-  /** Since then heartbeats of this process have come without a gap. */
+  /** Time since which heartbeats of the same process have arrived without a gap. */
   readonly steadySince: number;
-  /** Made when first asked for: there are thousands of counts in a heartbeat. */
+  /** Null until the first query: indexing is deferred because a heartbeat has thousands of counts. */
   countsByShard: CountsByShard | null;
 }
 
@@ -51,24 +57,24 @@
     ]),
   );
 
-/** Does a heartbeat of the same process come without a gap after the last one? */
+/** Whether a heartbeat is of the same process as the previous one and follows it without a gap. */
 const isSteady = (before: ReceivedHeartbeat, heartbeat: PeerHeartbeat, now: number): boolean =>
   before.heartbeat.incarnation === heartbeat.incarnation &&
   now - before.receivedAt < MAX_STEADY_HEARTBEAT_GAP_MS;
 
-/** The last heartbeat of each peer, and what it says. */
+/** The state of each peer according to its last heartbeat. */
 export class PeerView {
   private readonly received = new Map<string, ReceivedHeartbeat>();
 
-  /** `now`: ms, steady. */
+  /** `now`: the steady clock, ms. */
   constructor(
-    private readonly nodes: readonly string[],
+    private readonly peerNodes: readonly string[],
     private readonly now: () => number,
   ) {}
 
-  /** Records a heartbeat; one of a controller that the settings don't name is left out. */
+  /** Records a heartbeat; a heartbeat of a controller that the settings don't name is ignored. */
   record(heartbeat: PeerHeartbeat): void {
-    if (!this.nodes.includes(heartbeat.from)) return;
+    if (!this.peerNodes.includes(heartbeat.from)) return;
     const now = this.now();
     const before = this.received.get(heartbeat.from);
     this.received.set(heartbeat.from, {
@@ -79,19 +85,19 @@
     });
   }
 
-  /** ms since the last heartbeat of a peer; null: none came yet. */
+  /** Returns the ms since the last heartbeat of a peer; null: none has been received yet. */
   heartbeatAgeMs(node: string): number | null {
     const last = this.received.get(node);
     return last ? this.now() - last.receivedAt : null;
   }
 
-  /** The last heartbeat of a peer, if it is recent; else null. */
+  /** Returns the last heartbeat of a peer if it is recent; else null. */
   recentHeartbeat(node: string): PeerHeartbeat | null {
     const last = this.received.get(node);
     return last && this.now() - last.receivedAt < HEARTBEAT_FRESHNESS_MS ? last.heartbeat : null;
   }
 
-  /** What decisions about claims look at, of each peer that has ever sent a heartbeat. */
+  /** Returns the input for claim decisions about each peer that has ever sent a heartbeat. */
   statuses(): readonly PeerStatus[] {
     const now = this.now();
     return [...this.received].map(([node, { heartbeat, receivedAt, steadySince }]) => ({
@@ -105,48 +111,56 @@
   }
 
   /**
-   * How many peers say in a recent heartbeat that they can't reach the key-value store, and that they can.
+   * Counts the peers whose recent heartbeat says that they can't, and that they can, reach the key-value
+   * store.
    */
   storeReachability(): StoreReachability {
-    const recent = this.nodes.flatMap((node) => this.recentHeartbeat(node) ?? []);
+    const recent = this.peerNodes.flatMap((node) => this.recentHeartbeat(node) ?? []);
     const up = recent.filter((heartbeat) => heartbeat.storeSilenceMs < HEARTBEAT_FRESHNESS_MS).length;
     return { down: recent.length - up, up };
   }
 
-  /** Does every peer say in a recent heartbeat that it can't reach the key-value store? */
+  /** Whether every peer says in a recent heartbeat that it can't reach the key-value store. */
   storeDownForAll(): boolean {
-    return this.storeReachability().down === this.nodes.length;
+    return this.storeReachability().down === this.peerNodes.length;
   }
 
-  /** Has every peer sent a heartbeat recently? */
+  /** Whether every peer has sent a heartbeat recently. */
   allConnected(): boolean {
-    return this.nodes.every((node) => this.recentHeartbeat(node) !== null);
+    return this.peerNodes.every((node) => this.recentHeartbeat(node) !== null);
   }
 
-  /** The protocol version that each peer last announced; null: it has never sent a heartbeat. */
+  /**
+   * Returns the protocol version that each peer last announced; null: the peer has never sent a heartbeat.
+   */
   announcedVersions(): readonly (number | null)[] {
-    return this.nodes.map((node) => {
+    return this.peerNodes.map((node) => {
       const last = this.received.get(node);
-      return last ? (last.heartbeat.protocolVersion ?? UNNAMED_VERSION) : null;
+      return last ? (last.heartbeat.protocolVersion ?? UNANNOUNCED_VERSION) : null;
     });
   }
 
-  /** Does a peer announce at least this protocol version in a recent heartbeat? */
+  /** Whether a peer announces at least this protocol version in a recent heartbeat. */
   supportsVersion(node: string, version: number): boolean {
-    return (this.recentHeartbeat(node)?.protocolVersion ?? UNNAMED_VERSION) >= version;
+    return (this.recentHeartbeat(node)?.protocolVersion ?? UNANNOUNCED_VERSION) >= version;
   }
 
-  /** The summaries of shards in the peers' recent heartbeats. */
+  /** Returns the shard summaries in the peers' recent heartbeats. */
   summaries(): readonly ShardSummary[] {
-    return this.nodes.flatMap((node) => this.recentHeartbeat(node)?.summaries ?? []);
+    return this.peerNodes.flatMap((node) => this.recentHeartbeat(node)?.summaries ?? []);
   }
 
-  /** What each peer last said that it asks of the key-value store. */
+  /**
+   * Returns the demand on the key-value store that each peer last announced, however old its heartbeat is.
+   */
   storeDemands(): readonly StoreDemand[] {
-    return this.nodes.map((node) => this.received.get(node)?.heartbeat.demand ?? NO_DEMAND);
+    return this.peerNodes.map((node) => this.received.get(node)?.heartbeat.demand ?? NO_DEMAND);
   }
 
-  /** What the holder of a job's shard last said of its tasks; null: nothing, or not recently. */
+  /**
+   * Returns the task counts of a job from a recent heartbeat of the holder of its shard; null: there are
+   * none.
+   */
   taskCounts(shardId: number, job: string): JobTaskCounts | null {
     const now = this.now();
     for (const last of this.received.values()) {
@@ -158,10 +172,13 @@
     return null;
   }
 
-  /** The peer that receives heartbeats of most machines of a shard that it does not hold; null: none does. */
+  /**
+   * Returns the peer that receives heartbeats from the most machines of a shard that the peer does not hold;
+   * null: no peer receives any.
+   */
   misroutedHeartbeats(claimName: string): MisroutedHeartbeats | null {
     let most: MisroutedHeartbeats | null = null;
-    for (const node of this.nodes) {
+    for (const node of this.peerNodes) {
       const count = this.recentHeartbeat(node)?.misroutedHeartbeats[claimName] ?? 0;
       if (count > (most?.count ?? 0)) most = { node, count };
     }
--- a/src/peers/protocol-version-codec.ts
+++ b/src/peers/protocol-version-codec.ts
@@ -1,10 +1,10 @@
-/** Reads and writes the agreed protocol version as it is stored. No state. */
+/** Converts the agreed protocol version from and to its stored form. No state. */
 
 interface StoredProtocolVersion {
   readonly v: number;
 }
 
-/** Writes the agreed protocol version as it is stored. */
+/** Converts the agreed protocol version to its stored form. */
 export const writeProtocolVersion = (version: number): StoredProtocolVersion => ({ v: version });
 
 /** Reads the stored protocol version. */
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -1,8 +1,9 @@
 /**
- * Agreement on the protocol version that all controllers understand. During an upgrade controllers of two
- * versions serve side by side, and one that dies before its turn comes back old; once each has announced the
- * new version no turn is left, and that is recorded for good. Owns no state: the agreed version stands in the
- * key-value store. Whoever must not use what earlier versions don't understand asks for it.
+ * Agreement on the protocol version that all controllers support. During an upgrade, controllers of two
+ * versions run side by side, and a controller that crashes before it is upgraded restarts with the old
+ * version. Once every controller has announced the new version, none is left to upgrade, and the new version
+ * is recorded permanently. Has no state: the agreed version is stored in the key-value store. Subsystems read
+ * it before they use a feature that earlier versions don't support.
  */
 import type { Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -14,29 +15,29 @@
 import { log } from '../log.js';
 import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
 
-/** The agreed version as long as none is recorded. */
-const FIRST_VERSION = 0;
-/** The version of a key that does not exist yet. */
-const ABSENT = 0;
+/** The agreed version until one is recorded. */
+const INITIAL_VERSION = 0;
+/** The revision in the condition of a transaction that requires the key to be absent. */
+const ABSENT_KEY_VERSION = 0;
 
 /** What the agreement needs of the rest of the controller. */
 export interface ProtocolVersionDependencies {
   readonly store: KeyValueStore;
   readonly cache: Pick<WatchCache, 'get' | 'ready'>;
-  /** What each peer last announced; null: it has never sent a heartbeat. */
+  /** The protocol version that each peer last announced; null: the peer has never sent a heartbeat. */
   readonly announcedVersions: () => readonly (number | null)[];
-  /** Permit to record the version; null: this controller does not hold the duty now. */
+  /** Returns a permit to record the version; null: this controller does not hold the duty now. */
   readonly beginAgreement: () => Permit | null;
 }
 
-/** Agrees on the protocol version that every controller understands. */
+/** Agrees on the protocol version that every controller supports. */
 export class ProtocolVersion {
   constructor(private readonly dependencies: ProtocolVersionDependencies) {}
 
-  /** Every controller of the deployment understands at least this version, now and from now on. */
+  /** The protocol version that every controller of the deployment supports, now and in the future. */
   get agreed(): number {
     const entry = this.dependencies.cache.get(PROTOCOL_VERSION_KEY);
-    return entry ? readProtocolVersion(entry.value) : FIRST_VERSION;
+    return entry ? readProtocolVersion(entry.value) : INITIAL_VERSION;
   }
 
   /** Records this controller's version once every controller has announced it. */
@@ -61,7 +62,12 @@
       const result = yield* fencedTransaction(
         store,
         permit,
-        [{ key: PROTOCOL_VERSION_KEY, version: cache.get(PROTOCOL_VERSION_KEY)?.version ?? ABSENT }],
+        [
+          {
+            key: PROTOCOL_VERSION_KEY,
+            version: cache.get(PROTOCOL_VERSION_KEY)?.version ?? ABSENT_KEY_VERSION,
+          },
+        ],
         [{ _tag: 'put', key: PROTOCOL_VERSION_KEY, value: writeProtocolVersion(PROTOCOL_VERSION) }],
         'user',
       );
--- a/src/peers/rate-division.ts
+++ b/src/peers/rate-division.ts
@@ -1,6 +1,6 @@
 /**
- * Divides the key-value store's rates among the controllers, by what each asks for. Owns nothing: it sets the
- * rates of the store's client; the composition root runs it.
+ * Divides the rates of the key-value store among the controllers according to their demand. No state: sets
+ * the rates of the store's client. The composition root runs it.
  */
 import * as Effect from 'effect/Effect';
 import { EVEN_RATE_FRACTION } from '../constants/key-value-store.js';
@@ -9,18 +9,20 @@
 import type { StoreDemand } from './heartbeat.js';
 
 /**
- * This controller's part of a rate that all controllers divide among them: one fraction is divided evenly,
- * the rest by what each asks for. A peer that sends no heartbeats keeps its even part and what it last asked
- * for.
+ * Returns this controller's part of a rate that all controllers share: the fraction `EVEN_RATE_FRACTION` is
+ * divided evenly, the remainder in proportion to the demand. A peer that sends no heartbeats keeps its even
+ * part and the part for its last announced demand.
  */
-const divideRate = (total: number, own: number, others: readonly number[]): number => {
-  const nodes = others.length + 1;
-  const all = others.reduce((sum, demand) => sum + demand, own);
-  const byDemand = all > 0 ? own / all : 1 / nodes;
-  return total * (EVEN_RATE_FRACTION / nodes + (1 - EVEN_RATE_FRACTION) * byDemand);
+const divideRate = (totalRate: number, ownDemand: number, peerDemands: readonly number[]): number => {
+  const controllers = peerDemands.length + 1;
+  const totalDemand = peerDemands.reduce((sum, demand) => sum + demand, ownDemand);
+  const demandFraction = totalDemand > 0 ? ownDemand / totalDemand : 1 / controllers;
+  return totalRate * (EVEN_RATE_FRACTION / controllers + (1 - EVEN_RATE_FRACTION) * demandFraction);
 };
 
-/** Keeps this controller's part of the store's rates in step with what the controllers ask for. */
+/**
+ * Adjusts this controller's part of the store's rates to the controllers' demand, every heartbeat interval.
+ */
 export const divideStoreRates = (
   { requests, changes, rates }: Pick<KeyValueStore, 'requests' | 'changes' | 'rates'>,
   peerDemands: () => readonly StoreDemand[],
--- a/src/peers/relay-codec.ts
+++ b/src/peers/relay-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and writes what the relay stores in the key-value store; the names of the fields and their order are
- * fixed. No state.
+ * Converts the orders and summaries that the relay writes to the key-value store from and to their stored
+ * form; the names of the fields and their order are fixed. No state.
  */
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import { readTransfer, writeTransfer, type WireTransfer } from './order-codec.js';
@@ -9,21 +9,21 @@
 import { readSummary, type WireSummary } from './summary-codec.js';
 import { isMap, readEntries } from './wire-values.js';
 
-/** Orders for the holder of a shard, as they are stored. */
+/** The stored form of orders for the holder of a shard. */
 export interface StoredOrders {
   readonly leader: number;
   readonly moves: readonly WireTransfer[];
   readonly holds: readonly WireReservation[];
 }
 
-/** Writes orders as they are stored. */
+/** Converts orders to their stored form. */
 export const writeRelayedOrders = (orders: RelayedOrders): StoredOrders => ({
   leader: orders.leaderClaim,
   moves: orders.transfers.map(writeTransfer),
   holds: orders.reservations.map(writeReservation),
 });
 
-/** Reads stored orders; null: malformed. */
+/** Converts orders from their stored form; null: the value is malformed. */
 export const readRelayedOrders = (value: unknown): RelayedOrders | null => {
   if (!isMap(value)) return null;
   const stored = value as StoredOrders;
@@ -34,6 +34,6 @@
   };
 };
 
-/** Reads a stored summary; null: malformed. */
+/** Converts a summary from its stored form; null: the value is malformed. */
 export const readRelayedSummary = (value: unknown): ShardSummary | null =>
   isMap(value) ? readSummary(value as WireSummary) : null;
--- a/src/peers/relay-size.ts
+++ b/src/peers/relay-size.ts
@@ -1,9 +1,10 @@
 /**
- * Shortens what the relay stores to the size that the key-value store takes. No state, no decisions about the
- * content: what comes first matters most and stays. The relay calls it with each write.
+ * Shortens the orders and summaries that the relay stores to the largest value that the key-value store
+ * accepts. No state, no decisions about the content: each list begins with its most important entries, which
+ * are kept. The relay calls it for each write.
  *
- * Each step leaves out at least one entry, or says that there is none left to leave out: shortening ends
- * whatever the size of the value and of the entries.
+ * Each step omits at least one entry, or reports that no entry is left to omit: shortening ends whatever the
+ * size of the value and of the entries.
  */
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { MAX_RELAYED_GANGS_PER_DEMAND, MIN_RELAYED_RESERVATIONS } from '../constants/peers.js';
@@ -12,15 +13,15 @@
 import { writeRelayedOrders, type StoredOrders } from './relay-codec.js';
 import { writeSummary, type WireSummary } from './summary-codec.js';
 
-/** What is to be stored, as far as it fits. */
+/** The stored form of orders or a summary, shortened to fit a value. */
 export type FittedValue<Stored> =
   | {
       readonly _tag: 'fits';
       readonly stored: Stored;
-      /** Entries that are left out, by list; empty: none. */
+      /** Number of omitted entries by list; empty: none are omitted. */
       readonly omitted: Readonly<Record<string, number>>;
     }
-  /** Not even the value without any entry fits. */
+  /** Even the stored form without any entry does not fit; `bytes` is its size. */
   | { readonly _tag: 'tooLarge'; readonly bytes: number };
 
 const bytesOf = (stored: unknown): number => Buffer.byteLength(JSON.stringify(stored));
@@ -28,26 +29,27 @@
 const maxBytes = (valueBytes: number): number => valueBytes * VALUE_FILL_FRACTION;
 
 /**
- * The first of ever smaller contents whose stored form fits; if none does, the smallest.
+ * Omits entries from the content step by step until its stored form fits; if it never fits, returns the
+ * smallest content.
  *
- * @param smaller - The content without some of its entries; null: it has none left to leave out.
+ * @param smaller - Returns the content without some of its entries; null: no entry is left to omit.
  */
-const firstThatFits = <Content>(
+const shortenUntilFits = <Content>(
   content: Content,
   write: (content: Content) => unknown,
   smaller: (content: Content) => Content | null,
   valueBytes: number,
 ): Content => {
-  let short = content;
-  while (bytesOf(write(short)) > maxBytes(valueBytes)) {
-    const next = smaller(short);
+  let shortened = content;
+  while (bytesOf(write(shortened)) > maxBytes(valueBytes)) {
+    const next = smaller(shortened);
     if (next === null) break;
-    short = next;
+    shortened = next;
   }
-  return short;
+  return shortened;
 };
 
-/** How many entries each list lost. */
+/** Counts the omitted entries of each list, for lists with any. */
 const countOmitted = (
   before: Readonly<Record<string, number>>,
   after: Readonly<Record<string, number>>,
@@ -55,10 +57,10 @@
   Object.fromEntries(
     Object.entries(before)
       .map(([list, count]) => [list, count - (after[list] ?? 0)] as const)
-      .filter(([, lost]) => lost > 0),
+      .filter(([, omitted]) => omitted > 0),
   );
 
-const fitted = <Stored>(
+const toFittedValue = <Stored>(
   stored: Stored,
   omitted: Readonly<Record<string, number>>,
   valueBytes: number,
@@ -79,7 +81,10 @@
       : orders.reservations,
 });
 
-/** Few reservations stay until no transfer is left. */
+/**
+ * Orders with fewer entries; null: no entry is left. Up to `MIN_RELAYED_RESERVATIONS` reservations are kept
+ * whole until no transfer is left.
+ */
 const smallerOrders = (orders: RelayedOrders): RelayedOrders | null => {
   const { transfers, reservations } = orders;
   if (transfers.length > 0 || reservations.length > MIN_RELAYED_RESERVATIONS) return halveOrders(orders);
@@ -87,22 +92,22 @@
 };
 
 /**
- * Orders whose stored form fits a value of `valueBytes`, or none of them; what is left out comes with the
- * next orders.
+ * Shortens orders until their stored form fits a value of `valueBytes`, or until no order is left. Omitted
+ * entries are sent with the next orders.
  */
 export const shortenOrders = (orders: RelayedOrders, valueBytes: number): RelayedOrders =>
-  firstThatFits(orders, writeRelayedOrders, smallerOrders, valueBytes);
+  shortenUntilFits(orders, writeRelayedOrders, smallerOrders, valueBytes);
 
 const countOrders = ({ transfers, reservations }: RelayedOrders): Readonly<Record<string, number>> => ({
   transfers: transfers.length,
   reservations: reservations.length,
 });
 
-/** Orders as they are to be stored. */
+/** Returns the stored form of orders, shortened to fit a value of `valueBytes`. */
 export const fitOrders = (orders: RelayedOrders, valueBytes: number): FittedValue<StoredOrders> => {
-  const short = shortenOrders(orders, valueBytes);
-  const omitted = countOmitted(countOrders(orders), countOrders(short));
-  return fitted(writeRelayedOrders(short), omitted, valueBytes);
+  const shortened = shortenOrders(orders, valueBytes);
+  const omitted = countOmitted(countOrders(orders), countOrders(shortened));
+  return toFittedValue(writeRelayedOrders(shortened), omitted, valueBytes);
 };
 
 const limitGangs = (demand: UnmetDemand): UnmetDemand => ({
@@ -112,18 +117,24 @@
 
 const halveSummary = (summary: ShardSummary): ShardSummary => ({
   ...summary,
-  // The most important class of demand stays.
+  // Rounds up, so that the most important class of demand is kept.
   needs: summary.needs.slice(0, Math.ceil(summary.needs.length / 2)).map(limitGangs),
   spares: firstHalf(summary.spares),
 });
 
-/** Is there more than one class of demand with few gangs, and the counts of spares that are not named? */
+/**
+ * Whether `halveSummary` would omit something: the summary has more than one class of demand, a named spare
+ * machine, or a class with more than `MAX_RELAYED_GANGS_PER_DEMAND` gangs.
+ */
 const isHalvable = ({ needs, spares }: ShardSummary): boolean =>
   needs.length > 1 ||
   spares.length > 0 ||
   needs.some(({ gangs }) => gangs.length > MAX_RELAYED_GANGS_PER_DEMAND);
 
-/** The most important class of demand stays longest; it counts with its tasks when no gang is named. */
+/**
+ * A summary with fewer entries; null: no entry is left. The most important class of demand is omitted last:
+ * after its gangs, since its number of tasks is still useful without them.
+ */
 const smallerSummary = (summary: ShardSummary): ShardSummary | null => {
   const { needs, unlisted } = summary;
   if (isHalvable(summary)) return halveSummary(summary);
@@ -134,9 +145,9 @@
   return { ...summary, needs: [{ ...demand, gangs: firstHalf(demand.gangs) }] };
 };
 
-/** A summary whose stored form fits a value of `valueBytes`, or one without any entry. */
+/** Shortens a summary until its stored form fits a value of `valueBytes`, or until no entry is left. */
 export const shortenSummary = (summary: ShardSummary, valueBytes: number): ShardSummary =>
-  firstThatFits(summary, writeSummary, smallerSummary, valueBytes);
+  shortenUntilFits(summary, writeSummary, smallerSummary, valueBytes);
 
 const countSummary = ({ needs, spares, unlisted }: ShardSummary): Readonly<Record<string, number>> => ({
   needs: needs.length,
@@ -145,9 +156,9 @@
   unlisted: unlisted?.length ?? 0,
 });
 
-/** A summary as it is to be stored. */
+/** Returns the stored form of a summary, shortened to fit a value of `valueBytes`. */
 export const fitSummary = (summary: ShardSummary, valueBytes: number): FittedValue<WireSummary> => {
-  const short = shortenSummary(summary, valueBytes);
-  const omitted = countOmitted(countSummary(summary), countSummary(short));
-  return fitted(writeSummary(short), omitted, valueBytes);
+  const shortened = shortenSummary(summary, valueBytes);
+  const omitted = countOmitted(countSummary(summary), countSummary(shortened));
+  return toFittedValue(writeSummary(shortened), omitted, valueBytes);
 };
--- a/src/peers/request-codec.ts
+++ b/src/peers/request-codec.ts
@@ -1,6 +1,6 @@
 /**
- * The paths of requests between controllers, on the peer address. Two versions serve side by side during an
- * upgrade, so the paths are fixed. No state.
+ * The paths of requests between controllers, on the peer address. Controllers of two versions run side by
+ * side during an upgrade, so the paths are fixed. No state.
  */
 
 /** The path of each kind of request between controllers. */
@@ -9,8 +9,8 @@
   heartbeat: '/beat',
   /** The leader's order to transfer machines to other shards. */
   transfer: '/move',
-  /** A holder's order to release machines at once. */
+  /** An order from the holder of a shard to the leader to release machines at once. */
   release: '/return',
-  /** A question to the holder of a shard: does it act on these cancellations? */
+  /** A request to the holder of a shard to act on cancellations; the answer says on which the holder acts. */
   acknowledge: '/heed',
 } as const;
--- a/src/peers/reservation-codec.ts
+++ b/src/peers/reservation-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and writes reservations as they travel in heartbeats and in relayed orders; the names of the fields
- * are fixed. No state.
+ * Converts reservations from and to the wire form that heartbeats and relayed orders carry; the names of the
+ * fields are fixed. No state.
  */
 import type { Reservation } from '../fleet/reservation.js';
 
@@ -19,7 +19,7 @@
   readonly ageMs: number;
 }
 
-/** Writes a reservation as it travels. */
+/** Converts a reservation to its wire form. */
 export const writeReservation = (reservation: Reservation): WireReservation => ({
   share: reservation.shardId,
   job: reservation.job,
@@ -34,7 +34,7 @@
   ageMs: reservation.ageMs,
 });
 
-/** Reads a reservation. */
+/** Converts a reservation from its wire form. */
 export const readReservation = (wire: WireReservation): Reservation => ({
   shardId: wire.share,
   job: wire.job,
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -1,8 +1,9 @@
 /**
- * The slow way between a shard's holder and the leader when their connections are refused: summaries and
- * orders through the key-value store, few and small. Nothing here gives any right; what is done is
- * conditional as always. Owns the last relayed summary and orders of each shard, and when each key was
- * written; the change dispatcher passes on what others wrote, the transfers give orders.
+ * The fallback path between the holder of a shard and the leader when their connections are refused:
+ * summaries and orders go through the key-value store, few and small. A relayed value grants no authority:
+ * the transactions that follow from it are conditional, as in all other cases. Owns the last relayed summary
+ * and orders of each shard, and the time at which each key was written. The change dispatcher passes on the
+ * values that other controllers wrote; `Transfers` relays orders.
  */
 import * as Effect from 'effect/Effect';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
@@ -21,22 +22,22 @@
 /** What the relay needs of the rest of the controller. */
 export interface KeyValueStoreRelayDependencies {
   readonly store: KeyValueStore;
-  /** bytes: largest value of a key. */
+  /** Largest value of a key, in bytes. */
   readonly valueBytes: number;
-  /** ms, steady. */
+  /** The steady clock, ms. */
   readonly now: () => number;
-  /** The revision of the leader's claim. */
+  /** The revision of the leader's claim; null: there is no leader. */
   readonly leaderClaim: () => number | null;
   /**
-   * Summaries of the shards held here, while the leader is another controller that can't be reached; else
-   * none.
+   * Summaries of the shards that this controller holds, while the leader is another controller that can't be
+   * reached; else none.
    */
   readonly summariesToRelay: () => readonly ShardSummary[];
   /** Carries out the leader's transfers from a shard. */
   readonly transferMachines: (shardId: number, transfers: readonly MachineTransfer[]) => void;
 }
 
-/** Something that came through the store, and when; ms on the clock of the relay. */
+/** A value received through the key-value store, and the time in ms on the steady clock. */
 interface Received<Content> {
   readonly content: Content;
   readonly receivedAt: number;
@@ -44,29 +45,35 @@
 
 const isEmpty = ({ needs, spares }: WireSummary): boolean => needs.length + spares.length === 0;
 
-/** Tells whether an empty summary was written under this claim before. */
+/**
+ * The claim and the numbers of entries of a summary: an empty summary with the digest of the last written one
+ * is not written again.
+ */
 const digestOf = ({ claim, needs, spares }: WireSummary): string =>
   `${claim}|${needs.length}|${spares.length}`;
 
-/** Passes summaries and orders through the key-value store where connections are refused. */
+/** Relays summaries and orders through the key-value store where connections are refused. */
 export class KeyValueStoreRelay {
   private readonly receivedSummaries = new Map<number, Received<ShardSummary>>();
   private readonly receivedOrders = new Map<number, Received<RelayedOrders>>();
-  /** When this controller last wrote each key. */
+  /** By key: time of this controller's last write, in ms on the steady clock. */
   private readonly writtenAt = new Map<string, number>();
-  /** Of the summary that was last written for each shard. */
+  /** By shard: digest of the summary that was last written. */
   private readonly lastDigest = new Map<number, string>();
 
   constructor(private readonly dependencies: KeyValueStoreRelayDependencies) {}
 
-  /** The store shows a relayed summary. */
+  /** Records a relayed summary that the key-value store shows. */
   onSummary(shardId: number, value: unknown): void {
     const summary = readRelayedSummary(value);
     if (summary === null) return;
     this.receivedSummaries.set(shardId, { content: summary, receivedAt: this.dependencies.now() });
   }
 
-  /** The store shows relayed orders; those of a leader that was replaced count for nothing. */
+  /**
+   * Records relayed orders that the key-value store shows, and carries out their transfers; orders of a
+   * leader that was replaced are ignored.
+   */
   onOrders(shardId: number, value: unknown): void {
     const orders = readRelayedOrders(value);
     if (orders === null) return;
@@ -75,18 +82,23 @@
     if (orders.transfers.length > 0) this.dependencies.transferMachines(shardId, orders.transfers);
   }
 
-  /** The last relayed summary of a shard, if it is recent and by this very claim. */
+  /**
+   * Returns the last relayed summary of a shard if it is recent and was written under this claim; else null.
+   */
   summary(shardId: number, claim: number): ShardSummary | null {
-    const summary = this.recent(this.receivedSummaries.get(shardId));
+    const summary = this.contentIfRecent(this.receivedSummaries.get(shardId));
     return summary?.claim === claim ? summary : null;
   }
 
-  /** The reservations in the last relayed orders for a shard, if they are recent. */
+  /** Returns the reservations in the last relayed orders for a shard if the orders are recent; else none. */
   reservations(shardId: number): readonly Reservation[] {
-    return this.recent(this.receivedOrders.get(shardId))?.reservations ?? [];
+    return this.contentIfRecent(this.receivedOrders.get(shardId))?.reservations ?? [];
   }
 
-  /** Gives the leader's orders to the holder of a shard that can't be reached, at most once an interval. */
+  /**
+   * Relays the leader's orders to the holder of a shard that can't be reached, at most once every
+   * `RELAY_INTERVAL_MS`.
+   */
   relayOrders(
     shardId: number,
     transfers: readonly MachineTransfer[],
@@ -94,12 +106,12 @@
   ): Effect.Effect<unknown> {
     const leaderClaim = this.dependencies.leaderClaim();
     const key = ordersKey(shardId);
-    if (leaderClaim === null || !this.due(key)) return Effect.void;
+    if (leaderClaim === null || !this.isDue(key)) return Effect.void;
     const orders = fitOrders({ leaderClaim, transfers, reservations }, this.dependencies.valueBytes);
     return this.write(key, orders, LEADER_CLAIM, leaderClaim);
   }
 
-  /** Relays the summaries of the shards held here for as long as the leader can't be reached. */
+  /** Relays the summaries of the shards that this controller holds while the leader can't be reached. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       yield* Effect.sleep(RELAY_CHECK_INTERVAL_MS);
@@ -110,31 +122,32 @@
   private relaySummary(summary: ShardSummary): Effect.Effect<unknown> {
     const { shardId, claim } = summary;
     const key = summaryKey(shardId);
-    if (!this.due(key)) return Effect.void;
-    const short = fitSummary(summary, this.dependencies.valueBytes);
-    if (short._tag === 'fits') {
-      const digest = digestOf(short.stored);
-      // Nothing needed and nothing to spare is written once.
-      if (isEmpty(short.stored) && this.lastDigest.get(shardId) === digest) return Effect.void;
+    if (!this.isDue(key)) return Effect.void;
+    const fitted = fitSummary(summary, this.dependencies.valueBytes);
+    if (fitted._tag === 'fits') {
+      const digest = digestOf(fitted.stored);
+      // A summary without unmet demand and spare machines is written only once.
+      if (isEmpty(fitted.stored) && this.lastDigest.get(shardId) === digest) return Effect.void;
       this.lastDigest.set(shardId, digest);
     }
-    return this.write(key, short, String(shardId), claim);
+    return this.write(key, fitted, String(shardId), claim);
   }
 
-  private recent<Content>(received: Received<Content> | undefined): Content | null {
+  private contentIfRecent<Content>(received: Received<Content> | undefined): Content | null {
     return received && this.dependencies.now() - received.receivedAt < RELAY_FRESHNESS_MS
       ? received.content
       : null;
   }
 
-  private due(key: string): boolean {
+  private isDue(key: string): boolean {
     const writtenAt = this.writtenAt.get(key) ?? Number.NEGATIVE_INFINITY;
     return this.dependencies.now() - writtenAt >= RELAY_INTERVAL_MS;
   }
 
   /**
-   * Conditional on the writer's claim: a late copy of a replaced one must not hide what is newer. What fits
-   * no value is not written: whoever waits for it goes on with what came before, until that is too old.
+   * Writes a value on the condition that the writer still holds its claim: a delayed write of a replaced
+   * holder must not overwrite a newer value. A value that is too large even without entries is not written:
+   * the reader uses the previous value until that is too old.
    */
   private write(
     key: string,
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -1,7 +1,7 @@
 /**
- * Reads and writes summaries of shards as they travel in heartbeats and stand in the key-value store; the
- * names of the fields and their order are fixed. Lists of machine types and maps of capacity pass by
- * reference: they look the same on both sides. No state.
+ * Converts summaries of shards from and to the form in which heartbeats carry them and the key-value store
+ * holds them; the names of the fields and their order are fixed. Lists of machine types and maps of capacity
+ * are passed by reference instead of copied: their wire form is the same as their internal form. No state.
  */
 import type {
   SpareMachine,
@@ -12,7 +12,7 @@
 } from '../fleet/shard-summary.js';
 import { readEntries } from './wire-values.js';
 
-/** A job that waits whole, on the wire. */
+/** A job that waits as a whole, on the wire. */
 export interface WireWaitingGang {
   readonly job: string;
   readonly tasks: number;
@@ -34,7 +34,7 @@
   readonly priority: number;
   readonly tasks: number;
   readonly gangs: readonly WireWaitingGang[];
-  /** Tasks by zone. */
+  /** Number of tasks that the shard already has capacity for, by zone. */
   readonly room: Readonly<Record<string, number>>;
   readonly waitedMs: number;
 }
@@ -48,7 +48,7 @@
   readonly idleS: number;
 }
 
-/** A number of spare machines that are not named, on the wire. */
+/** The number of spare machines of one kind that are not listed one by one, on the wire. */
 export interface WireUnlistedSpares {
   readonly type: string;
   readonly zone: string;
@@ -63,7 +63,7 @@
   readonly revision: number;
   readonly needs: readonly WireUnmetDemand[];
   readonly spares: readonly WireSpareMachine[];
-  /** Earlier versions don't send it. */
+  /** Earlier versions omit the field. */
   readonly unlisted?: readonly WireUnlistedSpares[];
 }
 
@@ -145,7 +145,7 @@
   count: wire.count,
 });
 
-/** Writes a summary as it travels and is stored. */
+/** Converts a summary to its wire and stored form. */
 export const writeSummary = (summary: ShardSummary): WireSummary => ({
   share: summary.shardId,
   claim: summary.claim,
@@ -155,7 +155,7 @@
   ...(summary.unlisted === undefined ? {} : { unlisted: summary.unlisted.map(writeUnlistedSpares) }),
 });
 
-/** Reads a summary. */
+/** Converts a summary from its wire and stored form. */
 export const readSummary = (wire: WireSummary): ShardSummary => ({
   shardId: wire.share,
   claim: wire.claim,
--- a/src/peers/wire-values.ts
+++ b/src/peers/wire-values.ts
@@ -1,11 +1,14 @@
-/** Reads what other controllers send or store; they may run an earlier or a later version. No state. */
+/**
+ * Reads values that other controllers send or store; these controllers may run an earlier or a later version.
+ * No state.
+ */
 
-/** Is the value a map, whose fields can be read? */
+/** Whether the value is an object whose fields can be read. */
 export const isMap = (value: unknown): value is object => typeof value === 'object' && value !== null;
 
 /**
- * The entries of a list, read one by one. What is no list has no entries and what is no map is left out: one
- * malformed field must not hide the rest of a message.
+ * Reads the entries of a list one by one. A value that is not a list has no entries, and an entry that is not
+ * an object is skipped: one malformed field must not make the other fields of a message unreadable.
  */
 export const readEntries = <Wire extends object, Entry>(
   list: readonly Wire[] | undefined,
