--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -76,7 +76,7 @@
   leadership: Leadership,
 ): WorkerHeartbeatHandler =>
   new WorkerHeartbeatHandler({
-    me: deployment.me.node,
+    ownNode: deployment.me.node,
     cache: storeAccess.cache,
     now: clocks.steady,
     shard: (shardId) => shards.actingShard(shardId),
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -1,6 +1,6 @@
 /**
- * The wire form of workers' reports and of the commands to them. Reports are by far the most frequent
- * message, so they are checked by hand.
+ * The wire form of worker heartbeats and of the commands to workers. Worker heartbeats are by far the most
+ * frequent message, so hand-written checks validate them.
  */
 import { parseTaskName, taskName } from '../jobs/task-name.js';
 import type { Command, ExitCause, WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
@@ -54,7 +54,7 @@
   Array.isArray(value.heads) &&
   value.heads.every(isWireTask);
 
-/** Causes by the worker's words. */
+/** Exit causes by their value on the wire. */
 const CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
@@ -76,19 +76,19 @@
       return { _tag: 'saving' };
     case 'exited':
       return { _tag: 'exited', cause: CAUSES[cause ?? ''] ?? 'error', saved: saved === true };
-    // A task in a state of a later version still occupies its machine: it counts as running.
+    // A task in a state that only a later version knows still occupies its machine, so it counts as running.
     default:
       return { _tag: 'running' };
   }
 };
 
-/** Reads a worker's report; null: malformed. */
+/** Reads a worker heartbeat; null: the value is malformed. */
 export const readWorkerHeartbeat = (value: unknown): WorkerHeartbeat | null => {
   if (!isWireHeartbeat(value)) return null;
   const tasks: ReportedTask[] = [];
-  for (const head of value.heads) {
-    const name = parseTaskName(head.head);
-    if (name) tasks.push({ ...name, attempt: head.try, state: readState(head) });
+  for (const task of value.heads) {
+    const name = parseTaskName(task.head);
+    if (name) tasks.push({ ...name, attempt: task.try, state: readState(task) });
   }
   return {
     machine: value.drover,
@@ -117,25 +117,25 @@
   }
 };
 
-/** Writes the answer to a report. */
-export const writeOrders = (token: number, commands: readonly Command[]): object => ({
+/** Writes the answer to a worker heartbeat. */
+export const writeCommands = (token: number, commands: readonly Command[]): object => ({
   crook: token,
   calls: commands.map(writeCommand),
 });
 
-/** Writes commands that are sent straight to one session of a worker. */
+/** Writes commands that are sent directly to one session of a worker. */
 export const writeDirectCommands = (
   token: number,
   agentEpoch: number,
   commands: readonly Command[],
-): object => ({ ...writeOrders(token, commands), stint: agentEpoch });
+): object => ({ ...writeCommands(token, commands), stint: agentEpoch });
 
 /**
- * Writes the answer that sends a worker to the controller that holds its shard; undefined: that one is not
- * known.
+ * Writes the answer that redirects a worker to the controller that holds its shard; undefined: that
+ * controller is not known.
  */
 export const writeRedirect = (holder: string | undefined): unknown =>
   holder === undefined ? {} : { boss: holder };
 
-/** Reads where a worker is sent; undefined: nowhere. */
+/** Reads the controller to which an answer redirects a worker; undefined: the answer names none. */
 export const readRedirect = (body: unknown): string | undefined => (body as { boss?: string }).boss;
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,7 +1,7 @@
 /**
- * Where workers report. Answers reports of machines in this controller's shards, names the responsible
- * controller to the others, and has the leader adopt machines without a record. The router calls it for each
- * report.
+ * Answers worker heartbeats: those of machines in this controller's shards with commands, and the others with
+ * a redirect to the responsible controller. Passes machines without a record to the leader for adoption. The
+ * router calls it for each worker heartbeat.
  */
 import { readClaim } from '../claims/codec.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
@@ -10,19 +10,22 @@
 import type { ServerResponse } from '../http/model.js';
 import { claimKey, machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import { readWorkerHeartbeat, writeOrders, writeRedirect } from './codec.js';
+import { readWorkerHeartbeat, writeCommands, writeRedirect } from './codec.js';
 import type { Command, WorkerHeartbeat } from './model.js';
 
-/** What the handler needs of a shard. */
+/** What the handler needs of a shard that this controller holds. */
 interface ReportingShard {
   /**
-   * Takes in a report; `awaitRound`: the next round may have commands for it. Null: the machine is not the
-   * shard's.
+   * Records a heartbeat. `awaitRound`: whether the next placement round may have commands for the machine.
+   * Null: the machine is not in the shard, or the heartbeat is older than one already seen or names a higher
+   * token than the shard's.
    */
   onHeartbeat(heartbeat: WorkerHeartbeat): { readonly awaitRound: boolean } | null;
-  /** Resolves with the next round that concerns the machine, or after so many ms. */
+  /** Resolves when the binds of the next whole placement round are durable, or after `ms`. */
   nextRound(machine: string, ms: number): Promise<void>;
-  /** The answer to a report; null: the machine is not the shard's. */
+  /**
+   * Returns the answer to a heartbeat; null: the machine is not in the shard or has sent a later heartbeat.
+   */
   orders(
     heartbeat: WorkerHeartbeat,
   ): { readonly token: number; readonly commands: readonly Command[] } | null;
@@ -30,61 +33,63 @@
 
 /** What the handler needs of the rest of the controller. */
 export interface WorkerHeartbeatHandlerDependencies {
-  /** Name of this controller. */
-  readonly me: string;
+  /** This controller's name. */
+  readonly ownNode: string;
   readonly cache: WatchCache;
   /** The steady clock, ms. */
   readonly now: () => number;
-  /** The shard, if this controller may answer for it now; else null. */
+  /** Returns the shard if this controller may act for it now; else null. */
   readonly shard: (shardId: number) => ReportingShard | null;
-  /** Has the leader adopt the machine; false: this controller does not lead. */
+  /** Adopts the machine if this controller is the leader; false: this controller is not the leader. */
   readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
 interface MisroutedHeartbeat {
   readonly shardId: number;
-  /** ms, by the steady clock. */
+  /** Time of the heartbeat, in ms on the steady clock. */
   readonly at: number;
 }
 
 const MALFORMED: ServerResponse = { status: 400, body: { error: 'malformed report' } };
-/** The worker reports again soon. */
-const NOT_NOW: ServerResponse = { status: 503 };
+/** The worker sends its heartbeat again soon. */
+const RETRY_LATER: ServerResponse = { status: 503 };
 
 const redirectTo = (holder: string | undefined): ServerResponse => ({
   status: 421,
   body: writeRedirect(holder),
 });
 
-/** State: for each machine its last report that came here although another controller holds its shard. */
+/**
+ * State: by machine, the last heartbeat received here although another controller holds the machine's shard.
+ */
 export class WorkerHeartbeatHandler {
   private readonly misroutedHeartbeats = new Map<string, MisroutedHeartbeat>();
 
-  constructor(private readonly input: WorkerHeartbeatHandlerDependencies) {}
+  constructor(private readonly dependencies: WorkerHeartbeatHandlerDependencies) {}
 
   /**
-   * By shard: machines of other controllers' shards that reported here lately, as their holder can't be
-   * reached.
+   * Returns by shard the number of machines in other controllers' shards that sent a heartbeat here within
+   * the last `withinMs`, since they can't reach the holder of their shard.
    */
   misroutedCounts(withinMs: number): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const [machine, { shardId, at }] of this.misroutedHeartbeats) {
-      if (this.input.now() - at > withinMs) this.misroutedHeartbeats.delete(machine);
+      if (this.dependencies.now() - at > withinMs) this.misroutedHeartbeats.delete(machine);
       else counts[shardId] = (counts[shardId] ?? 0) + 1;
     }
     return counts;
   }
 
-  /** Answers the body of a report. */
+  /** Answers a worker heartbeat. */
   async handle(body: unknown): Promise<ServerResponse> {
     const heartbeat = readWorkerHeartbeat(body);
     if (!heartbeat) return MALFORMED;
-    const entry = this.input.cache.get(machineKey(heartbeat.machine));
+    const entry = this.dependencies.cache.get(machineKey(heartbeat.machine));
     if (!entry) return this.answerUnknownMachine(heartbeat);
     const { shardId } = readMachineRecord(entry.value);
     const holder = this.holder(String(shardId));
-    if (holder !== this.input.me) {
-      this.misroutedHeartbeats.set(heartbeat.machine, { shardId, at: this.input.now() });
+    if (holder !== this.dependencies.ownNode) {
+      this.misroutedHeartbeats.set(heartbeat.machine, { shardId, at: this.dependencies.now() });
       return redirectTo(holder);
     }
     this.misroutedHeartbeats.delete(heartbeat.machine);
@@ -93,23 +98,23 @@
 
   private answerUnknownMachine(heartbeat: WorkerHeartbeat): ServerResponse {
     const leader = this.holder(LEADER_CLAIM);
-    if (this.input.adopt(heartbeat) || leader === this.input.me) return NOT_NOW;
+    if (this.dependencies.adopt(heartbeat) || leader === this.dependencies.ownNode) return RETRY_LATER;
     return redirectTo(leader);
   }
 
   private async answerOwnMachine(shardId: number, heartbeat: WorkerHeartbeat): Promise<ServerResponse> {
-    const received = this.input.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
+    const received = this.dependencies.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
     if (received?.awaitRound)
-      await this.input.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
-    // Asked again after the wait: the claim may have gone meanwhile.
-    const orders = received ? (this.input.shard(shardId)?.orders(heartbeat) ?? null) : null;
-    if (!orders) return NOT_NOW;
-    return { status: 200, body: writeOrders(orders.token, orders.commands) };
+      await this.dependencies.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
+    // The shard is looked up again after the wait, since this controller may have lost the claim meanwhile.
+    const answer = received ? (this.dependencies.shard(shardId)?.orders(heartbeat) ?? null) : null;
+    if (!answer) return RETRY_LATER;
+    return { status: 200, body: writeCommands(answer.token, answer.commands) };
   }
 
-  /** The controller that has the claim; undefined: none. */
+  /** Returns the controller that holds the claim; undefined: no controller holds it. */
   private holder(claimName: string): string | undefined {
-    const entry = this.input.cache.get(claimKey(claimName));
+    const entry = this.dependencies.cache.get(claimKey(claimName));
     return entry && readClaim(entry.value).node;
   }
 }
--- a/src/workers/model.ts
+++ b/src/workers/model.ts
@@ -1,6 +1,6 @@
 /**
- * What workers report and are told, in the terms of this service. Plain data; the wire form is
- * `src/workers/codec.ts`.
+ * Heartbeats of workers and commands to them, in the terms of this service. Plain data;
+ * `src/workers/codec.ts` defines the wire form.
  */
 
 /** Why a task is no longer running. */
@@ -21,26 +21,26 @@
   readonly attempt: number;
 }
 
-/** One task of a report. */
+/** One task in a worker heartbeat. */
 export interface ReportedTask extends TaskAttempt {
   readonly state: TaskState;
 }
 
-/** A worker's report. */
+/** The heartbeat of a worker. */
 export interface WorkerHeartbeat {
   readonly machine: string;
-  /** Address (`host:port`) at which the worker takes direct commands. */
+  /** Address (`host:port`) at which the worker receives direct commands. */
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Number of the session: it grows each time the worker starts. */
+  /** Number of the worker's session, which increases each time the worker starts. */
   readonly agentEpoch: number;
-  /** Number of the report in its session. */
+  /** Number of the heartbeat in its session. */
   readonly sequenceNumber: number;
-  /** Highest token the worker has seen. */
+  /** Highest fencing token that the worker has seen. */
   readonly token: number;
-  /** Time until the cloud takes a spot machine back, in s; null: no notice was given. */
+  /** Time until the cloud reclaims a spot machine, in s; null: no notice was given. */
   readonly noticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
@@ -50,5 +50,5 @@
   | ({ readonly _tag: 'run' } & TaskAttempt)
   /** `graceS`: time in which the task may save its state, in s. */
   | ({ readonly _tag: 'stop'; readonly graceS: number } & TaskAttempt)
-  /** The exit is recorded: the worker need not report it any more. */
+  /** The task's exit is recorded: the worker no longer needs to report it. */
   | ({ readonly _tag: 'forget' } & TaskAttempt);
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -1,64 +1,70 @@
 /**
- * Reconciliation: what a report means for the tasks that are bound to its machine, and what the worker is
- * told. Pure, without state: placement applies the changes and sends the commands.
+ * Reconciliation of the tasks bound to a machine with a heartbeat of its worker: which phases change, and
+ * which commands the worker receives. Pure functions, no state: placement applies the changes and sends the
+ * commands.
  *
- * Apart from direct ones, commands travel in answers to reports, and a worker that sends a new report has the
- * answer to the one before, or dropped it: so a task missing from a newer report is not there, and no `run`
- * of it is under way.
+ * Commands, except direct ones, are sent in answers to heartbeats. A worker that sends a new heartbeat has
+ * received the answer to the previous one or dropped it. So a task that is missing from a newer heartbeat is
+ * not on the machine, and no `run` of it is in transit.
  */
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
 import { onMachine, type Gone, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
 
-/** What a report means for one task. */
+/** The event that a heartbeat implies for the phase of one task. */
 export interface PhaseChange {
   readonly binding: Binding;
   readonly event: PhaseEvent;
 }
 
-const keyOf = ({ job, index, attempt }: TaskAttempt): string => bindingKey(job, index, attempt);
+const attemptKey = ({ job, index, attempt }: TaskAttempt): string => bindingKey(job, index, attempt);
 
 /**
- * Did the worker begin a new session that commands of earlier ones can't reach? Our commands name the session
- * they are for. Those of an earlier holder may not, until the worker has seen our token.
+ * Whether the worker has begun a new session that commands for earlier sessions can't reach. The commands of
+ * the current holder name the session that they were sent to. A command of an earlier holder may name the new
+ * session, until the worker has seen a token of the current holder.
  */
-const isNewSession = (machine: ShardMachine, heartbeat: WorkerHeartbeat, underToken: boolean): boolean =>
+const isNewSession = (machine: ShardMachine, heartbeat: WorkerHeartbeat, tokenConfirmed: boolean): boolean =>
   machine.answeredAt !== null &&
   heartbeat.agentEpoch > machine.agentEpoch &&
-  (underToken || machine.everConfirmedToken);
+  (tokenConfirmed || machine.everConfirmedToken);
 
-/** Has a direct answer told more about the task than this report, which it overtook? */
+/** Whether the answer to a direct command, which is newer than this heartbeat, has already shown the task. */
 const isOvertaken = ({ lastSeen }: Binding, heartbeat: WorkerHeartbeat): boolean =>
   lastSeen !== null &&
   (lastSeen.agentEpoch > heartbeat.agentEpoch ||
     (lastSeen.agentEpoch === heartbeat.agentEpoch && lastSeen.sequenceNumber > heartbeat.sequenceNumber));
 
-/** Is a task gone that a report doesn't show? One that never showed may not have arrived yet. */
+/**
+ * Whether a task that a heartbeat doesn't show is gone. The `run` of a task that no heartbeat has shown may
+ * not have arrived yet.
+ */
 const isGone = ({ phase, stop }: Binding, newSession: boolean): boolean => {
   if (onMachine(phase)) return true;
-  // A machine that began a new session may not reach us at all: what it never took up goes elsewhere.
+  // Answers may not reach a worker that began a new session: a task that it never started is placed
+  // elsewhere.
   return phase._tag === 'bound' && (stop !== null || newSession);
 };
 
 /**
- * The changes that a report shows.
+ * Returns the phase changes that a heartbeat implies for the tasks bound to its machine.
  *
- * @param underToken - The worker has said that it saw our current token, so that nothing of an earlier holder
- *   can reach it any more.
- * @param mayBeLate - Can a direct `run` of this attempt still arrive, since the worker has not seen a token
- *   above the one that it carried? Then absence proves nothing.
+ * @param tokenConfirmed - Whether the worker has reported the current token of this holder, so that it
+ *   refuses every command of an earlier holder.
+ * @param mayArriveLate - Whether a direct `run` of this attempt may still be carried out, since the worker
+ *   has not seen a token above the one that the command carried. Then the absence of the task proves nothing.
  */
-export const readChanges = (
+export const detectPhaseChanges = (
   machine: ShardMachine,
   heartbeat: WorkerHeartbeat,
-  underToken: boolean,
-  mayBeLate: (key: string) => boolean,
+  tokenConfirmed: boolean,
+  mayArriveLate: (key: string) => boolean,
 ): readonly PhaseChange[] => {
   const changes: PhaseChange[] = [];
-  const newSession = isNewSession(machine, heartbeat, underToken);
+  const newSession = isNewSession(machine, heartbeat, tokenConfirmed);
   const how: Gone = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
-  const reported = new Map(heartbeat.tasks.map((task) => [keyOf(task), task]));
+  const reported = new Map(heartbeat.tasks.map((task) => [attemptKey(task), task]));
   for (const [key, binding] of machine.bound) {
     if (isOvertaken(binding, heartbeat)) continue;
     const task = reported.get(key);
@@ -66,30 +72,38 @@
       changes.push({ binding, event: { _tag: 'reported', state: task.state } });
       continue;
     }
-    const absenceProves = newSession || (underToken && !mayBeLate(key));
-    if (absenceProves && isGone(binding, newSession)) changes.push({ binding, event: { _tag: 'lost', how } });
+    const absenceIsEvidence = newSession || (tokenConfirmed && !mayArriveLate(key));
+    if (absenceIsEvidence && isGone(binding, newSession))
+      changes.push({ binding, event: { _tag: 'lost', how } });
   }
   return changes;
 };
 
-const nameOf = ({ job, index, attempt }: TaskAttempt): TaskAttempt => ({
+const attemptOf = ({ job, index, attempt }: TaskAttempt): TaskAttempt => ({
   job,
   index,
   attempt,
 });
 
-/** The `stop` for a task that shows and has not exited; null: it may go on, or is stopping already. */
-const stopOf = (task: ReportedTask, binding: Binding | undefined, now: number): Command | null => {
-  if (!binding) return { _tag: 'stop', ...nameOf(task), graceS: 0 };
+/**
+ * Returns the `stop` for a task that a heartbeat shows and that has not exited; null: the task may continue,
+ * or is already saving its state within its grace.
+ */
+const stopCommandFor = (task: ReportedTask, binding: Binding | undefined, now: number): Command | null => {
+  if (!binding) return { _tag: 'stop', ...attemptOf(task), graceS: 0 };
   if (!binding.stop) return null;
   const { since, graceS } = binding.stop;
   const overdue = now - since > graceS * 1_000 + STOP_GRACE_OVERRUN_MS;
   if (task.state._tag === 'saving' && !overdue && graceS !== 0) return null;
-  return { _tag: 'stop', ...nameOf(task), graceS: overdue ? 0 : graceS };
+  return { _tag: 'stop', ...attemptOf(task), graceS: overdue ? 0 : graceS };
 };
 
-/** Each makes the worker report anew, so they go with other commands or several at once, within bounds. */
-const mayForgetLater = (
+/**
+ * Whether the `forget` commands may be sent with a later answer. Each answer with one makes the worker send
+ * another heartbeat, so they are sent with other commands, or once `FORGET_BATCH_EXITS` are due or
+ * `MAX_FORGET_DELAY_MS` have passed.
+ */
+const canDeferForgets = (
   { exitsPendingSince }: ShardMachine,
   commands: readonly Command[],
   forgets: readonly Command[],
@@ -100,38 +114,38 @@
   (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_DELAY_MS);
 
 /**
- * The commands in the answer to a report, after its changes are applied.
+ * Returns the commands in the answer to a heartbeat whose changes have been applied.
  *
- * @param underToken - As for `readChanges`.
- * @param settled - Does the store no longer bind this attempt to this machine, so that a later holder won't
- *   start it again once it is forgotten?
+ * @param tokenConfirmed - As for `detectPhaseChanges`.
+ * @param mayForget - Whether the key-value store no longer binds this attempt to this machine, so that a
+ *   later holder does not start the attempt again after the worker has forgotten it.
  * @param now - The steady clock, ms.
  */
 export const answerCommands = (
   machine: ShardMachine,
   heartbeat: WorkerHeartbeat,
-  underToken: boolean,
-  settled: (key: string, job: string, index: number) => boolean,
+  tokenConfirmed: boolean,
+  mayForget: (key: string, job: string, index: number) => boolean,
   now: number,
 ): readonly Command[] => {
   const commands: Command[] = [];
   const forgets: Command[] = [];
   const reported = new Set<string>();
   for (const task of heartbeat.tasks) {
-    const key = keyOf(task);
+    const key = attemptKey(task);
     reported.add(key);
     const binding = machine.bound.get(key);
     if (task.state._tag === 'exited') {
-      if (!binding && underToken && settled(key, task.job, task.index))
-        forgets.push({ _tag: 'forget', ...nameOf(task) });
+      if (!binding && tokenConfirmed && mayForget(key, task.job, task.index))
+        forgets.push({ _tag: 'forget', ...attemptOf(task) });
       continue;
     }
-    const stop = stopOf(task, binding, now);
+    const stop = stopCommandFor(task, binding, now);
     if (stop) commands.push(stop);
   }
   for (const [key, binding] of machine.bound) {
     if (reported.has(key) || binding.phase._tag !== 'bound' || binding.stop) continue;
-    commands.push({ _tag: 'run', ...nameOf(binding) });
+    commands.push({ _tag: 'run', ...attemptOf(binding) });
   }
-  return mayForgetLater(machine, commands, forgets, now) ? commands : [...commands, ...forgets];
+  return canDeferForgets(machine, commands, forgets, now) ? commands : [...commands, ...forgets];
 };
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends commands straight to workers, for the time until their next report. Placement decides which commands;
- * such a command may be carried out late, which its token and session bound.
+ * Sends commands directly to workers instead of in the answer to their next heartbeat. Placement decides
+ * which commands. A direct command may be carried out late; its token and session limit until when.
  */
 import * as http from 'node:http';
 import { DIRECT_COMMAND_TIMEOUT_MS } from '../constants/workers.js';
@@ -12,27 +12,27 @@
 /** The outcome of direct commands. */
 export type DirectResult =
   | { readonly _tag: 'executed'; readonly heartbeat: WorkerHeartbeat }
-  /** Nothing was carried out, nor will be. */
+  /** The commands were not carried out and never will be. */
   | { readonly _tag: 'refused'; readonly heartbeat: WorkerHeartbeat | null }
-  /** May have been carried out, or may be as long as token and session match. */
+  /** The commands may have been carried out, or may still be as long as their token and session match. */
   | { readonly _tag: 'unknown' };
 
-/** Sends commands to the worker at an address, under a fencing token and to one session. */
-export interface DirectCommands {
+/** Sends commands under a fencing token to one session of the worker at an address. */
+export interface DirectCommandSender {
   send(addr: string, token: number, agentEpoch: number, commands: readonly Command[]): Promise<DirectResult>;
 }
 
 const NOT_SENT: DirectResult = { _tag: 'refused', heartbeat: null };
 const UNKNOWN: DirectResult = { _tag: 'unknown' };
-/** Status codes of a worker that does not carry out what it is sent. */
+/** Status codes with which a worker refuses commands without carrying them out. */
 const REFUSALS: ReadonlySet<number | undefined> = new Set([400, 409]);
 
-/** The report in an answer; null: the answer holds none. */
+/** Reads the heartbeat in an answer; null: the answer has none. */
 const readAnswer = (body: Buffer): WorkerHeartbeat | null => {
   try {
     return readWorkerHeartbeat(decode(body));
   } catch {
-    // A body that can't be unpacked says as little as a malformed report.
+    // A body that can't be decoded is treated like a malformed heartbeat.
     return null;
   }
 };
@@ -43,30 +43,30 @@
   return REFUSALS.has(status) ? { _tag: 'refused', heartbeat } : UNKNOWN;
 };
 
-const receive = (response: http.IncomingMessage, end: (result: DirectResult) => void): void => {
-  const parts: Buffer[] = [];
-  response.on('data', (part: Buffer) => parts.push(part));
+const receiveResponse = (response: http.IncomingMessage, end: (result: DirectResult) => void): void => {
+  const chunks: Buffer[] = [];
+  response.on('data', (chunk: Buffer) => chunks.push(chunk));
   response.on('error', () => end(UNKNOWN));
   response.on('aborted', () => end(UNKNOWN));
-  response.on('end', () => end(readResult(response.statusCode, Buffer.concat(parts))));
+  response.on('end', () => end(readResult(response.statusCode, Buffer.concat(chunks))));
 };
 
 /**
- * State: the connections to workers, which are few against their number. Node's agent counts idle ones
- * against its total, so that a command for a machine without a connection would wait behind idle ones of
- * others until it is given up. So the one that has been idle longest makes way, and a command beyond the
- * bound is refused at once.
+ * State: the connections to workers, far fewer than there are workers. Node's agent counts idle connections
+ * against its total, so that a command for a worker without a connection would wait for idle connections of
+ * other workers until it times out. So the client closes the connection that has been idle longest, and
+ * refuses a command at once when `maxSockets` requests are in flight.
  */
-export class WorkerClient implements DirectCommands {
+export class WorkerClient implements DirectCommandSender {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 });
-  /** Requests under way. */
+  /** Number of requests in flight. */
   private open = 0;
 
   constructor(private readonly maxSockets: number) {}
 
   send(addr: string, token: number, agentEpoch: number, commands: readonly Command[]): Promise<DirectResult> {
     if (this.open >= this.maxSockets) return Promise.resolve(NOT_SENT);
-    this.makeRoom();
+    this.closeOldestIdleConnection();
     this.open += 1;
     return new Promise<DirectResult>((resolve) => {
       this.post(addr, encode(writeDirectCommands(token, agentEpoch, commands)), resolve);
@@ -76,7 +76,7 @@
   }
 
   /** Closes the connection that has been idle longest if there is no room for one more. */
-  private makeRoom(): void {
+  private closeOldestIdleConnection(): void {
     const idle = Object.values(this.agent.freeSockets);
     let connections = this.open;
     for (const sockets of idle) connections += sockets?.length ?? 0;
@@ -91,11 +91,11 @@
       clearTimeout(timer);
       resolve(result);
     };
-    // A connection that was never made never completes later, so nothing of the request can arrive.
+    // Without a connection, no part of the request has been sent or will be, so the worker can't receive it.
     const fail = (): void => end(connected ? UNKNOWN : NOT_SENT);
     const request = http.request(
       { host, port, method: 'POST', path: '/commands', agent: this.agent, headers },
-      (response) => receive(response, end),
+      (response) => receiveResponse(response, end),
     );
     const timer = setTimeout(() => {
       fail();
