--- a/src/peers/heartbeat-codec.test.ts
+++ b/src/peers/heartbeat-codec.test.ts
@@ -1,6 +1,6 @@
 /**
- * What heartbeats and summaries mean here, and their exact bytes. The texts must not change with names in the
- * code.
+ * Tests that heartbeats and summaries convert to and from their exact wire form. The expected texts must not
+ * change when names in the code change.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -103,23 +103,23 @@
   '"counts":[{"slot":1,"jobs":[["job-1",2,1]]}],' +
   `"summaries":[${SUMMARY}],"deaf":true,"strays":{"0":2},"demand":{"requests":1,"changes":2},` +
   `"holds":[${RESERVATION}]}`;
-const { protocolVersion: level, ...withoutLevel } = heartbeat;
+const { protocolVersion, ...withoutVersion } = heartbeat;
 
 interface HeartbeatCase {
   readonly name: string;
-  readonly means: PeerHeartbeat;
+  readonly decoded: PeerHeartbeat;
   readonly text: string;
 }
 const heartbeats: readonly HeartbeatCase[] = [
-  { name: 'with all fields', means: heartbeat, text: HEARTBEAT },
+  { name: 'with all fields', decoded: heartbeat, text: HEARTBEAT },
   {
     name: 'of an earlier version, which names no protocol version',
-    means: withoutLevel,
-    text: HEARTBEAT.replace(`"level":${level},`, ''),
+    decoded: withoutVersion,
+    text: HEARTBEAT.replace(`"level":${protocolVersion},`, ''),
   },
   {
     name: 'without a lease, shards and reservations',
-    means: {
+    decoded: {
       ...heartbeat,
       lease: null,
       counts: [],
@@ -134,14 +134,16 @@
 ];
 for (const row of heartbeats) {
   test(`heartbeat codec: ${row.name}`, () => {
-    const written = writeHeartbeat(row.means);
+    const written = writeHeartbeat(row.decoded);
     assert.equal(JSON.stringify(written), row.text);
-    assert.deepEqual(encode(written), encode(JSON.parse(row.text)), 'the bytes of MessagePack too');
-    assert.deepEqual(readHeartbeat(decode(encode(written))), row.means);
+    assert.deepEqual(encode(written), encode(JSON.parse(row.text)), 'the MessagePack bytes are equal too');
+    assert.deepEqual(readHeartbeat(decode(encode(written))), row.decoded);
   });
 }
 
-/** The value with one more field in every map that has names of its own. */
+/**
+ * Adds an unknown field to every map with fixed field names; maps keyed by zone or shard stay as they are.
+ */
 const withUnknownFields = (value: unknown): unknown => {
   if (Array.isArray(value)) return value.map(withUnknownFields);
   if (typeof value !== 'object' || value === null) return value;
@@ -158,12 +160,12 @@
   { name: 'nothing', value: undefined },
   { name: 'null', value: null },
   { name: 'a number', value: 5 },
-  { name: 'a text', value: 'n1' },
+  { name: 'a string', value: 'n1' },
   { name: 'a map without a sender', value: { incarnation: 'n1.1' } },
-  { name: 'a sender that is no text', value: { from: 1 } },
+  { name: 'a sender that is not a string', value: { from: 1 } },
 ];
 for (const row of noHeartbeats) {
-  test(`heartbeat codec: ${row.name} is no heartbeat`, () => {
+  test(`heartbeat codec: ${row.name} is not a heartbeat`, () => {
     assert.equal(readSender(row.value), null);
     assert.equal(readHeartbeat(row.value), null);
   });
@@ -172,10 +174,10 @@
 const tolerated: readonly { readonly name: string; readonly value: object }[] = [
   { name: 'only a sender', value: { from: 'n1' } },
   {
-    name: 'lists that are none',
+    name: 'fields of the wrong type',
     value: { from: 'n1', counts: 1, summaries: 'x', holds: { length: 1 }, strays: null, demand: null },
   },
-  { name: 'entries that are no maps', value: { from: 'n1', counts: [null], summaries: [7], holds: ['x'] } },
+  { name: 'entries that are not maps', value: { from: 'n1', counts: [null], summaries: [7], holds: ['x'] } },
 ];
 for (const row of tolerated) {
   test(`heartbeat codec: ${row.name} still counts as a heartbeat`, () => {
--- a/src/peers/network.test.ts
+++ b/src/peers/network.test.ts
@@ -1,4 +1,7 @@
-/** Heartbeats between two nodes on a virtual clock: how many exchanges, and whether each stays recent. */
+/**
+ * Exchanges of heartbeats between two controllers on a virtual clock: their number, and whether each
+ * controller's heartbeat stays recent.
+ */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
@@ -15,29 +18,35 @@
 
 interface Row {
   readonly name: string;
-  /** Nodes whose calls are refused. */
+  /** Controllers whose requests are refused. */
   readonly refused: readonly string[];
-  /** Does node b notify the leader, node a, every 400 ms? */
+  /** Whether controller `b` notifies the leader, controller `a`, every 400 ms. */
   readonly notifies: boolean;
   readonly exchanges: readonly [least: number, most: number];
 }
 const rows: readonly Row[] = [
-  // An answer to a heartbeat is a heartbeat too: were both to begin, each would receive everything twice.
-  { name: 'one exchange an interval serves both nodes', refused: [], notifies: false, exchanges: [18, 22] },
+  // The answer to a heartbeat is a heartbeat too: if both began exchanges, each would receive everything
+  // twice.
   {
-    name: 'the second node begins where calls of the first are refused',
+    name: 'one exchange per interval serves both controllers',
+    refused: [],
+    notifies: false,
+    exchanges: [18, 22],
+  },
+  {
+    name: 'the second controller begins exchanges when requests of the first are refused',
     refused: ['a'],
     notifies: false,
     exchanges: [13, 22],
   },
   {
-    name: 'the first node begins where calls of the second are refused',
+    name: 'the first controller begins exchanges when requests of the second are refused',
     refused: ['b'],
     notifies: false,
     exchanges: [18, 22],
   },
   {
-    name: 'a notification of the leader does not wait for the interval',
+    name: 'a notification of the leader is sent before the interval ends',
     refused: [],
     notifies: true,
     exchanges: [40, 70],
@@ -49,17 +58,17 @@
     try {
       const networks = new Map<string, PeerNetwork>();
       let exchanges = 0;
-      const make = (me: string, other: string): PeerNetwork =>
+      const createNetwork = (ownNode: string, other: string): PeerNetwork =>
         new PeerNetwork({
-          ownNode: me,
+          ownNode,
           peers: [{ node: other, endpoint: `${other}:1` }],
-          heartbeat: () => heartbeatFrom(me),
+          heartbeat: () => heartbeatFrom(ownNode),
           leader: () => 'a',
           now: () => Date.now(),
           answer: () => Promise.resolve(null),
           createHttpClient: () => ({
             request: async (method, path, body) => {
-              if (row.refused.includes(me)) return { _tag: 'noResponse', why: 'refused' };
+              if (row.refused.includes(ownNode)) return { _tag: 'noResponse', why: 'refused' };
               exchanges += 1;
               const target = networks.get(other);
               assert.ok(target);
@@ -69,10 +78,10 @@
             },
           }),
         });
-      networks.set('a', make('a', 'b'));
-      networks.set('b', make('b', 'a'));
+      networks.set('a', createNetwork('a', 'b'));
+      networks.set('b', createNetwork('b', 'a'));
       const fibers = [...networks.values()].map((network) => Effect.runFork(network.run));
-      let stale = 0;
+      let staleSamples = 0;
       for (let at = 0; at < 20_000; at += 20) {
         for (let k = 0; k < 6; k += 1) await new Promise((resolve) => setImmediate(resolve));
         mock.timers.tick(20);
@@ -81,9 +90,9 @@
           at > 2_000 &&
           (!networks.get('a')?.view.recentHeartbeat('b') || !networks.get('b')?.view.recentHeartbeat('a'))
         )
-          stale += 1;
+          staleSamples += 1;
       }
-      assert.equal(stale, 0, 'both heartbeats stay recent');
+      assert.equal(staleSamples, 0, 'both heartbeats stay recent');
       assert.ok(exchanges >= row.exchanges[0] && exchanges <= row.exchanges[1], `${exchanges} exchanges`);
       for (const fiber of fibers) Effect.runFork(Fiber.interrupt(fiber));
     } finally {
--- a/src/peers/order-codec.test.ts
+++ b/src/peers/order-codec.test.ts
@@ -1,4 +1,7 @@
-/** Orders and their answers with their exact texts, which must not change with names in the code. */
+/**
+ * Tests that orders and their answers convert to and from their exact wire form. The expected texts must not
+ * change when names in the code change.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as codec from './order-codec.js';
@@ -45,51 +48,61 @@
   readonly name: string;
   readonly text: string;
   readonly read: (body: unknown) => unknown;
-  readonly means: unknown;
+  readonly decoded: unknown;
 }[] = [
   {
     name: 'an order to transfer machines',
     text: '{"moves":[{"machine":"i-1","to":0},{"machine":"i-2","to":1}],"from":2,"token":40}',
     read: codec.readTransferOrder,
-    means: transferOrder,
+    decoded: transferOrder,
   },
   {
     name: 'an order to transfer machines with fields of a later version',
     text: '{"moves":[{"machine":"i-1","to":0,"later":1},{"machine":"i-2","to":1}],"from":2,"later":1}',
     read: codec.readTransferOrder,
-    means: transferOrder,
+    decoded: transferOrder,
   },
   {
     name: 'an order to release machines',
     text: '{"machines":["i-1","i-2"],"share":2,"token":41,"later":1}',
     read: codec.readReleaseOrder,
-    means: releaseOrder,
+    decoded: releaseOrder,
   },
   {
     name: 'an order to release machines of an earlier version',
     text: '{"machines":["i-1"]}',
     read: codec.readReleaseOrder,
-    means: { machines: ['i-1'] } satisfies ReleaseOrder,
+    decoded: { machines: ['i-1'] } satisfies ReleaseOrder,
   },
-  { name: 'a token', text: '{"token":40}', read: codec.readOrderToken, means: 40 },
-  { name: 'a malformed token, unchecked', text: '{"token":"40"}', read: codec.readOrderToken, means: '40' },
+  { name: 'a token', text: '{"token":40}', read: codec.readOrderToken, decoded: 40 },
+  { name: 'a malformed token, unchecked', text: '{"token":"40"}', read: codec.readOrderToken, decoded: '40' },
   {
     name: 'no token, of an earlier version',
     text: '{"from":1}',
     read: codec.readOrderToken,
-    means: undefined,
+    decoded: undefined,
   },
-  { name: 'that machines are gone', text: '{"returned":true}', read: codec.readReleaseAnswer, means: true },
-  { name: 'that they are not', text: '{"returned":false}', read: codec.readReleaseAnswer, means: false },
   {
-    name: 'an answer that is no truth value',
+    name: 'that machines are released',
+    text: '{"returned":true}',
+    read: codec.readReleaseAnswer,
+    decoded: true,
+  },
+  {
+    name: 'that machines are not released',
+    text: '{"returned":false}',
+    read: codec.readReleaseAnswer,
+    decoded: false,
+  },
+  {
+    name: 'an answer that is not a boolean',
     text: '{"returned":1}',
     read: codec.readReleaseAnswer,
-    means: false,
+    decoded: false,
   },
-  { name: 'an answer without the field', text: '{}', read: codec.readReleaseAnswer, means: false },
-  { name: 'no answer', text: 'null', read: codec.readReleaseAnswer, means: false },
+  { name: 'an answer without the field', text: '{}', read: codec.readReleaseAnswer, decoded: false },
+  { name: 'no answer', text: 'null', read: codec.readReleaseAnswer, decoded: false },
 ];
 for (const row of read) {
-  test(`order codec: reads ${row.name}`, () => assert.deepEqual(row.read(JSON.parse(row.text)), row.means));
+  test(`order codec: reads ${row.name}`, () => assert.deepEqual(row.read(JSON.parse(row.text)), row.decoded));
 }
--- a/src/peers/peer-view.test.ts
+++ b/src/peers/peer-view.test.ts
@@ -1,4 +1,4 @@
-/** What the view of the peers says after heartbeats, on a clock that the tests set. */
+/** Tests of the view of the peers after heartbeats, on a clock that the tests set. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HEARTBEAT_FRESHNESS_MS, MAX_STEADY_HEARTBEAT_GAP_MS } from '../constants/peers.js';
@@ -13,7 +13,7 @@
   return { view: new PeerView(['a', 'b'], () => clock.now), clock };
 };
 
-test('peer view: a heartbeat counts as recent up to its bound', () => {
+test('peer view: a heartbeat is recent until its maximum age', () => {
   const { view, clock } = createView();
   assert.equal(view.recentHeartbeat('a'), null);
   assert.equal(view.heartbeatAgeMs('a'), null);
@@ -25,7 +25,7 @@
   assert.equal(view.heartbeatAgeMs('a'), HEARTBEAT_FRESHNESS_MS);
 });
 
-test('peer view: a heartbeat of a controller that the settings do not name is left out', () => {
+test('peer view: a heartbeat of a controller that the settings do not name is ignored', () => {
   const { view } = createView();
   view.record(heartbeatFrom('c', { lease: 7 }));
   assert.deepEqual(view.statuses(), []);
@@ -58,7 +58,7 @@
   assert.equal(view.statuses()[0]?.steadyMs, -1);
 });
 
-test('peer view: only recent heartbeats say whether the store can be reached', () => {
+test('peer view: only recent heartbeats decide whether the key-value store can be reached', () => {
   const { view, clock } = createView();
   view.record(heartbeatFrom('a', { storeSilenceMs: HEARTBEAT_FRESHNESS_MS }));
   assert.deepEqual(view.storeReachability(), { down: 1, up: 0 });
@@ -71,7 +71,7 @@
   assert.deepEqual(view.storeReachability(), { down: 0, up: 0 });
 });
 
-test('peer view: a version is announced for good, and supported while heartbeats are recent', () => {
+test('peer view: an announced version does not expire, but is supported only while recent', () => {
   const { view, clock } = createView();
   view.record(heartbeatFrom('a', { protocolVersion: 2 }));
   assert.deepEqual(view.announcedVersions(), [2, null]);
@@ -84,7 +84,7 @@
   assert.deepEqual(view.announcedVersions(), [0, null]);
 });
 
-test('peer view: demands are those last told, however long ago', () => {
+test('peer view: the demand of a peer is the one last announced, however long ago', () => {
   const { view, clock } = createView();
   view.record(heartbeatFrom('b', { demand: { requests: 5, changes: 3 } }));
   clock.now += HEARTBEAT_FRESHNESS_MS;
@@ -106,7 +106,7 @@
   assert.equal(view.taskCounts(1, 'job-1'), null);
 });
 
-test('peer view: misrouted heartbeats of a shard are those of the peer that receives most', () => {
+test('peer view: misrouted heartbeats of a shard are those of the peer that receives the most', () => {
   const { view } = createView();
   assert.equal(view.misroutedHeartbeats('1'), null);
   view.record(heartbeatFrom('a', { misroutedHeartbeats: { 1: 4 } }));
--- a/src/peers/protocol-version-codec.test.ts
+++ b/src/peers/protocol-version-codec.test.ts
@@ -1,4 +1,4 @@
-/** The agreed protocol version with its exact stored text. */
+/** Tests that the agreed protocol version converts to and from its exact stored form. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
--- a/src/peers/relay-codec.test.ts
+++ b/src/peers/relay-codec.test.ts
@@ -1,4 +1,7 @@
-/** Relayed orders and summaries with their exact stored texts, which must not change with names here. */
+/**
+ * Tests that relayed orders and summaries convert to and from their exact stored form. The expected texts
+ * must not change when names in the code change.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ShardSummary } from '../fleet/shard-summary.js';
@@ -71,4 +74,5 @@
 for (const row of rows) {
   test(`relay codec: reads ${row.name}`, () => assert.deepEqual(readRelayedOrders(row.value), row.orders));
 }
-test('relay codec: what is no map is no summary', () => assert.equal(readRelayedSummary(null), null));
+test('relay codec: a value that is not a map is not a summary', () =>
+  assert.equal(readRelayedSummary(null), null));
--- a/src/peers/relay-size-bounds.test.ts
+++ b/src/peers/relay-size-bounds.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against shortening that never ends: a class of demand, or counts of spare machines, that alone
- * exceed the largest value stopped the whole controller.
+ * Guards against shortening that never ends: one class of demand, or the counts of spare machines, that alone
+ * exceeded the largest value blocked the whole controller.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,12 +12,12 @@
 import type { RelayedOrders } from './orders.js';
 import { fitOrders, fitSummary, shortenOrders, shortenSummary } from './relay-size.js';
 
-/** ms: far beyond what the largest of these takes. */
+/** Far more time than shortening the largest of these values takes, in ms. */
 const TIMEOUT_MS = 5_000;
 const RUNS = 300;
 const SEED = 20_261_203;
 const KIB = 1_024;
-/** Bytes of values: too small for anything, the smallest and the usual ones of the platform. */
+/** Sizes of values in bytes: too small for any content, and the platform's smallest and usual sizes. */
 const VALUE_SIZES = [1, 60, 200, KIB, 2 * KIB, 8 * KIB, 16 * KIB];
 
 const bytesOf = (stored: unknown): number => Buffer.byteLength(JSON.stringify(stored));
@@ -87,7 +87,7 @@
 const repeat = <Entry>(count: number, create: (index: number) => Entry): readonly Entry[] =>
   Array.from({ length: count }, (_, index) => create(index));
 
-const demandOf = (over: Partial<UnmetDemand>): UnmetDemand => ({
+const demandOf = (overrides: Partial<UnmetDemand>): UnmetDemand => ({
   cpus: 21,
   gpus: 4,
   memoryGb: 120,
@@ -102,7 +102,7 @@
   gangs: [],
   zoneCapacity: {},
   waitedMs: 1,
-  ...over,
+  ...overrides,
 });
 const gangs = repeat(8, (index): WaitingGang => ({
   job: `job-${String(index).padStart(18, '0')}`,
@@ -117,24 +117,24 @@
   spot: index < 12,
   count: 40,
 }));
-const summaryOf = (over: Partial<ShardSummary>): ShardSummary => ({
+const summaryOf = (overrides: Partial<ShardSummary>): ShardSummary => ({
   shardId: 1,
   claim: 2,
   revision: 3,
   needs: [],
   spares: [],
-  ...over,
+  ...overrides,
 });
 
 const rows: readonly {
   name: string;
   summary: ShardSummary;
   valueBytes: number;
-  /** What is left of each list; null: nothing fits. */
+  /** Number of entries left in each list; null: even the summary without entries does not fit. */
   left: { needs: number; gangs: number; unlisted: number } | null;
 }[] = [
   {
-    name: 'one class of demand that names many machine types is left out',
+    name: 'one class of demand that names many machine types is omitted',
     summary: summaryOf({
       needs: [demandOf({ types: repeat(200, (index) => `machine-type-${index}`), gangs })],
     }),
@@ -142,7 +142,7 @@
     left: { needs: 0, gangs: 0, unlisted: 0 },
   },
   {
-    name: 'one class with few gangs beside counts of spares: the counts go first',
+    name: 'one class with few gangs beside counts of spares: the counts are omitted first',
     summary: summaryOf({ needs: [demandOf({ gangs })], unlisted: kinds }),
     valueBytes: 2 * KIB,
     left: { needs: 1, gangs: 8, unlisted: 6 },
@@ -160,7 +160,7 @@
     left: { needs: 0, gangs: 0, unlisted: 10 },
   },
   {
-    name: 'a value that holds nothing at all',
+    name: 'a value that is too small for a summary without entries',
     summary: summaryOf({ needs: [demandOf({ gangs })] }),
     valueBytes: 20,
     left: null,
@@ -168,20 +168,20 @@
 ];
 for (const row of rows) {
   test(`relay size: ${row.name}`, () => {
-    const short = endsWithin(TIMEOUT_MS, () => shortenSummary(row.summary, row.valueBytes));
+    const shortened = endsWithin(TIMEOUT_MS, () => shortenSummary(row.summary, row.valueBytes));
     const fit = fitSummary(row.summary, row.valueBytes);
     assert.equal(fit._tag, row.left === null ? 'tooLarge' : 'fits');
     if (row.left === null) return;
     const left = {
-      needs: short.needs.length,
-      gangs: short.needs.flatMap((need) => need.gangs).length,
-      unlisted: short.unlisted?.length ?? 0,
+      needs: shortened.needs.length,
+      gangs: shortened.needs.flatMap((need) => need.gangs).length,
+      unlisted: shortened.unlisted?.length ?? 0,
     };
     assert.deepEqual(left, row.left);
   });
 }
 
-test('relay size: what a summary lost is told by list', () => {
+test('relay size: omitted entries of a summary are counted by list', () => {
   const summary = summaryOf({ needs: [demandOf({ gangs })], unlisted: kinds });
   const fit = endsWithin(TIMEOUT_MS, () => fitSummary(summary, 2 * KIB));
   assert.deepEqual(fit._tag === 'fits' && fit.omitted, { unlisted: 18 });
@@ -189,12 +189,13 @@
   assert.deepEqual(whole._tag === 'fits' && whole.omitted, {});
 });
 
-test('relay size: any summary and any value: shortening ends, and the result fits or is said not to', () => {
+test('relay size: any summary and any value: shortening ends, and the result fits or is too large', () => {
   fc.assert(
     fc.property(anySummary, anyValueBytes, (summary, valueBytes) => {
-      const short = endsWithin(TIMEOUT_MS, () => shortenSummary(summary, valueBytes));
+      const shortened = endsWithin(TIMEOUT_MS, () => shortenSummary(summary, valueBytes));
       const fit = fitSummary(summary, valueBytes);
-      const isEmpty = short.needs.length + short.spares.length + (short.unlisted?.length ?? 0) === 0;
+      const isEmpty =
+        shortened.needs.length + shortened.spares.length + (shortened.unlisted?.length ?? 0) === 0;
       if (fit._tag === 'fits') assert.ok(bytesOf(fit.stored) <= valueBytes * VALUE_FILL_FRACTION);
       else assert.ok(isEmpty, 'something is left that could go');
     }),
@@ -202,12 +203,12 @@
   );
 });
 
-test('relay size: any orders and any value: shortening ends, and the result fits or is said not to', () => {
+test('relay size: any orders and any value: shortening ends, and the result fits or is too large', () => {
   fc.assert(
     fc.property(anyOrders, anyValueBytes, (orders, valueBytes) => {
-      const short = endsWithin(TIMEOUT_MS, () => shortenOrders(orders, valueBytes));
+      const shortened = endsWithin(TIMEOUT_MS, () => shortenOrders(orders, valueBytes));
       const fit = fitOrders(orders, valueBytes);
-      const isEmpty = short.transfers.length + short.reservations.length === 0;
+      const isEmpty = shortened.transfers.length + shortened.reservations.length === 0;
       if (fit._tag === 'fits') assert.ok(bytesOf(fit.stored) <= valueBytes * VALUE_FILL_FRACTION);
       else assert.ok(isEmpty, 'something is left that could go');
     }),
--- a/src/peers/relay-size.test.ts
+++ b/src/peers/relay-size.test.ts
@@ -1,4 +1,4 @@
-/** What of orders and summaries is relayed where they are longer than a value of the store may be. */
+/** Tests of what is kept of orders and summaries that exceed the largest value of the key-value store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
@@ -60,41 +60,41 @@
   spares: repeat(spares, (index) => ({ id: `i-${index}`, type: 'g', zone: 'x', spot: false, idleS: 1 })),
 });
 
-test('relay size: orders that fit are left as they are', () => {
+test('relay size: orders that fit are not changed', () => {
   const orders = ordersOf(10, 3);
   assert.equal(shortenOrders(orders, VALUE_BYTES), orders);
 });
 
-test('relay size: orders that are too long keep the first transfers and all of few reservations', () => {
+test('relay size: too large orders keep the first transfers, and all reservations if few', () => {
   const orders = ordersOf(1_000, MIN_RELAYED_RESERVATIONS);
-  const short = shortenOrders(orders, VALUE_BYTES);
-  assert.ok(bytesOf(writeRelayedOrders(short)) <= VALUE_BYTES * VALUE_FILL_FRACTION);
-  assert.ok(short.transfers.length > 0);
-  assert.deepEqual(short.transfers, orders.transfers.slice(0, short.transfers.length));
-  assert.deepEqual(short.reservations, orders.reservations);
+  const shortened = shortenOrders(orders, VALUE_BYTES);
+  assert.ok(bytesOf(writeRelayedOrders(shortened)) <= VALUE_BYTES * VALUE_FILL_FRACTION);
+  assert.ok(shortened.transfers.length > 0);
+  assert.deepEqual(shortened.transfers, orders.transfers.slice(0, shortened.transfers.length));
+  assert.deepEqual(shortened.reservations, orders.reservations);
 });
 
-test('relay size: orders of reservations alone are shortened too', () => {
+test('relay size: orders with reservations alone are shortened too', () => {
   const orders = ordersOf(0, 400);
-  const short = shortenOrders(orders, VALUE_BYTES);
-  assert.ok(bytesOf(writeRelayedOrders(short)) <= VALUE_BYTES * VALUE_FILL_FRACTION);
-  assert.deepEqual(short.reservations, orders.reservations.slice(0, short.reservations.length));
+  const shortened = shortenOrders(orders, VALUE_BYTES);
+  assert.ok(bytesOf(writeRelayedOrders(shortened)) <= VALUE_BYTES * VALUE_FILL_FRACTION);
+  assert.deepEqual(shortened.reservations, orders.reservations.slice(0, shortened.reservations.length));
 });
 
-test('relay size: a summary that fits is left as it is', () => {
+test('relay size: a summary that fits is not changed', () => {
   const summary = summaryOf(1, 3);
   assert.equal(shortenSummary(summary, VALUE_BYTES), summary);
 });
 
-test('relay size: a summary that is too long keeps the first demands, with fewer gangs, and spares', () => {
+test('relay size: a summary that is too large keeps the first demands, with fewer gangs, and spares', () => {
   const summary = summaryOf(40, 100);
-  const short = shortenSummary(summary, VALUE_BYTES);
-  assert.ok(bytesOf(writeSummary(short)) <= VALUE_BYTES * VALUE_FILL_FRACTION);
-  assert.ok(short.needs.length > 0 && short.spares.length > 0);
+  const shortened = shortenSummary(summary, VALUE_BYTES);
+  assert.ok(bytesOf(writeSummary(shortened)) <= VALUE_BYTES * VALUE_FILL_FRACTION);
+  assert.ok(shortened.needs.length > 0 && shortened.spares.length > 0);
   assert.deepEqual(
-    short.needs.map((need) => need.cpus),
-    repeat(short.needs.length, (index) => index),
+    shortened.needs.map((need) => need.cpus),
+    repeat(shortened.needs.length, (index) => index),
   );
-  for (const need of short.needs) assert.equal(need.gangs.length, MAX_RELAYED_GANGS_PER_DEMAND);
-  assert.deepEqual(short.spares, summary.spares.slice(0, short.spares.length));
+  for (const need of shortened.needs) assert.equal(need.gangs.length, MAX_RELAYED_GANGS_PER_DEMAND);
+  assert.deepEqual(shortened.spares, summary.spares.slice(0, shortened.spares.length));
 });
--- a/src/peers/store-relay-size.test.ts
+++ b/src/peers/store-relay-size.test.ts
@@ -1,5 +1,6 @@
 /**
- * Guards against a relay that stands still, or writes what the store refuses, when a summary fits no value.
+ * Guards against a relay that blocks, or writes a value that the key-value store refuses, when a summary is
+ * too large for a value.
  */
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
@@ -12,8 +13,9 @@
 import { readRelayedSummary } from './relay-codec.js';
 import { KeyValueStoreRelay } from './store-relay.js';
 
+/** Turns of the event loop after each step of the clock, so that pending promises settle. */
 const TURNS = 10;
-/** Writes of one summary that the relay has time for. */
+/** Number of relay intervals that a test runs for. */
 const INTERVALS = 3;
 
 const demand: UnmetDemand = {
@@ -40,15 +42,17 @@
   spares: [{ id: 'i-000001', type: 'g', zone: 'x', spot: false, idleS: 4 }],
 };
 
-/** What the relay writes and logs for this summary in some intervals. */
-const relay = async (valueBytes: number) => {
+/**
+ * Runs the relay with this summary for `INTERVALS` intervals; returns the values it writes and its log lines.
+ */
+const runRelay = async (valueBytes: number) => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1e6 });
   const logged: unknown[] = [];
   const spies = (['info', 'error'] as const).map((level) =>
     mock.method(log, level, (line: unknown) => logged.push(line)),
   );
   const { store, writes } = notingStore();
-  const subject = new KeyValueStoreRelay({
+  const relay = new KeyValueStoreRelay({
     store,
     valueBytes,
     now: () => Date.now(),
@@ -56,8 +60,8 @@
     summariesToRelay: () => [summary],
     transferMachines: () => undefined,
   });
-  const fiber = Effect.runFork(subject.run);
-  for (let passed = 0; passed < INTERVALS * RELAY_INTERVAL_MS; passed += RELAY_CHECK_INTERVAL_MS) {
+  const fiber = Effect.runFork(relay.run);
+  for (let elapsedMs = 0; elapsedMs < INTERVALS * RELAY_INTERVAL_MS; elapsedMs += RELAY_CHECK_INTERVAL_MS) {
     mock.timers.tick(RELAY_CHECK_INTERVAL_MS);
     for (let turn = 0; turn < TURNS; turn += 1) await new Promise((resolve) => setImmediate(resolve));
   }
@@ -67,8 +71,8 @@
   return { written: writes.map((transaction) => transaction[0]?.data), logged };
 };
 
-test('relay limits: a class of demand that fits no value is left out, and the rest arrives', async () => {
-  const { written, logged } = await relay(SMALLEST_VALUE_BYTES);
+test('relay limits: a class of demand that fits no value is omitted from the summary', async () => {
+  const { written, logged } = await runRelay(SMALLEST_VALUE_BYTES);
   const [first] = written;
   assert.deepEqual(readRelayedSummary(first), { ...summary, needs: [], spares: [] });
   assert.deepEqual(logged[0], {
@@ -78,8 +82,8 @@
   });
 });
 
-test('relay limits: what fits no value at all is not written, and is logged once an interval', async () => {
-  const { written, logged } = await relay(20);
+test('relay limits: a summary that fits no value is not written, but logged once per interval', async () => {
+  const { written, logged } = await runRelay(20);
   assert.deepEqual(written, []);
   assert.equal(logged.length, INTERVALS);
   assert.deepEqual(logged[0], { event: 'relay.value_too_large', key: 'w/s/1', bytes: 57 });
--- a/src/peers/store-relay.test.ts
+++ b/src/peers/store-relay.test.ts
@@ -1,4 +1,4 @@
-/** Relayed orders fit the smallest limits of the key-value store. */
+/** Tests that relayed orders fit the smallest limits of the key-value store. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -6,7 +6,7 @@
 import { bytesOf, notingStore, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
 import { KeyValueStoreRelay } from './store-relay.js';
 
-test('relay limits: orders are cut to what one value holds, with something of each kind', async () => {
+test('relay limits: orders are shortened to the largest value and keep entries of each kind', async () => {
   const { store, writes } = notingStore();
   const relay = new KeyValueStoreRelay({
     store,
@@ -29,15 +29,15 @@
     priority: 1,
     ageMs: 1000,
   };
-  const moves = Array.from({ length: 200 }, (_, k) => ({ machine: `i-${k}`, to: 1 }));
+  const transfers = Array.from({ length: 200 }, (_, k) => ({ machine: `i-${k}`, to: 1 }));
   await Effect.runPromise(
     relay.relayOrders(
       1,
-      moves,
+      transfers,
       Array.from({ length: 30 }, () => reservation),
     ),
   );
   const value = writes[0]?.[0]?.data as { moves: unknown[]; holds: unknown[] };
   assert.ok(bytesOf(value) <= SMALLEST_VALUE_BYTES);
-  assert.ok(value.moves.length > 0 && value.holds.length > 0, 'something of each goes');
+  assert.ok(value.moves.length > 0 && value.holds.length > 0, 'the value has transfers and reservations');
 });
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,4 +1,6 @@
-/** Tests of what reports mean for bound tasks, of the answers to them, and of reading them. */
+/**
+ * Tests of the phase changes that worker heartbeats imply, of the answers to heartbeats, and of their codec.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
@@ -9,7 +11,7 @@
 import { answerCommands, detectPhaseChanges } from './reconcile.js';
 import { readWorkerHeartbeat } from './codec.js';
 
-const bindingOf = (phase: Phase, over: Partial<Binding> = {}): Binding => ({
+const bindingOf = (phase: Phase, overrides: Partial<Binding> = {}): Binding => ({
   job: 'job-1',
   index: 0,
   attempt: 3,
@@ -20,7 +22,7 @@
   boundAt: 0,
   runningAt: null,
   runCommandsSent: 0,
-  ...over,
+  ...overrides,
 });
 const machineOf = (binding: Binding | null): ShardMachine => ({
   id: 'i-1',
@@ -54,7 +56,10 @@
   free: null,
 });
 const task = (state: TaskState, attempt = 3): ReportedTask => ({ job: 'job-1', index: 0, attempt, state });
-const reportOf = (tasks: readonly ReportedTask[], over: Partial<WorkerHeartbeat> = {}): WorkerHeartbeat => ({
+const heartbeatOf = (
+  tasks: readonly ReportedTask[],
+  overrides: Partial<WorkerHeartbeat> = {},
+): WorkerHeartbeat => ({
   machine: 'i-1',
   addr: 'a:1',
   type: 'g',
@@ -65,7 +70,7 @@
   token: 9,
   noticeS: null,
   tasks,
-  ...over,
+  ...overrides,
 });
 
 const evidence: readonly {
@@ -74,92 +79,92 @@
   stop?: boolean;
   seenSequenceNumber?: number;
   heartbeat: WorkerHeartbeat;
-  late?: boolean;
-  token?: boolean;
-  heardUs?: boolean;
-  to: string;
+  mayArriveLate?: boolean;
+  tokenConfirmed?: boolean;
+  everConfirmedToken?: boolean;
+  expected: string;
 }[] = [
   {
     name: 'an exit is evidence',
     phase: { _tag: 'running' },
-    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    to: 'gone',
+    heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    expected: 'gone',
   },
   {
-    name: 'a newer report without a task that was there, under our token',
+    name: 'a newer heartbeat under our token without a task that was there is evidence',
     phase: { _tag: 'running' },
-    heartbeat: reportOf([]),
-    to: 'gone',
+    heartbeat: heartbeatOf([]),
+    expected: 'gone',
   },
   {
-    name: 'the same under an older token proves nothing: a command of an earlier holder may arrive',
+    name: 'an absent task under an older token is not gone: a command of an earlier holder may arrive',
     phase: { _tag: 'running' },
-    heartbeat: reportOf([], { token: 8 }),
-    token: false,
-    to: 'running',
+    heartbeat: heartbeatOf([], { token: 8 }),
+    tokenConfirmed: false,
+    expected: 'running',
   },
   {
-    name: 'a new session is evidence, once the worker has ever named a token of ours',
+    name: 'a new session is evidence once the worker has named a token of this holder',
     phase: { _tag: 'running' },
-    heartbeat: reportOf([], { agentEpoch: 2, sequenceNumber: 1, token: 8 }),
-    token: false,
-    to: 'gone',
+    heartbeat: heartbeatOf([], { agentEpoch: 2, sequenceNumber: 1, token: 8 }),
+    tokenConfirmed: false,
+    expected: 'gone',
   },
   {
-    name: 'but not before: a direct run of an earlier holder may name that very session',
+    name: 'a new session proves nothing while a direct run of an earlier holder may name it',
     phase: { _tag: 'running' },
-    heardUs: false,
-    heartbeat: reportOf([], { agentEpoch: 2, sequenceNumber: 1, token: 8 }),
-    token: false,
-    to: 'running',
+    everConfirmedToken: false,
+    heartbeat: heartbeatOf([], { agentEpoch: 2, sequenceNumber: 1, token: 8 }),
+    tokenConfirmed: false,
+    expected: 'running',
   },
   {
-    name: 'a bound task that never showed in a session now over goes elsewhere: the machine may not hear us',
+    name: 'a bound task that an ended session never showed is gone: commands may not reach the machine',
     phase: { _tag: 'bound' },
-    heartbeat: reportOf([], { agentEpoch: 2, sequenceNumber: 1 }),
-    late: true,
-    to: 'gone',
+    heartbeat: heartbeatOf([], { agentEpoch: 2, sequenceNumber: 1 }),
+    mayArriveLate: true,
+    expected: 'gone',
   },
   {
     name: 'a bound task that is absent may not have arrived yet',
     phase: { _tag: 'bound' },
-    heartbeat: reportOf([]),
-    to: 'bound',
+    heartbeat: heartbeatOf([]),
+    expected: 'bound',
   },
   {
-    name: 'a bound task to be stopped that is absent is gone',
+    name: 'an absent bound task that is to be stopped is gone',
     phase: { _tag: 'bound' },
     stop: true,
-    heartbeat: reportOf([]),
-    to: 'gone',
+    heartbeat: heartbeatOf([]),
+    expected: 'gone',
   },
   {
-    name: 'but not while a direct run of it may still arrive',
+    name: 'an absent task that is to be stopped stays bound while its direct run may still arrive',
     phase: { _tag: 'bound' },
     stop: true,
-    heartbeat: reportOf([]),
-    late: true,
-    to: 'bound',
+    heartbeat: heartbeatOf([]),
+    mayArriveLate: true,
+    expected: 'bound',
   },
   {
-    name: 'a report overtaken by a direct answer proves nothing',
+    name: 'a heartbeat older than the answer to a direct command proves nothing',
     phase: { _tag: 'running' },
     seenSequenceNumber: 12,
-    heartbeat: reportOf([]),
-    to: 'running',
+    heartbeat: heartbeatOf([]),
+    expected: 'running',
   },
   {
-    name: 'nothing is concluded about a bind that is not durable',
+    name: 'a heartbeat implies nothing for a bind that is not durable',
     phase: { _tag: 'binding' },
     stop: true,
-    heartbeat: reportOf([]),
-    to: 'binding',
+    heartbeat: heartbeatOf([]),
+    expected: 'binding',
   },
   {
     name: 'another attempt on the machine is not this one',
     phase: { _tag: 'bound' },
-    heartbeat: reportOf([task({ _tag: 'running' }, 2)]),
-    to: 'bound',
+    heartbeat: heartbeatOf([task({ _tag: 'running' }, 2)]),
+    expected: 'bound',
   },
 ];
 for (const row of evidence) {
@@ -172,13 +177,13 @@
           : { agentEpoch: 1, sequenceNumber: row.seenSequenceNumber },
     });
     const changes = detectPhaseChanges(
-      { ...machineOf(binding), everConfirmedToken: row.heardUs ?? true },
+      { ...machineOf(binding), everConfirmedToken: row.everConfirmedToken ?? true },
       row.heartbeat,
-      row.token ?? true,
-      () => row.late ?? false,
+      row.tokenConfirmed ?? true,
+      () => row.mayArriveLate ?? false,
     );
     const after = changes.reduce((phase, change) => nextPhase(phase, change.event), binding.phase);
-    assert.equal(after._tag, row.to);
+    assert.equal(after._tag, row.expected);
   });
 }
 
@@ -186,83 +191,83 @@
   name: string;
   binding: Binding | null;
   heartbeat: WorkerHeartbeat;
-  settled?: boolean;
-  token?: boolean;
+  mayForget?: boolean;
+  tokenConfirmed?: boolean;
   now?: number;
   expect: readonly string[];
 }[] = [
   {
-    name: 'a durable bind that is not there yet is started',
+    name: 'a task with a durable bind that is not on the machine yet is started',
     binding: bindingOf({ _tag: 'bound' }),
-    heartbeat: reportOf([]),
+    heartbeat: heartbeatOf([]),
     expect: ['run 3'],
   },
   {
-    name: 'a bind that is not durable is not',
+    name: 'a task whose bind is not durable is not started',
     binding: bindingOf({ _tag: 'binding' }),
-    heartbeat: reportOf([]),
+    heartbeat: heartbeatOf([]),
     expect: [],
   },
   {
     name: 'a task that is not bound here is stopped',
     binding: null,
-    heartbeat: reportOf([task({ _tag: 'running' })]),
+    heartbeat: heartbeatOf([task({ _tag: 'running' })]),
     expect: ['stop 3 0'],
   },
   {
-    name: 'an older attempt is stopped beside the bound one',
+    name: 'an older attempt is stopped and the bound one started',
     binding: bindingOf({ _tag: 'bound' }),
-    heartbeat: reportOf([task({ _tag: 'running' }, 2)]),
+    heartbeat: heartbeatOf([task({ _tag: 'running' }, 2)]),
     expect: ['stop 2 0', 'run 3'],
   },
   {
-    name: 'an exit that the state still binds is kept',
+    name: 'an exit that the key-value store still binds is not forgotten',
     binding: null,
-    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    settled: false,
+    heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    mayForget: false,
     now: 20_000,
     expect: [],
   },
   {
-    name: 'a settled exit is forgotten, after a while in which others may join it',
+    name: 'an exit that may be forgotten is forgotten after the delay for a batch',
     binding: null,
-    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     now: MAX_FORGET_DELAY_MS + 1_000,
     expect: ['forget 3'],
   },
   {
-    name: 'not at once: each makes the worker report anew',
+    name: 'an exit is not forgotten at once, since each forget makes the worker send another heartbeat',
     binding: null,
-    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
     now: 2_000,
     expect: [],
   },
   {
-    name: 'but with other commands',
+    name: 'an exit is forgotten at once with other commands',
     binding: bindingOf({ _tag: 'bound' }),
-    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false }, 2)]),
+    heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false }, 2)]),
     now: 2_000,
     expect: ['run 3', 'forget 2'],
   },
   {
-    name: 'but only by the token in force',
+    name: 'an exit is forgotten only under the current token',
     binding: null,
-    heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    token: false,
+    heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
+    tokenConfirmed: false,
     now: 20_000,
     expect: [],
   },
   {
     name: 'a stop with grace is not repeated while the task saves',
     binding: bindingOf({ _tag: 'saving' }, { stop: { reason: 'draining', graceS: 5, since: 0 } }),
-    heartbeat: reportOf([task({ _tag: 'saving' })]),
+    heartbeat: heartbeatOf([task({ _tag: 'saving' })]),
     now: 4_000,
     expect: [],
   },
   {
-    name: 'a task that overstays its grace is ended',
+    name: 'a task that is still saving after its grace is stopped without further grace',
     binding: bindingOf({ _tag: 'saving' }, { stop: { reason: 'draining', graceS: 5, since: 0 } }),
-    heartbeat: reportOf([task({ _tag: 'saving' })]),
+    heartbeat: heartbeatOf([task({ _tag: 'saving' })]),
     now: 60_000,
     expect: ['stop 3 0'],
   },
@@ -272,8 +277,8 @@
     const commands = answerCommands(
       machineOf(row.binding),
       row.heartbeat,
-      row.token ?? true,
-      () => row.settled ?? true,
+      row.tokenConfirmed ?? true,
+      () => row.mayForget ?? true,
       row.now ?? 0,
     );
     assert.deepEqual(
@@ -285,7 +290,7 @@
   });
 }
 
-const hello = {
+const wireHeartbeat = {
   drover: 'i-1',
   addr: 'a:1',
   breed: 'g',
@@ -296,17 +301,21 @@
   crook: 3,
   heads: [{ head: 'job-1/0', try: 1, status: 'exited', cause: 'no_room' }],
 };
-const reports: readonly { name: string; value: unknown; expect: unknown }[] = [
-  { name: 'a refused start', value: hello, expect: { _tag: 'exited', cause: 'noRoom', saved: false } },
+const wireHeartbeats: readonly { name: string; value: unknown; expect: unknown }[] = [
   {
-    name: 'a state we do not know occupies its machine',
-    value: { ...hello, heads: [{ head: 'job-1/0', try: 1, status: 'dreaming' }] },
+    name: 'a refused start',
+    value: wireHeartbeat,
+    expect: { _tag: 'exited', cause: 'noRoom', saved: false },
+  },
+  {
+    name: 'a task in an unknown state occupies its machine',
+    value: { ...wireHeartbeat, heads: [{ head: 'job-1/0', try: 1, status: 'dreaming' }] },
     expect: { _tag: 'running' },
   },
-  { name: 'a missing session is malformed', value: { ...hello, stint: undefined }, expect: null },
-  { name: 'not a map', value: [1], expect: null },
+  { name: 'a missing session is malformed', value: { ...wireHeartbeat, stint: undefined }, expect: null },
+  { name: 'a value that is not a map is malformed', value: [1], expect: null },
 ];
-for (const row of reports) {
+for (const row of wireHeartbeats) {
   test(`report: ${row.name}`, () =>
     assert.deepEqual(readWorkerHeartbeat(row.value)?.tasks[0]?.state ?? null, row.expect));
 }
