--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -126,7 +126,7 @@
     const fitted = fitSummary(summary, this.dependencies.valueBytes);
     if (fitted._tag === 'fits') {
       const digest = digestOf(fitted.stored);
-      // A summary without unmet demand and spare machines is written only once.
+      // A summary without unmet demand and spare machines is written only once under a claim.
       if (isEmpty(fitted.stored) && this.lastDigest.get(shardId) === digest) return Effect.void;
       this.lastDigest.set(shardId, digest);
     }
