--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -8,7 +8,7 @@
  * not on the machine, and no `run` of it is in transit.
  */
 import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
-import { onMachine, type Gone, type PhaseEvent } from '../placement/attempt-phase.js';
+import { isOnMachine, type GoneEvidence, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
 
@@ -41,7 +41,7 @@
  * not have arrived yet.
  */
 const isGone = ({ phase, stop }: Binding, newSession: boolean): boolean => {
-  if (onMachine(phase)) return true;
+  if (isOnMachine(phase)) return true;
   // Answers may not reach a worker that began a new session: a task that it never started is placed
   // elsewhere.
   return phase._tag === 'bound' && (stop !== null || newSession);
@@ -63,7 +63,7 @@
 ): readonly PhaseChange[] => {
   const changes: PhaseChange[] = [];
   const newSession = isNewSession(machine, heartbeat, tokenConfirmed);
-  const how: Gone = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
+  const how: GoneEvidence = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
   const reported = new Map(heartbeat.tasks.map((task) => [attemptKey(task), task]));
   for (const [key, binding] of machine.bound) {
     if (isOvertaken(binding, heartbeat)) continue;
