--- a/src/peers/heartbeat-exchange.ts
+++ b/src/peers/heartbeat-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * The rhythm of heartbeats: one loop a peer, which exchanges heartbeats about once a second. Owns which peers
- * are to get one ahead of time; the peer network runs it.
+ * Schedules the exchange of heartbeats: one loop per peer, which exchanges heartbeats about once a second.
+ * Owns the set of peers that receive a heartbeat before the next one is due. The peer network runs the loops.
  */
 import * as Effect from 'effect/Effect';
 import {
@@ -17,9 +17,9 @@
   readonly ownNode: string;
   /** The other controllers. */
   readonly peerNodes: readonly string[];
-  /** ms, steady. */
+  /** The steady clock, ms. */
   readonly now: () => number;
-  /** ms since the last heartbeat of a peer; null: none came yet. */
+  /** ms since the last heartbeat of a peer; null: none has been received yet. */
   readonly heartbeatAgeMs: (node: string) => number | null;
   /** Sends a heartbeat to a peer and records its answer. */
   readonly exchange: (node: string) => Promise<void>;
@@ -27,28 +27,34 @@
 
 /** The loops that exchange heartbeats with the peers. */
 export class HeartbeatExchange {
-  /** How to end the present pause before the next exchange with a peer. */
+  /** By peer: ends the current pause before the next exchange early. */
   private readonly endPause = new Map<string, () => void>();
-  /** Peers that are to get a heartbeat whether or not one is due. */
+  /** Peers to which the next heartbeat is sent whether or not one is due. */
   private readonly pendingNotifications = new Set<string>();
 
   constructor(private readonly dependencies: HeartbeatExchangeDependencies) {}
 
-  /** Has a peer get a heartbeat soon. */
+  /**
+   * Sends a peer a heartbeat soon: at the earliest `HEARTBEAT_NOTIFICATION_INTERVAL_MS` after the current
+   * pause began.
+   */
   notify(node: string): void {
     this.endPause.get(node)?.();
   }
 
-  /** ms without a heartbeat of a peer after which this controller begins an exchange. */
+  /**
+   * ms without a heartbeat of a peer after which this controller begins an exchange; shorter for the
+   * controller of the pair whose name comes first.
+   */
   private initiationDelayMs(node: string): number {
     return HEARTBEAT_INTERVAL_MS * (this.dependencies.ownNode < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
   }
 
-  /** ms until this controller would begin an exchange with a peer. */
+  /** ms until this controller begins the next exchange with a peer if no heartbeat arrives before. */
   private nextExchangeDelayMs(node: string): number {
     const age = this.dependencies.heartbeatAgeMs(node) ?? 0;
     const wait = this.initiationDelayMs(node);
-    // One that does not answer is tried every heartbeat.
+    // A peer whose heartbeat is overdue is contacted once every heartbeat interval.
     return age >= wait ? HEARTBEAT_INTERVAL_MS : Math.max(MIN_HEARTBEAT_PAUSE_MS, wait - age);
   }
 
@@ -67,8 +73,9 @@
   }
 
   /**
-   * Each answers a heartbeat with its own, so of two controllers one need begin: the other does when no
-   * heartbeat came in time.
+   * Whether this controller begins an exchange with the peer now. A controller answers a heartbeat with its
+   * own, so only one controller of each pair needs to begin: the other begins when no heartbeat arrived in
+   * time.
    */
   private isDue(node: string): boolean {
     const age = this.dependencies.heartbeatAgeMs(node);
@@ -82,7 +89,7 @@
     }).pipe(Effect.andThen(Effect.promise(() => this.pause(node))), Effect.forever);
   }
 
-  /** All loops, one a peer. */
+  /** Runs the loops, one per peer. */
   get run(): Effect.Effect<unknown> {
     return Effect.all(
       this.dependencies.peerNodes.map((node) => this.exchangeWith(node)),
