--- a/src/cancellation/acknowledgement-client.ts
+++ b/src/cancellation/acknowledgement-client.ts
@@ -22,7 +22,7 @@
 
   /** Does this controller act on the cancellation? False also where it did not answer. */
   ask(node: string, cancellation: Cancellation): Promise<boolean> {
-    return this.batcherFor(node).ask(cancellation);
+    return this.batcherFor(node).submit(cancellation);
   }
 
   private batcherFor(node: string): Batcher<Cancellation, boolean> {
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -188,7 +188,7 @@
   }
 
   /** Lists the first keys under a prefix that come after `after`; null: from the first on. */
-  page(prefix: string, after: string | null, priority: RequestPriority): Effect.Effect<ListResult> {
+  listPage(prefix: string, after: string | null, priority: RequestPriority): Effect.Effect<ListResult> {
     return Effect.promise(async (): Promise<ListResult> => {
       const request: StoreRequest = {
         method: 'GET',
@@ -208,7 +208,7 @@
       let after: string | null = null;
       let revision = -1;
       for (;;) {
-        const page: ListResult = yield* this.page(prefix, after, priority);
+        const page: ListResult = yield* this.listPage(prefix, after, priority);
         if (page._tag === 'failed') return page;
         if (revision < 0) revision = page.revision;
         entries.push(...page.entries);
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -4,7 +4,7 @@
  * `unmetDemand` for machines that are coming.
  */
 import { AMOUNT_TOLERANCE, SPREAD_ZONE_FRACTION } from '../constants/placement.js';
-import { howMany } from '../jobs/model.js';
+import { fittingTaskCount } from '../jobs/model.js';
 import { bestFirst, fullness, occupy, roomFor, usableCapacities, type Reach } from './capacity-selection.js';
 import type { Assignment, AvailableCapacity, PlacementRequest, UnplacedRequest } from './placement-model.js';
 import { tasksWithinLimit, type TeamLimit, type TeamUsage } from './team-limits.js';
@@ -30,7 +30,10 @@
   for (const capacity of bestFirst(capacities, request.spec)) {
     if (left <= 0) break;
     const used = inZone.get(capacity.zone) ?? 0;
-    const here = Math.min(howMany(request.spec, roomFor(request, capacity, reach), left), zoneCap - used);
+    const here = Math.min(
+      fittingTaskCount(request.spec, roomFor(request, capacity, reach), left),
+      zoneCap - used,
+    );
     if (here <= 0) continue;
     chosen.push({ capacity, count: here });
     inZone.set(capacity.zone, used + here);
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -15,7 +15,7 @@
 import {
   fitsIn,
   hasAlternatives,
-  howMany,
+  fittingTaskCount,
   typeAllowed,
   type Catalog,
   type Demand,
@@ -101,7 +101,7 @@
  */
 const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NOTHING;
-  const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
+  const tasks = fittingTaskCount(scarce, machine.total, MAX_TASKS_PER_JOB);
   const over = (field: keyof Demand): number =>
     Math.max(
       0,
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -5,7 +5,7 @@
 import * as http from 'node:http';
 import { DIRECT_COMMAND_TIMEOUT_MS } from '../constants/workers.js';
 import { parseTarget } from '../http/model.js';
-import { decode, encode, oneWrite } from '../http/msgpack.js';
+import { decode, encode, singleWriteArguments } from '../http/msgpack.js';
 import { readWorkerHeartbeat, writeDirectCommands } from './codec.js';
 import type { Command, WorkerHeartbeat } from './model.js';
 
@@ -106,6 +106,6 @@
       else socket.once('connect', () => (connected = true));
     });
     request.on('error', fail);
-    request.end(...oneWrite(payload));
+    request.end(...singleWriteArguments(payload));
   }
 }
