--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,6 +1,6 @@
 /**
- * The users' API: routes submissions, polls and cancellations of jobs. Owns no state; called by the router
- * of the API address.
+ * The users' API: routes submissions, polls and cancellations of jobs. Owns no state; the router of the API
+ * address calls it.
  */
 import * as Effect from 'effect/Effect';
 import { MAX_ECHOED_ID_CHARS } from '../constants/users-api.js';
@@ -14,7 +14,7 @@
 
 const methodNotAllowed = (allowed: string): ServerResponse => ({ status: 405, headers: { allow: allowed } });
 
-/** Answers users. */
+/** Routes the requests of users to their handlers. */
 export class UsersApi {
   private readonly status: JobStatusHandler;
   private readonly submission: JobSubmissionHandler;
@@ -25,7 +25,10 @@
     this.submission = new JobSubmissionHandler(dependencies, lookup, this.status);
   }
 
-  /** Answers a call whose path, below that of the jobs, has these segments: none, id, or id and `abort`. */
+  /**
+   * Handles a request. `segments` are the segments of its path below the path of the jobs: none, an id, or an
+   * id and `abort`.
+   */
   handle(request: ServerRequest, segments: readonly string[]): Effect.Effect<ServerResponse> {
     const [id, verb] = segments;
     if (id === undefined) return this.submit(request);
--- a/src/jobs/eligibility.ts
+++ b/src/jobs/eligibility.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a submitted job can ever run, judged by the catalog and the limit of its team. Decisions only;
- * called for each submission.
+ * Decides from the catalog and the limit of its team whether a submitted job can ever run. No I/O; called
+ * for each submission.
  */
 import { tasksWithinLimit, type TeamLimit } from '../placement/team-limits.js';
 import { fitsIn, typeAllowed, type Catalog, type JobSpec } from './model.js';
@@ -13,7 +13,7 @@
       (spec.zone === null || type.zones.includes(spec.zone)),
   );
 
-/** Why a job can never run, in words for its user; null if it can. */
+/** Returns the reason why a job can never run, as a text for its user; null if the job can run. */
 export const rejectionReason = (
   spec: JobSpec,
   catalog: Catalog,
@@ -28,7 +28,10 @@
   return null;
 };
 
-/** Drops machine types that don't exist: a long list of them must not outgrow the job's record. */
+/**
+ * Removes machine types that are not in the catalog, and duplicates: a long list of them must not make the
+ * job's record too large for a value of the key-value store.
+ */
 export const withKnownTypes = (spec: JobSpec, catalog: Catalog): JobSpec =>
   spec.types === null
     ? spec
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -12,7 +12,6 @@
 import { writeFinalRecord, writeJobRecord } from './job-record-codec.js';
 import type { Catalog, JobRecord, JobSpec } from './model.js';
 
-/** What users are told of jobs that follow others, from what is stored. */
 const catalog: Catalog = new Map([
   [
     'g',
@@ -29,7 +28,7 @@
     },
   ],
 ]);
-const record = (id: string, over: Partial<JobRecord> = {}): unknown =>
+const record = (id: string, overrides: Partial<JobRecord> = {}): unknown =>
   writeJobRecord({
     spec: { id, team: 'red', kind: 'array', tasks: 2 } as JobSpec,
     at: 1,
@@ -37,104 +36,114 @@
     cancelledAt: null,
     dependsOn: [],
     parts: 0,
-    ...over,
+    ...overrides,
   });
 const final = (state: 'done' | 'cancelled'): unknown => writeFinalRecord({ state, at: 2, tasks: 2 });
 
 interface Row {
   readonly name: string;
   readonly stored: Readonly<Record<string, unknown>>;
-  /** Null: a poll of job-9. */
+  /** The body of a submission; null: the request is a poll of job-9. */
   readonly submit: object | null;
-  readonly early?: boolean;
-  readonly down?: boolean;
+  /** Whether some controller may not support pipelines yet. */
+  readonly pipelinesUnsupported?: boolean;
+  readonly storeUnavailable?: boolean;
+  /** Whether this controller's copy of the shared keys is out of date. */
   readonly stale?: boolean;
-  readonly stands?: Readiness;
+  readonly readiness?: Readiness;
+  /** Expected HTTP status. */
   readonly status: number;
-  readonly says?: string;
+  /** Expected job status. */
+  readonly jobStatus?: string;
 }
-const waits = record('job-9', { dependsOn: ['job-1'] });
+const waitingJob = record('job-9', { dependsOn: ['job-1'] });
 const rows: readonly Row[] = [
   { name: 'not a list', stored: {}, submit: { follows: 'job-1' }, status: 400 },
   { name: 'not ids', stored: {}, submit: { follows: ['x'] }, status: 400 },
-  { name: 'null and an empty list follow nothing', stored: {}, submit: { follows: null }, status: 201 },
+  { name: 'null names no dependencies', stored: {}, submit: { follows: null }, status: 201 },
   {
-    name: 'an empty list before all nodes understand',
+    name: 'an empty list before all controllers support pipelines',
     stored: {},
     submit: { follows: [] },
-    early: true,
+    pipelinesUnsupported: true,
     status: 201,
   },
   {
-    name: 'one that is waiting or running',
+    name: 'a job that is waiting or running',
     stored: { 'w/j/job-1': record('job-1') },
     submit: { follows: ['job-1'] },
     status: 201,
   },
   {
-    name: 'one that is done',
+    name: 'a job that is done',
     stored: { 'f/job-1': final('done') },
     submit: { follows: ['job-1'] },
     status: 201,
   },
   {
-    name: 'one that is cancelled',
+    name: 'a job that is cancelled',
     stored: { 'f/job-1': final('cancelled') },
     submit: { follows: ['job-1'] },
     status: 201,
   },
-  { name: 'one that was never accepted', stored: {}, submit: { follows: ['job-1'] }, status: 422 },
-  { name: 'itself', stored: {}, submit: { follows: ['job-9'] }, status: 422 },
-  // Before that a node of an earlier version may hold its share, and would start it at once.
+  { name: 'a job that was never accepted', stored: {}, submit: { follows: ['job-1'] }, status: 422 },
+  { name: 'the submitted job itself', stored: {}, submit: { follows: ['job-9'] }, status: 422 },
+  // A controller of an earlier version may hold the job's shard, and would start the job without waiting.
   {
-    name: 'before all nodes understand',
+    name: 'before all controllers support pipelines',
     stored: { 'f/job-1': final('done') },
     submit: { follows: ['job-1'] },
-    early: true,
+    pipelinesUnsupported: true,
     status: 503,
   },
-  { name: 'the state can not be read', stored: {}, submit: { follows: ['job-1'] }, down: true, status: 503 },
   {
-    name: 'a repeat of a known job, whatever it names',
+    name: 'the key-value store is unavailable',
+    stored: {},
+    submit: { follows: ['job-1'] },
+    storeUnavailable: true,
+    status: 503,
+  },
+  {
+    name: 'a repeated submission of an accepted job, whatever its dependencies',
     stored: { 'w/j/job-9': record('job-9') },
     submit: { follows: ['job-1'] },
     status: 200,
-    says: 'pending',
+    jobStatus: 'pending',
   },
   {
-    name: 'a poll while it waits',
-    stored: { 'w/j/job-9': waits },
+    name: 'a poll while the job waits for its dependencies',
+    stored: { 'w/j/job-9': waitingJob },
     submit: null,
-    stands: { _tag: 'waiting' },
+    readiness: { _tag: 'waiting' },
     status: 200,
-    says: 'pending',
+    jobStatus: 'pending',
   },
-  // Said of an old copy, a job could be called waiting long after its user was told that one before it is
-  // cancelled.
+  // With an outdated copy, a job could be reported as waiting long after its user was told that a dependency
+  // is cancelled.
   {
-    name: 'a poll while this node sees nothing new',
-    stored: { 'w/j/job-9': waits },
+    name: 'a poll while the copy of the shared keys is outdated',
+    stored: { 'w/j/job-9': waitingJob },
     submit: null,
-    stands: { _tag: 'waiting' },
+    readiness: { _tag: 'waiting' },
     stale: true,
     status: 503,
   },
   {
-    name: 'a poll when one before it is cancelled',
-    stored: { 'w/j/job-9': waits },
+    name: 'a poll when a dependency is cancelled',
+    stored: { 'w/j/job-9': waitingJob },
     submit: null,
-    stands: { _tag: 'doomed' },
+    readiness: { _tag: 'doomed' },
     status: 200,
-    says: 'withdrawn',
+    jobStatus: 'withdrawn',
   },
   {
-    name: 'a poll when it is ready',
-    stored: { 'w/j/job-9': waits },
+    name: 'a poll when the job is ready',
+    stored: { 'w/j/job-9': waitingJob },
     submit: null,
-    stands: { _tag: 'ready', since: 5 },
+    readiness: { _tag: 'ready', since: 5 },
     stale: true,
     status: 200,
-    says: 'pending',
+    jobStatus: 'pending',
   },
 ];
 for (const row of rows) {
@@ -142,9 +151,9 @@
     const items = new Map(Object.entries(row.stored).map(([key, value]) => [key, { value, version: 3 }]));
     let revision = 10;
     const request = (_: string, path: string, sent: unknown): Promise<CallOutcome> => {
-      const answer = (status: number, said: unknown): Promise<CallOutcome> =>
-        Promise.resolve({ _tag: 'response', status, body: said });
-      if (row.down === true) return answer(503, {});
+      const answer = (status: number, responseBody: unknown): Promise<CallOutcome> =>
+        Promise.resolve({ _tag: 'response', status, body: responseBody });
+      if (row.storeUnavailable === true) return answer(503, {});
       if (path === '/txn') {
         const { when, writes } = sent as {
           when: { path: string; brandMark: number }[];
@@ -175,10 +184,10 @@
       linearizableReads: new LinearizableReads(store),
       finalRecords: new FinalRecordCache(store),
       pipelines: {
-        readiness: () => row.stands ?? { _tag: 'ready', since: 0 },
+        readiness: () => row.readiness ?? { _tag: 'ready', since: 0 },
         resolve: () => Effect.succeed(true),
       },
-      pipelinesSupported: () => row.early !== true,
+      pipelinesSupported: () => row.pipelinesUnsupported !== true,
       valueBytes: 2048,
       cacheAgeMs: () => (row.stale === true ? 60_000 : 0),
       mayConfirmCancellation: () => Effect.succeed(true),
@@ -199,9 +208,13 @@
           };
     const reply = await Effect.runPromise(api.handle(call, row.submit === null ? ['job-9'] : []));
     assert.equal(reply.status, row.status, JSON.stringify(reply.body));
-    if (row.says !== undefined) assert.equal((reply.body as { status: string }).status, row.says);
-    // What was said to be cancelled is so for whoever asks next, at any node.
-    if (row.says === 'withdrawn')
-      assert.equal((items.get('w/j/job-9')?.value as { c: boolean }).c, true, 'durable before it is said');
+    if (row.jobStatus !== undefined) assert.equal((reply.body as { status: string }).status, row.jobStatus);
+    // A cancellation that a response reports must be durable, so that every controller reports it afterwards.
+    if (row.jobStatus === 'withdrawn')
+      assert.equal(
+        (items.get('w/j/job-9')?.value as { c: boolean }).c,
+        true,
+        'durable before the response reports it',
+      );
   });
 }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,6 +1,6 @@
 /**
- * What is surely known of a job now, read from the key-value store or confirmed against it. Owns no state;
- * called by all parts of the users' API.
+ * Linearizable lookup of a job: reads it from the key-value store, or confirms this controller's copy of its
+ * record against the store. Owns no state; all handlers of the users' API call it.
  */
 import * as Effect from 'effect/Effect';
 import { jobKey } from '../kv-store/keys.js';
@@ -8,14 +8,14 @@
 import type { FinalRecord, JobRecord } from './model.js';
 import type { JobLookupDependencies } from './ports.js';
 
-/** A job that is not over, and the version of its record. */
+/** A job without a final record, with the version of its job record. */
 export interface ActiveJob {
   readonly _tag: 'active';
   readonly record: JobRecord;
   readonly version: number;
 }
 
-/** What is known of a job; `unavailable`: the store did not say. */
+/** The outcome of looking up a job; `unavailable`: the key-value store did not answer. */
 export type JobLookupResult =
   | ActiveJob
   | { readonly _tag: 'final'; readonly final: FinalRecord }
@@ -33,9 +33,10 @@
   constructor(private readonly dependencies: JobLookupDependencies) {}
 
   /**
-   * What is surely known of a job now. A final record never changes, so one seen before will do; all else is
-   * a linearizable read, most often a confirmation of this controller's copy. A job's record goes to its
-   * final record in one transaction, so reading final, active, final misses nothing.
+   * Finds the current state of a job. A final record never changes, so a cached one is returned without a
+   * request. Any other result comes from linearizable reads; most often one confirms the version of this
+   * controller's copy. One transaction replaces a job's record by its final record, so reading the final
+   * record, the job record and the final record again finds every accepted job.
    */
   find(id: string): Effect.Effect<JobLookupResult> {
     return Effect.gen({ self: this }, function* () {
--- a/src/jobs/job-record-codec.ts
+++ b/src/jobs/job-record-codec.ts
@@ -1,11 +1,11 @@
 /**
- * Job records and final records as they stand in the key-value store. Owns no state; called by whatever reads
- * or writes these records.
+ * Encodes and decodes job records and final records of the key-value store. Owns no state; called by every
+ * module that reads or writes these records.
  */
 import { packIds, unpackIds } from '../pipelines/codec.js';
 import type { FinalRecord, FinalState, JobRecord, JobSpec } from './model.js';
 
-/** Records keep the field names of the model; a spec is stored as a list, which is a third the size. */
+/** The order of a spec's fields in its stored form: a list, a third of the size of an object with names. */
 const SPEC_FIELDS = [
   'id',
   'jobClass',
@@ -29,10 +29,10 @@
   'deadlineS',
 ] as const satisfies readonly (keyof JobSpec)[];
 
-/** bytes: the size of a value as the key-value store measures it. */
+/** The size of a value in bytes, as the key-value store measures it: the length of its JSON form. */
 export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** Writes a job record as it is stored. */
+/** Encodes a job record in its stored form. */
 export const writeJobRecord = (job: JobRecord): unknown => ({
   s: SPEC_FIELDS.map((field) => job.spec[field]),
   t: job.at,
@@ -42,24 +42,27 @@
   ...(job.parts === 0 ? {} : { p: job.parts }),
 });
 
-/** Stands in a cancelled job's record for a text that was dropped; texts of submissions are never empty. */
-const DROPPED_TEXT = '';
+/**
+ * Replaces a text that was removed from a cancelled job's record. Texts of submissions are never empty, so
+ * this value can't be mistaken for one.
+ */
+const REMOVED_TEXT = '';
 
 /**
- * The record of a cancelled job within `bytes`. A job that was accepted under larger limits may not fit as it
- * is; only placement reads its class, image, machine types and zone, and a cancelled job is never placed
- * again.
+ * Encodes the record of a cancelled job in at most `maxBytes` bytes. The full record of a job that was
+ * accepted under larger limits may exceed them; then its class, image, machine types and zone are removed.
+ * Only placement reads these, and a cancelled job is never placed again.
  */
-export const writeCancelledRecord = (job: JobRecord, bytes: number): unknown => {
-  const whole = writeJobRecord(job);
-  if (jsonBytes(whole) <= bytes) return whole;
+export const writeCancelledRecord = (job: JobRecord, maxBytes: number): unknown => {
+  const fullRecord = writeJobRecord(job);
+  if (jsonBytes(fullRecord) <= maxBytes) return fullRecord;
   return writeJobRecord({
     ...job,
-    spec: { ...job.spec, jobClass: DROPPED_TEXT, image: DROPPED_TEXT, types: [], zone: null },
+    spec: { ...job.spec, jobClass: REMOVED_TEXT, image: REMOVED_TEXT, types: [], zone: null },
   });
 };
 
-/** Reads a stored job record. */
+/** Decodes a stored job record. */
 export const readJobRecord = (data: unknown): JobRecord => {
   const raw = data as {
     s: unknown[];
@@ -83,14 +86,14 @@
   };
 };
 
-/** Writes a final record as it is stored. */
+/** Encodes a final record in its stored form. */
 export const writeFinalRecord = (final: FinalRecord): unknown => ({
   s: final.state,
   t: final.at,
   n: final.tasks,
 });
 
-/** Reads a stored final record. */
+/** Decodes a stored final record. */
 export const readFinalRecord = (data: unknown): FinalRecord => {
   const raw = data as { s: FinalState; t: number; n: number };
   return { state: raw.s, at: raw.t, tasks: raw.n };
--- a/src/jobs/job-status.ts
+++ b/src/jobs/job-status.ts
@@ -1,6 +1,6 @@
 /**
- * What users are told of a job's status, and the cancellation of a job, which is durable before it is told.
- * Owns no state; called by the users' API for polls, cancellations and repeated submissions.
+ * Reports the status of a job to users, and cancels jobs. A cancellation is durable before a response reports
+ * it. Owns no state; the users' API calls it for polls, cancellations and repeated submissions.
  */
 import * as Effect from 'effect/Effect';
 import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
@@ -19,19 +19,19 @@
   body: writeStatus(id, counts.running > 0 ? 'running' : 'pending', counts),
 });
 
-/** Answers polls and cancellations. */
+/** Handles polls and cancellations. */
 export class JobStatusHandler {
   constructor(
     private readonly dependencies: JobStatusDependencies,
     private readonly lookup: JobLookup,
   ) {}
 
-  /** The answer to a poll. */
+  /** Returns the response to a poll. */
   poll(id: string): Effect.Effect<ServerResponse> {
     return Effect.flatMap(this.lookup.find(id), (found) => this.describe(id, found));
   }
 
-  /** Cancels a job that is not over, and answers with its status. */
+  /** Cancels a job unless it has ended, and returns a response with its status. */
   cancel(id: string): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       for (let attempt = 0; attempt < CANCELLATION_ATTEMPTS; attempt += 1) {
@@ -44,7 +44,7 @@
     });
   }
 
-  /** The answer about a job of which this is known. */
+  /** Returns the status response for a job, from the outcome of its lookup. */
   describe(id: string, found: JobLookupResult): Effect.Effect<ServerResponse> {
     switch (found._tag) {
       case 'unavailable':
@@ -63,7 +63,10 @@
     }
   }
 
-  /** A cancellation is told only once the controller acting for the job's shard can't fail to act on it. */
+  /**
+   * Returns the status response for a job without a final record. Reports a cancellation only once it is
+   * certain that the controller that acts for the job's shard acts on it.
+   */
   private describeActive(id: string, job: ActiveJob): Effect.Effect<ServerResponse> {
     const { record, version } = job;
     const counts = this.taskCounts(id, job);
@@ -80,8 +83,8 @@
   }
 
   /**
-   * A job that depends on others, none of whose tasks runs: if one of those is cancelled, so is this one,
-   * durably before it is told.
+   * Returns the status response for a job with dependencies that has no running task. If one of its
+   * dependencies is cancelled, this job is cancelled too, durably before the response reports it.
    */
   private describeDependent(id: string, job: ActiveJob): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
@@ -96,7 +99,10 @@
     });
   }
 
-  /** Makes a cancellation durable and answers with what is then known; nothing is written over a change. */
+  /**
+   * Writes a cancellation to the job's record and returns the response with the status after it. Returns
+   * `recordChanged` and writes nothing if the record has changed since `job` was read.
+   */
   private recordCancellation(id: string, job: ActiveJob): Effect.Effect<ServerResponse | 'recordChanged'> {
     return Effect.gen({ self: this }, function* () {
       const { store, valueBytes, wallClock } = this.dependencies;
@@ -112,6 +118,7 @@
     });
   }
 
+  /** Task counts for display; zero while they are not available. */
   private taskCounts(id: string, { record }: ActiveJob): TaskCounts {
     return this.dependencies.taskCounts(id, record.spec.team) ?? { done: 0, running: 0 };
   }
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -1,6 +1,6 @@
 /**
- * Accepts new jobs, or says why not. A repeat of an accepted job is answered with that job's status, whatever
- * its body says. Owns no state; called by the users' API.
+ * Accepts new jobs, or rejects them with a reason. The response to a repeated submission of an accepted job
+ * is that job's status, whatever the body of the repetition. Owns no state; the users' API calls it.
  */
 import * as Effect from 'effect/Effect';
 import { MAX_CONCURRENT_FINAL_RECORD_READS } from '../constants/pipelines.js';
@@ -15,15 +15,15 @@
 import type { JobSubmissionDependencies } from './ports.js';
 import { RETRY_LATER } from './responses.js';
 
-/** Was each job of a list ever accepted? */
-type AcceptanceOfAll =
+/** Whether all jobs in a list of dependencies have been accepted, now or earlier. */
+type DependencyAcceptance =
   | { readonly _tag: 'allAccepted' }
   | { readonly _tag: 'neverAccepted'; readonly id: string }
   | { readonly _tag: 'unavailable' };
 
 const unprocessable = (error: string): ServerResponse => ({ status: 422, body: { error } });
 
-/** Takes submissions. */
+/** Handles submissions. */
 export class JobSubmissionHandler {
   constructor(
     private readonly dependencies: JobSubmissionDependencies,
@@ -31,7 +31,7 @@
     private readonly status: JobStatusHandler,
   ) {}
 
-  /** The answer to a submission with this body; 201 once the job is durable. */
+  /** Returns the response to a submission with this body; 201 once the job is durable. */
   submit(body: unknown): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const read = readSubmission(body);
@@ -42,14 +42,14 @@
       const reason = rejectionReason(spec, catalog, this.dependencies.limits);
       if (reason !== null) return yield* this.answerUnlessAccepted(spec.id, unprocessable(reason));
       if (read.dependsOn.length > 0) {
-        const refusal = yield* this.refuseDependencies(spec.id, read.dependsOn);
+        const refusal = yield* this.dependencyRefusal(spec.id, read.dependsOn);
         if (refusal !== null) return refusal;
       }
       return yield* this.store(spec, read.dependsOn);
     });
   }
 
-  /** The status of a job that was accepted before, else this answer. */
+  /** Returns the status response if the job has been accepted before, else `answer`. */
   private answerUnlessAccepted(id: string, answer: ServerResponse): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const found = yield* this.lookup.find(id);
@@ -65,6 +65,7 @@
     });
   }
 
+  /** Writes the records of a new job, and returns the response to its submission. */
   private store(spec: JobSpec, dependsOn: readonly string[]): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const { store, valueBytes, wallClock } = this.dependencies;
@@ -92,10 +93,10 @@
     });
   }
 
-  /** Why a job that depends on these is not taken; null: it is. */
-  private refuseDependencies(id: string, dependsOn: readonly string[]): Effect.Effect<ServerResponse | null> {
+  /** Returns the response that refuses a job because of its dependencies; null if they are acceptable. */
+  private dependencyRefusal(id: string, dependsOn: readonly string[]): Effect.Effect<ServerResponse | null> {
     return Effect.gen({ self: this }, function* () {
-      const acceptance: AcceptanceOfAll = this.dependencies.pipelinesSupported()
+      const acceptance: DependencyAcceptance = this.dependencies.pipelinesSupported()
         ? yield* this.acceptanceOf(dependsOn)
         : { _tag: 'unavailable' };
       switch (acceptance._tag) {
@@ -110,8 +111,11 @@
     });
   }
 
-  /** What this controller's copy shows was accepted; only the other jobs are read. */
-  private acceptanceOf(ids: readonly string[]): Effect.Effect<AcceptanceOfAll> {
+  /**
+   * Checks whether these jobs have been accepted. Only jobs whose record is missing in this controller's copy
+   * are read from the store.
+   */
+  private acceptanceOf(ids: readonly string[]): Effect.Effect<DependencyAcceptance> {
     return Effect.gen({ self: this }, function* () {
       const { cache, finalRecords } = this.dependencies;
       const others = ids.filter((id) => !cache.get(jobKey(id)) && !finalRecords.get(id));
--- a/src/jobs/new-job-records.ts
+++ b/src/jobs/new-job-records.ts
@@ -1,4 +1,4 @@
-/** The records that a new job takes in the key-value store. Owns no state; called for each submission. */
+/** Builds the records of a new job for the key-value store. Owns no state; called for each submission. */
 import { FOLLOWED_IDS_OVERHEAD_BYTES, VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { dependencyListKey, jobKey } from '../kv-store/keys.js';
 import type { Write } from '../kv-store/model.js';
@@ -6,18 +6,20 @@
 import { jsonBytes, writeJobRecord } from './job-record-codec.js';
 import type { JobSpec } from './model.js';
 
-/** Bounds of the key-value store. */
+/** Limits of the key-value store. */
 export interface RecordBounds {
-  /** Bytes of a value. */
+  /** Largest size of a value, in bytes. */
   readonly valueBytes: number;
+  /** Largest number of writes in a transaction. */
   readonly maxTransactionWrites: number;
 }
 
 const put = (key: string, value: unknown): Write => ({ _tag: 'put', key, value });
 
 /**
- * The record of a new job and, where its dependencies would outgrow it, their lists; null when all that does
- * not fit in one transaction. `at` is ms since the epoch.
+ * Returns the writes of a new job: its record and, if the record would be too large with its dependencies,
+ * separate lists of them. Null if the record is too large even so, or if the writes exceed one transaction.
+ * `at` is the time of acceptance in ms since the epoch.
  */
 export const newJobRecords = (
   spec: JobSpec,
@@ -26,10 +28,10 @@
   { valueBytes, maxTransactionWrites }: RecordBounds,
 ): readonly Write[] | null => {
   const job = { spec, at, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
-  const room = valueBytes * VALUE_FILL_FRACTION;
-  const whole = writeJobRecord({ ...job, dependsOn });
-  if (jsonBytes(whole) <= room) return [put(jobKey(spec.id), whole)];
-  const lists = splitIds(dependsOn, room - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
+  const usableBytes = valueBytes * VALUE_FILL_FRACTION;
+  const fullRecord = writeJobRecord({ ...job, dependsOn });
+  if (jsonBytes(fullRecord) <= usableBytes) return [put(jobKey(spec.id), fullRecord)];
+  const lists = splitIds(dependsOn, usableBytes - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
     put(dependencyListKey(spec.id, part), packIds(ids)),
   );
   const record = writeJobRecord({ ...job, parts: lists.length });
--- a/src/jobs/ports.ts
+++ b/src/jobs/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What the users' API needs of the rest of the controller. Types only; the composition root supplies what
- * they name.
+ * Dependencies of the users' API on the other subsystems of the controller. Types only; the composition root
+ * supplies the implementations.
  */
 import type * as Effect from 'effect/Effect';
 import type { KeyValueStore } from '../kv-store/client.js';
@@ -11,7 +11,7 @@
 import type { TeamLimit } from '../placement/team-limits.js';
 import type { Catalog, TaskCounts } from './model.js';
 
-/** Reading jobs from the key-value store and from this controller's copy of it. */
+/** Dependencies of looking up jobs in the key-value store and in this controller's copy of it. */
 export interface JobLookupDependencies {
   readonly store: Pick<KeyValueStore, 'get'>;
   readonly linearizableReads: LinearizableReads;
@@ -19,37 +19,40 @@
   readonly finalRecords: FinalRecordCache;
 }
 
-/** Telling users of a job's status, and cancelling it. */
+/** Dependencies of reporting the status of jobs to users, and of cancelling jobs. */
 export interface JobStatusDependencies {
   readonly store: Pick<KeyValueStore, 'compareAndSwap'>;
   readonly pipelines: Pick<Pipelines, 'readiness' | 'resolve'>;
-  /** May users be told of the cancellation that became durable at this revision? */
+  /** Whether users may be told of the cancellation that became durable at this revision (`version`). */
   readonly mayConfirmCancellation: (id: string, team: string, version: number) => Effect.Effect<boolean>;
-  /** Bytes: the largest value that the key-value store takes, now and after an announced change. */
+  /** Largest size of a value that the key-value store accepts now and after an announced change, in bytes. */
   readonly valueBytes: number;
-  /** Age in ms of the last moment at which this controller's copy of the shared keys was surely whole. */
+  /**
+   * Age in ms of this controller's copy of the shared keys: time since the last moment at which the copy is
+   * known to have been complete.
+   */
   readonly cacheAgeMs: () => number;
-  /** Task counts for display, from the controller that acts for the job's shard; null: not available now. */
+  /** Task counts for display, from the controller that acts for the job's shard; null: unavailable now. */
   readonly taskCounts: (id: string, team: string) => TaskCounts | null;
   /** Wall clock, in ms since the epoch. */
   readonly wallClock: () => number;
 }
 
-/** Accepting new jobs. */
+/** Dependencies of accepting new jobs. */
 export interface JobSubmissionDependencies {
   readonly store: Pick<KeyValueStore, 'compareAndSwap' | 'maxTransactionWrites'>;
   readonly cache: Pick<WatchCache, 'get'>;
   readonly finalRecords: Pick<FinalRecordCache, 'get'>;
-  /** The machine types; null: not read yet. */
+  /** The machine types of the catalog; null: not read yet. */
   readonly catalog: () => Catalog | null;
   readonly limits: ReadonlyMap<string, TeamLimit>;
-  /** Does every controller understand jobs that depend on others? */
+  /** Whether every controller supports jobs that depend on others. */
   readonly pipelinesSupported: () => boolean;
-  /** Bytes: the largest value that the key-value store takes, now and after an announced change. */
+  /** Largest size of a value that the key-value store accepts now and after an announced change, in bytes. */
   readonly valueBytes: number;
   /** Wall clock, in ms since the epoch. */
   readonly wallClock: () => number;
 }
 
-/** All that the users' API needs. */
+/** All dependencies of the users' API. */
 export type UsersApiDependencies = JobLookupDependencies & JobStatusDependencies & JobSubmissionDependencies;
--- a/src/jobs/record-limits.test.ts
+++ b/src/jobs/record-limits.test.ts
@@ -1,4 +1,7 @@
-/** Job records fit the smallest limits of the key-value store, whatever an earlier version took. */
+/**
+ * Tests that job records fit the smallest limits of the key-value store, even if an earlier version accepted
+ * larger ones.
+ */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -22,7 +25,7 @@
 import { readJobRecord, writeCancelledRecord, writeJobRecord } from './job-record-codec.js';
 import type { JobRecord, JobSpec } from './model.js';
 
-const cancelled = (texts: string, types: readonly string[] | null): JobRecord => ({
+const cancelledJob = (texts: string, types: readonly string[] | null): JobRecord => ({
   spec: {
     id: 'job-000001',
     jobClass: texts,
@@ -54,7 +57,7 @@
 
 const usersApi = (
   store: KeyValueStore,
-  copy: (key: string) => StoredEntry | undefined = () => undefined,
+  cachedEntry: (key: string) => StoredEntry | undefined = () => undefined,
 ): UsersApi => {
   const catalog = new Map(longMachineTypes(1).map((type) => [type.name, type]));
   return new UsersApi({
@@ -66,7 +69,7 @@
     valueBytes: SMALLEST_VALUE_BYTES,
     cacheAgeMs: () => 0,
     mayConfirmCancellation: () => Effect.succeed(true),
-    cache: { get: copy },
+    cache: { get: cachedEntry },
     catalog: () => catalog,
     limits: new Map([['red', { cpusMax: 0, gpusMax: 8 }]]),
     taskCounts: () => null,
@@ -74,9 +77,9 @@
   });
 };
 
-test('job record limits: a job whose record outgrew them is cancelled in a record that fits', async () => {
+test('job record limits: a job whose record exceeds them is cancelled with a record that fits', async () => {
   const stored = writeJobRecord({
-    ...cancelled('\u0001'.repeat(256), null),
+    ...cancelledJob('\u0001'.repeat(256), null),
     cancelled: false,
     cancelledAt: null,
   });
@@ -103,7 +106,7 @@
   assert.equal(readJobRecord(writes[0]?.data).cancelled, true);
 });
 
-test('job record limits: the longest dependency list that a submission can hold fits', async () => {
+test('job record limits: the longest dependency list of a submission fits', async () => {
   const { store, writes } = notingStore();
   const follows = Array.from({ length: 4_000 }, (_, k) => `job-${String(k * 211).padStart(6, '0')}`);
   const api = usersApi(store, (key) => ({ key, value: null, version: 1 }));
@@ -135,22 +138,22 @@
 
 const cancellations: readonly { name: string; record: JobRecord; fits: boolean }[] = [
   {
-    name: 'a record that fits stays whole',
-    record: cancelled('train', ['g8']),
+    name: 'a record that fits is stored in full',
+    record: cancelledJob('train', ['g8']),
     fits: true,
   },
   {
-    name: 'types that an earlier version took',
-    record: cancelled(
+    name: 'types that an earlier version accepted',
+    record: cancelledJob(
       'train',
       Array.from({ length: 90 }, (_, k) => `type-with-a-long-name-${k}`),
     ),
     fits: false,
   },
-  // The store refuses such a record as it is, so that its cancellation could never be written.
+  // The key-value store refuses the full record, so the cancellation could never be written.
   {
-    name: 'texts that an earlier version took, each character six when written',
-    record: cancelled('\u0001'.repeat(256), null),
+    name: 'texts that an earlier version accepted, each character six bytes in JSON',
+    record: cancelledJob('\u0001'.repeat(256), null),
     fits: false,
   },
 ];
@@ -159,13 +162,13 @@
     assert.equal(
       bytesOf(writeJobRecord(record)) <= SMALLEST_VALUE_BYTES,
       fits,
-      'the row is what its name says',
+      'whether the full record fits is as the row states',
     );
     const written = writeCancelledRecord(record, SMALLEST_VALUE_BYTES);
     assert.ok(bytesOf(written) <= SMALLEST_VALUE_BYTES, `${bytesOf(written)} B`);
     const read = readJobRecord(JSON.parse(JSON.stringify(written)));
     if (fits) assert.deepEqual(read, record);
-    // What stopping its tasks, counting them and answering its user needs.
+    // These fields are needed to stop the job's tasks, to count them and to respond to its user.
     const { spec } = read;
     assert.deepEqual(
       [spec.id, spec.team, spec.kind, spec.tasks, spec.cpus, spec.gpus, spec.memoryGb, spec.saveS],
--- a/src/jobs/submission-codec.ts
+++ b/src/jobs/submission-codec.ts
@@ -1,5 +1,5 @@
 /**
- * The users' words for jobs on the wire: reads submissions, writes answers about a job's status. Owns no
+ * Wire format of the users' API: decodes and validates submissions, and encodes the status of a job. Owns no
  * state; called by the users' API.
  */
 import * as Schema from 'effect/Schema';
@@ -11,12 +11,12 @@
 const Text = Schema.String.check(Schema.isMinLength(1), Schema.isMaxLength(MAX_TEXT_CHARS));
 const nullable = <S extends Schema.Top>(schema: S) => Schema.optional(Schema.NullOr(schema));
 
-const ID = /^job-\d{1,18}$/;
-/** Does the text have the form of a job id? */
-export const isJobId = (text: string): boolean => ID.test(text);
+const JOB_ID_PATTERN = /^job-\d{1,18}$/;
+/** Whether the text has the form of a job id. */
+export const isJobId = (text: string): boolean => JOB_ID_PATTERN.test(text);
 
 const Submission = Schema.Struct({
-  uid: Schema.String.check(Schema.isPattern(ID)),
+  uid: Schema.String.check(Schema.isPattern(JOB_ID_PATTERN)),
   herd: Text,
   owner: Text,
   shape: Schema.Literals(['sweep', 'group', 'service']),
@@ -36,20 +36,20 @@
   musterEveryS: Amount,
   musterS: Amount,
   dueS: nullable(Amount),
-  follows: nullable(Schema.Array(Schema.String.check(Schema.isPattern(ID)))),
+  follows: nullable(Schema.Array(Schema.String.check(Schema.isPattern(JOB_ID_PATTERN)))),
 });
 
 const decodeSubmission = Schema.decodeUnknownResult(Submission);
 
-const KINDS: Record<string, JobKind> = { sweep: 'array', group: 'gang', service: 'service' };
-const PRIORITIES: Record<string, Priority> = { prod: 3, urgent: 2, standard: 1, best_effort: 0 };
+const KIND_BY_SHAPE: Record<string, JobKind> = { sweep: 'array', group: 'gang', service: 'service' };
+const PRIORITY_BY_URGENCY: Record<string, Priority> = { prod: 3, urgent: 2, standard: 1, best_effort: 0 };
 
-/** A submission after reading. */
+/** The outcome of reading a submission. */
 export type SubmissionReadResult =
   | { readonly _tag: 'job'; readonly spec: JobSpec; readonly dependsOn: readonly string[] }
   | { readonly _tag: 'malformed'; readonly reason: string };
 
-/** Reads and checks a submission. */
+/** Decodes and validates a submission. */
 export const readSubmission = (value: unknown): SubmissionReadResult => {
   const result = decodeSubmission(value);
   if (!Result.isSuccess(result)) {
@@ -66,8 +66,8 @@
       id: submission.uid,
       jobClass: submission.herd,
       team: submission.owner,
-      kind: KINDS[submission.shape] ?? 'array',
-      priority: PRIORITIES[submission.urgency] ?? 0,
+      kind: KIND_BY_SHAPE[submission.shape] ?? 'array',
+      priority: PRIORITY_BY_URGENCY[submission.urgency] ?? 0,
       tasks: submission.heads,
       cpus: submission.vcpus,
       gpus: submission.accelerators,
@@ -87,7 +87,7 @@
   };
 };
 
-/** The body of an answer about a job's status. */
+/** Encodes the body of a status response. */
 export const writeStatus = (id: string, status: JobStatus, counts?: TaskCounts): unknown => ({
   uid: id,
   status: status === 'cancelled' ? 'withdrawn' : status,
