--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -8,7 +8,7 @@
 import { WITHHELD, type CallOutcome, type HttpClient, type Target } from './model.js';
 import { decodeParts, encode, singleWriteArguments } from './msgpack.js';
 
-type End = (outcome: CallOutcome) => void;
+type OnOutcome = (outcome: CallOutcome) => void;
 
 /** One request, ready to be sent. */
 interface Exchange {
@@ -23,18 +23,22 @@
 const headersFor = (payload: Buffer | undefined): http.OutgoingHttpHeaders =>
   payload ? { 'content-type': CONTENT_TYPE, 'content-length': payload.length } : { accept: CONTENT_TYPE };
 
-/** The value of a response; null: it has none, or none that can be unpacked. */
+/** Decodes the body of a response; null: the body is empty or malformed. */
 const readValue = (parts: readonly Buffer[]): unknown => {
   if (parts.length === 0) return null;
   try {
     return decodeParts(parts);
   } catch {
-    // The status says what became of the request; callers check the value that they expect.
+    // The status is the outcome of the request; callers validate the values that they need.
     return null;
   }
 };
 
-const receive = (request: http.ClientRequest, response: http.IncomingMessage, end: End): void => {
+const receiveResponse = (
+  request: http.ClientRequest,
+  response: http.IncomingMessage,
+  settle: OnOutcome,
+): void => {
   const parts: Buffer[] = [];
   let size = 0;
   response.on('data', (part: Buffer) => {
@@ -43,13 +47,13 @@
     else parts.push(part);
   });
   response.on('end', () =>
-    end({ _tag: 'response', status: response.statusCode ?? 0, body: readValue(parts) }),
+    settle({ _tag: 'response', status: response.statusCode ?? 0, body: readValue(parts) }),
   );
-  response.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
-  response.on('aborted', () => end({ _tag: 'noResponse', why: 'aborted' }));
+  response.on('error', (error) => settle({ _tag: 'noResponse', why: error.message }));
+  response.on('aborted', () => settle({ _tag: 'noResponse', why: 'aborted' }));
 };
 
-/** Calls back once the request has an open connection. */
+/** Calls `connected` once the request has an open connection. */
 const whenConnected = (request: http.ClientRequest, connected: () => void): void => {
   request.once('socket', (socket: Socket) => {
     if (socket.connecting) socket.once('connect', connected);
@@ -57,21 +61,21 @@
   });
 };
 
-/** Makes one request; resolves once, with what happens first. */
-const exchange = ({ options, payload, timeoutMs, maySend }: Exchange, resolve: End): void => {
-  let isOver = false;
-  const end: End = (outcome) => {
-    if (isOver) return;
-    isOver = true;
+/** Sends one request, and resolves once, with its first outcome. */
+const exchange = ({ options, payload, timeoutMs, maySend }: Exchange, resolve: OnOutcome): void => {
+  let isSettled = false;
+  const settle: OnOutcome = (outcome) => {
+    if (isSettled) return;
+    isSettled = true;
     clearTimeout(timer);
     resolve(outcome);
   };
-  const request = http.request(options, (response) => receive(request, response, end));
+  const request = http.request(options, (response) => receiveResponse(request, response, settle));
   const timer = setTimeout(() => {
-    end({ _tag: 'noResponse', why: 'timeout' });
+    settle({ _tag: 'noResponse', why: 'timeout' });
     request.destroy();
   }, timeoutMs);
-  request.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
+  request.on('error', (error) => settle({ _tag: 'noResponse', why: error.message }));
   const send = (): void => {
     if (payload) request.end(...singleWriteArguments(payload));
     else request.end();
@@ -80,19 +84,19 @@
     send();
     return;
   }
-  // Requests queue for connections inside the agent: nothing is handed over before the right is asked for.
+  // Requests wait for connections inside the agent, so no byte is passed to it before `maySend` is called.
   whenConnected(request, () => {
-    if (isOver) return;
+    if (isSettled) return;
     if (maySend()) {
       send();
       return;
     }
-    end(WITHHELD);
+    settle(WITHHELD);
     request.destroy();
   });
 };
 
-/** State: the connections to one address, which are kept open. */
+/** HTTP client for one address. Owns the connections to it, which are kept open. */
 export class PooledHttpClient implements HttpClient {
   private readonly agent: http.Agent;
 
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -1,28 +1,30 @@
 /** The open connections of one server. Used by `src/http/server.ts` alone. */
 import type { Socket } from 'node:net';
 
-/** State: when each open connection was last used. */
+/** Tracks the open connections of a server. Owns the time at which each was last used. */
 export class Connections {
-  /** ms, by the steady clock. */
+  /** Time of the last use by connection, in ms of the steady clock. */
   private readonly lastUsedAt = new Map<Socket, number>();
 
+  /** Number of open connections. */
   get count(): number {
     return this.lastUsedAt.size;
   }
 
-  /** Counts a new connection until it closes. */
+  /** Tracks a new connection until it closes. */
   add(socket: Socket): void {
     this.markUsed(socket);
     socket.once('close', () => this.lastUsedAt.delete(socket));
   }
 
+  /** Records that a connection is used now. */
   markUsed(socket: Socket): void {
     this.lastUsedAt.set(socket, performance.now());
   }
 
-  /** Closes the connections that were not used for so many ms. */
+  /** Closes the connections that have been unused for `idleMs` ms. */
   closeIdle(idleMs: number): void {
-    const since = performance.now() - idleMs;
-    for (const [socket, lastUsedAt] of this.lastUsedAt) if (lastUsedAt < since) socket.destroy();
+    const oldestAllowed = performance.now() - idleMs;
+    for (const [socket, lastUsedAt] of this.lastUsedAt) if (lastUsedAt < oldestAllowed) socket.destroy();
   }
 }
--- a/src/http/http.test.ts
+++ b/src/http/http.test.ts
@@ -1,7 +1,4 @@
-/**
- * Tests of HTTP client and server over sockets on loopback: limits of connections, and bodies as they were
- * sent.
- */
+/** Tests of the HTTP client and server over loopback: connection limits, bodies, and withheld requests. */
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { test } from 'node:test';
@@ -27,9 +24,9 @@
     req.on('error', reject);
   });
 
-test('http: a controller left for all workers keeps room for users, health checks and siblings', async () => {
-  // Guards against a controller whose sockets are all taken by workers that came over from others: users were
-  // refused.
+test('http: a controller that serves all workers keeps room for users, health checks and peers', async () => {
+  // Guards against a controller that refused users, because workers of other controllers had connected to it
+  // and used all of its sockets.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
     { connections: 20, closesWhenCrowded: (path) => path === '/hello' },
@@ -50,16 +47,16 @@
   for (const agent of users) {
     const answer = await ask(port, '/ready', agent);
     assert.equal(answer.status, 200);
-    assert.equal(answer.connection, 'keep-alive', 'a user keeps his connection');
+    assert.equal(answer.connection, 'keep-alive', 'a connection of a user is kept open');
   }
   for (const agent of [...workers, ...users]) agent.destroy();
   server.closeAllConnections();
   server.close();
 });
 
-test('http: a connection whose far end fell silent is closed', async () => {
-  // Guards against machines that died or were cut off: their connections never close and added up to the
-  // limit.
+test('http: a connection without traffic is closed', async () => {
+  // Guards against machines that fail or lose their network: they never close their connections, which
+  // accumulated up to the limit.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
     { connections: 5, idleMs: 100 },
@@ -81,8 +78,8 @@
   server.close();
 });
 
-test('http: bodies of every byte and of any size arrive as they were sent', async () => {
-  // Guards the single write of head and body, which carries bytes as text of one byte a character.
+test('http: bodies with any byte and of any size are received unchanged', async () => {
+  // Guards the single write of head and body, which passes bytes as text with one byte per character.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
     { connections: 5 },
@@ -106,9 +103,9 @@
   server.close();
 });
 
-test('http: a request that loses its right while it waits for a connection is never sent', async () => {
-  // Guards against a process that stood still: requests queue inside the agent, long after the right was
-  // asked for.
+test('http: a request whose permission ends while it waits for a connection is never sent', async () => {
+  // Guards against a process that was suspended: requests that wait inside the agent would be sent long after
+  // the permission to send them was checked.
   const seen: string[] = [];
   let answerFirst = (): void => undefined;
   const server = await serve(
@@ -125,24 +122,24 @@
     failed,
   );
   const client = new PooledHttpClient({ host: '127.0.0.1', port: portOf(server) }, 1);
-  let right = true;
-  let asked = 0;
+  let allowed = true;
+  let checks = 0;
   const maySend = (): boolean => {
-    asked += 1;
-    return right;
+    checks += 1;
+    return allowed;
   };
   const first = client.request('POST', '/first', { n: 1 }, 2_000, maySend);
   while (seen.length === 0) await new Promise((resolve) => setTimeout(resolve, 5));
   const second = client.request('POST', '/second', { n: 2 }, 2_000, maySend);
-  right = false;
+  allowed = false;
   answerFirst();
   assert.equal((await first)._tag, 'response');
   assert.deepEqual(await second, WITHHELD);
-  right = true;
+  allowed = true;
   const third = await client.request('POST', '/third', { n: 3 }, 2_000, maySend);
-  assert.equal(third._tag, 'response', 'the next one has a connection again');
+  assert.equal(third._tag, 'response', 'the next request gets a connection again');
   assert.deepEqual(seen, ['/first', '/third']);
-  assert.equal(asked, 3, 'each is asked for once, as its bytes would leave');
+  assert.equal(checks, 3, 'maySend is called once per request, right before sending');
   server.closeAllConnections();
   server.close();
 });
--- a/src/http/model.ts
+++ b/src/http/model.ts
@@ -1,18 +1,18 @@
 /**
- * HTTP in the terms of this service: requests, responses, addresses, and the ports that carry them. Plain
- * data.
+ * Types of HTTP requests, responses and addresses, and the interface of HTTP clients. Plain data and a parser
+ * of addresses.
  */
 
 /** The outcome of a request that this controller makes. */
 export type CallOutcome =
   | { readonly _tag: 'response'; readonly status: number; readonly body: unknown }
   /**
-   * Nothing is known about what became of the request, unless `sent` is false: then no byte of it left the
-   * process.
+   * No response was received: it is unknown whether the server handled the request, unless `sent` is false,
+   * which means that no byte of the request left the process.
    */
   | { readonly _tag: 'noResponse'; readonly why: string; readonly sent?: false };
 
-/** The outcome of a request that lost the right to be sent while it waited for a connection. */
+/** The outcome of a request that was no longer allowed to be sent when its connection was available. */
 export const WITHHELD: CallOutcome = { _tag: 'noResponse', why: 'withheld', sent: false };
 
 /** Host and port of a server. */
@@ -21,20 +21,20 @@
   readonly port: number;
 }
 
-/** Reads `host:port`. */
+/** Parses `host:port`. */
 export const parseTarget = (text: string): Target => {
   const colon = text.lastIndexOf(':');
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) };
 };
 
-/** Carries requests to one address. */
+/** Sends requests to one address. */
 export interface HttpClient {
   /**
-   * Sends one request and resolves with its outcome; it never rejects for what happens on the wire.
+   * Sends one request and resolves with its outcome. Network errors are outcomes; they never reject.
    *
-   * @param body - Packed as MessagePack; undefined: the request has no body.
-   * @param maySend - Asked when a connection is there, immediately before the first byte leaves; false: the
-   *   request is withheld.
+   * @param body - Encoded as MessagePack; undefined: the request has no body.
+   * @param maySend - Called once a connection is available, immediately before the first byte is sent; false:
+   *   the request is not sent, and its outcome is `WITHHELD`.
    */
   request(
     method: string,
@@ -45,7 +45,7 @@
   ): Promise<CallOutcome>;
 }
 
-/** Makes a client for one address with a bounded number of sockets. */
+/** Creates a client for one address with at most `sockets` sockets. */
 export type HttpClientFactory = (target: Target, sockets: number) => HttpClient;
 
 /** The body of a request to this controller. */
@@ -59,18 +59,18 @@
 export interface ServerRequest {
   readonly method: string;
   readonly path: string;
-  /** What follows the question mark, as it came. */
+  /** The part of the URL after the question mark, undecoded. */
   readonly query: string;
   readonly body: RequestBody;
-  /** The caller's IP address, where it came through a socket. */
+  /** The caller's IP address, if the request was received through a socket. */
   readonly remoteAddress?: string | undefined;
 }
 
-/** A response of this controller, before it is packed. */
+/** A response of this controller, before it is encoded. */
 export interface ServerResponse {
   readonly status: number;
   readonly body?: unknown;
   readonly headers?: Record<string, string>;
-  /** Sent as it is in place of the body. */
+  /** Plain text that is sent in place of the encoded body. */
   readonly text?: string;
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,6 +1,6 @@
 /**
- * HTTP server: reads requests, has them answered, and bounds bodies and connections. The controller starts
- * one for each address that it listens on.
+ * HTTP server: reads requests, passes them to a handler, and limits the size of bodies and the number of
+ * connections. The controller starts one server for each address that it listens on.
  */
 import * as http from 'node:http';
 import {
@@ -16,19 +16,23 @@
 import type { RequestBody, ServerRequest, ServerResponse, Target } from './model.js';
 import { decodeParts, encode, singleWriteArguments } from './msgpack.js';
 
-/** What one listening address may hold open. */
+/** Limits on the connections of one listening address. */
 export interface ConnectionLimits {
+  /** Largest number of open connections. */
   readonly connections: number;
   /**
-   * Paths whose callers are so many that they must not keep connections once most are in use: the next call
-   * makes a new one, while all others find room.
+   * Whether a connection is closed after a response on this path once most connections are in use. Meant for
+   * paths with many callers: these reconnect for their next request, and other callers find free connections.
    */
   readonly closesWhenCrowded?: (path: string) => boolean;
-  /** Time after which an unused connection is closed, in ms; `CONNECTION_IDLE_TIMEOUT_MS` unless given. */
+  /** Time after which an unused connection is closed, in ms; by default `CONNECTION_IDLE_TIMEOUT_MS`. */
   readonly idleMs?: number;
 }
 
-/** The protocol measures sizes in the JSON form; MessagePack is never longer than that for our data. */
+/**
+ * Whether a value exceeds the limit in its JSON form, in which the protocol measures sizes. The MessagePack
+ * form of this service's data is never longer than the JSON form.
+ */
 const isTooLargeAsJson = (value: unknown, size: number, maxBytes: number): boolean =>
   maxBytes === MAX_BODY_BYTES &&
   size > maxBytes / JSON_EXPANSION_FACTOR &&
@@ -45,7 +49,7 @@
   }
 };
 
-/** Collects the body of a request, and calls back when it is whole. A request that breaks off is dropped. */
+/** Collects the body of a request and calls `received` once it is complete; ignores an aborted request. */
 const receiveBody = (
   request: http.IncomingMessage,
   maxBytes: number,
@@ -65,11 +69,11 @@
   { method = 'GET', url = '/', socket }: http.IncomingMessage,
   body: RequestBody,
 ): ServerRequest => {
-  const mark = url.indexOf('?');
+  const queryMark = url.indexOf('?');
   return {
     method,
-    path: mark < 0 ? url : url.slice(0, mark),
-    query: mark < 0 ? '' : url.slice(mark + 1),
+    path: queryMark < 0 ? url : url.slice(0, queryMark),
+    query: queryMark < 0 ? '' : url.slice(queryMark + 1),
     body,
     remoteAddress: socket.remoteAddress,
   };
@@ -92,39 +96,42 @@
   response.end(...singleWriteArguments(payload));
 };
 
-/** The far end of a machine that died, or is cut off, never closes: such connections would add up. */
+/**
+ * Closes idle connections until the server closes. A machine that has failed or lost its network never closes
+ * its connections, which would accumulate.
+ */
 const closeIdleConnections = (server: http.Server, connections: Connections, idleMs: number): void => {
   const timer = setInterval(() => connections.closeIdle(idleMs), idleMs / IDLE_CHECKS_PER_TIMEOUT).unref();
   server.once('close', () => clearInterval(timer));
 };
 
-const setLimits = (server: http.Server, maxConnections: number): void => {
+const applyServerLimits = (server: http.Server, maxConnections: number): void => {
   server.maxConnections = maxConnections;
-  // `closeIdleConnections` does this; requests are bounded in size.
+  // Not needed: `closeIdleConnections` closes idle connections, and the size of requests is limited.
   server.keepAliveTimeout = 0;
   server.requestTimeout = 0;
   server.headersTimeout = REQUEST_HEAD_TIMEOUT_MS;
 };
 
 /**
- * Listens on an address and answers each request with what `handle` resolves to, or 503 if it rejects.
+ * Listens on an address. Sends the response with which `handle` resolves, or 503 if `handle` rejects.
  *
- * @param onFailure - Called with what `handle` rejected with.
- * @returns The server once it listens; rejects if it can't.
+ * @param onFailure - Called with the error with which `handle` rejected.
+ * @returns The server once it listens; rejects if it can't listen.
  */
 export const serve = (
-  at: Target,
+  address: Target,
   limits: ConnectionLimits,
   maxBodyBytes: number,
   handle: (request: ServerRequest) => Promise<ServerResponse>,
   onFailure: (error: unknown) => void,
 ): Promise<http.Server> => {
   const connections = new Connections();
-  const crowdedCount = limits.connections * CROWDED_SOCKET_FRACTION;
+  const crowdedThreshold = limits.connections * CROWDED_SOCKET_FRACTION;
   const server = http.createServer((request, response) => {
     connections.markUsed(request.socket);
     const closeAfterwards = (): boolean =>
-      connections.count > crowdedCount && limits.closesWhenCrowded?.(request.url ?? '') === true;
+      connections.count > crowdedThreshold && limits.closesWhenCrowded?.(request.url ?? '') === true;
     receiveBody(request, maxBodyBytes, (body) => {
       handle(toServerRequest(request, body)).then(
         (answer) => send(response, answer, closeAfterwards),
@@ -137,9 +144,9 @@
   });
   server.on('connection', (socket) => connections.add(socket));
   closeIdleConnections(server, connections, limits.idleMs ?? CONNECTION_IDLE_TIMEOUT_MS);
-  setLimits(server, limits.connections);
+  applyServerLimits(server, limits.connections);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(at.port, at.host, LISTEN_BACKLOG_CONNECTIONS, () => resolve(server));
+    server.listen(address.port, address.host, LISTEN_BACKLOG_CONNECTIONS, () => resolve(server));
   });
 };
