--- a/src/concurrency/batcher.ts
+++ b/src/concurrency/batcher.ts
@@ -1,32 +1,32 @@
-/** Batches questions that come close together. Owns the questions that wait; any module may use it. */
+/** Batches items that are submitted within a short delay. Owns the pending items; any module may use it. */
 
-interface WaitingQuestion<Question, Answer> {
-  readonly question: Question;
-  readonly resolve: (answer: Answer) => void;
+interface PendingItem<Item, Output> {
+  readonly item: Item;
+  readonly resolve: (output: Output) => void;
 }
 
 /**
- * Questions that come close together are asked together: the first waits a moment for others, then one call
- * answers all. An answer is always younger than its question.
+ * Combines items into batches: the first item waits for others for a short delay, then one call processes the
+ * whole batch. The call always starts after each of its items was submitted.
  */
-export class Batcher<Question, Answer> {
-  private waiting: WaitingQuestion<Question, Answer>[] = [];
+export class Batcher<Item, Output> {
+  private pending: PendingItem<Item, Output>[] = [];
   private timer: ReturnType<typeof setTimeout> | null = null;
 
   constructor(
-    /** ms for which the first question waits for others. */
+    /** How long the first item of a batch waits for others, in ms. */
     private readonly delayMs: number,
-    /** Questions that are asked together at most. */
+    /** Number of items at which a batch is processed without further delay. */
     private readonly maxBatchSize: number,
-    /** Answers in the order of the questions; must not reject. */
-    private readonly askAll: (questions: readonly Question[]) => Promise<readonly Answer[]>,
+    /** Processes a batch; resolves with the outputs in the order of the items and must not reject. */
+    private readonly processBatch: (items: readonly Item[]) => Promise<readonly Output[]>,
   ) {}
 
-  /** Asks a question together with those that come close to it. */
-  submit(question: Question): Promise<Answer> {
+  /** Adds an item to the next batch; resolves with its output. */
+  submit(item: Item): Promise<Output> {
     return new Promise((resolve) => {
-      this.waiting.push({ question, resolve });
-      if (this.waiting.length >= this.maxBatchSize) this.send();
+      this.pending.push({ item, resolve });
+      if (this.pending.length >= this.maxBatchSize) this.send();
       else this.timer ??= setTimeout(() => this.send(), this.delayMs);
     });
   }
@@ -34,10 +34,10 @@
   private send(): void {
     if (this.timer) clearTimeout(this.timer);
     this.timer = null;
-    const batch = this.waiting;
-    this.waiting = [];
-    void this.askAll(batch.map(({ question }) => question)).then((answers) => {
-      batch.forEach(({ resolve }, index) => resolve(answers[index] as Answer));
+    const batch = this.pending;
+    this.pending = [];
+    void this.processBatch(batch.map(({ item }) => item)).then((outputs) => {
+      batch.forEach(({ resolve }, index) => resolve(outputs[index] as Output));
     });
   }
 }
