--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -84,7 +84,8 @@
     send();
     return;
   }
-  // Requests wait for connections inside the agent, so no byte is passed to it before `maySend` is called.
+  // A request may wait long for a connection inside the agent, so `maySend` is called only once it has one, and
+  // before its first byte is passed on.
   whenConnected(request, () => {
     if (isSettled) return;
     if (maySend()) {
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -32,7 +32,9 @@
   /** `value` is in the layout of the relay, which decodes it. */
   | { readonly _tag: 'summaryRelayed'; readonly shardId: number; readonly value: unknown }
   | { readonly _tag: 'ordersRelayed'; readonly shardId: number; readonly value: unknown }
-  /** A change of a key that no subsystem follows, or the deletion of a key whose deletion has no effect. */
+  /**
+   * A change of a key that no subsystem follows, or the deletion of a key that matters only while it exists.
+   */
   | { readonly _tag: 'other' };
 
 const OTHER_CHANGE: Change = { _tag: 'other' };
