--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -84,8 +84,8 @@
     send();
     return;
   }
-  // A request may wait long for a connection inside the agent, so `maySend` is called only once it has one, and
-  // before its first byte is passed on.
+  // A request may wait long for a connection inside the agent, so `maySend` is called only once the request
+  // has one, before the first byte is passed on.
   whenConnected(request, () => {
     if (isSettled) return;
     if (maySend()) {
