--- a/src/controller/sharding.ts
+++ b/src/controller/sharding.ts
@@ -62,7 +62,7 @@
     shardCount: deployment.shardCount,
     leases: coordination.leases,
     create: (shardId, claim) => new Shard(shardId, claim, createShardContext(subsystems, shardId, claim)),
-    onTaken: () => pipelines.reevaluateAll(),
+    onTaken: () => pipelines.resolveAllDependencies(),
   });
   return { shards, pipelines, scarceTypes, bootBoundTypes };
 };
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -51,7 +51,9 @@
 const machinesToProvision = (demand: UnmetDemand, offer: MachineOffer, missing: number): number => {
   // An on-demand machine for work that could use spot is worth its price only when it is filled.
   const onlyFilled = demand.spot && !offer.spot;
-  const count = onlyFilled ? Math.floor(missing / offer.taskCapacity) : Math.ceil(missing / offer.usedTasks);
+  const count = onlyFilled
+    ? Math.floor(missing / offer.taskCapacity)
+    : Math.ceil(missing / offer.tasksServed);
   return Math.min(MAX_MACHINES_PER_PROVISIONING_REQUEST, count);
 };
 
@@ -236,4 +238,4 @@
 }
 
 /** Plans one round. */
-export const planSteps = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
+export const planScaling = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
--- a/src/fleet/spare-pools.ts
+++ b/src/fleet/spare-pools.ts
@@ -24,7 +24,7 @@
 }
 
 /** What became of gathering machines for a demand. */
-export interface Gathered {
+export interface GatherResult {
   readonly transfers: readonly TransferStep[];
   /** Tasks that still lack a machine. */
   readonly missing: number;
@@ -112,7 +112,7 @@
    * Takes spare machines of other shards, in the zone or (null) anywhere, until `missing` tasks have one or
    * none is left.
    */
-  gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): Gathered {
+  gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): GatherResult {
     const transfers: TransferStep[] = [];
     let left = missing;
     for (const pool of this.pools) {
--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TeamLimit } from '../placement/team-limits.js';
-import { urgency, attainableObjective } from '../placement/urgency.js';
+import { urgency, missedStartTargets } from '../placement/urgency.js';
 import { readRunRecord, writeRunRecord } from '../placement/run-codec.js';
 import { checkSettings } from '../settings/schema.js';
 import { divideTeams } from '../settings/teams.js';
@@ -185,7 +185,7 @@
 ];
 for (const row of waitCases) {
   test(`tier after ${row.waited} s: ${row.attainableObjective}`, () =>
-    assert.equal(attainableObjective({ wait: [30, 70], finished: [] }, row.waited), row.attainableObjective));
+    assert.equal(missedStartTargets({ wait: [30, 70], finished: [] }, row.waited), row.attainableObjective));
 }
 
 test('every controller divides the teams alike, each team into one shard', () => {
--- a/src/pipelines/final-record-cache.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -26,7 +26,7 @@
     return this.records.get(id);
   }
 
-  remember(id: string, final: FinalRecord): void {
+  put(id: string, final: FinalRecord): void {
     this.records.set(id, final);
     if (this.records.size <= MAX_CACHED_FINAL_RECORDS) return;
     const oldest = this.records.keys().next().value;
@@ -42,7 +42,7 @@
       if (read._tag === 'failed') return { _tag: 'failed' } as const;
       if (read._tag === 'absent') return { _tag: 'absent' } as const;
       const final = readFinalRecord(read.entry.value);
-      this.remember(id, final);
+      this.put(id, final);
       return { _tag: 'found', final } as const;
     });
   }
--- a/src/pipelines/graph.test.ts
+++ b/src/pipelines/graph.test.ts
@@ -33,8 +33,8 @@
   for (const event of events) {
     if ('put' in event) index.put(event.put);
     else if ('gone' in event) index.remove(event.gone);
-    else if ('done' in event) index.settle(event.done, { _tag: 'done', at: event.at });
-    else index.settle(event.cancelled, { _tag: 'cancelled' });
+    else if ('done' in event) index.setOutcome(event.done, { _tag: 'done', at: event.at });
+    else index.setOutcome(event.cancelled, { _tag: 'cancelled' });
   }
   return index;
 };
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -163,7 +163,7 @@
   }
 
   /** The outcome of a job is durable. Returns the jobs that changed. */
-  settle(id: string, outcome: DependencyOutcome): ReadonlySet<string> {
+  setOutcome(id: string, outcome: DependencyOutcome): ReadonlySet<string> {
     const changed = new Set<string>();
     if (!this.dependants.has(id)) return changed;
     this.outcomes.set(id, outcome);
--- a/src/pipelines/pipelines.ts
+++ b/src/pipelines/pipelines.ts
@@ -77,15 +77,15 @@
   }
 
   /** A shard was taken over: how all dependencies of its jobs ended is looked up. */
-  reevaluateAll(): void {
+  resolveAllDependencies(): void {
     for (const id of this.teamsOfDependants.keys()) this.resolveDependencies(id);
   }
 
   /** A final record is durable. */
-  settle(id: string, final: FinalRecord): void {
-    this.input.finalRecords.remember(id, final);
+  onFinalRecord(id: string, final: FinalRecord): void {
+    this.input.finalRecords.put(id, final);
     this.unreadFinalRecords.delete(id);
-    this.notify(this.index.settle(id, outcomeOf(final)));
+    this.notify(this.index.setOutcome(id, outcomeOf(final)));
   }
 
   /** Reads how the dependencies of a job ended, for a user who asks; false: some could not be read. */
@@ -130,7 +130,7 @@
     if (team === undefined) return;
     for (const dependency of [...this.index.unresolvedDependencies(id)]) {
       const final = this.input.finalRecords.get(dependency);
-      if (final) this.settle(dependency, final);
+      if (final) this.onFinalRecord(dependency, final);
       else if (this.isOver(dependency) && this.input.ownsTeam(team)) this.queueRead(dependency);
     }
   }
@@ -165,7 +165,7 @@
   private read(id: string): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const read = yield* this.input.finalRecords.read(id);
-      if (read._tag === 'found') this.settle(id, read.final);
+      if (read._tag === 'found') this.onFinalRecord(id, read.final);
       // No job depends on one that was never recorded, and the final record replaces the job's record.
       else if (read._tag === 'absent') log.error({ event: 'pipeline.final_record_missing', job: id });
       return read._tag !== 'failed';
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -5,7 +5,14 @@
  */
 import { AMOUNT_TOLERANCE, SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { fittingTaskCount } from '../jobs/model.js';
-import { bestFirst, fullness, occupy, roomFor, usableCapacities, type Reach } from './capacity-selection.js';
+import {
+  bestFirst,
+  utilization,
+  allocate,
+  capacityFor,
+  usableCapacities,
+  type CapacityScope,
+} from './capacity-selection.js';
 import type { Assignment, AvailableCapacity, PlacementRequest, UnplacedRequest } from './placement-model.js';
 import { tasksWithinLimit, type TeamLimit, type TeamUsage } from './team-limits.js';
 import { UnplaceableRequests } from './unplaceable-requests.js';
@@ -22,16 +29,16 @@
   capacities: readonly AvailableCapacity[],
   count: number,
   zoneCap: number,
-  reach: Reach,
+  reach: CapacityScope,
 ): readonly Portion[] => {
   const chosen: Portion[] = [];
-  const inZone = new Map(request.inZones);
+  const inZone = new Map(request.tasksByZone);
   let left = count;
   for (const capacity of bestFirst(capacities, request.spec)) {
     if (left <= 0) break;
     const used = inZone.get(capacity.zone) ?? 0;
     const here = Math.min(
-      fittingTaskCount(request.spec, roomFor(request, capacity, reach), left),
+      fittingTaskCount(request.spec, capacityFor(request, capacity, reach), left),
       zoneCap - used,
     );
     if (here <= 0) continue;
@@ -48,7 +55,7 @@
   capacities: readonly AvailableCapacity[],
 ): Map<string, AvailableCapacity[]> => {
   const zones = new Map<string, AvailableCapacity[]>();
-  const occupied = [...request.inZones].filter(([, count]) => count > 0).map(([zone]) => zone);
+  const occupied = [...request.tasksByZone].filter(([, count]) => count > 0).map(([zone]) => zone);
   for (const capacity of capacities) {
     const zone = request.spec.oneZone ? capacity.zone : '';
     // Once some tasks run, only the zone that holds them counts.
@@ -72,7 +79,7 @@
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
   want: number,
-  reach: Reach,
+  reach: CapacityScope,
 ): Candidate | null => {
   const gang = request.spec.kind === 'gang';
   const zoneCap = request.spec.spread
@@ -84,7 +91,7 @@
     const chosen = fill(request, candidates, want, zoneCap, reach);
     const count = chosen.reduce((sum, entry) => sum + entry.count, 0);
     if (count === 0 || (gang && count < request.spec.tasks)) continue;
-    const score = fullness(
+    const score = utilization(
       zone === '' ? candidates : capacities.filter((capacity) => capacity.zone === zone),
     );
     if (!best || count > best.count || (count === best.count && score > best.score + AMOUNT_TOLERANCE)) {
@@ -99,7 +106,7 @@
   const assignments: Assignment[] = [];
   let next = 0;
   for (const { capacity, count } of candidate.chosen) {
-    occupy(capacity, request, count);
+    allocate(capacity, request, count);
     for (let k = 0; k < count; k += 1) {
       const index = request.waiting[next];
       next += 1;
@@ -166,7 +173,7 @@
     const allowed = tasksWithinLimit(spec, limit, usage, waiting.length);
     if (allowed === 0 || (gang && allowed < spec.tasks)) continue;
     // Requests with places of their own say nothing about others.
-    const plain = request.failedOn.size === 0 && request.inZones.size === 0 && !request.hasReservation;
+    const plain = request.failedOn.size === 0 && request.tasksByZone.size === 0 && !request.hasReservation;
     const placed = plain && unplaceable.covers(request) ? [] : packRequest(request, capacities, allowed);
     if (placed.length < allowed && plain) unplaceable.add(request);
     assignments.push(...placed);
--- a/src/placement/capacity-selection.ts
+++ b/src/placement/capacity-selection.ts
@@ -16,7 +16,7 @@
 };
 
 /** Takes room on a machine for so many tasks. */
-export const occupy = (capacity: AvailableCapacity, request: PlacementRequest, count: number): void => {
+export const allocate = (capacity: AvailableCapacity, request: PlacementRequest, count: number): void => {
   subtract(capacity.free, request.spec, count);
   if (request.hasAlternatives) subtract(capacity.leftover, request.spec, count);
 };
@@ -25,17 +25,23 @@
  * What work with alternatives may take of machines that are withheld for work without: what that work leaves
  * over, or all that is free.
  */
-export type Reach = 'leftover' | 'all';
+export type CapacityScope = 'leftover' | 'all';
 
-const isLimitedToLeftover = (request: PlacementRequest, capacity: AvailableCapacity, reach: Reach): boolean =>
-  reach === 'leftover' && capacity.withheldFromSpotWork === 'always' && request.hasAlternatives;
+const isLimitedToLeftover = (
+  request: PlacementRequest,
+  capacity: AvailableCapacity,
+  reach: CapacityScope,
+): boolean => reach === 'leftover' && capacity.withheldFromSpotWork === 'always' && request.hasAlternatives;
 
 /** What the request may take of a machine. */
-export const roomFor = (request: PlacementRequest, capacity: AvailableCapacity, reach: Reach): Demand =>
-  isLimitedToLeftover(request, capacity, reach) ? capacity.leftover : capacity.free;
+export const capacityFor = (
+  request: PlacementRequest,
+  capacity: AvailableCapacity,
+  reach: CapacityScope,
+): Demand => (isLimitedToLeftover(request, capacity, reach) ? capacity.leftover : capacity.free);
 
 /** MostAllocated: the mean fraction in use over CPUs, memory and GPUs (where there are any). */
-export const fullness = (capacities: readonly AvailableCapacity[]): number => {
+export const utilization = (capacities: readonly AvailableCapacity[]): number => {
   let sum = 0;
   let parts = 0;
   for (const field of ['cpus', 'memoryGb', 'gpus'] as const) {
@@ -63,7 +69,7 @@
   spec: JobSpec,
 ): readonly AvailableCapacity[] =>
   capacities
-    .map((capacity) => ({ capacity, full: fullness([capacity]) }))
+    .map((capacity) => ({ capacity, full: utilization([capacity]) }))
     .sort(
       (a, b) =>
         Number(a.capacity.withheldFromSpotWork !== 'never') -
@@ -101,12 +107,12 @@
 export const usableCapacities = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
-  reach: Reach,
+  reach: CapacityScope,
 ): readonly AvailableCapacity[] =>
   capacities.filter(
     (capacity) =>
       // Most rooms are full, so this comes first.
-      fitsIn(request.spec, roomFor(request, capacity, reach)) &&
+      fitsIn(request.spec, capacityFor(request, capacity, reach)) &&
       !isReservedForAnother(request, capacity) &&
       placeAllowed(request.spec, capacity) &&
       !(request.spec.spot && !capacity.spot && isWithheld(request, capacity)) &&
--- a/src/placement/placement-model.ts
+++ b/src/placement/placement-model.ts
@@ -36,13 +36,13 @@
   /** Indexes of the tasks that wait (gangs: all of them). */
   readonly waiting: readonly number[];
   /** Tasks of the job that are, or may be, on machines, by zone. */
-  readonly inZones: ReadonlyMap<string, number>;
+  readonly tasksByZone: ReadonlyMap<string, number>;
   readonly failedOn: ReadonlySet<string>;
   /** ms since the epoch: from when its waiting counts. */
   readonly waitingSince: number;
   readonly withinGuarantee: boolean;
   /** Which start targets it can still meet; lower goes first. */
-  readonly attainableObjective: number;
+  readonly missedStartTargets: number;
   readonly urgency: Urgency;
   /** Work that may use spot machines may take room on on-demand ones now. */
   readonly mayUseOnDemand: boolean;
--- a/src/placement/placement-order.ts
+++ b/src/placement/placement-order.ts
@@ -19,7 +19,7 @@
       Number(b.hasReservation) - Number(a.hasReservation) ||
       Number(a.spec.spot) - Number(b.spec.spot) ||
       Number(b.withinGuarantee) - Number(a.withinGuarantee) ||
-      a.attainableObjective - b.attainableObjective ||
+      a.missedStartTargets - b.missedStartTargets ||
       a.spec.estimateS - b.spec.estimateS ||
       dueAt(a) - dueAt(b) ||
       a.waitingSince - b.waitingSince ||
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -114,7 +114,7 @@
     });
     row.jobs.forEach((record, version) => {
       const { spec, dependsOn } = record;
-      shardState.adoptJob(record, version + 1);
+      shardState.applyJobRecord(record, version + 1);
       index.put({
         id: spec.id,
         dependsOn,
@@ -125,7 +125,7 @@
       });
     });
     for (const [id, doneAt] of Object.entries(row.over))
-      index.settle(id, doneAt === null ? { _tag: 'cancelled' } : { _tag: 'done', at: doneAt });
+      index.setOutcome(id, doneAt === null ? { _tag: 'cancelled' } : { _tag: 'done', at: doneAt });
     for (const { spec } of row.jobs) {
       const effectivePriority = index.effectivePriority(spec.id);
       assert.ok(effectivePriority);
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -34,7 +34,7 @@
   type ShardJob,
   type ShardMachine,
 } from './shard-model.js';
-import { attainableObjective, urgency } from './urgency.js';
+import { missedStartTargets, urgency } from './urgency.js';
 
 /** What one round looks at. */
 export interface PlacementView extends Pick<ShardContext, 'scarceDemand' | 'guarantees' | 'objectives'> {
@@ -129,7 +129,7 @@
   !machine.cordoned &&
   machine.reclaimNoticeAt === null &&
   machine.health._tag === 'healthy' &&
-  !machine.raiseToken;
+  !machine.needsHigherToken;
 
 const countIdleOnDemand = ({ shardState, liveness }: PlacementView): number => {
   let idle = 0;
@@ -203,7 +203,7 @@
 const mayBePlaced = (job: ShardJob, left: number, now: number): boolean =>
   !job.cancelled &&
   !job.finishing &&
-  job.writesUnderWay === 0 &&
+  job.writesInProgress === 0 &&
   now >= job.backoffUntil &&
   job.bindings.size < left &&
   !isFinished(job) &&
@@ -231,10 +231,10 @@
     job: spec.id,
     spec,
     waiting,
-    inZones: tasksByZone(job, shardState),
+    tasksByZone: tasksByZone(job, shardState),
     failedOn: job.failedOn,
     waitingSince: job.waitingSince,
-    attainableObjective: attainableObjective(objectives, waitedS),
+    missedStartTargets: missedStartTargets(objectives, waitedS),
     urgency: jobUrgency,
     mayUseOnDemand: jobUrgency.place || waitedS > onDemandPatienceS,
     withinGuarantee,
--- a/src/placement/preemption.test.ts
+++ b/src/placement/preemption.test.ts
@@ -40,7 +40,7 @@
 const waiting = (job: JobSpec, over: Partial<PreemptingJob> = {}): PreemptingJob => ({
   spec: job,
   count: job.tasks,
-  inZones: new Map(),
+  tasksByZone: new Map(),
   failedOn: new Set(),
   ...over,
 });
@@ -118,14 +118,14 @@
   {
     name: 'a spread job only where its zones may still take tasks',
     spec: spec({ kind: 'service', oneZone: false, spread: true, tasks: 2 }),
-    over: { count: 1, inZones: new Map([['x', 1]]) },
+    over: { count: 1, tasksByZone: new Map([['x', 1]]) },
     machines: [machine('a', 'x', [group('j1', 0, 8)]), machine('b', 'y', [group('j2', 1, 8)])],
     expect: ['j2@b'],
   },
   {
     name: 'a one-zone array only where its tasks are',
     spec: spec({ kind: 'array', tasks: 2 }),
-    over: { count: 1, inZones: new Map([['y', 1]]) },
+    over: { count: 1, tasksByZone: new Map([['y', 1]]) },
     machines: [machine('a', 'x', [group('j1', 0, 8)]), machine('b', 'y', [group('j2', 1, 8)])],
     expect: ['j2@b'],
   },
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -158,7 +158,7 @@
   /** Tasks that wait. */
   readonly count: number;
   /** Its tasks that are, or may be, on machines, by zone. */
-  readonly inZones: ReadonlyMap<string, number>;
+  readonly tasksByZone: ReadonlyMap<string, number>;
   /** Machines on which it failed. */
   readonly failedOn: ReadonlySet<string>;
 }
@@ -168,7 +168,7 @@
   private readonly used: Map<string, number>;
   private readonly cap: number;
 
-  constructor({ spec, inZones }: PreemptingJob) {
+  constructor({ spec, tasksByZone: inZones }: PreemptingJob) {
     this.used = new Map(inZones);
     this.cap = spec.spread ? Math.ceil(spec.tasks * SPREAD_ZONE_FRACTION) : Number.POSITIVE_INFINITY;
   }
@@ -215,7 +215,7 @@
 };
 
 const bestChoice = (job: PreemptingJob, machines: readonly OccupiedMachine[]): EvictionChoice | null => {
-  const { spec, inZones, failedOn } = job;
+  const { spec, tasksByZone: inZones, failedOn } = job;
   const occupiedZones = spec.oneZone ? [...inZones].filter(([, tasks]) => tasks > 0) : [];
   const usable = machines.filter(
     (machine) =>
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -69,8 +69,8 @@
     let machines = this.occupied(capacities);
     for (const { request, count } of candidates) {
       if (this.dependencies.spareElsewhere(this.dependencies.shardId, request.spec)) continue;
-      const { spec, inZones, failedOn } = request;
-      const preemption = preempt({ spec, count, inZones, failedOn }, machines);
+      const { spec, tasksByZone: inZones, failedOn } = request;
+      const preemption = preempt({ spec, count, tasksByZone: inZones, failedOn }, machines);
       for (const eviction of preemption.evictions) this.evict(eviction, request.job);
       machines = preemption.machines;
     }
@@ -89,7 +89,7 @@
     log.info({ event: 'job.preempted', job: victim.job, machine: victim.machine, for: beneficiary });
     for (const binding of job.bindings.values()) {
       if (job.spec.kind === 'gang' || binding.machine === victim.machine)
-        shardState.stop(binding, 'evicted', shardState.graceOf(job));
+        shardState.stop(binding, 'evicted', shardState.saveGraceS(job));
     }
   }
 
@@ -123,6 +123,6 @@
   private isWorthStopping({ binding, job }: TasksOnMachine, now: number): boolean {
     const { estimateS } = job.spec;
     const leftS = estimateS - (now - (binding.runningAt ?? now)) / 1000;
-    return leftS > this.dependencies.shardState.graceOf(job) || leftS < -estimateS;
+    return leftS > this.dependencies.shardState.saveGraceS(job) || leftS < -estimateS;
   }
 }
--- a/src/placement/round-loop.ts
+++ b/src/placement/round-loop.ts
@@ -51,7 +51,7 @@
     const { processorMs, now, round } = this.dependencies;
     const begun = processorMs();
     round();
-    const rest = this.pacer.restAfter(processorMs() - begun);
+    const rest = this.pacer.pauseAfter(processorMs() - begun);
     this.restUntil = now() + rest;
   }
 
--- a/src/placement/round-pacer.test.ts
+++ b/src/placement/round-pacer.test.ts
@@ -6,7 +6,7 @@
   PLACEMENT_ROUND_CORE_FRACTION,
   ROUND_AVERAGE_WEIGHT,
 } from '../constants/placement.js';
-import { restMs, RoundPacer } from './round-pacer.js';
+import { pauseMs, RoundPacer } from './round-pacer.js';
 
 const rests: readonly { name: string; roundMs: number; coreFraction: number; usedFraction: number }[] = [
   { name: 'a short round', roundMs: 0.5, coreFraction: 0.136, usedFraction: 0.002 },
@@ -23,7 +23,7 @@
 for (const row of rests) {
   // Rounds of hundreds of waiting gangs leave most of a core to everything else.
   test(`rounds: ${row.name} leaves the rest to reports and users`, () => {
-    const rest = restMs(row.roundMs, row.coreFraction);
+    const rest = pauseMs(row.roundMs, row.coreFraction);
     assert.ok(rest >= MIN_PLACEMENT_ROUND_PAUSE_MS);
     const part = row.roundMs / (row.roundMs + rest);
     assert.ok(
@@ -38,10 +38,10 @@
   // A collection of garbage within a round, for instance.
   const pacer = new RoundPacer(0.136);
   const usual = 5;
-  for (let k = 0; k < 50; k += 1) pacer.restAfter(usual);
-  const usualRest = pacer.restAfter(usual);
-  const rests = [pacer.restAfter(60), ...Array.from({ length: 60 }, () => pacer.restAfter(usual))];
-  assert.ok(Math.max(...rests) <= restMs(usual + 60 * ROUND_AVERAGE_WEIGHT, 0.136));
+  for (let k = 0; k < 50; k += 1) pacer.pauseAfter(usual);
+  const usualRest = pacer.pauseAfter(usual);
+  const rests = [pacer.pauseAfter(60), ...Array.from({ length: 60 }, () => pacer.pauseAfter(usual))];
+  assert.ok(Math.max(...rests) <= pauseMs(usual + 60 * ROUND_AVERAGE_WEIGHT, 0.136));
   const more = rests.reduce((sum, rest) => sum + rest - usualRest, 0);
-  assert.ok(more > restMs(59, 0.136) * 0.8, `${more} ms`);
+  assert.ok(more > pauseMs(59, 0.136) * 0.8, `${more} ms`);
 });
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -12,7 +12,7 @@
  * ms of rest that a round of so much processor time (ms) earns: the process has a fraction of a core, and
  * rounds a fraction of that.
  */
-export const restMs = (processorMs: number, coreFraction: number): number =>
+export const pauseMs = (processorMs: number, coreFraction: number): number =>
   Math.max(
     MIN_PLACEMENT_ROUND_PAUSE_MS,
     processorMs * (1 / (Math.min(1, coreFraction) * PLACEMENT_ROUND_CORE_FRACTION) - 1),
@@ -30,10 +30,10 @@
   constructor(private readonly coreFraction: number) {}
 
   /** Takes note of a round's processor time (ms); returns the rest before the next (ms). */
-  restAfter(processorMs: number): number {
+  pauseAfter(processorMs: number): number {
     // The first costs as much as the next few: nothing is compiled yet, and everything waits.
     const before = this.average ?? processorMs;
     this.average = before + (processorMs - before) * ROUND_AVERAGE_WEIGHT;
-    return restMs(this.average, this.coreFraction);
+    return pauseMs(this.average, this.coreFraction);
   }
 }
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -72,7 +72,7 @@
     const { cache, shardOfTeam, shardId, shardState, onEffectivePriority } = this.dependencies;
     for (const item of cache.entriesOfKind(JOB_PREFIX)) {
       const record = readJobRecord(item.value);
-      if (shardOfTeam.get(record.spec.team) === shardId) shardState.adoptJob(record, item.version);
+      if (shardOfTeam.get(record.spec.team) === shardId) shardState.applyJobRecord(record, item.version);
       onEffectivePriority(record.spec.id);
     }
   }
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -65,7 +65,7 @@
  * Which of the start targets a waiting job can still meet: 0 all, 1 all but the tightest, and so on. Jobs
  * that can still meet one go before those that can't, unless these have waited many times as long.
  */
-export const attainableObjective = (objectives: Objectives | undefined, waitedS: number): number => {
+export const missedStartTargets = (objectives: Objectives | undefined, waitedS: number): number => {
   const list = objectives?.wait ?? [];
   const last = list.at(-1);
   if (last === undefined) return 0;
