--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -7,9 +7,9 @@
 import * as Effect from 'effect/Effect';
 import {
   MACHINE_LIST_INTERVAL_MS,
-  RETURNED_MACHINE_LISTING_FACTOR,
-  UNKNOWN_MACHINE_LAG_FACTOR,
-  UNKNOWN_MACHINE_SLACK_S,
+  RELEASED_MACHINE_LISTING_FACTOR,
+  UNRECORDED_MACHINE_LAG_FACTOR,
+  UNRECORDED_MACHINE_SLACK_S,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
 import { machineKey } from '../kv-store/keys.js';
@@ -88,8 +88,8 @@
     this.listReadAt = now;
     const listed = yield* this.readMachineList;
     if (listed === null) return;
-    const minAgeS = this.dependencies.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
-    this.dependencies.scaleIn.forgetReleasesOlderThan(minAgeS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
+    const minAgeS = this.dependencies.listLagS * UNRECORDED_MACHINE_LAG_FACTOR + UNRECORDED_MACHINE_SLACK_S;
+    this.dependencies.scaleIn.forgetReleasesOlderThan(minAgeS * RELEASED_MACHINE_LISTING_FACTOR * 1_000);
     for (const { id, type, zone, spot, ageS } of listed) {
       if (ageS >= minAgeS) this.adopt(id, { type, zone, spot }, this.dependencies.wall() - ageS * 1_000);
     }
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -2,7 +2,11 @@
  * Machine kinds that are not requested for a while because the cloud refused them. Scale-out records
  * refusals, scale-out and scale-in clear them; the scaling plan leaves refused kinds out.
  */
-import { CLOUD_RETRY_DELAY_MS, MAX_NO_CAPACITY_PAUSE_MS, NO_CAPACITY_PAUSE_MS } from '../constants/fleet.js';
+import {
+  CLOUD_RETRY_DELAY_MS,
+  MAX_NO_CAPACITY_BACKOFF_MS,
+  NO_CAPACITY_BACKOFF_MS,
+} from '../constants/fleet.js';
 
 /** A period in which a machine kind is not requested. */
 interface Pause {
@@ -22,15 +26,15 @@
   recordRefusal(kind: string): void {
     const previous = this.pauses.get(kind);
     const durationMs = Math.min(
-      MAX_NO_CAPACITY_PAUSE_MS,
-      previous ? previous.durationMs * 2 : NO_CAPACITY_PAUSE_MS,
+      MAX_NO_CAPACITY_BACKOFF_MS,
+      previous ? previous.durationMs * 2 : NO_CAPACITY_BACKOFF_MS,
     );
     this.pauses.set(kind, { at: this.now() + durationMs, durationMs });
   }
 
   /** Records that a request failed, which indicates nothing about capacity: the pause is short. */
   recordFailure(kind: string): void {
-    this.pauses.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, durationMs: NO_CAPACITY_PAUSE_MS / 2 });
+    this.pauses.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, durationMs: NO_CAPACITY_BACKOFF_MS / 2 });
   }
 
   /** Ends the pause, because the cloud had capacity or machines of the kind were released. */
--- a/src/jobs/new-job-records.ts
+++ b/src/jobs/new-job-records.ts
@@ -1,5 +1,5 @@
 /** Builds the records of a new job for the key-value store. Owns no state; called for each submission. */
-import { FOLLOWED_IDS_OVERHEAD_BYTES, VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
+import { DEPENDENCY_LIST_OVERHEAD_BYTES, VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { dependencyListKey, jobKey } from '../kv-store/keys.js';
 import type { Write } from '../kv-store/model.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
@@ -31,7 +31,7 @@
   const usableBytes = valueBytes * VALUE_FILL_FRACTION;
   const fullRecord = writeJobRecord({ ...job, dependsOn });
   if (jsonBytes(fullRecord) <= usableBytes) return [put(jobKey(spec.id), fullRecord)];
-  const lists = splitIds(dependsOn, usableBytes - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
+  const lists = splitIds(dependsOn, usableBytes - DEPENDENCY_LIST_OVERHEAD_BYTES).map((ids, part) =>
     put(dependencyListKey(spec.id, part), packIds(ids)),
   );
   const record = writeJobRecord({ ...job, parts: lists.length });
--- a/src/peers/rate-division.ts
+++ b/src/peers/rate-division.ts
@@ -3,7 +3,7 @@
  * the rates of the store's client. The composition root runs it.
  */
 import * as Effect from 'effect/Effect';
-import { EVEN_RATE_FRACTION } from '../constants/key-value-store.js';
+import { EVENLY_DIVIDED_RATE_FRACTION } from '../constants/key-value-store.js';
 import { HEARTBEAT_INTERVAL_MS } from '../constants/peers.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { StoreDemand } from './heartbeat.js';
@@ -17,7 +17,10 @@
   const controllers = peerDemands.length + 1;
   const totalDemand = peerDemands.reduce((sum, demand) => sum + demand, ownDemand);
   const demandFraction = totalDemand > 0 ? ownDemand / totalDemand : 1 / controllers;
-  return totalRate * (EVEN_RATE_FRACTION / controllers + (1 - EVEN_RATE_FRACTION) * demandFraction);
+  return (
+    totalRate *
+    (EVENLY_DIVIDED_RATE_FRACTION / controllers + (1 - EVENLY_DIVIDED_RATE_FRACTION) * demandFraction)
+  );
 };
 
 /**
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -5,7 +5,7 @@
  */
 import { readClaim } from '../claims/codec.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
-import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
+import { MAX_HEARTBEAT_RESPONSE_DELAY_MS } from '../constants/workers.js';
 import { readMachineRecord } from '../fleet/machine-record-codec.js';
 import type { ServerResponse } from '../http/model.js';
 import { claimKey, machineKey } from '../kv-store/keys.js';
@@ -105,7 +105,7 @@
   private async answerOwnMachine(shardId: number, heartbeat: WorkerHeartbeat): Promise<ServerResponse> {
     const received = this.dependencies.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
     if (received?.awaitRound)
-      await this.dependencies.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
+      await this.dependencies.shard(shardId)?.nextRound(heartbeat.machine, MAX_HEARTBEAT_RESPONSE_DELAY_MS);
     // The shard is looked up again after the wait, since this controller may have lost the claim meanwhile.
     const answer = received ? (this.dependencies.shard(shardId)?.orders(heartbeat) ?? null) : null;
     if (!answer) return RETRY_LATER;
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
+import { MAX_FORGET_COMMAND_DELAY_MS } from '../constants/workers.js';
 import type { Binding, ShardMachine } from '../placement/shard-model.js';
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
@@ -232,7 +232,7 @@
     name: 'an exit that may be forgotten is forgotten after the delay for a batch',
     binding: null,
     heartbeat: heartbeatOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    now: MAX_FORGET_DELAY_MS + 1_000,
+    now: MAX_FORGET_COMMAND_DELAY_MS + 1_000,
     expect: ['forget 3'],
   },
   {
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -7,7 +7,11 @@
  * received the answer to the previous one or dropped it. So a task that is missing from a newer heartbeat is
  * not on the machine, and no `run` of it is in transit.
  */
-import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
+import {
+  FORGET_COMMAND_BATCH_SIZE,
+  MAX_FORGET_COMMAND_DELAY_MS,
+  STOP_GRACE_OVERRUN_MS,
+} from '../constants/workers.js';
 import { isOnMachine, type GoneEvidence, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
@@ -110,8 +114,8 @@
   now: number,
 ): boolean =>
   commands.length === 0 &&
-  forgets.length < FORGET_BATCH_EXITS &&
-  (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_DELAY_MS);
+  forgets.length < FORGET_COMMAND_BATCH_SIZE &&
+  (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_COMMAND_DELAY_MS);
 
 /**
  * Returns the commands in the answer to a heartbeat whose changes have been applied.
