--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -4,10 +4,10 @@
  */
 import {
   HANDBACK_STABILITY_MS,
-  HELD_SHARD_DELAY_MS,
-  LEADER_RANK_DELAY_MS,
+  TAKEOVER_DELAY_PER_HELD_SHARD_MS,
+  LEADER_TAKEOVER_RANK_DELAY_MS,
   PREFERRED_HOLDER_GRACE_MS,
-  SHARD_RANK_DELAY_MS,
+  SHARD_TAKEOVER_RANK_DELAY_MS,
 } from '../constants/leases.js';
 
 /** The claim on the leadership; every other claim has the id of its shard as its name. */
@@ -85,10 +85,12 @@
 const takeoverDelayMs = (situation: ClaimSituation, claimName: string): number => {
   const { self, controllers } = situation;
   const rank = Math.max(0, controllers.indexOf(self.node));
-  if (claimName === LEADER_CLAIM) return rank * LEADER_RANK_DELAY_MS;
+  if (claimName === LEADER_CLAIM) return rank * LEADER_TAKEOVER_RANK_DELAY_MS;
   const preferred = preferredHolder(situation, claimName);
   if (preferred === self.node) return 0;
-  const delay = shardsHeldBy(situation, self.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
+  const delay =
+    shardsHeldBy(situation, self.node) * TAKEOVER_DELAY_PER_HELD_SHARD_MS +
+    rank * SHARD_TAKEOVER_RANK_DELAY_MS;
   // A preferred holder that fell silent is not waited for: the leases of its workers run out meanwhile.
   const silent = (peerNamed(situation, preferred)?.steadyMs ?? 0) < 0;
   return silent ? delay : PREFERRED_HOLDER_GRACE_MS + delay;
--- a/src/claims/claim-keeper.ts
+++ b/src/claims/claim-keeper.ts
@@ -4,7 +4,7 @@
  * by `lease-manager.ts`.
  */
 import * as Effect from 'effect/Effect';
-import { SHARD_CHECK_INTERVAL_MS, UNREACHABLE_HANDBACK_PAUSE_MS } from '../constants/leases.js';
+import { CLAIM_CHECK_INTERVAL_MS, UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS } from '../constants/leases.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
@@ -82,7 +82,8 @@
   private situation(now: number): ClaimSituation {
     const claims = this.observeClaims(now);
     const unreachableShards = this.dependencies.unreachableShards();
-    if (unreachableShards.size > 0) this.workersUnreachableUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
+    if (unreachableShards.size > 0)
+      this.workersUnreachableUntil = now + UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS;
     return {
       self: this.dependencies.self,
       controllers: this.dependencies.controllers,
@@ -129,7 +130,7 @@
   /** Checks the claims for ever. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(SHARD_CHECK_INTERVAL_MS);
+      yield* Effect.sleep(CLAIM_CHECK_INTERVAL_MS);
       yield* this.check;
     }
   });
--- a/src/constants/supervision.ts
+++ b/src/constants/supervision.ts
@@ -1,4 +1,4 @@
-/** Restart of parts of the service that fail by a defect. */
+/** Restarts of subsystems that failed because of a defect. */
 
-/** Pause before the restart, so that a part that fails at once does not use up the processor. */
+/** Delay before a restart, so that a subsystem that fails immediately does not use up the processor. */
 export const SUPERVISED_RESTART_DELAY_MS = 500;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -5,9 +5,9 @@
 import * as http from 'node:http';
 import {
   CONNECTION_IDLE_TIMEOUT_MS,
-  CROWDED_SOCKET_FRACTION,
+  WORKER_KEEP_ALIVE_SOCKET_FRACTION,
   IDLE_CHECKS_PER_TIMEOUT,
-  JSON_EXPANSION_FACTOR,
+  MAX_JSON_EXPANSION_FACTOR,
   LISTEN_BACKLOG_CONNECTIONS,
   MAX_BODY_BYTES,
   REQUEST_HEAD_TIMEOUT_MS,
@@ -31,7 +31,7 @@
 /** The protocol measures sizes in the JSON form; MessagePack is never longer than that for our data. */
 const isTooLargeAsJson = (value: unknown, size: number, maxBytes: number): boolean =>
   maxBytes === MAX_BODY_BYTES &&
-  size > maxBytes / JSON_EXPANSION_FACTOR &&
+  size > maxBytes / MAX_JSON_EXPANSION_FACTOR &&
   JSON.stringify(value).length > maxBytes;
 
 const readBody = (parts: readonly Buffer[], size: number, maxBytes: number): RequestBody => {
@@ -120,7 +120,7 @@
   onFailure: (error: unknown) => void,
 ): Promise<http.Server> => {
   const connections = new Connections();
-  const crowdedCount = limits.connections * CROWDED_SOCKET_FRACTION;
+  const crowdedCount = limits.connections * WORKER_KEEP_ALIVE_SOCKET_FRACTION;
   const server = http.createServer((request, response) => {
     connections.use(request.socket);
     const closeAfterwards = (): boolean =>
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -5,9 +5,9 @@
  */
 import {
   ESTIMATED_IMAGE_FETCH_S,
-  GUARANTEED_ON_DEMAND_PATIENCE_S,
+  GUARANTEED_ON_DEMAND_PLACEMENT_WAIT_S,
   MAX_TASKS_PER_PLACEMENT_REQUEST,
-  ON_DEMAND_PATIENCE_S,
+  ON_DEMAND_PLACEMENT_WAIT_S,
   RESERVED_IDLE_MACHINES,
 } from '../constants/placement.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
@@ -229,7 +229,7 @@
   const { spec } = job;
   const objectives = view.objectives.get(spec.jobClass);
   const waitedS = (wall - job.waitingSince) / 1000;
-  const onDemandPatienceS = withinGuarantee ? GUARANTEED_ON_DEMAND_PATIENCE_S : ON_DEMAND_PATIENCE_S;
+  const onDemandWaitS = withinGuarantee ? GUARANTEED_ON_DEMAND_PLACEMENT_WAIT_S : ON_DEMAND_PLACEMENT_WAIT_S;
   const bootS = shortestBootS(spec, catalog);
   const jobUrgency = urgency(spec, objectives, waitedS, bootS, ESTIMATED_IMAGE_FETCH_S);
   return {
@@ -241,7 +241,7 @@
     waitingSince: job.waitingSince,
     missedStartTargets: missedStartTargets(objectives, waitedS),
     urgency: jobUrgency,
-    mayUseOnDemand: jobUrgency.place || waitedS > onDemandPatienceS,
+    mayUseOnDemand: jobUrgency.place || waitedS > onDemandWaitS,
     withinGuarantee,
     hasAlternatives: hasAlternatives(spec, catalog),
     hasReservation: reservations.some((reservation) => reservation.job === spec.id),
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -3,7 +3,7 @@
  * that it has missed. Pure; the placement view calls it for each waiting job.
  */
 import {
-  ON_DEMAND_PROVISIONING_PATIENCE_S,
+  ON_DEMAND_PROVISIONING_WAIT_S,
   STARVATION_FACTOR,
   URGENT_PLACEMENT_SLACK_S,
   URGENT_PROVISIONING_SLACK_S,
@@ -40,7 +40,7 @@
  * Decides about on-demand machines for work that may use spot machines. An on-demand machine costs a multiple
  * and is worth it only if that meets a target: neither while there is slack to wait for a spot machine, nor
  * once the target is missed anyway. A job without targets is urgent once it has waited for
- * `ON_DEMAND_PROVISIONING_PATIENCE_S`. `waitedS`: s that the job has waited; `bootS`: s to boot a machine;
+ * `ON_DEMAND_PROVISIONING_WAIT_S`. `waitedS`: s that the job has waited; `bootS`: s to boot a machine;
  * `fetchS`: s to fetch an image.
  */
 export const urgency = (
@@ -50,7 +50,7 @@
   bootS: number,
   fetchS: number,
 ): Urgency => {
-  const waitedLong = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
+  const waitedLong = waitedS > ON_DEMAND_PROVISIONING_WAIT_S;
   /** For each target: s left before the work must begin to meet it. */
   const slacks = [
     ...finishTargets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
--- a/src/repository-checks/log-events.test.ts
+++ b/src/repository-checks/log-events.test.ts
@@ -8,16 +8,16 @@
 const PAGE = 'docs/log-events.md';
 const EVENT_NAME = /^[a-z][a-z0-9]*(?:_[a-z0-9]+)*\.[a-z][a-z0-9]*(?:_[a-z0-9]+)*$/;
 
-interface Call extends LoggedEvent {
+interface LogCall extends LoggedEvent {
   readonly path: string;
 }
 
 const calls = sourceFiles()
   .filter((path) => !isTestCode(path))
-  .flatMap((path) => loggedEvents(path, readText(path)).map((event): Call => ({ ...event, path })));
+  .flatMap((path) => loggedEvents(path, readText(path)).map((event): LogCall => ({ ...event, path })));
 
 /** What the page must say of an event. */
-interface Entry {
+interface EventEntry {
   readonly levels: readonly string[];
   readonly modules: readonly string[];
   readonly fields: readonly string[];
@@ -25,10 +25,10 @@
 
 const distinct = (texts: readonly string[]): readonly string[] => [...new Set(texts)].sort();
 
-const entriesOf = (list: readonly Call[]): Record<string, Entry> => {
+const entriesOf = (list: readonly LogCall[]): Record<string, EventEntry> => {
   const names = distinct(list.flatMap(({ name }) => name ?? []));
   return Object.fromEntries(
-    names.map((name): [string, Entry] => {
+    names.map((name): [string, EventEntry] => {
       const same = list.filter((call) => call.name === name);
       return [
         name,
@@ -46,12 +46,15 @@
  * The page's entries. Of fields only those that the code writes out: others come from objects that it
  * spreads.
  */
-const entriesOnPage = (table: Table, expected: Readonly<Record<string, Entry>>): Record<string, Entry> => {
+const entriesOnPage = (
+  table: Table,
+  expected: Readonly<Record<string, EventEntry>>,
+): Record<string, EventEntry> => {
   const column = (heading: string): readonly (readonly string[])[] => columnOf(table, heading).map(codeSpans);
   const [fields, modules] = [column('fields'), column('written by (module)')];
   const levels = columnOf(table, 'level').map((cell) => cell.split(', '));
   return Object.fromEntries(
-    column('event').map(([name = ''], row): [string, Entry] => {
+    column('event').map(([name = ''], row): [string, EventEntry] => {
       const writtenOut = new Set(expected[name]?.fields);
       return [
         name,
@@ -66,7 +69,7 @@
 };
 
 /** Fields on the page that the code does not write, of events that spread no object. */
-const inventedFields = (table: Table, list: readonly Call[]): readonly string[] => {
+const fieldsNotLogged = (table: Table, list: readonly LogCall[]): readonly string[] => {
   const fields = columnOf(table, 'fields').map(codeSpans);
   return columnOf(table, 'event').flatMap((cell, row) => {
     const [name = ''] = codeSpans(cell);
@@ -95,7 +98,7 @@
   const table = eventTable(readText(PAGE));
   const expected = entriesOf(calls);
   assert.deepEqual(entriesOnPage(table, expected), expected);
-  assert.deepEqual(inventedFields(table, calls), []);
+  assert.deepEqual(fieldsNotLogged(table, calls), []);
 });
 
 test('log events: an event of the page stands in one row, rows are in order', () => {
--- a/src/repository-checks/log-events.ts
+++ b/src/repository-checks/log-events.ts
@@ -26,10 +26,10 @@
     : null;
 
 /** The texts that an expression may have; null among them where that can't be read. */
-const textsOf = (expression: ts.Expression): readonly (string | null)[] => {
+const possibleTexts = (expression: ts.Expression): readonly (string | null)[] => {
   if (ts.isStringLiteral(expression)) return [expression.text];
   if (ts.isConditionalExpression(expression))
-    return [...textsOf(expression.whenTrue), ...textsOf(expression.whenFalse)];
+    return [...possibleTexts(expression.whenTrue), ...possibleTexts(expression.whenFalse)];
   return [null];
 };
 
@@ -38,7 +38,7 @@
 
 const eventNames = (properties: readonly ts.ObjectLiteralElementLike[]): readonly (string | null)[] => {
   const event = properties.find((property) => nameOf(property) === EVENT_PROPERTY);
-  return event !== undefined && ts.isPropertyAssignment(event) ? textsOf(event.initializer) : [null];
+  return event !== undefined && ts.isPropertyAssignment(event) ? possibleTexts(event.initializer) : [null];
 };
 
 /** All events that a module logs. */
--- a/src/repository-checks/paths.ts
+++ b/src/repository-checks/paths.ts
@@ -26,7 +26,7 @@
 const globSource = (path: string): string => path.replaceAll('.', '\\.').replaceAll('*', '[^/]*');
 
 /** Is the path there, seen from the file that names it? A bare file name may be anywhere. */
-export const leadsToFile = (path: string, from: string, files: readonly string[]): boolean => {
+export const resolvesToFile = (path: string, from: string, files: readonly string[]): boolean => {
   const wanted = sourceOf(path).replace(/\/$/, '');
   if (!path.includes('/')) {
     const anywhere = new RegExp(`(?:^|/)${globSource(wanted)}$`);
--- a/src/repository-checks/wire-words.ts
+++ b/src/repository-checks/wire-words.ts
@@ -22,11 +22,11 @@
   readonly paths: readonly string[];
 }
 
-const BETWEEN_PARTS = /[^A-Za-z0-9]+|(?<=[a-z0-9])(?=[A-Z])/;
+const PART_BOUNDARY = /[^A-Za-z0-9]+|(?<=[a-z0-9])(?=[A-Z])/;
 
 const partsOf = (name: string): string =>
   name
-    .split(BETWEEN_PARTS)
+    .split(PART_BOUNDARY)
     .filter((part) => part !== '')
     .join(' ')
     .toLowerCase();
@@ -45,7 +45,10 @@
 const isModuleName = (node: ts.Node): boolean =>
   ts.isImportDeclaration(node.parent) || ts.isExportDeclaration(node.parent);
 
-const wordsIn = (node: ts.Node, { distinct, ordinary, terms, paths }: WireVocabulary): readonly string[] => {
+const matchWords = (
+  node: ts.Node,
+  { distinct, ordinary, terms, paths }: WireVocabulary,
+): readonly string[] => {
   if (ts.isIdentifier(node) || ts.isPrivateIdentifier(node)) {
     const whole = ts.isIdentifier(node) && isPropertyName(node) ? ordinary : [];
     return [
@@ -71,6 +74,6 @@
 ): readonly WireWord[] => {
   const module = parseModule(path, text);
   return [...nodesBelow(module)].flatMap((node) =>
-    wordsIn(node, vocabulary).map((word) => ({ word, line: lineOf(module, node.getStart(module)) })),
+    matchWords(node, vocabulary).map((word) => ({ word, line: lineOf(module, node.getStart(module)) })),
   );
 };
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -5,7 +5,7 @@
  */
 import { readClaim } from '../claims/codec.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
-import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
+import { MAX_HEARTBEAT_RESPONSE_DELAY_MS } from '../constants/workers.js';
 import { readMachineRecord } from '../fleet/machine-record-codec.js';
 import type { ServerResponse } from '../http/model.js';
 import { claimKey, machineKey } from '../kv-store/keys.js';
@@ -100,7 +100,7 @@
   private async answerOwnMachine(shardId: number, heartbeat: WorkerHeartbeat): Promise<ServerResponse> {
     const received = this.input.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
     if (received?.awaitRound)
-      await this.input.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
+      await this.input.shard(shardId)?.nextRound(heartbeat.machine, MAX_HEARTBEAT_RESPONSE_DELAY_MS);
     // Asked again after the wait: the claim may have gone meanwhile.
     const orders = received ? (this.input.shard(shardId)?.orders(heartbeat) ?? null) : null;
     if (!orders) return NOT_NOW;
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,7 +1,7 @@
 /** Tests of what reports mean for bound tasks, of the answers to them, and of reading them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
+import { MAX_FORGET_COMMAND_DELAY_MS } from '../constants/workers.js';
 import type { Binding, ShardMachine } from '../placement/shard-model.js';
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
@@ -227,7 +227,7 @@
     name: 'a settled exit is forgotten, after a while in which others may join it',
     binding: null,
     heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    now: MAX_FORGET_DELAY_MS + 1_000,
+    now: MAX_FORGET_COMMAND_DELAY_MS + 1_000,
     expect: ['forget 3'],
   },
   {
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -6,7 +6,11 @@
  * answer to the one before, or dropped it: so a task missing from a newer report is not there, and no `run`
  * of it is under way.
  */
-import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
+import {
+  FORGET_COMMAND_BATCH_SIZE,
+  MAX_FORGET_COMMAND_DELAY_MS,
+  STOP_GRACE_OVERRUN_MS,
+} from '../constants/workers.js';
 import { onMachine, type Gone, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
@@ -96,8 +100,8 @@
   now: number,
 ): boolean =>
   commands.length === 0 &&
-  forgets.length < FORGET_BATCH_EXITS &&
-  (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_DELAY_MS);
+  forgets.length < FORGET_COMMAND_BATCH_SIZE &&
+  (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_COMMAND_DELAY_MS);
 
 /**
  * The commands in the answer to a report, after its changes are applied.
