--- a/src/settings/features.test.ts
+++ b/src/settings/features.test.ts
@@ -1,13 +1,13 @@
-/** Tests of the feature file: what is on, what is refused, and that the one deployed is read. */
+/** Tests of the feature file: enabled features, rejected files, and the file that is deployed. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { ALL_FEATURES, checkFeatures, NO_FEATURES } from './features.js';
 
 const rows: readonly { name: string; text: string; expect: object | RegExp }[] = [
-  { name: 'nothing named: everything off', text: '', expect: NO_FEATURES },
-  { name: 'on', text: 'fencing = true\n', expect: ALL_FEATURES },
-  { name: 'off', text: '# not here\nfencing = false', expect: NO_FEATURES },
+  { name: 'an empty file disables all features', text: '', expect: NO_FEATURES },
+  { name: 'an enabled feature', text: 'fencing = true\n', expect: ALL_FEATURES },
+  { name: 'a disabled feature', text: '# not here\nfencing = false', expect: NO_FEATURES },
   {
     name: 'an unknown name',
     text: 'fencng = true',
@@ -28,5 +28,5 @@
   });
 }
 
-test('features: the file that the installation comes with can be read', () =>
+test('features: the file of the installation is valid', () =>
   assert.equal(checkFeatures(readFileSync('deploy/features.toml', 'utf8'))._tag, 'ok'));
--- a/src/settings/features.ts
+++ b/src/settings/features.ts
@@ -1,23 +1,24 @@
 /**
- * The feature file, `deploy/features.toml`: which optional subsystems run. Owns no state; read once at start.
+ * Reads the feature file, `deploy/features.toml`, which says which optional subsystems run. Owns no state;
+ * the program reads the file once at start.
  */
 import { parse } from 'smol-toml';
 
 /**
- * Subsystems that an operator switches on or off in `deploy/features.toml`; each is off unless it is named
- * there.
+ * Optional subsystems. An operator enables each in `deploy/features.toml`; a subsystem that the file does not
+ * name is disabled.
  */
 export interface Features {
-  /** Fenced single duties (`docs/fencing.md`). */
+  /** Whether fencing of single-holder duties is enabled (`docs/fencing.md`). */
   readonly fencing: boolean;
 }
 
-/** Everything off. */
+/** All optional subsystems disabled. */
 export const NO_FEATURES: Features = { fencing: false };
-/** Everything on. */
+/** All optional subsystems enabled. */
 export const ALL_FEATURES: Features = { fencing: true };
 
-/** The outcome of reading a feature file. */
+/** Result of checking a feature file. */
 export type CheckedFeatures =
   { readonly _tag: 'ok'; readonly features: Features } | { readonly _tag: 'bad'; readonly message: string };
 
@@ -25,7 +26,7 @@
 
 const failWith = (reason: string): CheckedFeatures => ({ _tag: 'bad', message: `features: ${reason}` });
 
-/** Reads a feature file: one `name = true` or `name = false` a line. */
+/** Parses and checks a feature file, which has one `name = true` or `name = false` per line. */
 export const checkFeatures = (text: string): CheckedFeatures => {
   let raw: Record<string, unknown>;
   try {
--- a/src/settings/limits-codec.test.ts
+++ b/src/settings/limits-codec.test.ts
@@ -1,4 +1,4 @@
-/** Which limits of the key-value store hold when others are announced. */
+/** Tests of the effective limits of the key-value store when a change of the limits is announced. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,17 +11,17 @@
   ops: number;
   rate: number;
 }[] = [
-  { name: 'none to come', next: undefined, kb: 16, ops: 48, rate: 60 },
+  { name: 'no change announced', next: undefined, kb: 16, ops: 48, rate: 60 },
   {
-    name: 'smaller ones to come',
+    name: 'smaller limits announced',
     next: { value_kb: 2, txn_ops: 10, write_rps: 42 },
     kb: 2,
     ops: 10,
     rate: 42,
   },
-  { name: 'only one of them named', next: { value_kb: 2 }, kb: 2, ops: 48, rate: 60 },
+  { name: 'only one limit announced', next: { value_kb: 2 }, kb: 2, ops: 48, rate: 60 },
   {
-    name: 'larger ones to come do not hold yet',
+    name: 'announced larger limits do not apply yet',
     next: { value_kb: 64, txn_ops: 99 },
     kb: 16,
     ops: 48,
--- a/src/settings/limits-codec.ts
+++ b/src/settings/limits-codec.ts
@@ -1,19 +1,19 @@
 /**
- * The key-value store's limits, read from the settings in the service's own terms. Owns no state; called once
- * at start.
+ * Converts the limits of the key-value store from the names of the settings file to the names used in the
+ * code. Owns no state; called once at start.
  */
 import type { Settings } from './schema.js';
 
-/** What all controllers together may ask of the key-value store. */
+/** Limits of the key-value store, which all controllers together must not exceed. */
 export interface StoreLimits {
   readonly requestsPerSecond: number;
   readonly changesPerSecond: number;
-  /** KB: the size of a value. */
+  /** Maximum size of a value, in KB. */
   readonly valueKb: number;
   readonly maxTransactionWrites: number;
 }
 
-/** The limits that hold now and after the announced change: the smaller of the two. */
+/** For each limit, the smaller of the current value and the announced one. */
 export const effectiveLimits = (state: Settings['facts']['state']): StoreLimits => {
   const next = state.next ?? {};
   return {
--- a/src/settings/networks.ts
+++ b/src/settings/networks.ts
@@ -1,26 +1,30 @@
 /**
- * The network file: from which addresses the administration API may be used. Owns no state; read once at
- * start.
+ * Reads the network file, `deploy/networks.toml`, which lists the networks that may use the administration
+ * API. Owns no state; the program reads the file once at start.
  */
 import ipaddr from 'ipaddr.js';
 import { parse } from 'smol-toml';
 
-/** A network in CIDR form, read. */
+/** A parsed network: its address and its prefix length. */
 type Network = [ipaddr.IPv4 | ipaddr.IPv6, number];
 
-/** Which callers may use the administration API. */
+/** Decides which callers may use the administration API. */
 export interface AdminAccess {
+  /** Returns whether a caller with this address may use the API; undefined: the address is not known. */
   readonly allows: (remoteAddress: string | undefined) => boolean;
 }
 
-/** No network is named: whoever reaches the address may read. */
+/** Access without a list of networks: every caller may use the administration API. */
 export const ALLOW_ANY_ADDRESS: AdminAccess = { allows: () => true };
 
-/** The outcome of reading a network file. */
+/** Result of checking a network file. */
 export type CheckedNetworks =
   { readonly _tag: 'ok'; readonly admin: AdminAccess } | { readonly _tag: 'bad'; readonly message: string };
 
-/** A caller's address; one that is IPv4 mapped into IPv6 counts as IPv4. */
+/**
+ * Parses a caller's address; null if the text is not an address. An IPv4-mapped IPv6 address is converted to
+ * IPv4.
+ */
 const readAddress = (text: string): ipaddr.IPv4 | ipaddr.IPv6 | null =>
   ipaddr.isValid(text) ? ipaddr.process(text) : null;
 
@@ -46,7 +50,9 @@
   return ipaddr.parseCIDR(value);
 };
 
-/** Host bits that are set make it unclear what was meant. */
+/**
+ * Returns whether host bits are set. Such a network is ambiguous: it may mean one host or the whole network.
+ */
 const hasHostBits = (value: string, [address, prefix]: Network): boolean => {
   const base =
     address.kind() === 'ipv4'
@@ -56,8 +62,8 @@
 };
 
 /**
- * Reads a network file: `admin` lists the networks, IPv4 and IPv6, from which the administration API may be
- * used.
+ * Parses and checks a network file. `admin` lists the IPv4 and IPv6 networks from which the administration
+ * API may be used; without it, every caller may.
  */
 export const checkNetworks = (text: string): CheckedNetworks => {
   let raw: Record<string, unknown>;
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The settings file that the platform hands over, under its own field names. Fields not named here are
- * ignored. Owns no state; read once at start.
+ * Schema of the settings file that the platform provides, with the platform's field names. Fields that the
+ * schema does not name are ignored. Owns no state; the program reads the file once at start.
  */
 import * as Schema from 'effect/Schema';
 import * as Result from 'effect/Result';
@@ -43,7 +43,7 @@
       write_rps: Positive,
       value_kb: Positive,
       txn_ops: Count,
-      // What will hold from some moment on, without notice.
+      // Announced limits, which take effect later without notice.
       next: Schema.optional(
         Schema.NullOr(
           Schema.Struct({
@@ -63,16 +63,19 @@
 
 /** The checked settings file. */
 export type Settings = typeof Settings.Type;
-/** A team of the settings. */
+/** A team as the settings describe it. */
 export type Team = typeof Team.Type;
 
 const decode = Schema.decodeUnknownResult(Settings);
 
-/** The outcome of checking a settings file. */
+/** Result of checking a settings file. */
 export type CheckedSettings =
   { readonly _tag: 'ok'; readonly settings: Settings } | { readonly _tag: 'bad'; readonly message: string };
 
-/** One line naming the first field that is missing or invalid. */
+/**
+ * Parses and checks a settings file. The message of a failure is one line that names the first missing or
+ * invalid field.
+ */
 export const checkSettings = (text: string): CheckedSettings => {
   let raw: unknown;
   try {
--- a/src/settings/teams.ts
+++ b/src/settings/teams.ts
@@ -1,13 +1,14 @@
 /**
- * The division of teams among shards. Owns no state; every controller computes the same division from its
+ * Divides the teams among the shards. Owns no state; every controller computes the same division from its
  * settings at start.
  */
 import { CPUS_PER_GPU_WEIGHT } from '../constants/placement.js';
 import type { Team } from './schema.js';
 
 /**
- * The shard of each team, by name; there are as many shards as controllers. The heaviest guarantee comes
- * first, each team goes to the shard with the least so far, ties by name and number.
+ * Returns the shard id of each team, by team name. There are as many shards as controllers. Teams are
+ * assigned in descending order of their guarantees' weight, each to the shard with the least load so far;
+ * ties are broken by team name and by shard id.
  */
 export const divideTeams = (teams: readonly Team[], shardCount: number): ReadonlyMap<string, number> => {
   const loads = Array.from({ length: shardCount }, () => 0);
