--- a/src/cli/arguments.ts
+++ b/src/cli/arguments.ts
@@ -1,4 +1,4 @@
-/** The arguments of the command line: what they ask for, and the usage text. Pure. */
+/** Parses the arguments of the command line; holds the usage text. Pure. */
 import { parseArgs, type ParseArgsConfig } from 'node:util';
 
 /** The text that explains the command line. */
@@ -28,26 +28,26 @@
 /** Paths of the files that a controller is configured with. */
 export interface ConfigurationFiles {
   readonly settings: string;
-  /** Undefined: that of the installation. */
+  /** Undefined: the feature file of the installation. */
   readonly features: string | undefined;
-  /** Undefined: that of the installation. */
+  /** Undefined: the network file of the installation. */
   readonly networks: string | undefined;
 }
 
-/** What the arguments ask for. */
+/** The command that the arguments describe. */
 export type Command =
   | { readonly _tag: 'help' }
   | { readonly _tag: 'runController'; readonly files: ConfigurationFiles }
   | {
       readonly _tag: 'printDuties';
-      /** HOST:PORT of a controller. */
+      /** API address of a controller, as HOST:PORT. */
       readonly node: string;
       /** Undefined: all duties. */
       readonly duty: string | undefined;
-      /** Print the answer as it is. */
+      /** Whether the controller's answer is printed unchanged, as JSON. */
       readonly json: boolean;
     }
-  /** The arguments are wrong; the message includes the usage. */
+  /** The arguments are invalid; the message includes the usage text. */
   | { readonly _tag: 'usageError'; readonly message: string };
 
 const parseOptions = (args: readonly string[]) =>
@@ -68,7 +68,7 @@
   return { _tag: 'runController', files: { settings, features, networks } };
 };
 
-/** Reads the arguments that follow the program's name. */
+/** Parses the arguments that follow the program's name. */
 export const parseArguments = (args: readonly string[]): Command => {
   let options: ParsedOptions;
   try {
--- a/src/cli/cli.test.ts
+++ b/src/cli/cli.test.ts
@@ -1,4 +1,4 @@
-/** The command line's texts and exit codes, as the bundle gives them. */
+/** Tests of the command line's output and exit codes; they run the bundled program. */
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -73,22 +73,22 @@
   err?: RegExp;
 }[] = [
   { name: 'help', args: () => ['--help'], code: 0, out: /examples: dalegate/ },
-  { name: 'nothing', args: () => [], code: 2, err: /^usage: dalegate --config FILE/ },
+  { name: 'no arguments', args: () => [], code: 2, err: /^usage: dalegate --config FILE/ },
   { name: 'an unknown option', args: () => ['--colour'], code: 2, err: /--colour[\s\S]*usage:/ },
   { name: 'an unknown command', args: () => ['dutys'], code: 2, err: /^usage:/ },
   {
-    name: 'a settings file that is not there',
+    name: 'a settings file that does not exist',
     args: () => ['--config', join(directory, 'none.json')],
     code: 2,
     err: /^settings: ENOENT/,
   },
   {
-    name: 'a settings file that lacks a field, named',
+    name: 'a settings file without a required field, which the message names',
     args: () => ['--config', join(directory, 'empty.json')],
     code: 2,
     err: /^settings: .*host_name/,
   },
-  { name: 'duties of no node', args: () => ['duties'], code: 2, err: /--node HOST:PORT is missing/ },
+  { name: 'duties without a node', args: () => ['duties'], code: 2, err: /--node HOST:PORT is missing/ },
   {
     name: 'duties as a table',
     args: () => ['duties', '--node', node],
@@ -96,7 +96,7 @@
     out: /rent +L +n0 +40[\s\S]*n2 +7[\s\S]*r-40-1: 2 g8 in a[\s\S]*i-000009 of share 1: idle, under token 12/,
   },
   {
-    name: 'duties for programs',
+    name: 'duties as JSON',
     args: () => ['duties', '--node', node, '--json'],
     code: 0,
     out: /^\{"node":"n0"/,
@@ -124,7 +124,7 @@
   });
 }
 
-test('command line: a bad network stops the start, with line, value and reason', async () => {
+test('command line: an invalid network prevents the start; the message has line, value and reason', async () => {
   const settings = join(directory, 'settings.json');
   const networks = join(directory, 'networks.toml');
   writeFileSync(settings, JSON.stringify(SETTINGS));
@@ -134,7 +134,7 @@
   assert.equal(err, 'networks: line 2: "10.0.0.0/40" is not a network in CIDR form\n');
 });
 
-test('command line: an unknown feature stops the start, with its name and those that exist', async () => {
+test('command line: an unknown feature prevents the start; the message has its name and the known ones', async () => {
   const settings = join(directory, 'settings.json');
   writeFileSync(settings, JSON.stringify(SETTINGS));
   const { code, err } = await runProgram(['--config', settings, '--features', join(directory, 'bad.toml')]);
--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -1,19 +1,19 @@
-/** Reads and checks the files that a controller is configured with. Without state. */
+/** Reads and checks the configuration files of a controller. Owns no state. */
 import { existsSync, readFileSync } from 'node:fs';
 import { checkFeatures, NO_FEATURES, type Features } from '../settings/features.js';
 import { ALLOW_ANY_ADDRESS, checkNetworks, type AdminAccess } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
 import type { ConfigurationFiles } from './arguments.js';
 
-/** The files that the installation comes with: beside `target/`, in which the bundle lies two levels down. */
+/** Files of the installation. `deploy/` is beside `target/`, and the bundle is in `target/app/`. */
 const INSTALLED_FEATURES = new URL('../../deploy/features.toml', import.meta.url);
 const INSTALLED_NETWORKS = new URL('../../deploy/networks.toml', import.meta.url);
 
-/** Something that is read from a file; the message of a failure names the file's kind and the reason. */
+/** Result of loading a file. The message of a failure names the kind of file and the reason. */
 type LoadResult<T> =
   { readonly _tag: 'loaded'; readonly value: T } | { readonly _tag: 'failed'; readonly message: string };
 
-/** What a controller is configured with. */
+/** The checked configuration of a controller. */
 export interface Configuration {
   readonly settings: Settings;
   readonly features: Features;
@@ -28,7 +28,7 @@
   }
 };
 
-/** The text of the file that is named, or else of the installation's; null: there is neither. */
+/** Reads the named file, or else the installation's; null: no file is named and the installation has none. */
 const readOptionalText = (
   kind: string,
   named: string | undefined,
@@ -67,7 +67,7 @@
     : { _tag: 'failed', message: checked.message };
 };
 
-/** Loads all files; the first one that is bad is the failure. */
+/** Loads all configuration files; fails with the message of the first invalid one. */
 export const loadConfiguration = (files: ConfigurationFiles): LoadResult<Configuration> => {
   const settings = loadSettings(files.settings);
   if (settings._tag === 'failed') return settings;
--- a/src/cli/duties-command.ts
+++ b/src/cli/duties-command.ts
@@ -1,4 +1,4 @@
-/** `dalegate duties`: asks a controller for its duties and prints the answer. Called by the program. */
+/** `dalegate duties`: requests the duties from a controller and prints the answer. `cli/main.ts` calls it. */
 import * as http from 'node:http';
 import { ADMIN_REQUEST_TIMEOUT_MS, EXIT_FAILED, EXIT_OK } from '../constants/command-line.js';
 import { readDuties } from '../duties/admin-codec.js';
@@ -10,11 +10,11 @@
   readonly text: string;
 }
 
-/** What came of the request to a controller. */
+/** Result of a request to a controller. */
 type AdminResult =
   ({ readonly _tag: 'answered' } & TextResponse) | { readonly _tag: 'noAnswer'; readonly reason: string };
 
-/** Rejects if there is no answer, or if the address can't be one. */
+/** Sends a GET request; rejects if no answer arrives or if `node` is not a valid address. */
 const fetchText = (node: string, path: string): Promise<TextResponse> =>
   new Promise((resolve, reject) => {
     const { host, port } = parseTarget(node);
@@ -26,7 +26,7 @@
         resolve({ status: response.statusCode ?? 0, text: Buffer.concat(parts).toString('utf8') });
       });
     });
-    request.on('timeout', () => request.destroy(new Error('no answer in time')));
+    request.on('timeout', () => request.destroy(new Error('the request timed out')));
     request.on('error', reject);
   });
 
@@ -38,7 +38,7 @@
   }
 };
 
-/** Prints the duties as one controller sees them; resolves to the exit code. */
+/** Prints one duty (undefined: all duties) as a controller reports it; resolves to the exit code. */
 export const printDuties = async (node: string, duty: string | undefined, json: boolean): Promise<number> => {
   const path = `/admin/v1/duties${duty === undefined ? '' : `/${encodeURIComponent(duty)}`}`;
   const answer = await requestFromController(node, path);
--- a/src/cli/duties-text.ts
+++ b/src/cli/duties-text.ts
@@ -1,4 +1,6 @@
-/** The text of `dalegate duties`: duties, earlier holders, refused effects and open intents. Pure. */
+/**
+ * Formats the output of `dalegate duties`: duties, earlier holders, refused effects and open intents. Pure.
+ */
 import type {
   WireDuties,
   WireDutiesOverview,
@@ -7,7 +9,7 @@
   WireReleaseIntent,
 } from '../duties/admin-codec.js';
 
-/** The cells of a row; the first row of a table is its head. */
+/** The cells of a table row. The first row of a table is its header. */
 type Row = readonly string[];
 
 const formatTable = (rows: readonly Row[]): string => {
@@ -24,7 +26,7 @@
     .join('\n');
 };
 
-/** A table, or a sentence in its place where it has only a head. */
+/** Formats a table; returns `empty` if the table has only a header. */
 const formatTableOrText = (rows: readonly Row[], empty: string): string =>
   rows.length > 1 ? formatTable(rows) : empty;
 
@@ -103,7 +105,7 @@
   ];
 };
 
-/** The answer about one duty or all as text; that about one has no intents. */
+/** Formats the answer about one duty or about all duties. Only the answer about all duties has intents. */
 export const formatDuties = (answer: WireDuties & Partial<WireDutiesOverview>): string => {
   const parts = [
     formatTable(dutyRows(answer.duties)),
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,9 +1,9 @@
-/** The program: reads the arguments, and runs a controller or prints its duties. Called by `src/main.ts`. */
+/** The program: parses the arguments, then runs a controller or prints the duties. `src/main.ts` calls it. */
 import { EXIT_USAGE } from '../constants/command-line.js';
 import { parseArguments, USAGE, type ConfigurationFiles } from './arguments.js';
 import { loadConfiguration } from './configuration.js';
 
-/** Ends the process with a message on standard error. */
+/** Writes a message to standard error and exits with `EXIT_USAGE`. */
 const exitWithUsageError = (message: string): never => {
   process.stderr.write(message.endsWith('\n') ? message : `${message}\n`);
   process.exit(EXIT_USAGE);
@@ -17,7 +17,7 @@
   await start(settings, features, admin);
 };
 
-/** Runs the program. What a command needs beyond the settings is loaded only when it is asked for. */
+/** Runs the program. Modules that only one command needs are imported when that command runs. */
 export const main = async (args: readonly string[]): Promise<void> => {
   const command = parseArguments(args);
   switch (command._tag) {
