--- a/src/repository-checks/docs.test.ts
+++ b/src/repository-checks/docs.test.ts
@@ -1,4 +1,4 @@
-/** Pages and comments name files and symbols that exist. */
+/** Checks that files and symbols named in pages and comments exist. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { codeSpans, columnOf, tablesOf } from './markdown.js';
@@ -9,33 +9,33 @@
 const GLOSSARY = 'docs/glossary.md';
 const ARCHITECTURE = 'docs/architecture.md';
 const LOG_EVENTS = 'docs/log-events.md';
-/** The column of the glossary whose names are checked; earlier names beside it are not. */
+/** The glossary column whose names are checked. The column with earlier names is not. */
 const NAME_COLUMN = 'name in the code';
 const CHECKED_PAGES =
   /^(?:README|CONTRIBUTING|docs\/(?:architecture|glossary|operations-[\w-]+|design|fencing|log-events))\.md$/;
 
 /**
- * Lost paths in comments that are yet to be put right. The list only shrinks: what is right has to go from
- * here.
+ * Known broken paths in comments. The list only shrinks: the test fails while it has a path that is no longer
+ * broken.
  */
 const KNOWN_BROKEN_PATHS: readonly string[] = [];
 
-/** A name, also of a member (`Store.watch`) or a call (`mayAct()`). */
+/** Matches an identifier, a member (`Store.watch`) or a call (`mayAct()`). */
 const SYMBOL = /^[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)*(?:\(\))?$/;
 
-const files = repositoryFiles();
+const repositoryPaths = repositoryFiles();
 const modules = sourceFiles().map((path) => parseModule(path, readText(path)));
 
 const wordsOf = (span: string): readonly string[] => span.split(/[\s,;]+/);
 
-/** Paths in the code spans of a page that lead nowhere. */
+/** Returns the paths in the code spans of a page that match no file. */
 const findBrokenPaths = (page: string, text: string, known: readonly string[]): readonly string[] =>
   codeSpans(text)
     .flatMap(wordsOf)
     .filter((word) => looksLikePath(word) && !resolvesToFile(word, page, known));
 
-/** Code spans that read as a symbol and whose parts are not all declared. */
-const unknownSymbols = (cells: readonly string[], known: ReadonlySet<string>): readonly string[] =>
+/** Returns the code spans that look like a symbol and have a part that is not declared. */
+const findUndeclaredSymbols = (cells: readonly string[], known: ReadonlySet<string>): readonly string[] =>
   cells
     .flatMap(codeSpans)
     .filter((span) => SYMBOL.test(span) && !looksLikePath(span))
@@ -52,7 +52,7 @@
   readonly word: string;
 }
 
-/** Paths in comments that lead nowhere. */
+/** Returns the paths in the comments of a module that match no file. */
 const findBrokenPathsInComments = (
   path: string,
   text: string,
@@ -67,17 +67,17 @@
   });
 };
 
-/** Event names read as symbols with a dot, and stand in a page of their own. */
+/** Returns the log events of their page. Their names look like symbols with a member. */
 const eventNames = (): readonly string[] =>
   pathExists(LOG_EVENTS)
     ? tablesOf(readText(LOG_EVENTS)).flatMap((table) => columnOf(table, 'event').flatMap(codeSpans))
     : [];
 
-const declared = new Set(modules.flatMap((module) => [...declaredNames(module)]));
+const declaredSymbols = new Set(modules.flatMap((module) => [...declaredNames(module)]));
 
-for (const page of files.filter((path) => CHECKED_PAGES.test(path))) {
+for (const page of repositoryPaths.filter((path) => CHECKED_PAGES.test(path))) {
   test(`docs: paths in ${page} exist`, () => {
-    assert.deepEqual(findBrokenPaths(page, readText(page), files), []);
+    assert.deepEqual(findBrokenPaths(page, readText(page), repositoryPaths), []);
   });
 }
 
@@ -85,20 +85,20 @@
   const sources = sourceFiles().filter((path) => !path.startsWith('src/repository-checks/'));
   assert.deepEqual(
     sources.flatMap((path) =>
-      findBrokenPathsInComments(path, readText(path), files).map(({ word }) => `${path} ${word}`),
+      findBrokenPathsInComments(path, readText(path), repositoryPaths).map(({ word }) => `${path} ${word}`),
     ),
     KNOWN_BROKEN_PATHS,
   );
 });
 
-test('docs: names in the code that the glossary gives are declared', (context) => {
+test('docs: names in the code column of the glossary are declared', (context) => {
   if (!pathExists(GLOSSARY)) {
     context.skip(`${GLOSSARY} is not written yet`);
     return;
   }
   const cells = tablesOf(readText(GLOSSARY)).flatMap((table) => columnOf(table, NAME_COLUMN));
   assert.notEqual(cells.length, 0, `no table with a column "${NAME_COLUMN}"`);
-  assert.deepEqual(unknownSymbols(cells, declared), []);
+  assert.deepEqual(findUndeclaredSymbols(cells, declaredSymbols), []);
 });
 
 test('docs: symbols in the tables of the architecture page are declared', (context) => {
@@ -110,14 +110,14 @@
   assert.notEqual(cells.length, 0, 'no table');
   const events = new Set(eventNames());
   assert.deepEqual(
-    unknownSymbols(cells, declared).filter((symbol) => !events.has(symbol)),
+    findUndeclaredSymbols(cells, declaredSymbols).filter((symbol) => !events.has(symbol)),
     [],
   );
 });
 
 const KNOWN_FILES = ['docs/design.md', 'src/store/keys.ts', 'src/testing/scale.ts', 'src/store/keys.test.ts'];
 
-test('docs: a path that is gone is found on a page, one that exists is not', () => {
+test('docs: only paths that do not exist are reported on a page', () => {
   const page = [
     'See `src/store/keys.ts`, `store/keys.ts`, `keys.ts`, `src/store`, `docs/`, `docs/design.md` and `src/store/*.test.ts`,',
     'run `node target/testing/scale.js 20 1`, but `store/gone.ts`, `gone.ts`, `docs/gone.md` and `src/gone` are lost.',
@@ -132,7 +132,7 @@
   ]);
 });
 
-test('docs: a path that is gone is found in a comment, with and without backticks', () => {
+test('docs: paths that do not exist are reported in comments, with and without backticks', () => {
   const text = [
     '/** Keys (`store/keys.ts`), see docs/design.md; (`mesh/level.ts`). */',
     'const name = `${1}/not/a/comment.ts`; // and store/gone.ts',
@@ -145,7 +145,7 @@
   ]);
 });
 
-test('docs: a name that is not declared is found', () => {
+test('docs: names that are not declared are reported', () => {
   const page = [
     '| term | name in the code | name before |',
     '| ---- | ---------------- | ----------- |',
@@ -159,10 +159,10 @@
       'export const mayAct = (lease: Lease): boolean => Claim.gone(lease);',
   );
   const cells = tablesOf(page).flatMap((table) => columnOf(table, NAME_COLUMN));
-  assert.deepEqual(unknownSymbols(cells, declaredNames(module)), ['Claim', 'Lease.gone']);
+  assert.deepEqual(findUndeclaredSymbols(cells, declaredNames(module)), ['Claim', 'Lease.gone']);
 });
 
-test('docs: test code is told from the rest', () => {
+test('docs: test code is distinguished from production code', () => {
   assert.deepEqual(
     ['src/a.ts', 'src/a.test.ts', 'src/testing/a.ts', 'packages/fencing/src/testing/a.ts'].map(isTestCode),
     [false, true, true, true],
--- a/src/repository-checks/log-events.test.ts
+++ b/src/repository-checks/log-events.test.ts
@@ -1,4 +1,4 @@
-/** Log events have one form of name, and the page that lists them is complete. */
+/** Checks the form of log event names, and that the page of log events is complete. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { loggedEvents, type LoggedEvent } from './log-events.js';
@@ -12,30 +12,30 @@
   readonly path: string;
 }
 
-const calls = sourceFiles()
+const logCalls = sourceFiles()
   .filter((path) => !isTestCode(path))
   .flatMap((path) => loggedEvents(path, readText(path)).map((event): LogCall => ({ ...event, path })));
 
-/** What the page must say of an event. */
+/** The properties of an event that the page must list. */
 interface EventEntry {
   readonly levels: readonly string[];
   readonly modules: readonly string[];
   readonly fields: readonly string[];
 }
 
-const distinct = (texts: readonly string[]): readonly string[] => [...new Set(texts)].sort();
+const sortedUnique = (texts: readonly string[]): readonly string[] => [...new Set(texts)].sort();
 
-const entriesOf = (list: readonly LogCall[]): Record<string, EventEntry> => {
-  const names = distinct(list.flatMap(({ name }) => name ?? []));
+const loggedEntries = (list: readonly LogCall[]): Record<string, EventEntry> => {
+  const names = sortedUnique(list.flatMap(({ name }) => name ?? []));
   return Object.fromEntries(
     names.map((name): [string, EventEntry] => {
       const same = list.filter((call) => call.name === name);
       return [
         name,
         {
-          levels: distinct(same.map(({ level }) => level)),
-          modules: distinct(same.map(({ path }) => path)),
-          fields: distinct(same.flatMap(({ fields }) => fields)),
+          levels: sortedUnique(same.map(({ level }) => level)),
+          modules: sortedUnique(same.map(({ path }) => path)),
+          fields: sortedUnique(same.flatMap(({ fields }) => fields)),
         },
       ];
     }),
@@ -43,8 +43,8 @@
 };
 
 /**
- * The page's entries. Of fields only those that the code writes out: others come from objects that it
- * spreads.
+ * Returns the page's entries, with only those fields that the code lists explicitly. Other fields come from
+ * objects that the code spreads.
  */
 const entriesOnPage = (
   table: Table,
@@ -59,22 +59,22 @@
       return [
         name,
         {
-          levels: distinct(levels[row] ?? []),
-          modules: distinct(modules[row] ?? []),
-          fields: distinct((fields[row] ?? []).filter((field) => writtenOut.has(field))),
+          levels: sortedUnique(levels[row] ?? []),
+          modules: sortedUnique(modules[row] ?? []),
+          fields: sortedUnique((fields[row] ?? []).filter((field) => writtenOut.has(field))),
         },
       ];
     }),
   );
 };
 
-/** Fields on the page that the code does not write, of events that spread no object. */
+/** Returns the fields on the page that the code does not log, except for events that spread an object. */
 const fieldsNotLogged = (table: Table, list: readonly LogCall[]): readonly string[] => {
   const fields = columnOf(table, 'fields').map(codeSpans);
   return columnOf(table, 'event').flatMap((cell, row) => {
     const [name = ''] = codeSpans(cell);
     const same = list.filter((call) => call.name === name);
-    if (same.some(({ spreads }) => spreads)) return [];
+    if (same.some(({ hasSpread }) => hasSpread)) return [];
     const known = new Set(same.flatMap((call) => call.fields));
     return (fields[row] ?? []).filter((field) => !known.has(field)).map((field) => `${name}: ${field}`);
   });
@@ -86,27 +86,27 @@
   return table;
 };
 
-test('log events: each is written out, as subsystem.what_happened', () => {
-  const wrong = calls.filter(({ name }) => name === null || !EVENT_NAME.test(name));
+test('log events: each name is a literal of the form subsystem.what_happened', () => {
+  const wrong = logCalls.filter(({ name }) => name === null || !EVENT_NAME.test(name));
   assert.deepEqual(
-    wrong.map(({ path, line, name }) => `${path}:${line} ${name ?? 'not written out'}`),
+    wrong.map(({ path, line, name }) => `${path}:${line} ${name ?? 'the event name is not a literal'}`),
     [],
   );
 });
 
-test(`log events: ${PAGE} lists them all, with level, fields and modules, and no others`, () => {
+test(`log events: ${PAGE} lists exactly the logged events, with level, fields and modules`, () => {
   const table = eventTable(readText(PAGE));
-  const expected = entriesOf(calls);
+  const expected = loggedEntries(logCalls);
   assert.deepEqual(entriesOnPage(table, expected), expected);
-  assert.deepEqual(fieldsNotLogged(table, calls), []);
+  assert.deepEqual(fieldsNotLogged(table, logCalls), []);
 });
 
-test('log events: an event of the page stands in one row, rows are in order', () => {
+test('log events: each event has one row on the page, and rows are sorted', () => {
   const names = columnOf(eventTable(readText(PAGE)), 'event').flatMap(codeSpans);
-  assert.deepEqual(names, distinct(names));
+  assert.deepEqual(names, sortedUnique(names));
 });
 
-test('log events: calls are read with level, name, fields and spreads', () => {
+test('log events: level, name, fields and spreads of log calls are parsed', () => {
   const text = [
     "log.info({ event: 'share.taken', share: 1, claim });",
     "if (bad) log.error({ event: taken ? 'claim.take' : 'claim.hand', ...rest });",
@@ -114,14 +114,14 @@
     "other.info({ event: 'not.logged' });",
   ].join('\n');
   assert.deepEqual(loggedEvents('src/example.ts', text), [
-    { level: 'info', line: 1, name: 'share.taken', fields: ['share', 'claim'], spreads: false },
-    { level: 'error', line: 2, name: 'claim.take', fields: [], spreads: true },
-    { level: 'error', line: 2, name: 'claim.hand', fields: [], spreads: true },
-    { level: 'debug', line: 3, name: null, fields: [], spreads: false },
+    { level: 'info', line: 1, name: 'share.taken', fields: ['share', 'claim'], hasSpread: false },
+    { level: 'error', line: 2, name: 'claim.take', fields: [], hasSpread: true },
+    { level: 'error', line: 2, name: 'claim.hand', fields: [], hasSpread: true },
+    { level: 'debug', line: 3, name: null, fields: [], hasSpread: false },
   ]);
 });
 
-test('log events: names of another form are refused', () => {
+test('log events: names of another form are rejected', () => {
   const names = [
     'claim.take',
     'rental_intent.settled',
--- a/src/repository-checks/log-events.ts
+++ b/src/repository-checks/log-events.ts
@@ -1,20 +1,20 @@
-/** The events that a module logs, read from its source. */
+/** Finds the events that a module logs by parsing its source. */
 import ts from 'typescript';
 import { lineOf, nodesBelow, parseModule } from './syntax.js';
 
 const LOG_LEVELS: ReadonlySet<string> = new Set(['debug', 'info', 'warn', 'error']);
 const EVENT_PROPERTY = 'event';
 
-/** One call of the log. */
+/** One call of the logger. */
 export interface LoggedEvent {
   readonly level: string;
   readonly line: number;
-  /** Null: the name is not written out. */
+  /** The event name; null: it is not a string literal. */
   readonly name: string | null;
-  /** Names of the fields that are written out, the event aside. */
+  /** Names of the fields that the call lists explicitly, except `event`. */
   readonly fields: readonly string[];
-  /** More fields come from an object that is spread. */
-  readonly spreads: boolean;
+  /** Whether the call also spreads an object, which adds further fields. */
+  readonly hasSpread: boolean;
 }
 
 const levelOf = (node: ts.CallExpression): string | null =>
@@ -25,7 +25,7 @@
     ? node.expression.name.text
     : null;
 
-/** The texts that an expression may have; null among them where that can't be read. */
+/** Returns the possible values of a string expression, with null for each branch that is not a literal. */
 const possibleTexts = (expression: ts.Expression): readonly (string | null)[] => {
   if (ts.isStringLiteral(expression)) return [expression.text];
   if (ts.isConditionalExpression(expression))
@@ -33,15 +33,15 @@
   return [null];
 };
 
-const nameOf = (property: ts.ObjectLiteralElementLike): string | null =>
+const propertyNameOf = (property: ts.ObjectLiteralElementLike): string | null =>
   property.name !== undefined && ts.isIdentifier(property.name) ? property.name.text : null;
 
 const eventNames = (properties: readonly ts.ObjectLiteralElementLike[]): readonly (string | null)[] => {
-  const event = properties.find((property) => nameOf(property) === EVENT_PROPERTY);
+  const event = properties.find((property) => propertyNameOf(property) === EVENT_PROPERTY);
   return event !== undefined && ts.isPropertyAssignment(event) ? possibleTexts(event.initializer) : [null];
 };
 
-/** All events that a module logs. */
+/** Returns all events that a module logs. */
 export const loggedEvents = (path: string, text: string): readonly LoggedEvent[] => {
   const module = parseModule(path, text);
   return [...nodesBelow(module)].flatMap((node): readonly LoggedEvent[] => {
@@ -50,13 +50,13 @@
     if (level === null) return [];
     const [entry] = node.arguments;
     const properties = entry !== undefined && ts.isObjectLiteralExpression(entry) ? entry.properties : [];
-    const fields = properties.map(nameOf).filter((name) => name !== null && name !== EVENT_PROPERTY);
+    const fields = properties.map(propertyNameOf).filter((name) => name !== null && name !== EVENT_PROPERTY);
     return eventNames([...properties]).map((name) => ({
       level,
       line: lineOf(module, node.getStart(module)),
       name,
       fields: fields as readonly string[],
-      spreads: properties.some((property) => ts.isSpreadAssignment(property)),
+      hasSpread: properties.some((property) => ts.isSpreadAssignment(property)),
     }));
   });
 };
--- a/src/repository-checks/markdown.ts
+++ b/src/repository-checks/markdown.ts
@@ -1,14 +1,14 @@
-/** Code spans and tables of the project's pages. */
+/** Extracts code spans and tables from the project's pages. */
 
 const FENCED_BLOCK = /^(`{3,})[\s\S]*?^\1/gm;
 const CODE_SPAN = /`([^`\n]+)`/g;
 const UNESCAPED_PIPE = /(?<!\\)\|/;
 
-/** The texts in backticks, fenced blocks left out. */
+/** Returns the texts in backticks, except in fenced blocks. */
 export const codeSpans = (text: string): readonly string[] =>
   [...text.replace(FENCED_BLOCK, '').matchAll(CODE_SPAN)].map(([, span = '']) => span);
 
-/** A table: the cells of its first row, and those of the rows below the rule. */
+/** A table: the cells of its header, and the cells of the rows below the separator line. */
 export interface Table {
   readonly header: readonly string[];
   readonly rows: readonly (readonly string[])[];
@@ -21,7 +21,7 @@
     .slice(1, -1)
     .map((cell) => cell.trim());
 
-/** All tables of a page. */
+/** Returns all tables of a page. */
 export const tablesOf = (text: string): readonly Table[] => {
   const tables: Table[] = [];
   let lines: string[] = [];
@@ -38,7 +38,7 @@
   return tables;
 };
 
-/** The cells of a table below a heading; empty where no column has it. */
+/** Returns the cells of the column with this heading; empty if the table has no such column. */
 export const columnOf = (table: Table, heading: string): readonly string[] => {
   const column = table.header.indexOf(heading);
   return column < 0 ? [] : table.rows.map((row) => row[column] ?? '');
--- a/src/repository-checks/repository.ts
+++ b/src/repository-checks/repository.ts
@@ -1,9 +1,9 @@
-/** The files of this repository, as the checks on it read them. */
+/** Lists and reads the files of this repository for the repository checks. */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 
-/** The checks run from `target/repository-checks`. */
+/** Root of the repository. The compiled checks are in `target/repository-checks`, two levels below it. */
 const ROOT = fileURLToPath(new URL('../../', import.meta.url));
 
 const SKIPPED_FOLDERS: ReadonlySet<string> = new Set(['.git', 'journal', 'node_modules', 'target']);
@@ -16,22 +16,22 @@
     return SKIPPED_FOLDERS.has(entry.name) ? [] : filesBelow(path);
   });
 
-/** Paths of all files below the root, without what is generated or installed. */
+/** Returns the paths of all files below the root, except generated and installed files and the journal. */
 export const repositoryFiles = (): readonly string[] => filesBelow('').toSorted();
 
-/** Paths of the TypeScript sources, tests included. */
+/** Returns the paths of the TypeScript sources, including tests. */
 export const sourceFiles = (): readonly string[] =>
   repositoryFiles().filter((path) => SOURCE_FILE.test(path));
 
-/** Does the path belong to a test, or to what only tests use? */
+/** Returns whether the path belongs to a test or to code that only tests use. */
 export const isTestCode = (path: string): boolean =>
   path.endsWith('.test.ts') ||
   path.includes('/testing/') ||
   path.startsWith('src/recorded-formats/') ||
   path.startsWith('src/repository-checks/');
 
-/** The text of a file. */
+/** Returns the text of a file. */
 export const readText = (path: string): string => readFileSync(join(ROOT, path), 'utf8');
 
-/** Is there a file or a folder under this path? */
+/** Returns whether a file or folder with this path exists. */
 export const pathExists = (path: string): boolean => existsSync(join(ROOT, path));
--- a/src/repository-checks/syntax.ts
+++ b/src/repository-checks/syntax.ts
@@ -1,11 +1,11 @@
-/** What the checks look for in TypeScript sources: declared names, comments, literals. */
+/** Parses TypeScript sources and finds declared names and comments in them. */
 import ts from 'typescript';
 
 /** Parses the text of a module. */
 export const parseModule = (path: string, text: string): ts.SourceFile =>
   ts.createSourceFile(path, text, ts.ScriptTarget.ESNext, true);
 
-/** The node and all nodes below it. */
+/** Yields the node and all its descendants. */
 export function* nodesBelow(node: ts.Node): Generator<ts.Node> {
   yield node;
   const children: ts.Node[] = [];
@@ -29,7 +29,7 @@
   ts.isTypeElement(node) ||
   ts.isObjectLiteralElement(node);
 
-/** Names that the module declares: of items, members, parameters and properties. */
+/** Returns the names that the module declares: of items, members, parameters and properties. */
 export const declaredNames = (module: ts.SourceFile): ReadonlySet<string> => {
   const names = new Set<string>();
   for (const node of nodesBelow(module)) {
@@ -39,7 +39,7 @@
   return names;
 };
 
-/** A comment with the place where it begins. */
+/** A comment, with the offset in the module's text at which the comment begins. */
 export interface Comment {
   readonly start: number;
   readonly text: string;
@@ -51,7 +51,7 @@
   for (const child of children) if (!ts.isJSDoc(child)) yield* tokensBelow(child, module);
 }
 
-/** All comments of a module, in their order. */
+/** Returns all comments of a module in the order of the text. */
 export const commentsOf = (module: ts.SourceFile): readonly Comment[] => {
   const { text } = module;
   const found = new Map<number, Comment>();
@@ -66,6 +66,6 @@
   return [...found.values()].sort((a, b) => a.start - b.start);
 };
 
-/** The line of a place in a module, from 1. */
+/** Returns the line number of an offset in a module's text, counted from 1. */
 export const lineOf = (module: ts.SourceFile, start: number): number =>
   module.getLineAndCharacterOfPosition(start).line + 1;
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -1,16 +1,16 @@
-/** The protocol's own words stand in codecs and clients; everywhere else the field's names are used. */
+/** Checks that only codecs use the wire protocols' own words; all other code uses standard terms. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isTestCode, readText, sourceFiles } from './repository.js';
 import { findWireWords, type WireVocabulary } from './wire-words.js';
 
 /**
- * The words of the protocol with users, workers, the cloud, the state service and other controllers, as far
- * as they aren't the field's own (`vcpus`, `zone`). The name of a lease on the wire, `permit`, is left out:
- * `Permit` is also what a duty gives for an effect.
+ * The words of the protocols with users, workers, the cloud, the key-value store and other controllers,
+ * except standard terms (`vcpus`, `zone`). `permit`, the name of a lease on the wire, is not listed, because
+ * a duty also issues a `Permit` for an effect.
  */
 const VOCABULARY: WireVocabulary = {
-  distinct: [
+  unambiguous: [
     // users
     'herd',
     'brand',
@@ -42,7 +42,7 @@
     'local gb',
     'pull gb',
     'ready s',
-    // state service
+    // key-value store
     'epoch',
     'brand mark',
     // controllers
@@ -54,22 +54,22 @@
     'siblings',
     'mesh',
   ],
-  ordinary: ['area', 'head', 'heads', 'scatter', 'sweep', 'together'],
-  terms: ['agent epoch'],
+  ambiguous: ['area', 'head', 'heads', 'scatter', 'sweep', 'together'],
+  allowedTerms: ['agent epoch'],
   paths: ['/follow', '/hello', '/holds'],
 };
 
-/** Where the words of the wire belong. */
+/** Returns whether a module may use the words of the wire protocols. */
 const isWireModule = (path: string): boolean =>
   path.endsWith('codec.ts') || path === 'src/settings/schema.ts';
 
 /**
- * Modules that are yet to be cleaned, with the words that they still use. The list only shrinks: a word that
- * is gone from its module has to go from here.
+ * Modules that still use wire words, with those words. The list only shrinks: the test fails while it has a
+ * word that its module no longer uses.
  */
 const KNOWN_VIOLATIONS: Readonly<Record<string, readonly string[]>> = {};
 
-test('wire words: they stand in codecs and clients only, or are listed as yet to be cleaned', () => {
+test('wire words: only codecs use them, except for known violations', () => {
   const found: Record<string, readonly string[]> = {};
   for (const path of sourceFiles()) {
     if (isWireModule(path) || isTestCode(path)) continue;
@@ -82,7 +82,7 @@
 const wordsOf = (text: string): readonly string[] =>
   findWireWords('src/example.ts', text, VOCABULARY).map(({ word, line }) => `${line} ${word}`);
 
-test('wire words: they are found in names, properties and literals', () => {
+test('wire words: names, properties and literals that use them are reported', () => {
   const text = [
     "import { hire } from './mesh/hire.js';",
     'const brandMark = 1;',
@@ -109,7 +109,7 @@
   ]);
 });
 
-test("wire words: the field's own names and ordinary English are left alone", () => {
+test('wire words: standard terms and ordinary English are not reported', () => {
   const text = [
     '// A herd of cattle in a comment.',
     'const heartbeat = { holds: [], headers: {}, readySince: 1, settled: true };',
--- a/src/repository-checks/wire-words.ts
+++ b/src/repository-checks/wire-words.ts
@@ -1,38 +1,38 @@
-/** Finds words of the wire in TypeScript sources, however a name is written. */
+/** Finds words of the wire protocols in TypeScript sources, in names of any case style. */
 import ts from 'typescript';
 import { lineOf, nodesBelow, parseModule } from './syntax.js';
 
-/** A word of the wire and where it stands. */
+/** A use of a wire word and the line that it is on. */
 export interface WireWord {
   readonly word: string;
   readonly line: number;
 }
 
 /**
- * Which words are looked for, each in lower case with blanks between its parts: `brandMark` is `brand mark`.
+ * The words to find, each in lower case with spaces between its parts: `brandMark` is `brand mark`.
  */
 export interface WireVocabulary {
-  /** Words that have no other meaning in this project: found in any name and any literal. */
-  readonly distinct: readonly string[];
-  /** Words of ordinary English too: found as the name of a property, or as a whole literal. */
-  readonly ordinary: readonly string[];
-  /** The field's terms that contain a word of the wire; they are passed over. */
-  readonly terms: readonly string[];
-  /** Paths of requests, found at the beginning of a literal. */
+  /** Words without any other meaning in this project: reported in any name and any literal. */
+  readonly unambiguous: readonly string[];
+  /** Words that are ordinary English too: reported only as the name of a property or as a whole literal. */
+  readonly ambiguous: readonly string[];
+  /** Standard terms that contain a wire word; the search ignores them. */
+  readonly allowedTerms: readonly string[];
+  /** Request paths, reported at the beginning of a literal. */
   readonly paths: readonly string[];
 }
 
 const PART_BOUNDARY = /[^A-Za-z0-9]+|(?<=[a-z0-9])(?=[A-Z])/;
 
-const partsOf = (name: string): string =>
+const normalizeName = (name: string): string =>
   name
     .split(PART_BOUNDARY)
     .filter((part) => part !== '')
     .join(' ')
     .toLowerCase();
 
-const contains = (name: string, word: string, terms: readonly string[]): boolean => {
-  const parts = terms.reduce((rest, term) => rest.replaceAll(` ${term} `, ' '), ` ${partsOf(name)} `);
+const containsWord = (name: string, word: string, terms: readonly string[]): boolean => {
+  const parts = terms.reduce((rest, term) => rest.replaceAll(` ${term} `, ' '), ` ${normalizeName(name)} `);
   return parts.includes(` ${word} `);
 };
 
@@ -47,26 +47,26 @@
 
 const matchWords = (
   node: ts.Node,
-  { distinct, ordinary, terms, paths }: WireVocabulary,
+  { unambiguous, ambiguous, allowedTerms, paths }: WireVocabulary,
 ): readonly string[] => {
   if (ts.isIdentifier(node) || ts.isPrivateIdentifier(node)) {
-    const whole = ts.isIdentifier(node) && isPropertyName(node) ? ordinary : [];
+    const propertyWords = ts.isIdentifier(node) && isPropertyName(node) ? ambiguous : [];
     return [
-      ...distinct.filter((word) => contains(node.text, word, terms)),
-      ...whole.filter((word) => partsOf(node.text) === word),
+      ...unambiguous.filter((word) => containsWord(node.text, word, allowedTerms)),
+      ...propertyWords.filter((word) => normalizeName(node.text) === word),
     ];
   }
   if (!isLiteral(node) || isModuleName(node)) return [];
   return [
-    ...distinct.filter((word) => contains(node.text, word, terms)),
-    ...ordinary.filter((word) => node.text === word),
+    ...unambiguous.filter((word) => containsWord(node.text, word, allowedTerms)),
+    ...ambiguous.filter((word) => node.text === word),
     ...paths.filter(
       (path) => node.text === path || node.text.startsWith(`${path}/`) || node.text.startsWith(`${path}?`),
     ),
   ];
 };
 
-/** The words of the wire in a module, once for each place. */
+/** Returns the wire words in a module, one entry per use. */
 export const findWireWords = (
   path: string,
   text: string,
