--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,13 +1,13 @@
-/** Lint rules, in groups by what they keep; formatting is Prettier's matter. */
+/** Lint rules, grouped by purpose. Prettier formats the code. */
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 import moduleComment from './eslint/module-comment.js';
 
 /**
- * Folders and files that meet the stricter rules. Modules are cleaned one after the other; the list only grows, and
- * once it names every module the stricter rules hold for the whole tree and it goes.
+ * Folders and files that meet the strict rules. Modules are adapted one after the other, so the list only
+ * grows. Once it has every module, the strict rules apply to the whole tree and the list is removed.
  */
-const cleanedModules = [
+const strictModules = [
   'packages/fencing',
   'src/cancellation',
   'src/claims',
@@ -30,11 +30,11 @@
   'src/workers',
 ];
 
-/** A glob for each entry: a folder stands for all that is below it. */
-const cleanedFiles = cleanedModules.map((path) => (path.endsWith('.ts') ? path : `${path}/**/*.ts`));
+/** One glob per entry: a folder covers all files below it. */
+const strictFiles = strictModules.map((path) => (path.endsWith('.ts') ? path : `${path}/**/*.ts`));
 
 const TEST_FILES = ['**/*.test.ts'];
-/** Where names of the wire and of the settings file stand; tests hold examples of both. */
+/** Files that use names of the wire protocols and of the settings file. Tests have examples of both. */
 const WIRE_FILES = [
   ...TEST_FILES,
   '**/*codec.ts',
@@ -42,19 +42,19 @@
   'src/fleet/cloud.ts',
   'src/testing/**/*.ts',
 ];
-/** Cleaned ones among them: both patterns of a pair must match. */
-const cleanedWireFiles = WIRE_FILES.flatMap((wire) => cleanedFiles.map((cleaned) => [wire, cleaned]));
+/** The strictly checked files among them: both patterns of a pair must match. */
+const strictWireFiles = WIRE_FILES.flatMap((wire) => strictFiles.map((strict) => [wire, strict]));
 
-/** Width of a line, in columns; Prettier's `printWidth`, which leaves comments as they are. */
+/** Maximum line width, in columns. It equals Prettier's `printWidth`; Prettier does not wrap comments. */
 const LINE_WIDTH = 110;
-/** Lines of a function without blank ones and comments. */
+/** Maximum lines of a function, without blank lines and comments. */
 const FUNCTION_LINES = 60;
-/** Lines of a module without blank ones and comments: in cleaned modules, and elsewhere. */
+/** Maximum lines of a module, without blank lines and comments: in strictly checked files, and elsewhere. */
 const MODULE_LINES = 300;
-const UNCLEANED_MODULE_LINES = 460;
+const OTHER_MODULE_LINES = 460;
 
-/** Mistakes that types show, and bounds that every module keeps. */
-const everywhere = {
+/** Rules for all modules: mistakes that the types reveal, and bounds on size and complexity. */
+const allModules = {
   languageOptions: { parserOptions: { projectService: true } },
   rules: {
     '@typescript-eslint/switch-exhaustiveness-check': 'error',
@@ -68,11 +68,11 @@
     'max-depth': ['error', 4],
     'max-params': ['error', 7],
     complexity: ['error', 25],
-    'max-lines': ['error', { max: UNCLEANED_MODULE_LINES, skipBlankLines: true, skipComments: true }],
+    'max-lines': ['error', { max: OTHER_MODULE_LINES, skipBlankLines: true, skipComments: true }],
   },
 };
 
-/** The line above each exported item says what it is for. */
+/** Each exported item has a doc comment. */
 const itemComments = {
   files: ['**/*.ts'],
   plugins: { jsdoc },
@@ -95,24 +95,24 @@
   },
 };
 
-/** A reader learns from a module's first lines what it is for. */
+/** Each module begins with a doc comment that states its purpose. */
 const moduleComments = {
-  files: cleanedFiles,
+  files: strictFiles,
   plugins: { dalegate: { rules: { 'module-comment': moduleComment } } },
   rules: { 'dalegate/module-comment': 'error' },
 };
 
-/** Comments are as narrow as code. */
+/** Comments have the same maximum width as code. */
 const commentWidth = {
-  files: cleanedFiles,
+  files: strictFiles,
   rules: {
     'max-len': ['error', { code: Number.MAX_SAFE_INTEGER, comments: LINE_WIDTH, ignoreUrls: true }],
   },
 };
 
-/** One job a module, one step a function. */
+/** Bounds on the size of modules and functions: one task per module, one step per function. */
 const size = {
-  files: cleanedFiles,
+  files: strictFiles,
   rules: {
     'max-lines': ['error', { max: MODULE_LINES, skipBlankLines: true, skipComments: true }],
     'max-lines-per-function': [
@@ -122,51 +122,53 @@
   },
 };
 
-/** A name's case tells what it is. */
+/** The case of a name shows what kind of item it names. */
 const namingConvention = [
   { selector: 'default', format: ['camelCase'], leadingUnderscore: 'forbid' },
   { selector: 'import', format: ['camelCase', 'PascalCase'] },
   { selector: 'typeLike', format: ['PascalCase'] },
   { selector: 'enumMember', format: ['PascalCase'] },
   { selector: 'variable', format: ['camelCase', 'UPPER_CASE'] },
-  // A schema of `effect` has the name of the type that it describes.
+  // A schema of the `effect` package has the same name as the type that it describes.
   { selector: 'variable', modifiers: ['const', 'global'], format: ['camelCase', 'UPPER_CASE', 'PascalCase'] },
-  // Parameters that a signature asks for and nobody reads.
+  // Unused parameters that a signature requires may begin with an underscore.
   { selector: 'parameter', format: ['camelCase'], leadingUnderscore: 'allow' },
   { selector: 'memberLike', format: ['camelCase', 'UPPER_CASE'], leadingUnderscore: 'forbid' },
-  // `_tag` is the name that `effect` gives the discriminant of a union.
+  // The `effect` package uses `_tag` as the discriminant of a union.
   ...['memberLike', 'parameter', 'variable'].map((selector) => ({
     selector,
     filter: { regex: '^_tag$', match: true },
     format: null,
   })),
-  // Header names, key names, numbers.
+  // Quoted names are not checked: header names, key names, numbers.
   { selector: 'memberLike', modifiers: ['requiresQuotes'], format: null },
 ];
 const naming = {
-  files: cleanedFiles,
+  files: strictFiles,
   rules: { '@typescript-eslint/naming-convention': ['error', ...namingConvention] },
 };
 
-/** The wire's field names are not this project's to choose. */
+/** The wire protocols prescribe their field names, so the naming rule does not apply to them. */
 const wireFields = { selector: ['typeProperty', 'objectLiteralProperty'], format: null };
 const wireNaming = {
-  files: cleanedWireFiles,
+  files: strictWireFiles,
   rules: { '@typescript-eslint/naming-convention': ['error', ...namingConvention, wireFields] },
 };
 
-/** The strict sets of typescript-eslint, with what differs here. */
+/** Options that differ from the strict rule sets of typescript-eslint. */
 const strictTypes = {
   rules: {
-    // A number in a message reads as it should.
+    // A number in a template is formatted as expected.
     '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
-    // `() => wake()` is how timers and listeners are written.
+    // Timers and listeners are written as `() => wake()`.
     '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
   },
 };
 
-/** Rules of the strict sets that some modules don't meet yet: they hold in cleaned ones only. */
-const rulesOfCleanedModules = [
+/**
+ * Rules of the strict rule sets that some modules don't meet yet. They apply to strictly checked files only.
+ */
+const strictOnlyRules = [
   '@typescript-eslint/consistent-generic-constructors',
   '@typescript-eslint/dot-notation',
   '@typescript-eslint/no-confusing-void-expression',
@@ -175,17 +177,17 @@
   '@typescript-eslint/non-nullable-type-assertion-style',
   '@typescript-eslint/prefer-optional-chain',
 ];
-const untilCleaned = {
+const relaxedRules = {
   files: ['**/*.ts'],
-  ignores: cleanedFiles,
-  rules: Object.fromEntries(rulesOfCleanedModules.map((rule) => [rule, 'off'])),
+  ignores: strictFiles,
+  rules: Object.fromEntries(strictOnlyRules.map((rule) => [rule, 'off'])),
 };
 
-/** A test's steps stand in one function, and its tables are long. */
+/** A test has all its steps in one function and may have long tables of cases. */
 const testSize = {
   files: TEST_FILES,
   rules: {
-    'max-lines': ['error', { max: UNCLEANED_MODULE_LINES, skipBlankLines: true, skipComments: true }],
+    'max-lines': ['error', { max: OTHER_MODULE_LINES, skipBlankLines: true, skipComments: true }],
     'max-lines-per-function': 'off',
   },
 };
@@ -194,8 +196,8 @@
   ...tseslint.configs.strictTypeChecked,
   ...tseslint.configs.stylisticTypeChecked,
   strictTypes,
-  untilCleaned,
-  everywhere,
+  relaxedRules,
+  allModules,
   itemComments,
   moduleComments,
   commentWidth,
--- a/eslint/module-comment.js
+++ b/eslint/module-comment.js
@@ -1,12 +1,15 @@
 /**
- * ESLint rule: a module begins with a doc comment that says what it is for. The comment is the first thing in the file,
- * and a blank line or an import follows it, so that it can't be taken for the doc comment of the first declaration.
+ * ESLint rule: a module begins with a doc comment that states its purpose. The comment is the first item in
+ * the file, and a blank line, an import or a re-export follows it, so that it can't be mistaken for the doc
+ * comment of the first declaration.
  */
 
 const isImport = (token) =>
   token.value === 'import' && (token.type === 'Keyword' || token.type === 'Identifier');
 
-/** Does the token begin a line that re-exports from another module, as in a package's index? */
+/**
+ * Returns whether the token begins a statement that re-exports from another module, as in a package's index.
+ */
 const beginsReExport = (program, token) =>
   program.body.some(
     (node) =>
@@ -20,10 +23,11 @@
     type: 'suggestion',
     docs: { description: 'require a doc comment on the module' },
     messages: {
-      missing: 'The module has no doc comment: begin the file with one that says what the module is for.',
+      missing:
+        'The module has no doc comment. Begin the file with one that states the purpose of the module.',
       belongsToItem:
-        'The first doc comment belongs to the declaration below it: put one for the module above, and a blank line.',
-      empty: 'The doc comment of the module says nothing.',
+        'The first doc comment belongs to the declaration below it. Add one for the module above it, and a blank line.',
+      empty: 'The doc comment of the module is empty.',
     },
     schema: [],
   },
--- a/src/repository-checks/docs.test.ts
+++ b/src/repository-checks/docs.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { codeSpans, columnOf, tablesOf } from './markdown.js';
-import { resolvesToFile, looksLikePath, pathsInProse } from './paths.js';
+import { looksLikePath, pathsInProse, resolvesToFile } from './paths.js';
 import { isTestCode, pathExists, readText, repositoryFiles, sourceFiles } from './repository.js';
 import { commentsOf, declaredNames, lineOf, parseModule } from './syntax.js';
 
