--- a/src/settings/features.ts
+++ b/src/settings/features.ts
@@ -24,7 +24,7 @@
 
 const isFeature = (name: string): name is keyof Features => Object.hasOwn(NO_FEATURES, name);
 
-const failWith = (reason: string): CheckedFeatures => ({ _tag: 'bad', message: `features: ${reason}` });
+const reject = (reason: string): CheckedFeatures => ({ _tag: 'bad', message: `features: ${reason}` });
 
 /** Parses and checks a feature file, which has one `name = true` or `name = false` per line. */
 export const checkFeatures = (text: string): CheckedFeatures => {
@@ -32,13 +32,13 @@
   try {
     raw = parse(text);
   } catch (error) {
-    return failWith(`not TOML: ${(error as Error).message.split('\n')[0] ?? ''}`);
+    return reject(`not TOML: ${(error as Error).message.split('\n')[0] ?? ''}`);
   }
   const chosen: Record<keyof Features, boolean> = { ...NO_FEATURES };
   for (const [name, value] of Object.entries(raw)) {
     if (!isFeature(name))
-      return failWith(`no feature is called "${name}"; there is: ${Object.keys(NO_FEATURES).join(', ')}`);
-    if (typeof value !== 'boolean') return failWith(`"${name}" must be true or false`);
+      return reject(`no feature is called "${name}"; there is: ${Object.keys(NO_FEATURES).join(', ')}`);
+    if (typeof value !== 'boolean') return reject(`"${name}" must be true or false`);
     chosen[name] = value;
   }
   return { _tag: 'ok', features: chosen };
--- a/src/settings/limits-codec.test.ts
+++ b/src/settings/limits-codec.test.ts
@@ -4,13 +4,7 @@
 import { test } from 'node:test';
 import { effectiveLimits } from './limits-codec.js';
 
-const limitCases: readonly {
-  name: string;
-  next: object | undefined;
-  kb: number;
-  ops: number;
-  rate: number;
-}[] = [
+const cases: readonly { name: string; next: object | undefined; kb: number; ops: number; rate: number }[] = [
   { name: 'no change announced', next: undefined, kb: 16, ops: 48, rate: 60 },
   {
     name: 'smaller limits announced',
@@ -28,7 +22,7 @@
     rate: 60,
   },
 ];
-for (const row of limitCases) {
+for (const row of cases) {
   test(`limits: ${row.name}`, () => {
     const state = { rps: 150, write_rps: 60, value_kb: 16, txn_ops: 48 };
     const found = effectiveLimits(row.next ? { ...state, next: row.next } : state);
