--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -55,8 +55,8 @@
 export const MAX_JOBS_WITH_TASK_COUNTS = 4_000;
 
 /**
- * Minimum interval between two writes of the same key when summaries or orders are relayed through the key-
- * value store.
+ * Minimum interval between two writes of the same key when summaries or orders are relayed through the
+ * key-value store.
  */
 export const RELAY_INTERVAL_MS = 2_000;
 /** Interval between two checks for summaries to relay. */
