--- a/src/claims/lease-renewal.ts
+++ b/src/claims/lease-renewal.ts
@@ -67,7 +67,7 @@
    * Learns up to which revision claims belong to an earlier lease; false: the store didn't tell. The earlier
    * lease is gone, so nothing is attached to it any more; to the next one nothing is attached yet.
    */
-  private readonly learnEndedClaims: Effect.Effect<boolean> = Effect.gen({ self: this }, function* () {
+  private readonly loadEndedClaimsUpTo: Effect.Effect<boolean> = Effect.gen({ self: this }, function* () {
     if (this.endedClaimsUpTo !== null) return true;
     const claims = yield* this.store.claims();
     if (claims._tag === 'failed') return false;
@@ -77,7 +77,7 @@
 
   /** Asks for a lease; returns the pause before the next request (ms). */
   private readonly grant: Effect.Effect<number> = Effect.gen({ self: this }, function* () {
-    const known = yield* this.learnEndedClaims;
+    const known = yield* this.loadEndedClaimsUpTo;
     if (!known) return CLAIM_CHECK_INTERVAL_MS;
     const result = yield* this.store.grant();
     if (result._tag !== 'held') return CLAIM_CHECK_INTERVAL_MS;
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -37,7 +37,7 @@
   const heartbeatHandler = createWorkerHeartbeatHandler(context, shards, leadership);
   const peerRequests = createPeerRequests(coordination, shards, leadership);
   const heartbeatSources = {
-    me: deployment.me,
+    me: deployment.self,
     leases: coordination.leases,
     leaderNode: coordination.leaderNode,
     msSinceStoreAnswered: storeAccess.msSinceAnswered,
@@ -50,14 +50,14 @@
 };
 
 /** Passes each change of the shared keys to the subsystems that follow it. */
-const followChanges = (subsystems: Subsystems): void => {
+const subscribeToChanges = (subsystems: Subsystems): void => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
   const { cache } = context.storeAccess;
   const dispatcher = new ChangeDispatcher({
     cache,
     relay: leadership.relay,
-    gate: coordination.duties.orderVerifier,
-    registry: coordination.duties.registry,
+    orderVerifier: coordination.duties.orderVerifier,
+    dutyRegistry: coordination.duties.registry,
     shards: sharding.shards,
     scarceTypes: sharding.scarceTypes,
     bootBoundTypes: sharding.bootBoundTypes,
@@ -95,7 +95,7 @@
 ): Controller => {
   const subsystems = createSubsystems(settings, ports, features);
   const { coordination, sharding } = subsystems;
-  followChanges(subsystems);
+  subscribeToChanges(subsystems);
   return {
     route: createApi(subsystems, adminAccess),
     peerRoute: (call) => coordination.peerNetwork.handle(call),
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -47,7 +47,7 @@
    */
   adopt(id: string, kind: MachineKind, at = 0): void {
     const { cache, queue, scaleIn } = this.input;
-    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.wasReleased(id)) return;
+    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.wasRecentlyReleased(id)) return;
     queue.add(id, newMachineRecord(this.smallestShard(kind), kind, at));
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Writes the records of machines that wait for them. */
-  readonly recordWaiting: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly recordQueuedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const permit = this.input.duty.begin('machine record');
     if (permit === null) return;
     // Each unknown worker reports to all controllers once a second until it is recorded, so all that fit go
@@ -81,7 +81,7 @@
   });
 
   /** Adopts listed machines that have had no record for longer than the list may be late. */
-  readonly adoptFromList: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly adoptListedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const now = this.input.now();
     if (now - this.listedAt < MACHINE_LIST_INTERVAL_MS) return;
     this.listedAt = now;
@@ -101,7 +101,7 @@
       const listed: ListedMachine[] = [];
       let after: string | null = null;
       for (;;) {
-        const page: MachinePageResult = yield* this.input.cloud.page(after);
+        const page: MachinePageResult = yield* this.input.cloud.listMachines(after);
         if (page._tag === 'failed') return null;
         listed.push(...page.machines);
         const last = page.machines.at(-1);
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -97,7 +97,7 @@
   constructor(private readonly input: ScaleOutDependencies) {}
 
   /** Asks for what the plan wants, unless the same kind or too much is under way already. */
-  begin(step: ProvisioningStep): void {
+  startProvisioning(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
     // What is under way shows in later summaries.
     if (this.requestedKinds.has(kind)) return;
--- a/src/fleet/transfer-orders.ts
+++ b/src/fleet/transfer-orders.ts
@@ -47,7 +47,7 @@
   }
 
   /** Forgets transfers that the new shard's summary shows, and those that took too long. */
-  forgetArrived(summaries: readonly ShardSummary[]): void {
+  removeCompleted(summaries: readonly ShardSummary[]): void {
     const now = this.input.now();
     for (const [machine, { transfer, orderedAt }] of this.ordered) {
       const expired = now - orderedAt > TRANSFER_CONFIRMATION_TIMEOUT_MS;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -14,7 +14,7 @@
 } from '../constants/http.js';
 import { Connections } from './connections.js';
 import type { RequestBody, ServerRequest, ServerResponse, Target } from './model.js';
-import { decodeParts, encode, oneWrite } from './msgpack.js';
+import { decodeParts, encode, singleWriteArguments } from './msgpack.js';
 
 /** What one listening address may hold open. */
 export interface ConnectionLimits {
@@ -23,7 +23,7 @@
    * Paths whose callers are so many that they must not keep connections once most are in use: the next call
    * makes a new one, while all others find room.
    */
-  readonly crowd?: (path: string) => boolean;
+  readonly closesWhenCrowded?: (path: string) => boolean;
   /** Time after which an unused connection is closed, in ms; `CONNECTION_IDLE_TIMEOUT_MS` unless given. */
   readonly idleMs?: number;
 }
@@ -89,7 +89,7 @@
     'content-length': payload.length,
     ...headers,
   });
-  response.end(...oneWrite(payload));
+  response.end(...singleWriteArguments(payload));
 };
 
 /** The far end of a machine that died, or is cut off, never closes: such connections would add up. */
@@ -122,9 +122,9 @@
   const connections = new Connections();
   const crowdedCount = limits.connections * WORKER_KEEP_ALIVE_SOCKET_FRACTION;
   const server = http.createServer((request, response) => {
-    connections.use(request.socket);
+    connections.markUsed(request.socket);
     const closeAfterwards = (): boolean =>
-      connections.count > crowdedCount && limits.crowd?.(request.url ?? '') === true;
+      connections.count > crowdedCount && limits.closesWhenCrowded?.(request.url ?? '') === true;
     receiveBody(request, maxBodyBytes, (body) => {
       handle(toServerRequest(request, body)).then(
         (answer) => send(response, answer, closeAfterwards),
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -68,9 +68,9 @@
   /** Machines whose record is to be rewritten, for a higher token. */
   private machinesToRenew(): readonly ShardMachine[] {
     const machines = [...this.dependencies.shardState.machines.values()].filter(
-      (machine) => machine.raiseToken && !machine.releasing,
+      (machine) => machine.needsHigherToken && !machine.releasing,
     );
-    for (const machine of machines) machine.raiseToken = false;
+    for (const machine of machines) machine.needsHigherToken = false;
     return machines;
   }
 
@@ -125,7 +125,7 @@
     return (
       !machine.releasing &&
       !machine.cordoned &&
-      !machine.raiseToken &&
+      !machine.needsHigherToken &&
       this.dependencies.liveness.isIdle(machine) &&
       machine.unacknowledgedRuns.size === 0 &&
       machine.reclaimNoticeAt === null &&
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -64,7 +64,7 @@
    * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
    * cloud.
    */
-  readonly cancelledReturnMs: number;
+  readonly cancelledReleaseMs: number;
   /** ms: the full lease, with drift, that this holder must see pass after its last answer. */
   readonly leaseMs: number;
 
@@ -73,7 +73,7 @@
     this.unreachableAfterMs = reportMs * UNREACHABLE_WORKERS_REPORT_INTERVALS;
     this.rebuildTimeoutMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
     this.spotSilenceMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
-    this.cancelledReturnMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RELEASE_MARGIN_MS;
+    this.cancelledReleaseMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RELEASE_MARGIN_MS;
     this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
@@ -96,7 +96,7 @@
   isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
     // It came from another shard, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
-      return now - machine.takenAt < TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS;
+      return now - machine.addedAt < TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
       this.isBooting(machine, wall) &&
       wall - machine.recordedAt <
@@ -106,7 +106,7 @@
 
   /** Its lease has expired, as far as this holder's answers go. */
   isSilent(machine: ShardMachine, now: number): boolean {
-    const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.takenAt);
+    const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.addedAt);
     return now - from > this.leaseMs;
   }
 
@@ -132,7 +132,7 @@
     let machines = 0;
     let heard = this.loadedAt === null || now - this.loadedAt < ms ? 1 : 0;
     for (const machine of this.dependencies.machines.values()) {
-      if (machine.answeredAt === null && (now - machine.takenAt < ms || this.isBooting(machine))) continue;
+      if (machine.answeredAt === null && (now - machine.addedAt < ms || this.isBooting(machine))) continue;
       machines += 1;
       if (now - (machine.answeredAt ?? 0) < ms) heard += 1;
     }
@@ -157,7 +157,7 @@
     const wall = this.dependencies.wall();
     const late = new Set<ShardMachine>();
     for (const job of jobs) {
-      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReturnMs) continue;
+      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReleaseMs) continue;
       for (const binding of job.bindings.values()) {
         const machine = this.dependencies.machines.get(binding.machine);
         if (machine) late.add(machine);
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -16,7 +16,7 @@
 import {
   fitsIn,
   hasAlternatives,
-  howMany,
+  fittingTaskCount,
   typeAllowed,
   type Catalog,
   type Demand,
@@ -103,7 +103,7 @@
  */
 const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NO_CAPACITY;
-  const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
+  const tasks = fittingTaskCount(scarce, machine.total, MAX_TASKS_PER_JOB);
   const leftover = (field: keyof Demand): number =>
     Math.max(
       0,
@@ -131,7 +131,7 @@
   !machine.cordoned &&
   machine.reclaimNoticeAt === null &&
   machine.health._tag === 'healthy' &&
-  !machine.raiseToken;
+  !machine.needsHigherToken;
 
 const countIdleOnDemand = ({ shardState, liveness }: PlacementView): number => {
   let idle = 0;
@@ -208,7 +208,7 @@
 const mayBePlaced = (job: ShardJob, unfinished: number, now: number): boolean =>
   !job.cancelled &&
   !job.finishing &&
-  job.writesUnderWay === 0 &&
+  job.writesInProgress === 0 &&
   now >= job.backoffUntil &&
   job.bindings.size < unfinished &&
   !isFinished(job) &&
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -13,7 +13,7 @@
 } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import type { UnmetDemand, WaitingGang } from '../fleet/shard-summary.js';
-import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
+import { fittingTaskCount, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import { packRequests } from './bin-packing.js';
 import type { AvailableCapacity, PlacementRequest, UnplacedRequest } from './placement-model.js';
 import type { TeamLimit, TeamUsage } from './team-limits.js';
@@ -46,7 +46,7 @@
     spec.spot,
     spec.priority,
     urgent,
-    ...[...catalog.values()].map((type) => howMany(spec, type, MAX_TASKS_PER_JOB)),
+    ...[...catalog.values()].map((type) => fittingTaskCount(spec, type, MAX_TASKS_PER_JOB)),
   ].join('|');
 
 /**
@@ -116,7 +116,7 @@
     const { empty, reservedFor, zone } = capacity;
     const reservedForAnother = empty && reservedFor !== null && reservedFor.job !== request.job;
     if (!placeAllowed(spec, capacity) || reservedForAnother) continue;
-    tasksByZone[zone] = (tasksByZone[zone] ?? 0) + howMany(spec, capacity.free, count);
+    tasksByZone[zone] = (tasksByZone[zone] ?? 0) + fittingTaskCount(spec, capacity.free, count);
   }
   return tasksByZone;
 };
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -3,7 +3,7 @@
  * `node target/testing/scale.js`. Prints milliseconds of one placement round, one summary for the leader, one
  * plan of the leader's and one takeover.
  */
-import { planSteps } from '../fleet/scaling-plan.js';
+import { planScaling } from '../fleet/scaling-plan.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { Catalog, JobSpec } from '../jobs/model.js';
 import {
@@ -79,7 +79,7 @@
   let jobs = 0;
   const add = (gang: boolean) => {
     jobs += 1;
-    return shardState.adoptJob(
+    return shardState.applyJobRecord(
       {
         spec: specOf(jobs, gang),
         at: now - 20_000,
@@ -198,7 +198,7 @@
     'round ms': roundMs.toFixed(2),
     'summary ms': (timed(needs) - roundMs).toFixed(2),
     'plan ms': timed(() =>
-      planSteps({
+      planScaling({
         summaries,
         catalog,
         isRefused: () => true,
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -6,7 +6,7 @@
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
 import type { WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
-import { answerCommands, readChanges } from './reconcile.js';
+import { answerCommands, detectPhaseChanges } from './reconcile.js';
 import { readWorkerHeartbeat } from './codec.js';
 
 const bindingOf = (phase: Phase, over: Partial<Binding> = {}): Binding => ({
@@ -37,13 +37,13 @@
   confirmedToken: 9,
   everConfirmedToken: true,
   unconfirmedSince: null,
-  takenAt: 0,
+  addedAt: 0,
   answeredAt: 0,
   reclaimNoticeAt: null,
   reclaimNoticeS: null,
   unacknowledgedRuns: new Map(),
-  raiseToken: false,
-  heldAnswers: 0,
+  needsHigherToken: false,
+  pendingAnswers: 0,
   reportedTasks: [],
   exitsPendingSince: 0,
   bound: new Map(binding ? [[bindingKey(binding.job, binding.index, binding.attempt), binding]] : []),
@@ -171,7 +171,7 @@
           ? null
           : { agentEpoch: 1, sequenceNumber: row.seenSequenceNumber },
     });
-    const changes = readChanges(
+    const changes = detectPhaseChanges(
       { ...machineOf(binding), everConfirmedToken: row.heardUs ?? true },
       row.heartbeat,
       row.token ?? true,
