--- a/src/repository-checks/docs.test.ts
+++ b/src/repository-checks/docs.test.ts
@@ -1,26 +1,26 @@
-/** Pages and comments name files and symbols that exist. */
+/** Checks that files and symbols named in pages and comments exist. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { codeSpans, columnOf, tablesOf } from './markdown.js';
-import { resolvesToFile, looksLikePath, pathsInProse } from './paths.js';
+import { looksLikePath, pathsInProse, resolvesToFile } from './paths.js';
 import { isTestCode, pathExists, readText, repositoryFiles, sourceFiles } from './repository.js';
 import { commentsOf, declaredNames, lineOf, parseModule } from './syntax.js';
 
 const GLOSSARY = 'docs/glossary.md';
 const ARCHITECTURE = 'docs/architecture.md';
 const LOG_EVENTS = 'docs/log-events.md';
-/** The column of the glossary whose names are checked; earlier names beside it are not. */
+/** The glossary column whose names are checked. The column with earlier names is not. */
 const NAME_COLUMN = 'name in the code';
 const CHECKED_PAGES =
   /^(?:README|CONTRIBUTING|docs\/(?:architecture|glossary|operations-[\w-]+|design|fencing|log-events))\.md$/;
 
 /**
- * Lost paths in comments that are yet to be put right. The list only shrinks: what is right has to go from
- * here.
+ * Known broken paths in comments. The list only shrinks: the test fails while it has a path that is no longer
+ * broken.
  */
 const KNOWN_BROKEN_PATHS: readonly string[] = [];
 
-/** A name, also of a member (`Store.watch`) or a call (`mayAct()`). */
+/** Matches an identifier, a member (`Store.watch`) or a call (`mayAct()`). */
 const SYMBOL = /^[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)*(?:\(\))?$/;
 
 const repositoryPaths = repositoryFiles();
@@ -28,13 +28,13 @@
 
 const wordsOf = (span: string): readonly string[] => span.split(/[\s,;]+/);
 
-/** Paths in the code spans of a page that lead nowhere. */
+/** Returns the paths in the code spans of a page that match no file. */
 const findBrokenPaths = (page: string, text: string, known: readonly string[]): readonly string[] =>
   codeSpans(text)
     .flatMap(wordsOf)
     .filter((word) => looksLikePath(word) && !resolvesToFile(word, page, known));
 
-/** Code spans that read as a symbol and whose parts are not all declared. */
+/** Returns the code spans that look like a symbol and have a part that is not declared. */
 const findUndeclaredSymbols = (cells: readonly string[], known: ReadonlySet<string>): readonly string[] =>
   cells
     .flatMap(codeSpans)
@@ -52,7 +52,7 @@
   readonly word: string;
 }
 
-/** Paths in comments that lead nowhere. */
+/** Returns the paths in the comments of a module that match no file. */
 const findBrokenPathsInComments = (
   path: string,
   text: string,
@@ -67,7 +67,7 @@
   });
 };
 
-/** Event names read as symbols with a dot, and stand in a page of their own. */
+/** Returns the log events of their page. Their names look like symbols with a member. */
 const eventNames = (): readonly string[] =>
   pathExists(LOG_EVENTS)
     ? tablesOf(readText(LOG_EVENTS)).flatMap((table) => columnOf(table, 'event').flatMap(codeSpans))
@@ -91,7 +91,7 @@
   );
 });
 
-test('docs: names in the code that the glossary gives are declared', (context) => {
+test('docs: names in the code column of the glossary are declared', (context) => {
   if (!pathExists(GLOSSARY)) {
     context.skip(`${GLOSSARY} is not written yet`);
     return;
@@ -117,7 +117,7 @@
 
 const KNOWN_FILES = ['docs/design.md', 'src/store/keys.ts', 'src/testing/scale.ts', 'src/store/keys.test.ts'];
 
-test('docs: a path that is gone is found on a page, one that exists is not', () => {
+test('docs: only paths that do not exist are reported on a page', () => {
   const page = [
     'See `src/store/keys.ts`, `store/keys.ts`, `keys.ts`, `src/store`, `docs/`, `docs/design.md` and `src/store/*.test.ts`,',
     'run `node target/testing/scale.js 20 1`, but `store/gone.ts`, `gone.ts`, `docs/gone.md` and `src/gone` are lost.',
@@ -132,7 +132,7 @@
   ]);
 });
 
-test('docs: a path that is gone is found in a comment, with and without backticks', () => {
+test('docs: paths that do not exist are reported in comments, with and without backticks', () => {
   const text = [
     '/** Keys (`store/keys.ts`), see docs/design.md; (`mesh/level.ts`). */',
     'const name = `${1}/not/a/comment.ts`; // and store/gone.ts',
@@ -145,7 +145,7 @@
   ]);
 });
 
-test('docs: a name that is not declared is found', () => {
+test('docs: names that are not declared are reported', () => {
   const page = [
     '| term | name in the code | name before |',
     '| ---- | ---------------- | ----------- |',
@@ -162,7 +162,7 @@
   assert.deepEqual(findUndeclaredSymbols(cells, declaredNames(module)), ['Claim', 'Lease.gone']);
 });
 
-test('docs: test code is told from the rest', () => {
+test('docs: test code is distinguished from production code', () => {
   assert.deepEqual(
     ['src/a.ts', 'src/a.test.ts', 'src/testing/a.ts', 'packages/fencing/src/testing/a.ts'].map(isTestCode),
     [false, true, true, true],
