--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -54,9 +54,9 @@
       ...releasingIds.map((id) => ({ write: `w/m/${id}`, data: writeMachineRecord(RECORD) })),
     ];
     // One transaction writes all records; afterwards the normal limit applies.
-    state.limits = { valueBytes: 16 * 1024, ops: writes.length };
+    state.limits = { maxValueBytes: 16 * 1024, maxTransactionWrites: writes.length };
     await state.handle('n0', 'POST', '/txn', { when: [], writes });
-    state.limits.ops = 48;
+    state.limits.maxTransactionWrites = 48;
     const now = (): number => Date.now();
     const limits = {
       requestsPerSecond: 150,
