--- a/src/recorded-formats/users.ts
+++ b/src/recorded-formats/users.ts
@@ -158,7 +158,7 @@
   controller.stateSilent = true;
   recording['question that takes too long: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
   controller.stateSilent = false;
-  controller.state.outage(true);
+  controller.state.setOutage(true);
   await controller.advance(OUTAGE_MS);
   recording['question in an outage: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
   recording['submission in an outage: answer'] = await controller.ask(
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -2,127 +2,135 @@
 import type { ScenarioRun } from './scenario.js';
 
 /** One trouble: what happens when, in s from its begin. */
-export type Fault = (random: SeededRandom) => readonly (readonly [number, (day: ScenarioRun) => void])[];
+export type Fault = (random: SeededRandom) => readonly (readonly [number, (run: ScenarioRun) => void])[];
 
 /** Something that holds for a while. */
-const spell = (
-  on: (day: ScenarioRun) => void,
-  off: (day: ScenarioRun) => void,
+const temporaryFault = (
+  on: (run: ScenarioRun) => void,
+  off: (run: ScenarioRun) => void,
   forS: number,
 ): ReturnType<Fault> => [
   [0, on],
   [forS, off],
 ];
 /** The same for whatever `choose` finds at its begin. */
-const spellOf = <T>(
-  choose: (day: ScenarioRun) => T,
-  set: (day: ScenarioRun, found: T, on: boolean) => void,
+const temporaryFaultOn = <T>(
+  choose: (run: ScenarioRun) => T,
+  set: (run: ScenarioRun, found: T, on: boolean) => void,
   forS: number,
 ): ReturnType<Fault> => {
   let found: T | undefined;
-  return spell(
-    (day) => {
-      found = choose(day);
-      set(day, found, true);
+  return temporaryFault(
+    (run) => {
+      found = choose(run);
+      set(run, found, true);
     },
-    (day) => {
-      if (found !== undefined) set(day, found, false);
+    (run) => {
+      if (found !== undefined) set(run, found, false);
     },
     forS,
   );
 };
-const some = (day: ScenarioRun, count: number): string[] => day.working().slice(0, count);
-const NODES_ALL = ['n0', 'n1', 'n2'];
-const machinesIn = (day: ScenarioRun, zone: string): string[] =>
-  [...day.world.machines.values()].filter((machine) => machine.zone === zone).map((machine) => machine.id);
+const fullestMachines = (run: ScenarioRun, count: number): string[] =>
+  run.machinesWithTasks().slice(0, count);
+const ALL_NODES = ['n0', 'n1', 'n2'];
+const machinesIn = (run: ScenarioRun, zone: string): string[] =>
+  [...run.environment.machines.values()]
+    .filter((machine) => machine.zone === zone)
+    .map((machine) => machine.id);
 
 /** The troubles that our own drawn days are made of; their names are for messages. */
 export const FAULTS: Readonly<Record<string, Fault>> = {
   outage: (random) =>
-    spell(
-      (day) => day.world.state.outage(true),
-      (day) => day.world.state.outage(false),
+    temporaryFault(
+      (run) => run.environment.state.setOutage(true),
+      (run) => run.environment.state.setOutage(false),
       5 + random.below(55),
     ),
   slowState: (random) =>
-    spell(
-      (day) => (day.world.stateSlowMs = 1_200),
-      (day) => (day.world.stateSlowMs = 0),
+    temporaryFault(
+      (run) => (run.environment.maxStoreDelayMs = 1_200),
+      (run) => (run.environment.maxStoreDelayMs = 0),
       20 + random.below(30),
     ),
   refusedBusiest: (random) =>
-    spellOf(
-      (day) => day.busiest(),
-      (day, node, on) => (on ? day.world.state.refused.add(node) : day.world.state.refused.delete(node)),
+    temporaryFaultOn(
+      (run) => run.busiestNode(),
+      (run, node, on) =>
+        on ? run.environment.state.refused.add(node) : run.environment.state.refused.delete(node),
       3 + random.below(30),
     ),
   refusedLeader: (random) =>
-    spellOf(
-      (day) => day.holder('L'),
-      (day, node, on) => (on ? day.world.state.refused.add(node) : day.world.state.refused.delete(node)),
+    temporaryFaultOn(
+      (run) => run.holder('L'),
+      (run, node, on) =>
+        on ? run.environment.state.refused.add(node) : run.environment.state.refused.delete(node),
       3 + random.below(30),
     ),
   isolated: (random) =>
-    spellOf(
-      (day) => day.busiest(),
-      (day, node, on) => day.isolate(node, on),
+    temporaryFaultOn(
+      (run) => run.busiestNode(),
+      (run, node, on) => run.isolate(node, on),
       8 + random.below(30),
     ),
   peersRefuse: (random) =>
-    spell(
-      (day) =>
-        NODES_ALL.forEach((node) =>
-          day.world.sever(
+    temporaryFault(
+      (run) =>
+        ALL_NODES.forEach((node) =>
+          run.environment.partition(
             node,
-            NODES_ALL.map((other) => `mesh-${other}`),
+            ALL_NODES.map((other) => `mesh-${other}`),
           ),
         ),
-      (day) => NODES_ALL.forEach((node) => day.world.sever(node, [])),
+      (run) => ALL_NODES.forEach((node) => run.environment.partition(node, [])),
       10 + random.below(30),
     ),
   lateWrites: (random) =>
-    spell(
-      (day) => (day.world.lateWrites = 0.2),
-      (day) => (day.world.lateWrites = 0),
+    temporaryFault(
+      (run) => (run.environment.lateWriteProbability = 0.2),
+      (run) => (run.environment.lateWriteProbability = 0),
       15 + random.below(30),
     ),
   lateReports: (random) =>
-    spell(
-      (day) => (day.world.lateReports = 0.3),
-      (day) => (day.world.lateReports = 0),
+    temporaryFault(
+      (run) => (run.environment.lateHeartbeatProbability = 0.3),
+      (run) => (run.environment.lateHeartbeatProbability = 0),
       30 + random.below(60),
     ),
   copies: (random) =>
-    spell(
-      (day) => {
-        day.world.copies = 0.1;
-        day.world.copyAfter = [1_000, 6_000, 20_000, 40_000];
+    temporaryFault(
+      (run) => {
+        run.environment.duplicateProbability = 0.1;
+        run.environment.duplicateDelaysMs = [1_000, 6_000, 20_000, 40_000];
       },
-      (day) => (day.world.copies = 0),
+      (run) => (run.environment.duplicateProbability = 0),
       30 + random.below(60),
     ),
   loss: (random) =>
-    spell(
-      (day) => (day.world.loss = 0.03),
-      (day) => (day.world.loss = 0),
+    temporaryFault(
+      (run) => (run.environment.lossProbability = 0.03),
+      (run) => (run.environment.lossProbability = 0),
       20 + random.below(40),
     ),
   deaf: (random) =>
-    spellOf(
-      (day) => some(day, 1 + random.below(3)),
-      (day, ids, on) => ids.forEach((id) => Object.assign(day.world.machines.get(id) ?? {}, { deaf: on })),
+    temporaryFaultOn(
+      (run) => fullestMachines(run, 1 + random.below(3)),
+      (run, ids, on) =>
+        ids.forEach((id) => Object.assign(run.environment.machines.get(id) ?? {}, { deaf: on })),
       5 + random.below(50),
     ),
   mute: (random) =>
-    spellOf(
-      (day) => some(day, 1 + random.below(3)),
-      (day, ids, on) => ids.forEach((id) => Object.assign(day.world.machines.get(id) ?? {}, { mute: on })),
+    temporaryFaultOn(
+      (run) => fullestMachines(run, 1 + random.below(3)),
+      (run, ids, on) =>
+        ids.forEach((id) => Object.assign(run.environment.machines.get(id) ?? {}, { mute: on })),
       5 + random.below(50),
     ),
   cut: (random) =>
-    spellOf(
-      (day) => some(day, 1 + random.below(3)),
-      (day, ids, on) => ids.forEach((id) => Object.assign(day.world.machines.get(id) ?? {}, { cut: on })),
+    temporaryFaultOn(
+      (run) => fullestMachines(run, 1 + random.below(3)),
+      (run, ids, on) =>
+        ids.forEach((id) => Object.assign(run.environment.machines.get(id) ?? {}, { isPartitioned: on })),
       5 + random.below(40),
     ),
   hang: (random) => {
@@ -130,9 +138,9 @@
     return [
       [
         0,
-        (day) =>
-          some(day, 1 + random.below(4)).forEach((id) =>
-            Object.assign(day.world.machines.get(id) ?? {}, { hungUntil: Date.now() + forS * 1_000 }),
+        (run) =>
+          fullestMachines(run, 1 + random.below(4)).forEach((id) =>
+            Object.assign(run.environment.machines.get(id) ?? {}, { hungUntil: Date.now() + forS * 1_000 }),
           ),
       ],
       [forS, () => undefined],
@@ -144,44 +152,50 @@
     return [
       [
         0,
-        (day) => {
-          const ids = some(day, 3);
-          day.cancelOn(ids);
+        (run) => {
+          const ids = fullestMachines(run, 3);
+          run.cancelOn(ids);
           ids.forEach((id) =>
-            Object.assign(day.world.machines.get(id) ?? {}, { hungUntil: Date.now() + forS * 1_000 }),
+            Object.assign(run.environment.machines.get(id) ?? {}, { hungUntil: Date.now() + forS * 1_000 }),
           );
         },
       ],
       [forS, () => undefined],
     ];
   },
-  cancels: (random) => [[0, (day) => day.cancelRunning(2 + random.below(6))]],
-  dies: (random) => [[0, (day) => some(day, 1 + random.below(3)).forEach((id) => day.world.kill(id))]],
+  cancels: (random) => [[0, (run) => run.cancelRunning(2 + random.below(6))]],
+  dies: (random) => [
+    [
+      0,
+      (run) =>
+        fullestMachines(run, 1 + random.below(3)).forEach((id) => run.environment.terminateMachine(id)),
+    ],
+  ],
   crashBusiest: (random) => {
     let node = 'n0';
     return [
       [
         0,
-        (day) => {
-          node = day.busiest();
-          day.cluster.down(node);
+        (run) => {
+          node = run.busiestNode();
+          run.cluster.stop(node);
         },
       ],
-      [random.chance(0.5) ? 0.1 : 1 + random.below(12), (day) => day.cluster.up(node)],
+      [random.chance(0.5) ? 0.1 : 1 + random.below(12), (run) => run.cluster.start(node)],
     ];
   },
   crashAll: (random) => [
-    [0, (day) => NODES_ALL.forEach((node) => day.cluster.down(node))],
+    [0, (run) => ALL_NODES.forEach((node) => run.cluster.stop(node))],
     [
       random.chance(0.5) ? 0.2 + random.below(4) : LEASE_S + 2 + random.below(10),
-      (day) => NODES_ALL.forEach((node) => day.cluster.up(node)),
+      (run) => ALL_NODES.forEach((node) => run.cluster.start(node)),
     ],
   ],
   roll: (random) => {
     const gapS = 2 + random.below(8);
-    return NODES_ALL.flatMap((node, k) => [
-      [k * gapS, (day: ScenarioRun) => day.cluster.down(node)] as const,
-      [k * gapS + 0.1 + random.below(3), (day: ScenarioRun) => day.cluster.up(node)] as const,
+    return ALL_NODES.flatMap((node, k) => [
+      [k * gapS, (run: ScenarioRun) => run.cluster.stop(node)] as const,
+      [k * gapS + 0.1 + random.below(3), (run: ScenarioRun) => run.cluster.start(node)] as const,
     ]);
   },
   /** The leaders change ten times within two minutes. */
@@ -191,28 +205,28 @@
       return [
         [
           k * 12,
-          (day: ScenarioRun) => {
-            node = day.busiest();
-            day.cluster.down(node);
+          (run: ScenarioRun) => {
+            node = run.busiestNode();
+            run.cluster.stop(node);
           },
         ] as const,
-        [k * 12 + 5.5, (day: ScenarioRun) => day.cluster.up(node)] as const,
+        [k * 12 + 5.5, (run: ScenarioRun) => run.cluster.start(node)] as const,
       ];
     }).flat(),
   /** A zone with its workers and one controller: from all others, and what was said meanwhile comes late. */
   zoneCut: (random) =>
-    spell(
-      (day) => {
-        day.world.hold('n1', ['state', 'cloud', 'n0', 'n2']);
-        for (const node of ['n0', 'n2']) day.world.hold(node, machinesIn(day, 'y'));
+    temporaryFault(
+      (run) => {
+        run.environment.holdMessages('n1', ['state', 'cloud', 'n0', 'n2']);
+        for (const node of ['n0', 'n2']) run.environment.holdMessages(node, machinesIn(run, 'y'));
       },
-      (day) => ['n0', 'n1', 'n2'].forEach((node) => day.world.hold(node, [])),
+      (run) => ['n0', 'n1', 'n2'].forEach((node) => run.environment.holdMessages(node, [])),
       8 + random.below(40),
     ),
   heldReports: (random) =>
-    spellOf(
-      (day) => ({ node: day.busiest(), ids: some(day, 4) }),
-      (day, found, on) => day.world.hold(found.node, on ? found.ids : []),
+    temporaryFaultOn(
+      (run) => ({ node: run.busiestNode(), ids: fullestMachines(run, 4) }),
+      (run, found, on) => run.environment.holdMessages(found.node, on ? found.ids : []),
       4 + random.below(30),
     ),
 };
--- a/src/testing/hunt.ts
+++ b/src/testing/hunt.ts
@@ -31,8 +31,8 @@
     seed,
     jobs: pipelines ? 5 : 10 + random.below(8),
     pipelines: pipelines ? 4 + random.below(4) : 0,
-    everyS: 2 + random.below(4),
-    runS: long ? [40, 110] : [6, 25],
+    submissionIntervalS: 2 + random.below(4),
+    taskDurationRangeS: long ? [40, 110] : [6, 25],
     faults,
   };
 };
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -64,7 +64,7 @@
 });
 
 /** One share with its machines full but for one in twenty, and a job waiting for every eight machines. */
-const shardOf = (machines: number) => {
+const createShard = (machines: number) => {
   const now = 1_000_000;
   const shardState = new ShardState({ now: () => now, wall: () => now, requestRound: () => undefined });
   const liveness = new MachineLiveness({
@@ -140,7 +140,7 @@
   return { shardState, view };
 };
 
-const round = (view: PlacementView) => {
+const runRound = (view: PlacementView) => {
   const requests = placementRequests(view);
   const capacities = availableCapacity(view);
   const uses = teamUsage(view.shardState);
@@ -154,7 +154,7 @@
 };
 
 const median = (times: readonly number[]): number => [...times].sort((a, b) => a - b)[times.length >> 1] ?? 0;
-const timed = (work: () => unknown): number =>
+const medianMs = (work: () => unknown): number =>
   median(
     Array.from({ length: 25 }, () => {
       const from = performance.now();
@@ -163,10 +163,10 @@
     }),
   );
 
-const rows = [100, 1_000, 2_000, 4_000, 6_000].map((all) => {
-  const { shardState, view } = shardOf(all / SHARD_COUNT);
+const rows = [100, 1_000, 2_000, 4_000, 6_000].map((machineCount) => {
+  const { shardState, view } = createShard(machineCount / SHARD_COUNT);
   const needs = () => {
-    const { packed, capacities, uses } = round(view);
+    const { packed, capacities, uses } = runRound(view);
     const { objectives, wall } = view;
     return unmetDemand({
       unplaced: packed.unplaced,
@@ -191,24 +191,24 @@
     unlisted: free.unlisted,
   }));
   const records = [...shardState.jobs.values()].map((job) => writeRunRecord(runRecord(job, 0), 0));
-  const roundMs = timed(() => round(view));
+  const roundMs = medianMs(() => runRound(view));
   return {
-    machines: all,
+    machines: machineCount,
     'jobs of a share': shardState.jobs.size,
     'round ms': roundMs.toFixed(2),
-    'summary ms': (timed(needs) - roundMs).toFixed(2),
-    'plan ms': timed(() =>
+    'summary ms': (medianMs(needs) - roundMs).toFixed(2),
+    'plan ms': medianMs(() =>
       planSteps({
         summaries,
         catalog,
         isRefused: () => true,
-        machineCount: () => all / 6,
+        machineCount: () => machineCount / 6,
         reservations: [],
         outdatedShards: new Set(),
         pendingTransfers: [],
       }),
     ).toFixed(2),
-    'takeover ms': timed(() => records.map((record) => readRunRecord(record, 0))).toFixed(2),
+    'takeover ms': medianMs(() => records.map((record) => readRunRecord(record, 0))).toFixed(2),
   };
 });
 console.table(rows);
