--- a/src/testing/answering-client.ts
+++ b/src/testing/answering-client.ts
@@ -1,7 +1,7 @@
-/** HTTP clients for tests of one client: whatever is asked, the answer is the same. No state. */
+/** HTTP clients for unit tests that answer every request with the same outcome. No state. */
 import type { CallOutcome, HttpClientFactory } from '../http/model.js';
 
-/** Answers every request with this outcome. */
+/** Creates clients that answer every request with this outcome. */
 export const alwaysAnswering =
   (outcome: CallOutcome): HttpClientFactory =>
   () => ({ request: () => Promise.resolve(outcome) });
@@ -13,5 +13,5 @@
   body,
 });
 
-/** No answer in time. */
+/** The outcome of a request without an answer before its timeout. */
 export const TIMED_OUT: CallOutcome = { _tag: 'noResponse', why: 'timeout' };
--- a/src/testing/bodies.ts
+++ b/src/testing/bodies.ts
@@ -1,8 +1,8 @@
 import type { MachineRecord } from '../fleet/machine-record.js';
 import type { JobSpec } from '../jobs/model.js';
 
-/** A submission as users send it; what a test is about goes over it. */
-export const submission = (over: object): Record<string, unknown> => ({
+/** A submission as users send it; `overrides` replace its fields. */
+export const submission = (overrides: object): Record<string, unknown> => ({
   uid: 'job-9',
   herd: 'c',
   owner: 'red',
@@ -23,11 +23,11 @@
   musterEveryS: 0,
   musterS: 0,
   dueS: null,
-  ...over,
+  ...overrides,
 });
 
-/** A small service of one class, as it is known inside a controller; what a test is about goes over it. */
-export const jobSpec = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
+/** The specification of a small service job, as controllers hold it; `overrides` replace its fields. */
+export const jobSpec = (id: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
   id,
   jobClass: 'c',
   team: 'red',
@@ -48,11 +48,11 @@
   checkpointS: 0,
   saveS: 0,
   deadlineS: null,
-  ...over,
+  ...overrides,
 });
 
-/** The record of an ordinary machine that nobody has heard of yet; what a test is about goes over it. */
-export const machineRecord = (over: Partial<MachineRecord> = {}): MachineRecord => ({
+/** The record of an on-demand machine without a worker heartbeat so far; `overrides` replace its fields. */
+export const machineRecord = (overrides: Partial<MachineRecord> = {}): MachineRecord => ({
   shardId: 0,
   type: 'g',
   zone: 'x',
@@ -61,5 +61,5 @@
   releasing: false,
   addr: '',
   agentEpoch: 0,
-  ...over,
+  ...overrides,
 });
--- a/src/testing/bounded-run.ts
+++ b/src/testing/bounded-run.ts
@@ -1,9 +1,12 @@
-/** Runs synchronous code that may loop for ever, so that a test of it fails instead of standing still. */
+/**
+ * Runs synchronous code with a time limit, so that a test of code that loops forever fails instead of
+ * hanging.
+ */
 import { createContext, Script } from 'node:vm';
 
 /**
- * The result of `run`. Throws an Error if it takes longer than `timeoutMs`: the time limit of `node:vm` is the
- * one way to break off a loop without an end from inside its own thread.
+ * Returns the result of `run`. Throws an Error if `run` takes longer than `timeoutMs`: the time limit of
+ * `node:vm` is the only way to interrupt an endless loop from within its own thread.
  */
 export const runWithTimeout = <Result>(timeoutMs: number, run: () => Result): Result => {
   const context = createContext({ run });
--- a/src/testing/cloud-stand-in.ts
+++ b/src/testing/cloud-stand-in.ts
@@ -1,19 +1,19 @@
 /**
- * Stand-in for the cloud, written to the published protocol, that logs every request which may have an
- * effect.
+ * Stand-in for the cloud, written to the published protocol. It records every request to provision or release
+ * machines.
  */
 import type { CallOutcome } from '../http/model.js';
 import { reply } from './key-value-store-stand-in.js';
 
-/** A rental or release as it reached the cloud. */
+/** A request to provision or release machines, as received by the cloud. */
 export interface CloudAction {
   readonly kind: 'rent' | 'release';
   readonly node: string;
-  /** The name of a rental request. */
+  /** The name of a provisioning request; null for a release. */
   readonly name: string | null;
-  /** Machines that were rented or that ended by this very request; none: it changed nothing. */
+  /** Machines that this request itself provisioned or released; empty if the request had no effect. */
   readonly machines: readonly string[];
-  /** ms, steady. */
+  /** When the request arrived, in ms of the steady clock. */
   readonly at: number;
 }
 
@@ -33,7 +33,7 @@
   readonly howMany: number;
 }
 
-/** One type of machine, in one zone. */
+/** The answer to a catalog request: one machine type in one zone. */
 export const CATALOG = {
   breeds: [
     {
@@ -51,12 +51,15 @@
   ],
 };
 
-/** The cloud. Machines never boot here: what is rented, and by whom, is all that matters. */
+/**
+ * The cloud. Its machines never boot: the tests only check which machines are provisioned, and by which node.
+ */
 export class CloudStandIn {
   readonly actions: CloudAction[] = [];
   readonly machines = new Map<string, Machine>();
-  /** Requests for anything, by node. */
+  /** All requests, in the order of their arrival. */
   readonly requests: { readonly node: string; readonly path: string; readonly at: number }[] = [];
+  /** Answers to provisioning requests by request name; a repeated request gets the same answer. */
   private readonly answersByRequestName = new Map<string, CallOutcome>();
   private sequence = 0;
 
@@ -71,7 +74,7 @@
     return reply(404);
   }
 
-  /** Has a machine up that nobody asked for here. */
+  /** Adds a machine that no controller has requested. */
   addMachine(id: string): void {
     this.machines.set(id, { id, type: 'g', zone: 'x', spot: false, from: performance.now() });
   }
@@ -91,16 +94,16 @@
 
   private provision(node: string, body: ProvisionRequestBody, at: number): CallOutcome {
     const before = this.answersByRequestName.get(body.hire);
-    const made = before
+    const provisioned = before
       ? []
       : Array.from({ length: body.howMany }, () => {
           this.sequence += 1;
           return `i-${String(this.sequence).padStart(6, '0')}`;
         });
-    for (const id of made)
+    for (const id of provisioned)
       this.machines.set(id, { id, type: body.breed, zone: body.paddock, spot: body.agistment, from: at });
-    this.actions.push({ kind: 'rent', node, name: body.hire, machines: made, at });
-    const answer = before ?? reply(200, { drovers: made });
+    this.actions.push({ kind: 'rent', node, name: body.hire, machines: provisioned, at });
+    const answer = before ?? reply(200, { drovers: provisioned });
     this.answersByRequestName.set(body.hire, answer);
     return answer;
   }
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -9,15 +9,15 @@
 import type { StandInJob } from './worker-stand-in.js';
 import type { SimulatedEnvironment } from './simulated-environment.js';
 
-/** Three composed controllers among the stand-ins, as processes that end and come back. */
+/** Names of the three controllers. */
 export const NODES = ['n0', 'n1', 'n2'] as const;
-/** ms of virtual time between two looks at the world. */
+/** Virtual time in ms between two steps of the simulated environment. */
 export const STEP_MS = 20;
-/** ms: `cancel_s` of the stand-in deployment. */
+/** `cancel_s` of the stand-in deployment, in ms. */
 export const CANCEL_MS = 40_000;
-/** ms: the workers' lease of the stand-in deployment. */
+/** The workers' lease in the stand-in deployment, in ms. */
 export const LEASE_MS = 15_000;
-/** ms: the workers' report interval of the stand-in deployment. */
+/** The workers' heartbeat interval in the stand-in deployment, in ms. */
 export const HEARTBEAT_INTERVAL_MS = 3_000;
 
 /** The settings of one controller of the stand-in deployment. */
@@ -69,23 +69,24 @@
   body: reply.body ?? {},
 });
 
-/** Three controllers that can be stopped, started and upgraded. */
+/** Three composed controllers among the stand-ins, as processes that can be stopped, started and upgraded. */
 export class Cluster {
   private readonly running = new Map<
     string,
-    { controller: Controller; fiber: Fiber.Fiber<unknown>; alive: { yes: boolean } }
+    { controller: Controller; fiber: Fiber.Fiber<unknown>; nodeProcess: { isAlive: boolean } }
   >();
   private incarnation = 0;
-  /** The version that a node's next process runs; this one unless said otherwise. */
+  /** The version that a node's next process runs; the present version for nodes without an entry. */
   readonly versions = new Map<string, typeof compose>();
-  /** ms by which somebody set a node's time of day. */
+  /** Offset of a node's time of day from the true time, in ms. */
   readonly timeOfDayOffsets = new Map<string, number>();
   constructor(private readonly environment: SimulatedEnvironment) {}
 
+  /** Starts the node's controller as a new process, after stopping one that still runs. */
   start(name: string): void {
     this.stop(name);
     this.incarnation += 1;
-    const alive = { yes: true };
+    const nodeProcess = { isAlive: true };
     const never = new Promise<never>(() => undefined);
     const ports: Ports = {
       now: () => Date.now(),
@@ -94,10 +95,10 @@
       incarnation: `${name}.${this.incarnation}`,
       createHttpClient: (target) => ({
         request: (method, path, body, timeoutMs) =>
-          alive.yes
+          nodeProcess.isAlive
             ? this.environment
                 .call(name, target.host, method, path, body, timeoutMs)
-                .then((answer) => (alive.yes ? answer : never))
+                .then((answer) => (nodeProcess.isAlive ? answer : never))
             : never,
       }),
       workerClient: {
@@ -126,7 +127,7 @@
     const settings = settingsOf(name, this.environment.limits);
     const controller = (this.versions.get(name) ?? compose)(settings, ports, ALL_FEATURES);
     const fiber = Effect.runFork(controller.run);
-    this.running.set(name, { controller, fiber, alive });
+    this.running.set(name, { controller, fiber, nodeProcess });
     this.environment.attach(name, async (method, path, body) =>
       toCallOutcome(await controller.route(toServerRequest(method, path, body))),
     );
@@ -135,27 +136,28 @@
     );
   }
 
+  /** Stops the node's controller like a killed process: its requests in flight get no answer. */
   stop(name: string): void {
-    const held = this.running.get(name);
-    if (!held) return;
-    held.alive.yes = false;
-    held.controller.stop();
-    Effect.runFork(Fiber.interrupt(held.fiber));
+    const entry = this.running.get(name);
+    if (!entry) return;
+    entry.nodeProcess.isAlive = false;
+    entry.controller.stop();
+    Effect.runFork(Fiber.interrupt(entry.fiber));
     this.running.delete(name);
     this.environment.detach(name);
     this.environment.detach(`mesh-${name}`);
   }
 }
 
-/** Lets promises and callbacks that are due run. */
+/** Runs the promise reactions and callbacks that are due. */
 export const runDueCallbacks = async (): Promise<void> => {
   for (let k = 0; k < 6; k += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
-/** A job of the stand-in deployment. */
+/** Creates a job of the stand-in deployment; `overrides` replace fields of the submission. */
 export const createStandInJob = (
   n: number,
-  over: Partial<Record<string, unknown>>,
+  overrides: Partial<Record<string, unknown>>,
   runMs: number,
 ): StandInJob => {
   const body: Record<string, unknown> = {
@@ -179,7 +181,7 @@
     musterEveryS: 0,
     musterS: 0,
     dueS: null,
-    ...over,
+    ...overrides,
   };
   return {
     body,
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -3,8 +3,8 @@
 import { DutyRegistry } from '../duties/duty-registry.js';
 
 /**
- * The duties of a leader that never loses its claim, held under this revision; its lease may be in doubt for
- * a while.
+ * Creates the duties of a leader that holds its claim permanently under this revision. The leader's lease is
+ * in doubt while `mayAct` returns false.
  */
 export const leaderDuties = (
   revision: number,
@@ -25,11 +25,11 @@
   return registry;
 };
 
-/** Leave for one effect, as long as `holds` says so. */
-export const permitWhile = (holds: () => boolean): Permit => ({
+/** A permit to provision that is valid while `isValid` returns true. */
+export const permitWhile = (isValid: () => boolean): Permit => ({
   duty: 'rent',
   claim: LEADER_CLAIM,
   token: tokenOf(1),
-  mayProceed: holds,
+  mayProceed: isValid,
   end: () => undefined,
 });
--- a/src/testing/earlier-versions.ts
+++ b/src/testing/earlier-versions.ts
@@ -15,7 +15,7 @@
 import type { WorkerHeartbeat } from '../workers/model.js';
 import type { DirectCommands, DirectResult } from '../workers/worker-client.js';
 
-/** What the tests use of the version that production runs, under the names of this version. */
+/** The parts of the version that production runs which the tests use, under the names of this version. */
 export interface Production {
   readonly compose: typeof compose;
   readonly codec: {
@@ -34,14 +34,14 @@
   };
 }
 
-/** What that version knows of a job. */
+/** A job's record in that version. */
 type EarlierJobRecord = Omit<JobRecord, 'cancelledAt' | 'dependsOn' | 'parts'>;
 
-/** The names that that version gives the fields of a job's specification. */
+/** A job's specification, with the field names of that version. */
 type EarlierSpec = Omit<JobSpec, 'jobClass'> & { readonly klass: string };
 type EarlierNamedJobRecord = Omit<EarlierJobRecord, 'spec'> & { readonly spec: EarlierSpec };
 
-/** The names that that version gives the fields of a machine's record. */
+/** A machine's record, with the field names of that version. */
 type EarlierNamedMachineRecord = Omit<MachineRecord, 'shardId' | 'agentEpoch'> & {
   readonly share: number;
   readonly session: number;
@@ -191,8 +191,8 @@
 });
 
 /**
- * Builds modules of an earlier version from the repository's history, so that tests meet the earlier code
- * itself.
+ * Builds modules of an earlier version from the repository's history, so that tests run the code of that
+ * version itself.
  */
 const buildModules = async (commit: string, parts: readonly string[]): Promise<readonly unknown[]> => {
   const base = join(process.cwd(), 'target', `${commit.slice(0, 7)}-${process.pid}`);
@@ -213,7 +213,7 @@
       platform: 'node',
       format: 'esm',
       packages: 'external',
-      // Its own package, not the present one.
+      // Bundles the version's own fencing package instead of the present one.
       ...(existsSync(fencing) ? { alias: { '@dalegate/fencing': fencing } } : {}),
       logLevel: 'error',
     });
@@ -225,10 +225,10 @@
   }
 };
 
-/** The version that `deploy/service.toml` names. */
+/** Builds the version that `deploy/service.toml` names as production. */
 export const buildProduction = async (): Promise<Production> => {
   const commit = /^production = "([0-9a-f]{40})"$/m.exec(readFileSync('deploy/service.toml', 'utf8'))?.[1];
-  if (commit === undefined) throw new Error('deploy/service.toml names no production');
+  if (commit === undefined) throw new Error('deploy/service.toml does not name the commit of production');
   const parts = ['service', 'jobs/codec', 'placement/records', 'fleet/records'];
   const [service, codec, records, machines] = await buildModules(commit, parts);
   return {
@@ -242,7 +242,7 @@
 /** The last version before the renaming. */
 const BEFORE_RENAMING = 'ba59fc128496ca63be7e7e6e5964ffc3103d5a8c';
 
-/** The composition root of the last version before the renaming. */
+/** Builds the last version before the renaming; returns its composition root. */
 export const buildBeforeRenaming = async (): Promise<typeof compose> => {
   const [service] = await buildModules(BEFORE_RENAMING, ['service']);
   return adaptComposeBeforeRenaming((service as { compose: ComposeBeforeRenaming }).compose);
--- a/src/testing/faults.ts
+++ b/src/testing/faults.ts
@@ -1,10 +1,10 @@
 import type { SeededRandom } from './seeded-random.js';
 import type { ScenarioRun } from './scenario.js';
 
-/** One trouble: what happens when, in s from its begin. */
+/** A fault: its actions, each with its time in s from the start of the fault. */
 export type Fault = (random: SeededRandom) => readonly (readonly [number, (run: ScenarioRun) => void])[];
 
-/** Something that holds for a while. */
+/** A fault that starts with `on` and ends with `off`, `forS` seconds later. */
 const temporaryFault = (
   on: (run: ScenarioRun) => void,
   off: (run: ScenarioRun) => void,
@@ -13,7 +13,7 @@
   [0, on],
   [forS, off],
 ];
-/** The same for whatever `choose` finds at its begin. */
+/** A temporary fault of the nodes or machines that `choose` returns when the fault starts. */
 const temporaryFaultOn = <T>(
   choose: (run: ScenarioRun) => T,
   set: (run: ScenarioRun, found: T, on: boolean) => void,
@@ -31,6 +31,7 @@
     forS,
   );
 };
+/** The machines with the most tasks. */
 const fullestMachines = (run: ScenarioRun, count: number): string[] =>
   run.machinesWithTasks().slice(0, count);
 const ALL_NODES = ['n0', 'n1', 'n2'];
@@ -39,7 +40,10 @@
     .filter((machine) => machine.zone === zone)
     .map((machine) => machine.id);
 
-/** The troubles that our own drawn days are made of; their names are for messages. */
+/**
+ * The faults of drawn scenarios by name. `hunt.ts` draws them by index: a change of their number or order
+ * changes the scenarios of all seeds.
+ */
 export const FAULTS: Readonly<Record<string, Fault>> = {
   outage: (random) =>
     temporaryFault(
@@ -146,7 +150,7 @@
       [forS, () => undefined],
     ];
   },
-  /** Called off while their machines hang, or just before. */
+  /** Jobs are cancelled at the moment when their machines start to hang. */
   cancelHung: (random) => {
     const forS = 3 + random.below(45);
     return [
@@ -198,7 +202,7 @@
       [k * gapS + 0.1 + random.below(3), (run: ScenarioRun) => run.cluster.start(node)] as const,
     ]);
   },
-  /** The leaders change ten times within two minutes. */
+  /** The holder of the shard with the most runs is stopped and restarted ten times within two minutes. */
   changes: () =>
     Array.from({ length: 10 }, (_, k) => {
       let node = 'n0';
@@ -213,7 +217,10 @@
         [k * 12 + 5.5, (run: ScenarioRun) => run.cluster.start(node)] as const,
       ];
     }).flat(),
-  /** A zone with its workers and one controller: from all others, and what was said meanwhile comes late. */
+  /**
+   * Zone `y`, with its workers and controller `n1`, is partitioned; messages are delivered when the partition
+   * ends.
+   */
   zoneCut: (random) =>
     temporaryFault(
       (run) => {
@@ -230,4 +237,5 @@
       4 + random.below(30),
     ),
 };
+/** s: the workers' lease of the stand-in deployment. */
 const LEASE_S = 15;
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -1,8 +1,8 @@
 /**
- * What a heartbeat of a share with 4,000 machines costs, on the machine that runs this: `node
- * target/testing/heartbeat-cost.js` in the root of the repository. Half of the machines are spare; the
- * others run two jobs of one task each. Prints processor milliseconds of one heartbeat, the median of
- * several runs.
+ * Measures the cost of a heartbeat between controllers whose sender holds a shard with 4,000 machines, on the
+ * machine that runs it: `node target/testing/heartbeat-cost.js` in the root of the repository. Half of the
+ * machines are spare; the others run two jobs of one task each. Prints processor milliseconds of one
+ * heartbeat, the median of several runs.
  */
 import { decode } from '../http/msgpack.js';
 import { readHeartbeat } from '../peers/heartbeat-codec.js';
@@ -19,10 +19,10 @@
 const MACHINES = 4_000;
 const JOBS = 4_000;
 const JOBS_PER_MACHINE = 2;
-/** Heartbeats in one run, and runs. */
+/** Number of heartbeats in one run, and number of runs. */
 const HEARTBEATS = 20;
 const RUNS = 15;
-/** ms in which the share is placed and its summary made. */
+/** Virtual time in ms in which the holder places the shard's jobs and builds its summary. */
 const PLACEMENT_MS = 2_000;
 const MICROSECONDS_PER_MS = 1_000;
 
@@ -32,14 +32,14 @@
   `{"s":["${jobId(n)}","train","blue","array",1,1,32,1,64,null,null,false,false,true,"img",1,8,0,0,null],` +
   `"t":${START_MS},"c":false}`;
 
-/** The holder of a share with all these machines and jobs, as a restart finds them. */
+/** Starts the holder of a shard whose machines and jobs are already in the key-value store. */
 const createHolder = async (): Promise<HarnessedController> => {
   const controller = await prepared('n1');
   const workers = machineNames(1, MACHINES).map((id) => new ReportingWorker(controller, id));
   for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
   for (let n = 0; n < JOBS; n += 1) {
     const worker = workers[Math.floor(n / JOBS_PER_MACHINE)];
-    if (!worker) throw new Error('more jobs than the machines hold');
+    if (!worker) throw new Error('the machines have too little capacity for all jobs');
     await controller.seed(`w/j/${jobId(n)}`, jobRecordJson(n));
     await controller.seed(`r/1/${jobId(n)}/0`, `{"d":"0","b":[[0,"${worker.id}",1]],"n":1}`);
     worker.heads = [...worker.heads, { head: `${jobId(n)}/0`, try: 1, status: 'running' }];
@@ -53,7 +53,7 @@
   return controller;
 };
 
-/** ms of processor time of one piece of work: the median of several runs. */
+/** Processor time of one call of `work` in ms: the median of several runs. */
 const processorMs = async (work: () => unknown): Promise<number> => {
   const times: number[] = [];
   for (let run = 0; run < RUNS; run += 1) {
@@ -65,7 +65,10 @@
   return times.sort((a, b) => a - b)[RUNS >> 1] ?? Number.NaN;
 };
 
-/** A peer that hears the heartbeats of `n1`, and has nothing to work out for its answers. */
+/**
+ * A peer that receives the heartbeats of `n1` and answers with a recorded heartbeat, so answering costs
+ * nothing.
+ */
 const createReceivingPeer = (): PeerNetwork => {
   const answer = readHeartbeat(recordedValue('first-beats', 'n0 to n1'));
   if (answer === null) throw new Error('the recorded heartbeat names no sender');
--- a/src/testing/hunt.ts
+++ b/src/testing/hunt.ts
@@ -1,12 +1,12 @@
 /**
- * Days drawn from pairs of troubles against our own stand-ins, for days beyond those of the tests:
- * `node target/testing/hunt.js FROM TO [trouble trouble]` plays the seeds and prints those that broke a rule.
+ * Runs drawn scenarios with combined faults against the stand-ins, for more seeds than the tests run:
+ * `node target/testing/hunt.js FROM TO [fault fault]` runs the seeds and prints those that violate a rule.
  */
 import { ScenarioRun, type Scenario } from './scenario.js';
 import { FAULTS } from './faults.js';
 import { SeededRandom } from './seeded-random.js';
 
-/** A day with troubles drawn from a seed. */
+/** Draws a scenario from a seed: the wanted faults, filled up to three with random ones. */
 export const drawScenario = (
   seed: number,
   wanted: readonly string[] = [],
@@ -25,7 +25,7 @@
   const long = random.chance(0.5);
   const pipelines = seed % 2 === 0;
   if (pipelines)
-    for (const after of [3, 9, 20]) faults.push([at + after - 12, (day) => day.cancelPipelines(1)]);
+    for (const after of [3, 9, 20]) faults.push([at + after - 12, (run) => run.cancelPipelines(1)]);
   return {
     names: names.join(' '),
     seed,
@@ -41,11 +41,11 @@
 if (process.argv[1]?.endsWith('hunt.js') && from !== undefined) {
   let broken = 0;
   for (let seed = Number(from); seed <= Number(to ?? from); seed += 1) {
-    const day = drawScenario(seed, wanted);
-    const found = await new ScenarioRun(day).run();
+    const scenario = drawScenario(seed, wanted);
+    const found = await new ScenarioRun(scenario).run();
     if (found.length === 0) continue;
     broken += 1;
-    process.stdout.write(`${seed} [${day.names}] ${found.slice(0, 6).join('; ')}\n`);
+    process.stdout.write(`${seed} [${scenario.names}] ${found.slice(0, 6).join('; ')}\n`);
   }
   process.stdout.write(`${from} to ${to ?? from}: ${broken} days broke a rule\n`);
 }
--- a/src/testing/key-value-store-stand-in.ts
+++ b/src/testing/key-value-store-stand-in.ts
@@ -1,36 +1,38 @@
 /**
- * Stand-in for the state service, written to the published protocol: keys with revisions, leases, watches,
+ * Stand-in for the key-value store, written to the published protocol: keys with revisions, leases, watches,
  * transactions.
  */
 import type { CallOutcome } from '../http/model.js';
 
-/** A map as it comes from the wire. */
+/** A map as received from the network. */
 export type WireRecord = Record<string, unknown>;
-/** An answer of a stand-in. */
+/** Builds an answer of a stand-in. */
 export const reply = (status: number, body: unknown = {}): CallOutcome => ({
   _tag: 'response',
   status,
   body,
 });
-/** What crosses the network is a copy. */
+/** Copies a value that crosses the simulated network. */
 export const copy = <T>(value: T): T => structuredClone(value);
 
-/** The state service. */
+/** The key-value store. */
 export class KeyValueStoreStandIn {
   private epoch = 0;
   private readonly data = new Map<string, { value: unknown; version: number; lease: number | null }>();
   private readonly leases = new Map<number, { until: number; ttl: number }>();
   private readonly news: { key: string; value?: unknown; version: number }[] = [];
   private lastLease = 0;
+  /** Whether the store is out for all nodes; set by `setOutage`. */
   down = false;
-  /** bytes of one value and changes of one transaction, at most; what passed them. */
+  /** Largest size of a value in bytes, and largest number of changes in a transaction. */
   limits = { valueBytes: 16 * 1024, ops: 32 };
+  /** Descriptions of the transactions that were refused because they exceeded `limits`. */
   readonly oversizedTransactions: string[] = [];
-  /** Told of every put, with the revision that it got. */
+  /** Called for every put with the new revision. */
   onPut: (key: string, value: unknown, version: number) => void = () => undefined;
-  /** Told of every lease that ended, with the keys that went with it. */
+  /** Called for every expired lease with the keys removed with it. */
   onLeaseEnd: (lease: number, keys: readonly string[]) => void = () => undefined;
-  /** Nodes that alone are refused. */
+  /** Nodes whose requests are refused with 503. */
   readonly refused = new Set<string>();
 
   private expireLeases(): void {
@@ -50,13 +52,13 @@
   setOutage(on: boolean): void {
     this.expireLeases();
     this.down = on;
-    // Once an outage ends, every lease has its full time again.
+    // After an outage every lease gets its full time to live again.
     if (!on) for (const lease of this.leases.values()) lease.until = Date.now() + lease.ttl;
   }
   value(key: string): unknown {
     return this.data.get(key)?.value;
   }
-  /** The revision of a key; 0: there is none. */
+  /** The revision of a key; 0 if the key does not exist. */
   version(key: string): number {
     this.expireLeases();
     return this.data.get(key)?.version ?? 0;
@@ -88,9 +90,9 @@
     if (route === '/store') {
       const after = params.get('since') ?? '';
       const keys = this.keys(params.get('under') ?? '').filter((key) => key > after);
-      const most = Number(params.get('most') ?? 1000);
-      const rows = keys.slice(0, most).map((key) => this.row(key));
-      return reply(200, { rows: copy(rows), more: keys.length > most, epoch: this.epoch });
+      const maxRows = Number(params.get('most') ?? 1000);
+      const rows = keys.slice(0, maxRows).map((key) => this.row(key));
+      return reply(200, { rows: copy(rows), more: keys.length > maxRows, epoch: this.epoch });
     }
     const key = (route ?? '').slice('/store/'.length);
     return this.data.has(key) ? reply(200, copy(this.row(key))) : reply(404, { epoch: this.epoch });
@@ -100,6 +102,7 @@
     return { path: key, data: entry?.value, brandMark: entry?.version };
   }
 
+  /** Executes a transaction: applies all writes if every condition holds, otherwise none. */
   private compareAndSwap(body: WireRecord): CallOutcome {
     const when = body['when'] as { path: string; brandMark: number }[];
     const writes = body['writes'] as (
@@ -141,6 +144,7 @@
     return reply(200, { epoch: this.epoch });
   }
 
+  /** Returns the changes after a revision as soon as there are any, or none after the wait time. */
   private async watch(from: string, params: URLSearchParams): Promise<CallOutcome> {
     const since = Number(params.get('since'));
     const until = Date.now() + Number(params.get('waitMs') ?? 0);
--- a/src/testing/late-actions.ts
+++ b/src/testing/late-actions.ts
@@ -1,23 +1,23 @@
 import type { CloudAction } from './cloud-stand-in.js';
 
-/** Who held the leadership from when on, by the state service. */
+/** The start of a node's leadership, according to the key-value store. */
 export interface LeadershipTerm {
   readonly node: string;
   readonly token: number;
-  /** ms, steady. */
+  /** When the leadership started, in ms of the steady clock. */
   readonly from: number;
 }
 
-/** A request of a replaced leader that changed something at the cloud. */
+/** A request of a replaced leader that had an effect at the cloud. */
 export interface LateAction {
   readonly action: CloudAction;
   readonly holder: LeadershipTerm;
 }
 
 /**
- * Looks through the stand-ins' logs for late actions: effects of a node at a time when the state service
- * showed another as the leader. A rental is charged to the token in its name; a release is harmless where a
- * record asked for it.
+ * Finds late actions in the records of the stand-ins: requests of a node that had an effect while the
+ * key-value store showed another node as the leader. A release is harmless if the record of each machine had
+ * requested it before.
  */
 export const findLateActions = (
   actions: readonly CloudAction[],
--- a/src/testing/leader-scenario.ts
+++ b/src/testing/leader-scenario.ts
@@ -4,10 +4,10 @@
 import { findLateActions, type LateAction, type LeadershipTerm } from './late-actions.js';
 import { Loopback, type LoopbackOptions } from './loopback.js';
 
-/** ms: see {@link LeaderScenario.waitForLateEffects}. */
+/** Wait of {@link LeaderScenario.waitForLateEffects} in ms. */
 const LATE_EFFECTS_WAIT_MS = 2_500;
 
-/** A gang of one task that takes a whole machine. */
+/** A gang of one task that needs a whole machine. */
 const wholeMachineJob = (n: number): object =>
   submission({
     uid: `job-${String(n).padStart(6, '0')}`,
@@ -21,16 +21,16 @@
     expectedS: 60,
   });
 
-/** A deployment with the history of its leaders and of the machines whose release was asked for. */
+/** A deployment with the history of its leaders and of the machines whose release was requested. */
 export class LeaderScenario {
   readonly leadershipTerms: LeadershipTerm[] = [];
-  /** Writes of the book of rental requests. */
+  /** Number of writes of the provisioning record. */
   intentWrites = 0;
   private readonly releaseRequestedAt = new Map<string, number>();
 
   private constructor(
     readonly deployment: Loopback,
-    /** Fencing is on: a late action is a failure, which its reader has to trace. */
+    /** Whether fencing is on; then a late action is a failure, and the timeline is printed to diagnose it. */
     private readonly isFenced: boolean,
   ) {
     deployment.state.onPut = (key, value, version) => {
@@ -47,12 +47,12 @@
 
   static async run(
     options: LoopbackOptions,
-    scene: (scenario: LeaderScenario) => Promise<void>,
+    steps: (scenario: LeaderScenario) => Promise<void>,
   ): Promise<void> {
     const isFenced = options.features.includes('fencing = true');
     const scenario = new LeaderScenario(await Loopback.start(options), isFenced);
     try {
-      await scene(scenario);
+      await steps(scenario);
     } catch (error) {
       scenario.printTimeline(null);
       throw error;
@@ -61,7 +61,7 @@
     }
   }
 
-  /** A job is accepted by the first node that takes it. */
+  /** Submits a job to the nodes in turn until one of them accepts the job. */
   async submit(n: number): Promise<void> {
     await this.deployment.waitUntil('a job to be accepted', async () => {
       for (const node of Loopback.nodes) {
@@ -72,7 +72,7 @@
     });
   }
 
-  /** Another node leads now, and the duty of renting is settled there. */
+  /** Waits until a node other than `old` holds the leadership; returns its term. */
   async waitForSuccessor(old: string): Promise<LeadershipTerm> {
     return this.deployment.waitUntil('a successor', () => {
       const last = this.leadershipTerms.at(-1);
@@ -80,14 +80,14 @@
     });
   }
 
-  /** The state of renting, as a controller tells it, and how many requests are under way there. */
+  /** The controller's view of the provisioning duty, with its state and its number of open requests. */
   private async provisioningDuty(node: string): Promise<WireDuty | null> {
     const answer = await fetch(`http://${this.deployment.address(node)}/admin/v1/duties/rent`);
     const view = (await answer.json()) as { duties?: WireDuty[] };
     return view.duties?.[0] ?? null;
   }
 
-  /** The node may rent: what an earlier leader left open is settled. */
+  /** Waits until the node may provision machines: the open requests of an earlier leader are settled. */
   async waitUntilDutyHeld(node: string): Promise<void> {
     await this.deployment.waitUntil(
       'the duty to be held',
@@ -95,10 +95,10 @@
     );
   }
 
-  /** The node has decided to rent, and its request is under way or waits. */
+  /** Waits until the node has an open provisioning request, which is in flight or queued. */
   async waitUntilProvisioningDecided(node: string): Promise<void> {
     await this.deployment.waitUntil(
-      'a rental to be decided',
+      'a provisioning request to be opened',
       async () => ((await this.provisioningDuty(node))?.open ?? 0) > 0,
     );
   }
@@ -122,7 +122,7 @@
     );
   }
 
-  /** Time in which a resumed process does whatever it is still going to do. */
+  /** Waits long enough for a resumed process to complete its pending requests. */
   async waitForLateEffects(): Promise<void> {
     await new Promise((resolve) => setTimeout(resolve, LATE_EFFECTS_WAIT_MS));
   }
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -1,8 +1,8 @@
 /**
- * Controllers as real processes on loopback (one, holding every share, unless told otherwise) against our
- * stand-ins: what reports, polls and submissions cost.
+ * Measures the cost of worker heartbeats, status requests and submissions: controllers run as real processes
+ * on loopback against the stand-ins; by default a single controller holds every shard.
  * `node target/testing/load.js [machines] [seconds] [controllers] [node flags for them...]` after a build and
- * a bundle; prints processor time, memory and calls a second. Figures are of the machine that runs it.
+ * a bundle; prints processor time, memory and requests per second, which depend on the machine that runs it.
  */
 import { readRedirect } from '../workers/codec.js';
 import { spawn } from 'node:child_process';
@@ -25,15 +25,17 @@
 const HEARTBEAT_INTERVAL_MS = 3_000;
 const TASK_DURATION_MS = 20_000;
 const HOST = '127.0.0.1';
-/** Several may run side by side, each with ports of its own. */
+/** The first port; a different value lets several programs run side by side. */
 const PORT = Number(process.env['LOAD_PORT'] ?? 21_000);
 const apiPort = (node: number): number => PORT + 10 + node * 2;
 
+/** Number of requests since the start of the measurement, by kind. */
 const calls = new Map<string, number>();
 const count = (name: string): void => {
   calls.set(name, (calls.get(name) ?? 0) + 1);
 };
 
+/** A task on a worker, with the field names of the protocol. */
 interface LoadTask {
   head: string;
   try: number;
@@ -42,7 +44,7 @@
   endAt: number;
 }
 
-/** A worker that does as it is told; its tasks run for a fixed time. */
+/** A worker that executes every command; its tasks run for a fixed time. */
 class LoadWorker {
   readonly heads = new Map<string, LoadTask>();
   token = 0;
@@ -151,6 +153,7 @@
   }
 }
 
+/** Ids of the machines that a controller has released. */
 const releasedMachines = new Set<string>();
 const workers = Array.from({ length: MACHINES }, (_, n) => {
   return new LoadWorker(`i-${String(n).padStart(6, '0')}`, n % 2 === 0);
@@ -206,6 +209,7 @@
   dueS: null,
 });
 
+/** Processor time of a process in ms, at 100 clock ticks per second. */
 const cpuMs = (pid: number): number => {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   return (Number(fields[11]) + Number(fields[12])) * 10;
@@ -343,7 +347,7 @@
       `n${node}: processor ${((used[node] ?? 0) / SECONDS).toFixed(1)} ms a second; memory ${rssMb(pid).toFixed(0)} MB`,
     );
   });
-  for (const [name, calls_] of [...calls].sort()) console.log(`${name}: ${(calls_ / SECONDS).toFixed(1)}/s`);
+  for (const [name, total] of [...calls].sort()) console.log(`${name}: ${(total / SECONDS).toFixed(1)}/s`);
   clearInterval(submit);
   clearInterval(poll);
   for (const child of children) child.kill('SIGTERM');
--- a/src/testing/loopback-ports.ts
+++ b/src/testing/loopback-ports.ts
@@ -1,12 +1,13 @@
-/** Ports for the processes and listeners of loopback tests. Owns the next port to try. */
+/** Assigns ports to the processes and listeners of loopback tests. State: the next port to try. */
 import { createServer } from 'node:net';
 
-/** Where everything listens. */
+/** The address that all processes and stand-ins listen on. */
 export const LOOPBACK_HOST = '127.0.0.1';
 
 /**
- * Ports below those that the system hands out by itself, so that no connection or listener of another process
- * takes one between the look and its use, nor while a killed controller is down. Each process has its own.
+ * The ports are below the system's ephemeral range, so that no connection or listener of another process
+ * takes one between the check and its use, or while a killed controller is down. Each process uses its own
+ * range.
  */
 const FIRST_PORT = 12_000;
 const PORTS_PER_PROCESS = 100;
@@ -20,7 +21,7 @@
     server.listen(port, LOOPBACK_HOST, () => server.close(() => resolve(true)));
   });
 
-/** A port that nothing listens on; none is given out twice by one process. */
+/** Returns a port that nothing listens on; a process never gets the same port twice. */
 export const freePort = async (): Promise<number> => {
   for (;;) {
     const port = nextPort;
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -1,7 +1,7 @@
 /**
- * Three controllers as real processes on loopback, against stand-ins for the state service and the cloud that
- * log what takes effect and can hold requests or their answers. Processes can be stopped, resumed, killed and
- * started again.
+ * Three controllers as real processes on loopback, against stand-ins for the key-value store and the cloud
+ * that record the effects of requests and can hold requests or their answers. Processes can be suspended,
+ * resumed, killed and started again.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdtempSync, openSync, rmSync, writeFileSync } from 'node:fs';
@@ -18,22 +18,22 @@
 import { textOfOutcome, textOfRequest } from './request-text.js';
 import { Timeline } from './timeline.js';
 
-/** ms: between looks at a condition that is waited for. */
+/** Interval in ms between two checks of a condition that a test waits for. */
 const POLL_INTERVAL_MS = 20;
-/** ms: longest wait for a condition, also on a busy machine. */
+/** Longest wait for a condition in ms; long enough for a busy machine. */
 const MAX_WAIT_MS = 40_000;
 
-/** Which service a request goes to. */
+/** The service that receives a request. */
 export type Service = 'state' | 'cloud';
 
-/** A request of a controller to a stand-in. */
+/** A request of a controller, as received by a stand-in. */
 export interface ReceivedRequest {
   readonly node: string;
   readonly service: Service;
   readonly call: ServerRequest;
 }
 
-/** Where a request stops: before the stand-in carries it out, or with its answer. */
+/** Where a request is held: before the stand-in executes it, or before its answer is sent. */
 export type HoldAt = 'request' | 'answer';
 
 interface Hold {
@@ -43,14 +43,14 @@
   held: number;
 }
 
-/** A rule under which requests wait, until it is lifted. */
+/** A rule that holds matching requests until `release` is called. */
 export interface HeldRequests {
-  /** How many wait. */
+  /** Number of requests that this rule has held so far. */
   readonly count: () => number;
   readonly release: () => void;
 }
 
-/** How the deployment differs from the ordinary one. */
+/** Settings that differ between deployments. */
 export interface LoopbackOptions {
   readonly features: string;
   readonly cloudRps: number;
@@ -65,7 +65,7 @@
   readonly cloud: number;
 }
 
-/** The deployment; {@link stop} ends its own processes and listeners. */
+/** The deployment; {@link stop} ends its processes and listeners. */
 export class Loopback {
   static readonly nodes = ['n0', 'n1', 'n2'] as const;
   readonly state = new KeyValueStoreStandIn();
@@ -81,7 +81,7 @@
   private constructor(private readonly options: LoopbackOptions) {
     this.timeline.watchEventLoop('stand-in');
     this.state.onLeaseEnd = (lease, keys) =>
-      this.timeline.record('store', `lease ${lease} ended: ${keys.join()}`);
+      this.timeline.record('store', `lease ${lease} expired, removed: ${keys.join()}`);
   }
 
   static async start(options: LoopbackOptions): Promise<Loopback> {
@@ -89,7 +89,7 @@
     try {
       await deployment.launch();
     } catch (error) {
-      // What is open already would keep the test's process from ending.
+      // Open listeners and processes would keep the test's process from ending.
       await deployment.stop();
       throw error;
     }
@@ -112,11 +112,11 @@
 
   private portsOf(node: string): NodePorts {
     const ports = this.ports.get(node);
-    if (!ports) throw new Error(`no node ${node}`);
+    if (!ports) throw new Error(`no ports are assigned to node ${node}`);
     return ports;
   }
 
-  /** Each node has listeners of its own, so that the stand-ins know who asks. */
+  /** Opens separate listeners for each node, so that the stand-ins know which node sends a request. */
   private async listen(): Promise<void> {
     for (const node of Loopback.nodes) {
       for (const service of ['state', 'cloud'] as const) {
@@ -138,7 +138,7 @@
     this.timeline.record(request.node, `-> ${text}`);
     await this.waitForHolds(request, 'request');
     const answer = await this.execute(request);
-    this.timeline.record(request.node, `carried out ${text}: ${textOfOutcome(answer)}`);
+    this.timeline.record(request.node, `executed ${text}: ${textOfOutcome(answer)}`);
     await this.waitForHolds(request, 'answer');
     return answer._tag === 'response' ? { status: answer.status, body: answer.body } : { status: 503 };
   }
@@ -159,7 +159,7 @@
     }
   }
 
-  /** Lets matching requests, or their answers, wait. */
+  /** Holds matching requests, or their answers, until the returned rule is released. */
   hold(at: HoldAt, matches: (request: ReceivedRequest) => boolean): HeldRequests {
     let release = (): void => undefined;
     const released = new Promise<void>((resolve) => {
@@ -176,7 +176,7 @@
     };
   }
 
-  /** Answers matching requests 503, until the returned function is called. */
+  /** Answers matching requests with 503 until the returned function is called. */
   refuse(matches: (request: ReceivedRequest) => boolean): () => void {
     this.refusals.add(matches);
     return () => this.refusals.delete(matches);
@@ -188,7 +188,7 @@
     const flags = ['--single-threaded', '--max-semi-space-size=4', 'target/app/main.js'];
     const features = join(this.directory, 'features.toml');
     const shownLevel = process.env['LOOPBACK_LOG'];
-    // A file takes all lines at once: a process that waits for its reader would change what is watched.
+    // Logs go to a file, which never blocks the controller: waiting for a reader would change the timing.
     const logFile = openSync(this.logFile(node), 'a');
     const child = spawn(process.execPath, [...flags, '--features', features, '--config', file], {
       stdio: ['ignore', 'ignore', shownLevel === undefined ? logFile : 'inherit'],
@@ -202,18 +202,18 @@
     return join(this.directory, `${node}.log`);
   }
 
-  /** What happened around a moment (ms of `performance.now()`; null: now), for the reader of a failed test. */
+  /** Renders the timeline around a time (ms of `performance.now()`; null: now) to diagnose a failed test. */
   renderTimeline(around: number | null): string {
     return this.timeline.render(around, new Map(Loopback.nodes.map((node) => [node, this.logFile(node)])));
   }
 
   private settings(node: string): object {
-    const { api, peer: mesh, state, cloud } = this.portsOf(node);
+    const { api, peer, state, cloud } = this.portsOf(node);
     return {
       host_name: node,
       area: 'x',
       api_addr: `${HOST}:${api}`,
-      mesh_addr: `${HOST}:${mesh}`,
+      mesh_addr: `${HOST}:${peer}`,
       siblings: Loopback.nodes
         .filter((other) => other !== node)
         .map((other) => ({
@@ -238,11 +238,11 @@
 
   private child(node: string): ChildProcess {
     const child = this.processes.get(node);
-    if (!child) throw new Error(`no process of ${node}`);
+    if (!child) throw new Error(`node ${node} has no process`);
     return child;
   }
 
-  /** The process stands still. */
+  /** Suspends the node's process by SIGSTOP. */
   suspend(node: string): void {
     const child = this.child(node);
     this.timeline.record('signals', `SIGSTOP for ${node}`);
@@ -253,7 +253,7 @@
     this.timeline.record('signals', `SIGCONT for ${node}`);
     this.child(node).kill('SIGCONT');
   }
-  /** Ends the process without notice; the promise resolves when it is gone. */
+  /** Kills the node's process by SIGKILL; the promise resolves when the process has exited. */
   kill(node: string): Promise<void> {
     const child = this.child(node);
     return new Promise((resolve) => {
@@ -271,24 +271,28 @@
     return new PooledHttpClient(parseTarget(this.address(node)), 1).request(method, path, body, 5_000);
   }
 
-  /** Who leads, by the state service, with the fencing token. */
+  /** The leader and its fencing token according to the key-value store; null if no node holds the claim. */
   leader(): { readonly node: string; readonly token: number } | null {
     const token = this.state.version('w/c/L');
     const claim = this.state.value('w/c/L') as { n: string } | undefined;
     return claim && token > 0 ? { node: claim.n, token } : null;
   }
 
-  async waitUntil<T>(what: string, look: () => T | null | false | Promise<T | null | false>): Promise<T> {
+  /** Repeats `check` until its result is neither null nor false; throws after `MAX_WAIT_MS`. */
+  async waitUntil<T>(
+    condition: string,
+    check: () => T | null | false | Promise<T | null | false>,
+  ): Promise<T> {
     const from = performance.now();
     for (;;) {
-      const found = await look();
+      const found = await check();
       if (found !== null && found !== false) return found;
-      if (performance.now() - from > MAX_WAIT_MS) throw new Error(`waited in vain for: ${what}`);
+      if (performance.now() - from > MAX_WAIT_MS) throw new Error(`timed out waiting for: ${condition}`);
       await pause(POLL_INTERVAL_MS);
     }
   }
 
-  /** All controllers are ready and one leads. */
+  /** Waits until all controllers are ready and one of them is the leader. */
   async waitUntilReady(): Promise<{ readonly node: string; readonly token: number }> {
     for (const node of Loopback.nodes) {
       await this.waitUntil(`${node} ready`, async () => {
--- a/src/testing/peer-heartbeats.ts
+++ b/src/testing/peer-heartbeats.ts
@@ -1,7 +1,7 @@
 /** Builds heartbeats between controllers for tests. */
 import type { PeerHeartbeat } from '../peers/heartbeat.js';
 
-/** A heartbeat of a controller that has nothing to tell, but for the fields given. */
+/** A heartbeat of a controller with nothing to report, except for the given fields. */
 export const heartbeatFrom = (from: string, fields: Partial<PeerHeartbeat> = {}): PeerHeartbeat => ({
   from,
   incarnation: '1',
--- a/src/testing/request-text.ts
+++ b/src/testing/request-text.ts
@@ -1,8 +1,11 @@
-/** Requests to the stand-ins, and their outcomes, as one line each of a timeline. No state. */
+/** Formats requests to the stand-ins and their outcomes as single lines of a timeline. No state. */
 import type { CallOutcome } from '../http/model.js';
 import type { ReceivedRequest } from './loopback.js';
 
-/** What names the effect of a request: a rental, machines, or the keys of a transaction. */
+/**
+ * The fields that identify the effect of a request: a provisioning request, machines, or keys of a
+ * transaction.
+ */
 interface EffectBody {
   readonly hire?: string;
   readonly drovers?: readonly string[];
@@ -17,7 +20,7 @@
   }[];
 }
 
-/** A request; of its body only what names its effect. */
+/** Formats a request; of its body only the fields that identify its effect. */
 export const textOfRequest = ({ service, call }: ReceivedRequest): string => {
   const body: EffectBody = call.body._tag === 'value' ? (call.body.value ?? {}) : {};
   const keys = body.writes?.map((write) => write.write ?? write.remove).join();
@@ -25,7 +28,7 @@
   return `${service} ${call.method} ${call.path} ${subject}`.trimEnd();
 };
 
-/** The status of an answer, and the changes that a watch tells of. */
+/** Formats the status of an answer, and the changes in the answer of a watch. */
 export const textOfOutcome = (outcome: CallOutcome): string => {
   if (outcome._tag !== 'response') return outcome._tag;
   const { news } = (outcome.body ?? {}) as WatchBody;
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -1,7 +1,7 @@
 /**
- * What decisions cost as machines and jobs grow, on the machine that runs this:
- * `node target/testing/scale.js`. Prints milliseconds of one placement round, one summary for the leader, one
- * plan of the leader's and one takeover.
+ * Measures the cost of decisions for growing numbers of machines and jobs, on the machine that runs it:
+ * `node target/testing/scale.js`. Prints the milliseconds of one placement round, one summary for the leader,
+ * one scaling plan of the leader and one takeover of a shard.
  */
 import { planSteps } from '../fleet/scaling-plan.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
@@ -40,6 +40,7 @@
 ]);
 const limits = new Map([['t', { cpusMax: 0, gpusMax: 1_000_000 }]]);
 
+/** An array or a gang; a gang needs whole machines. */
 const specOf = (n: number, gang: boolean): JobSpec => ({
   id: `job-${n}`,
   jobClass: gang ? 'gang' : 'array',
@@ -63,7 +64,10 @@
   deadlineS: null,
 });
 
-/** One share with its machines full but for one in twenty, and a job waiting for every eight machines. */
+/**
+ * A shard in which one of twenty machines is free and the others are full, with a waiting job per eight
+ * machines.
+ */
 const createShard = (machines: number) => {
   const now = 1_000_000;
   const shardState = new ShardState({ now: () => now, wall: () => now, requestRound: () => undefined });
@@ -140,6 +144,7 @@
   return { shardState, view };
 };
 
+/** One placement round, without its writes. */
 const runRound = (view: PlacementView) => {
   const requests = placementRequests(view);
   const capacities = availableCapacity(view);
@@ -154,6 +159,7 @@
 };
 
 const median = (times: readonly number[]): number => [...times].sort((a, b) => a - b)[times.length >> 1] ?? 0;
+/** Median duration of `work` in ms, over 25 runs. */
 const medianMs = (work: () => unknown): number =>
   median(
     Array.from({ length: 25 }, () => {
--- a/src/testing/scenario.ts
+++ b/src/testing/scenario.ts
@@ -15,51 +15,62 @@
 import { SimulatedEnvironment } from './simulated-environment.js';
 import type { StandInJob } from './worker-stand-in.js';
 
-/** A drawn day of users, controllers and troubles, from one seed, with the rules checked as it goes. */
+/** A random run of users, controllers and faults, drawn from one seed, and checked against the rules. */
 export interface Scenario {
   readonly seed: number;
-  /** s from the begin, and what happens then. */
-  readonly faults: readonly (readonly [number, (day: ScenarioRun) => void])[];
-  /** Probability that a message gets lost. */
+  /** Each fault action with its time, in s from the start of the run. */
+  readonly faults: readonly (readonly [number, (run: ScenarioRun) => void])[];
+  /** Probability that a request is delivered after its timeout, and that an answer is lost. */
   readonly lossProbability?: number;
+  /** Number of single jobs, besides those of the pipelines. */
   readonly jobs?: number;
-  /** s between submissions. */
+  /** s between the submissions of two jobs; pipelines are submitted at twice this interval. */
   readonly submissionIntervalS?: number;
-  /** s that a task runs, at least and at most. */
+  /** Shortest and longest duration of a task, in s. */
   readonly taskDurationRangeS?: readonly [number, number];
-  /** Tasks of an array. */
+  /** Number of tasks of each array of team blue. */
   readonly tasks?: number;
-  /** Share of the jobs that are called off at the moment when their last task ends. */
+  /** Probability that a user cancels a job at the moment when its last task ends. */
   readonly cancelAtEndProbability?: number;
-  /** Arrays of two or three tasks, of which the later ones run far longer. */
+  /**
+   * Whether all jobs are arrays of two or three tasks, each of which runs 25 s longer than the one before.
+   */
   readonly staggeredTaskEnds?: boolean;
-  /** The version that all processes run at the begin, until `upgrade`. */
+  /** The version that every controller runs until `upgrade`. */
   readonly production?: typeof compose;
-  /** s from the begin: no job that follows others is submitted before. */
+  /** Time of the first submission of a pipeline, in s from the start of the run. */
   readonly pipelinesFromS?: number;
-  /** Pipelines of five jobs each, across teams; some of their last jobs come when the others are over. */
+  /**
+   * Number of pipelines, each of five jobs of both teams. In every third pipeline the last job is submitted
+   * only after its dependencies have a final status.
+   */
   readonly pipelines?: number;
 }
 
-/** ms: after this without an answer about a job, once troubles are over, it counts as forgotten. */
+/** Time in ms without an answer about a job, after the last fault, from which the job counts as forgotten. */
 const MAX_UNANSWERED_MS = 75_000;
-/** ms: once troubles are over no job waits longer where there is room. */
+/** Longest time in ms that a job may wait after the last fault while there is capacity for it. */
 const MAX_WAITING_MS = 90_000;
+/** GPU limit of each team. */
 const LIMITS = new Map([
   ['red', 24],
   ['blue', 16],
 ]);
 
-/** One day against the stand-ins. */
+/** One run of a scenario against the stand-ins. */
 export class ScenarioRun {
   readonly random: SeededRandom;
   readonly environment: SimulatedEnvironment;
   readonly cluster: Cluster;
   readonly jobs: StandInJob[] = [];
+  /** Time of the last answer about each job, in ms since the epoch. */
   private readonly answeredAt = new Map<string, number>();
+  /** Since when each job waits although there is capacity for it, in ms since the epoch. */
   private readonly waitingSince = new Map<string, number>();
   private readonly cancelling = new Set<string>();
+  /** Jobs whose end `cancelEndingJobs` has seen. */
   private readonly ended = new Set<string>();
+  /** 1 s after the last fault, in ms since the epoch. */
   private faultsEndAt = Number.POSITIVE_INFINITY;
   private isFinished = false;
 
@@ -77,17 +88,17 @@
     this.cluster = new Cluster(this.environment);
   }
 
-  /** The node that holds the share with this number, and so `L` for the one that leads. */
+  /** The node that holds this claim: the number of a shard, or `L` for the leader. */
   holder(claimName: string): string {
     const claim = this.environment.state.value(`w/c/${claimName}`) as { n: string } | undefined;
     return claim?.n ?? 'n0';
   }
-  /** The holder of the share in which most tasks run. */
+  /** The holder of the shard with the most run records. */
   busiestNode(): string {
     const count = (claimName: string): number => this.environment.state.keys(`r/${claimName}/`).length;
     return this.holder(['0', '1', '2'].sort((a, b) => count(b) - count(a))[0] ?? '0');
   }
-  /** The node's process ends and comes back with this version. */
+  /** Restarts the node's controller with the present version. */
   upgrade(node: string): void {
     this.cluster.stop(node);
     this.cluster.versions.delete(node);
@@ -96,7 +107,7 @@
   otherNodes(node: string): string[] {
     return NODES.filter((other) => other !== node);
   }
-  /** Machines with tasks, the fullest first. */
+  /** Machines with tasks, ordered by descending number of tasks. */
   machinesWithTasks(): string[] {
     return [...this.environment.machines.values()]
       .filter((machine) => !machine.isTerminated && machine.tasks.size > 0)
@@ -104,7 +115,8 @@
       .map((machine) => machine.id);
   }
   /**
-   * Cuts a node from the state service and the other nodes, not from workers and users; mends with `false`.
+   * Partitions a node from the key-value store and the other controllers, but not from workers and users;
+   * `false` ends the partition.
    */
   isolate(node: string, on: boolean): void {
     this.environment.partition(
@@ -116,13 +128,13 @@
   private requestFromRandomNode(method: string, path: string, body?: unknown): Promise<CallOutcome> {
     return this.environment.call('user', NODES[this.random.below(3)] ?? 'n0', method, path, body, 2_000);
   }
-  /** Asks one node something; what it answers is handed on with the time that it took (ms). */
+  /** Sends a request to one node and calls `then` with its answer and the duration in ms. */
   requestFromNode(
     node: string,
     method: string,
     path: string,
     body: unknown,
-    then: (status: number, said: unknown, tookMs: number) => void,
+    then: (status: number, body: unknown, durationMs: number) => void,
   ): void {
     const from = Date.now();
     void this.environment.call('user', node, method, path, body, 5_000).then((answer) => {
@@ -133,7 +145,7 @@
     return new Promise((resolve) => setTimeout(resolve, ms));
   }
 
-  /** All jobs that this one needs, directly or through others. */
+  /** All jobs on which this job depends, directly or through other jobs. */
   private transitiveDependencies(job: StandInJob): readonly StandInJob[] {
     const found = new Set<StandInJob>();
     const add = (other: StandInJob): void => {
@@ -147,6 +159,7 @@
     return [...found];
   }
 
+  /** Checks an answer about a job against what the job did and what earlier answers said. */
   private checkJobAnswer(job: StandInJob, answer: CallOutcome): void {
     if (answer._tag !== 'response') return;
     if (answer.status === 404) this.environment.violations.push(`forgotten ${job.id}: 404`);
@@ -159,21 +172,21 @@
       this.environment.violations.push(`not_done ${job.id}`);
     const dependencies = this.transitiveDependencies(job);
     if (status === 'withdrawn' && ![job, ...dependencies].some((other) => this.cancelling.has(other.id)))
-      this.environment.violations.push(`went_back ${job.id} withdrawn unasked`);
+      this.environment.violations.push(`went_back ${job.id} withdrawn without a cancellation`);
     if (job.cancelledAt !== null && status !== 'withdrawn')
       this.environment.violations.push(`went_back ${job.id} ${status} after withdrawn`);
     if (job.isFinalStatusReported && job.cancelledAt === null && status !== 'done')
       this.environment.violations.push(`went_back ${job.id} ${status} after done`);
     if (status === 'pending' || status === 'running') {
-      const told = dependencies.flatMap((other) => other.cancelledAt ?? []);
-      if (told.some((since) => Date.now() - since > CANCEL_MS))
+      const cancelledAt = dependencies.flatMap((other) => other.cancelledAt ?? []);
+      if (cancelledAt.some((since) => Date.now() - since > CANCEL_MS))
         this.environment.violations.push(`orphaned ${job.id} ${status}`);
     }
     if (status === 'withdrawn') job.cancelledAt ??= Date.now();
     if (status === 'done' || status === 'withdrawn') job.isFinalStatusReported = true;
   }
 
-  /** A user calls the job off, and asks until he is answered. */
+  /** Cancels the job as its user, and repeats the request until the job has a final status. */
   async cancel(job: StandInJob): Promise<void> {
     if (this.cancelling.has(job.id)) return;
     this.cancelling.add(job.id);
@@ -182,7 +195,7 @@
       await this.sleep(1_000);
     }
   }
-  /** Calls off so many jobs that run now. */
+  /** Cancels `count` jobs that have a running task. */
   cancelRunning(count: number): void {
     const running = new Set(
       [...this.environment.machines.values()].flatMap((machine) =>
@@ -192,7 +205,7 @@
     for (const job of [...running].filter((job) => !job.isFinalStatusReported).slice(0, count))
       void this.cancel(job);
   }
-  /** Calls off one job, not the last, of so many pipelines. */
+  /** Cancels up to `count` random unfinished jobs on which another job depends. */
   cancelPipelines(count: number): void {
     const open = this.jobs.filter(
       (job) =>
@@ -203,7 +216,7 @@
       if (job) void this.cancel(job);
     }
   }
-  /** The same for all jobs with a task on one of these machines. */
+  /** Cancels all jobs that have a task on one of these machines. */
   cancelOn(ids: readonly string[]): void {
     const jobs = new Set(
       ids.flatMap((id) =>
@@ -213,7 +226,10 @@
     for (const job of jobs) void this.cancel(job);
   }
 
-  /** Nothing new is asked of an earlier version, which would take it and understand half of it. */
+  /**
+   * Submits the job to a random node. A job with dependencies goes only to nodes that run the present
+   * version: an earlier version would accept the job and ignore its dependencies.
+   */
   private submit(job: StandInJob): Promise<CallOutcome> {
     const nodes = NODES.filter((node) => job.follows === undefined || !this.cluster.versions.has(node));
     const node = nodes[this.random.below(Math.max(1, nodes.length))];
@@ -221,11 +237,12 @@
     return this.environment.call('user', node, 'POST', '/v2/runs', job.body, 2_000);
   }
 
-  private async simulateUser(job: StandInJob, late = false): Promise<void> {
+  /** Submits the job until a controller accepts it, then asks for its status until the status is final. */
+  private async simulateUser(job: StandInJob, afterDependencies = false): Promise<void> {
     this.environment.jobs.set(job.id, job);
-    const needed = (): boolean =>
-      (job.follows ?? []).every((dep) => dep.accepted && (!late || dep.isFinalStatusReported));
-    while (!needed() && !this.isFinished) await this.sleep(500);
+    const canSubmit = (): boolean =>
+      (job.follows ?? []).every((dep) => dep.accepted && (!afterDependencies || dep.isFinalStatusReported));
+    while (!canSubmit() && !this.isFinished) await this.sleep(500);
     for (;;) {
       const answer = await this.submit(job);
       if (this.isFinished) return;
@@ -236,7 +253,7 @@
     }
     job.accepted = true;
     this.answeredAt.set(job.id, Date.now());
-    // One ask more after the end: an answer must not go back.
+    // One more request after the first answer with a final status checks that the status does not change.
     for (let after = 0; after < 2 && !this.isFinished;) {
       const repeat = this.random.chance(0.1);
       const answer = repeat
@@ -248,6 +265,7 @@
     }
   }
 
+  /** Draws the n-th single job: an array or a gang, of either team. */
   private drawJob(n: number): StandInJob {
     const [least, most] = this.scenario.taskDurationRangeS ?? [8, 30];
     const runMs = (least + this.random.below(most - least + 1)) * 1_000;
@@ -274,8 +292,8 @@
   }
 
   /**
-   * A pipeline: one job, two that follow it, a gang of the other team that follows both, and an urgent one at
-   * the end.
+   * Draws a pipeline: one job, two jobs that depend on it, a gang of the other team that depends on both, and
+   * an urgent job that depends on the gang.
    */
   private drawPipeline(n: number): readonly StandInJob[] {
     const stage = (
@@ -298,7 +316,7 @@
     return [first, left, right, merge, last];
   }
 
-  /** Room for a waiting job on machines that are up and reached, with its team under its limit. */
+  /** Whether reachable machines have capacity for a waiting job and its team stays within its GPU limit. */
   private hasRoom(job: StandInJob): boolean {
     const used = (gpus: number, task: { job: StandInJob; state: string }): number =>
       task.state === 'exited' ? gpus : gpus + task.job.gpus;
@@ -324,7 +342,7 @@
     return [...slots.values()].some((count) => count >= wanted);
   }
 
-  /** Users who call a job off at the very moment of its end. */
+  /** Cancels jobs, with the probability of the scenario, in the step in which their last task ends. */
   private cancelEndingJobs(): void {
     for (const job of this.jobs) {
       if (this.cancelling.has(job.id) || this.ended.has(job.id) || !this.environment.areAllTasksDone(job))
@@ -334,20 +352,21 @@
     }
   }
 
+  /** After the last fault, checks that users get answers and that no job waits while there is capacity. */
   private checkWaitingJobs(): void {
     const now = Date.now();
     if (now < this.faultsEndAt) return;
     for (const job of this.jobs) {
       if (!job.accepted || job.isFinalStatusReported) continue;
       if (now - Math.max(this.faultsEndAt, this.answeredAt.get(job.id) ?? 0) > MAX_UNANSWERED_MS)
-        this.environment.violations.push(`forgotten ${job.id}: no answer`);
-      const begun = [...this.environment.machines.values()].some((machine) =>
+        this.environment.violations.push(`forgotten ${job.id}: no answer to status requests`);
+      const hasTask = [...this.environment.machines.values()].some((machine) =>
         [...machine.tasks.values()].some((task) => task.job === job),
       );
-      const waits = (job.follows ?? []).some((dep) => !this.environment.areAllTasksDone(dep));
+      const isBlocked = (job.follows ?? []).some((dep) => !this.environment.areAllTasksDone(dep));
       if (
-        begun ||
-        waits ||
+        hasTask ||
+        isBlocked ||
         this.cancelling.has(job.id) ||
         this.environment.areAllTasksDone(job) ||
         !this.hasRoom(job)
@@ -357,11 +376,12 @@
       }
       const since = this.waitingSince.get(job.id) ?? now;
       this.waitingSince.set(job.id, since);
-      if (now - since > MAX_WAITING_MS) this.environment.violations.push(`waited ${job.id} with room`);
+      if (now - since > MAX_WAITING_MS)
+        this.environment.violations.push(`waited ${job.id} although capacity is free`);
     }
   }
 
-  /** Draws all jobs and pipelines, and plans when each is submitted. */
+  /** Draws all jobs and pipelines and schedules their submissions. */
   private scheduleSubmissions(): void {
     const count = this.scenario.jobs ?? 14;
     for (let n = 0; n < count; n += 1) {
@@ -375,16 +395,16 @@
     for (let n = 0; n < (this.scenario.pipelines ?? 0); n += 1) {
       this.drawPipeline(n).forEach((job, k) => {
         this.jobs.push(job);
-        const late = k === 4 && n % 3 === 2;
+        const afterDependencies = k === 4 && n % 3 === 2;
         setTimeout(
-          () => void this.simulateUser(job, late),
+          () => void this.simulateUser(job, afterDependencies),
           (this.scenario.pipelinesFromS ?? 6) * 1_000 + n * (this.scenario.submissionIntervalS ?? 4) * 2_000,
         );
       });
     }
   }
 
-  /** Returns the rules that were broken. */
+  /** Runs the scenario on a virtual clock; returns the violations of the rules. */
   async run(): Promise<readonly string[]> {
     const { scenario, environment, cluster } = this;
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
@@ -411,7 +431,7 @@
         }
         if (faults.length === 0 && this.jobs.every((job) => job.isFinalStatusReported)) {
           if (doneAt === 0) doneAt = Date.now();
-          // What was cancelled must be gone in time, and what was told must stay.
+          // Cancelled tasks must end within the cancellation limit; reported final statuses must not change.
           if (Date.now() - doneAt > CANCEL_MS + 5_000) break;
         }
       }
@@ -420,7 +440,7 @@
       );
       for (const job of this.jobs)
         if (!job.isFinalStatusReported && environment.violations.length === 0)
-          environment.violations.push(`never over: ${job.id}`);
+          environment.violations.push(`no final status: ${job.id}`);
       return [...new Set(environment.violations)];
     } finally {
       this.isFinished = true;
@@ -430,5 +450,6 @@
   }
 }
 
-/** Plays a day; returns the rules that were broken. */
-export const runScenario = (day: Scenario): Promise<readonly string[]> => new ScenarioRun(day).run();
+/** Runs a scenario; returns the violations of the rules. */
+export const runScenario = (scenario: Scenario): Promise<readonly string[]> =>
+  new ScenarioRun(scenario).run();
--- a/src/testing/simulated-environment.ts
+++ b/src/testing/simulated-environment.ts
@@ -1,41 +1,43 @@
 /**
  * The stand-ins together: cloud, network, machines and jobs around the controllers, on a virtual clock and
- * from one seed. Checks the rules that concern starts as it goes.
+ * from one seed. Checks the rules for the starts of tasks, and for tasks that run on after a cancellation.
  */
 import type { CallOutcome } from '../http/model.js';
 
 import { SeededRandom } from './seeded-random.js';
 import { KeyValueStoreStandIn, copy, reply, type WireRecord } from './key-value-store-stand-in.js';
 import { WorkerStandIn, type TaskOnMachine, type StandInJob } from './worker-stand-in.js';
-/** The network, the cloud, and what the rules say. */
+/** The simulated network and cloud, with the jobs, the machines and the violations of the rules so far. */
 export class SimulatedEnvironment {
   readonly state = new KeyValueStoreStandIn();
   readonly machines = new Map<string, WorkerStandIn>();
   readonly jobs = new Map<string, StandInJob>();
   readonly violations: string[] = [];
+  /** Every start of a task, as `job id/index@machine id`. */
   readonly starts: string[] = [];
+  /** Finished tasks, as `job id/index`. */
   private readonly finished = new Set<string>();
+  /** Machine ids that answered each provisioning request, by the name of the request. */
   private readonly machinesByRequestName = new Map<string, string[]>();
   private readonly handlers = new Map<
     string,
     (method: string, path: string, body: unknown) => Promise<CallOutcome>
   >();
   private createdMachines = 0;
-  /** Probability that a message, or its answer, gets lost, or is held and delivered late. */
+  /** Probability that a request is delivered after its timeout, and that an answer is lost. */
   lossProbability = 0;
-  /** Probability that a transaction with changes gets no answer and is carried out 2 to 12 s later. */
+  /** Probability that a transaction with changes gets no answer and is executed 2 to 12 s later. */
   lateWriteProbability = 0;
-  /** Probability that a copy of a report comes again, from 2 s to two leases later. */
+  /** Probability that a worker heartbeat is delivered once more, after 2 s plus up to two leases. */
   lateHeartbeatProbability = 0;
-  /** ms: the state service takes up to this long for an answer. */
+  /** Longest random delay in ms of a request to the key-value store; watches are not delayed. */
   maxStoreDelayMs = 0;
-  /**
-   * Probability that a message that was carried out is delivered once more, after one of these times (ms).
-   */
+  /** Probability that an executed request is delivered once more, after one of `duplicateDelaysMs`. */
   duplicateProbability = 0;
   duplicateDelaysMs: readonly number[] = [1_000];
-  /** Machines that the cloud has in each zone. */
+  /** Number of machines that the cloud can provide in each zone. */
   machinesPerZone = 6;
+  /** For each name, the names that it can't reach and since when (ms since the epoch). */
   private readonly partitions = new Map<string, { others: readonly string[]; at: number }>();
 
   constructor(
@@ -50,28 +52,36 @@
   attach(name: string, handler: (method: string, path: string, body: unknown) => Promise<CallOutcome>): void {
     this.handlers.set(name, handler);
   }
-  /** From now on this end can't reach those, nor they it; an empty list mends all. */
+  /**
+   * Blocks requests from `name` to `others`, and requests between controllers in both directions; an empty
+   * list ends the partition.
+   */
   partition(name: string, others: readonly string[]): void {
     this.partitions.set(name, { others, at: Date.now() });
   }
-  /** Without state service and peers a node may command for as long as its claims surely last, no longer. */
+  /**
+   * Checks that a node that is partitioned from the key-value store and its peers commands workers no longer
+   * than its claims certainly last.
+   */
   private checkCommandDuringPartition(node: string): void {
-    const cut = this.partitions.get(node);
-    if (!cut?.others.includes('state') || Date.now() - cut.at < 6_000) return;
+    const partition = this.partitions.get(node);
+    if (!partition?.others.includes('state') || Date.now() - partition.at < 6_000) return;
     this.violations.push(
-      `${node} commands ${Math.round((Date.now() - cut.at) / 1000)} s after it lost the state`,
+      `${node} commands workers ${Math.round((Date.now() - partition.at) / 1000)} s after it lost the key-value store`,
     );
   }
   private isPartitioned(from: string, to: string): boolean {
-    const plain = (end: string): string => end.replace('mesh-', '');
+    const nodeName = (end: string): string => end.replace('mesh-', '');
     return (
       (this.partitions.get(from)?.others.includes(to) ?? false) ||
-      (to.startsWith('mesh-') && (this.partitions.get(plain(to))?.others.includes(`mesh-${from}`) ?? false))
+      (to.startsWith('mesh-') &&
+        (this.partitions.get(nodeName(to))?.others.includes(`mesh-${from}`) ?? false))
     );
   }
   private readonly holds = new Map<string, { others: readonly string[]; queue: (() => void)[] }>();
   /**
-   * From now on what this end and those say to each other waits; an empty list delivers all of it, in order.
+   * Queues all requests between `name` and `others`; an empty list delivers the queued requests in their
+   * order.
    */
   holdMessages(name: string, others: readonly string[]): void {
     const before = this.holds.get(name);
@@ -83,10 +93,10 @@
     for (const deliver of before?.queue ?? []) deliver();
   }
   private holdQueueBetween(from: string, to: string): (() => void)[] | null {
-    const plain = (end: string): string => end.replace('mesh-', '');
+    const nodeName = (end: string): string => end.replace('mesh-', '');
     const between = (a: string, b: string): (() => void)[] | null => {
-      const held = this.holds.get(plain(a));
-      return held?.others.includes(plain(b)) ? held.queue : null;
+      const held = this.holds.get(nodeName(a));
+      return held?.others.includes(nodeName(b)) ? held.queue : null;
     };
     return between(from, to) ?? between(to, from);
   }
@@ -107,8 +117,8 @@
       if (machine.isHung)
         return machine.waitUntilResumed().then(() => this.deliver(from, to, method, path, body));
       machine.expireLease();
-      const raw = body as { crook: number; stint: number; calls: WireRecord[] };
-      const ok = raw.stint === machine.agentEpoch && machine.execute(raw.crook, raw.calls);
+      const request = body as { crook: number; stint: number; calls: WireRecord[] };
+      const ok = request.stint === machine.agentEpoch && machine.execute(request.crook, request.calls);
       return Promise.resolve(reply(ok ? 200 : 409, machine.nextHeartbeat()));
     }
     const sender = this.machines.get(from);
@@ -132,14 +142,17 @@
     if (this.isPartitioned(from, to)) return Promise.resolve({ _tag: 'noResponse', why: 'refused' });
     return new Promise((resolve) => {
       setTimeout(() => resolve({ _tag: 'noResponse', why: 'timeout' }), timeoutMs);
-      const again = this.random.chance(this.duplicateProbability)
+      const duplicateAfterMs = this.random.chance(this.duplicateProbability)
         ? (this.duplicateDelaysMs[this.random.below(this.duplicateDelaysMs.length)] ?? 1_000)
         : null;
-      /** What was answered 503 or 429 was not carried out, and never will be: of the rest a copy may come. */
-      const repeat = (answer: CallOutcome): void => {
+      /**
+       * Delivers the duplicate. A request to the key-value store that was answered 503 or 429 was not
+       * executed, and a copy of it must not be executed later.
+       */
+      const deliverDuplicate = (answer: CallOutcome): void => {
         const refused = answer._tag === 'response' && (answer.status === 503 || answer.status === 429);
-        if (again === null || (refused && to === 'state')) return;
-        setTimeout(() => void this.deliver(from, to, method, path, copy(sent)), again);
+        if (duplicateAfterMs === null || (refused && to === 'state')) return;
+        setTimeout(() => void this.deliver(from, to, method, path, copy(sent)), duplicateAfterMs);
       };
       if (path === '/hello' && this.random.chance(this.lateHeartbeatProbability))
         setTimeout(
@@ -160,13 +173,14 @@
         held.push(() => void this.deliver(from, to, method, path, sent));
         return;
       }
-      const late = this.random.chance(this.lossProbability);
-      const slow =
+      const isLate = this.random.chance(this.lossProbability);
+      const storeDelayMs =
         to === 'state' && !path.startsWith('/follow') ? this.random.below(this.maxStoreDelayMs + 1) : 0;
-      const delay = slow + (late ? timeoutMs + this.random.below(20_000) : 1 + this.random.below(10));
+      const delay =
+        storeDelayMs + (isLate ? timeoutMs + this.random.below(20_000) : 1 + this.random.below(10));
       setTimeout(() => {
         void this.deliver(from, to, method, path, sent).then((answer) => {
-          repeat(answer);
+          deliverDuplicate(answer);
           if (path === '/hello' && answer._tag === 'response' && answer.status === 200)
             this.checkCommandDuringPartition(to);
           if (this.random.chance(this.lossProbability) || this.machines.get(from)?.deaf) return;
@@ -196,17 +210,17 @@
       });
     }
     if (path === '/machines') {
-      const hire = body as { hire: string; paddock: string; agistment: boolean; howMany: number };
-      const known = this.machinesByRequestName.get(hire.hire);
+      const request = body as { hire: string; paddock: string; agistment: boolean; howMany: number };
+      const known = this.machinesByRequestName.get(request.hire);
       if (known) return reply(200, { drovers: known });
       const ids: string[] = [];
-      const there = [...this.machines.values()].filter(
-        (machine) => !machine.isTerminated && machine.zone === hire.paddock,
+      const inZone = [...this.machines.values()].filter(
+        (machine) => !machine.isTerminated && machine.zone === request.paddock,
       ).length;
-      for (let k = 0; k < Math.min(hire.howMany, this.machinesPerZone - there); k += 1)
-        ids.push(this.bootMachine(hire.paddock, hire.agistment, 5_000));
+      for (let k = 0; k < Math.min(request.howMany, this.machinesPerZone - inZone); k += 1)
+        ids.push(this.bootMachine(request.paddock, request.agistment, 5_000));
       if (ids.length === 0) return reply(503, { error: 'no capacity' });
-      this.machinesByRequestName.set(hire.hire, ids);
+      this.machinesByRequestName.set(request.hire, ids);
       return reply(200, { drovers: ids });
     }
     if (path === '/machines/release') {
@@ -243,9 +257,11 @@
   }
 
   private activeTasks(): { machine: WorkerStandIn; task: TaskOnMachine }[] {
-    // A machine that hangs may resume within its lease; after that its tasks never go on.
-    const may = [...this.machines.values()].filter((machine) => !(machine.isHung && machine.leaseOver));
-    return may.flatMap((machine) =>
+    // A hung machine may resume its tasks within its lease; once the lease has expired it drops them.
+    const candidates = [...this.machines.values()].filter(
+      (machine) => !(machine.isHung && machine.leaseOver),
+    );
+    return candidates.flatMap((machine) =>
       [...machine.tasks.values()]
         .filter((task) => task.state === 'gathering' || task.state === 'running')
         .map((task) => ({ machine, task })),
@@ -270,7 +286,7 @@
     );
   }
 
-  /** The rules that concern starts. */
+  /** Checks the rules for the start of a task. */
   onTaskStart(machine: WorkerStandIn, job: StandInJob, index: number): void {
     this.starts.push(`${job.id}/${index}@${machine.id}`);
     const on = this.activeTasks();
--- a/src/testing/smallest-limits.ts
+++ b/src/testing/smallest-limits.ts
@@ -1,17 +1,17 @@
 /**
- * The smallest limits of the key-value store that records must fit, and a store that notes what it is asked
- * to write.
+ * The smallest limits of the key-value store that records must fit, and a key-value store client that records
+ * the writes it is asked for.
  */
 import { KeyValueStore } from '../kv-store/client.js';
 import type { CallOutcome } from '../http/model.js';
 import type { MachineType } from '../jobs/model.js';
 
-/** Bytes of a value. */
+/** Largest size of a value in bytes. */
 export const SMALLEST_VALUE_BYTES = 2 * 1024;
-/** Changes of a transaction. */
+/** Largest number of changes in a transaction. */
 export const SMALLEST_TRANSACTION = 10;
 
-/** Bytes of a value as JSON. */
+/** Size of a value as JSON in bytes. */
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /** Machine types with long names and all fields. */
@@ -28,14 +28,14 @@
     zones: ['hobart-north', 'launceston', 'hobart-south'],
   }));
 
-/** A write as it is sent. */
+/** A write in a transaction request. */
 interface SentWrite {
   readonly write?: string;
   readonly remove?: string;
   readonly data?: unknown;
 }
 
-/** A store with the smallest transactions, behind this request function. */
+/** A key-value store client with the smallest transactions, which sends its requests to this function. */
 export const storeWithSmallestLimits = (
   request: (path: string, body: unknown) => Promise<CallOutcome>,
 ): KeyValueStore =>
@@ -46,7 +46,7 @@
     () => ({ request: (_, path, body) => request(path, body) }),
   );
 
-/** A store that keeps nothing but notes the writes of each transaction. */
+/** A key-value store client whose store is empty and records the writes of each transaction. */
 export const recordingStore = (): { readonly store: KeyValueStore; readonly writes: SentWrite[][] } => {
   const writes: SentWrite[][] = [];
   const store = storeWithSmallestLimits((path, body) => {
--- a/src/testing/submit.ts
+++ b/src/testing/submit.ts
@@ -1,7 +1,7 @@
 /**
- * Submits one job to a controller and follows it to its end: `node target/testing/submit.js ADDRESS [TASKS]`.
- * Meant for a first look together with `load.ts`, whose stand-ins run the tasks. Prints each change; exits
- * with 1 if it is not done in time.
+ * Submits one job to a controller and polls its status until it is done:
+ * `node target/testing/submit.js ADDRESS [TASKS]`. Meant for a first trial together with `load.ts`, whose
+ * stand-ins run the tasks. Prints each change of the answer; exits with 1 if the job is not done within two minutes.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { PooledHttpClient } from '../http/client.js';
@@ -11,7 +11,7 @@
 const POLL_MS = 2_000;
 const REQUEST_TIMEOUT_MS = 5_000;
 const MAX_WAIT_MS = 120_000;
-/** A team that the stand-ins of `load.ts` know. */
+/** A team in the settings of `load.ts`. */
 const TEAM = 't0';
 
 const main = async (address: string, tasks: number): Promise<number> => {
@@ -21,13 +21,13 @@
   const accepted = await client.request('POST', '/v2/runs', body, REQUEST_TIMEOUT_MS);
   console.log(`POST /v2/runs ${id}:`, accepted);
   if (accepted._tag !== 'response' || accepted.status >= 300) return 1;
-  let before = '';
-  for (const begun = Date.now(); Date.now() - begun < MAX_WAIT_MS;) {
+  let previous = '';
+  for (const startedAt = Date.now(); Date.now() - startedAt < MAX_WAIT_MS;) {
     await sleep(POLL_MS);
     const answer = await client.request('GET', `/v2/runs/${id}`, undefined, REQUEST_TIMEOUT_MS);
-    const now = JSON.stringify(answer);
-    if (now !== before) console.log(`GET /v2/runs/${id}:`, answer);
-    before = now;
+    const current = JSON.stringify(answer);
+    if (current !== previous) console.log(`GET /v2/runs/${id}:`, answer);
+    previous = current;
     if (answer._tag === 'response' && (answer.body as { status?: string }).status === 'done') return 0;
   }
   return 1;
--- a/src/testing/takeover.ts
+++ b/src/testing/takeover.ts
@@ -1,8 +1,9 @@
 /**
- * What a change of the leader costs: three controllers on loopback, the leader stopped by SIGSTOP with a
- * rental under way, again and again. `node target/testing/takeover.js [times] [on|off]` after a build and a
- * bundle; prints how long it takes until another leads, may rent, and has settled what was left open. Figures
- * are of the machine that runs it.
+ * Measures the cost of a change of the leader: three controllers run on loopback, and the leader is suspended
+ * by SIGSTOP while a provisioning request is in flight, several times in turn.
+ * `node target/testing/takeover.js [times] [on|off]` after a build and a bundle, with fencing on or off; prints
+ * the time until another node is the leader, and the time until that node, which first settles the open
+ * requests of its predecessor, sends its first request. Figures depend on the machine that runs it.
  */
 import { LeaderScenario } from './leader-scenario.js';
 
@@ -11,12 +12,13 @@
 const FEATURES = `fencing = ${featureText === 'off' ? 'false' : 'true'}\n`;
 
 interface Takeover {
-  /** ms from the stop until the state service shows another leader. */
+  /** ms from the suspension until the key-value store shows another leader. */
   readonly claimedMs: number;
-  /** ms from then until the cloud heard from that leader about machines. */
+  /** ms from then until the cloud receives that leader's first request to provision or release machines. */
   readonly firstActionMs: number;
-  /** Writes of the book of rental requests in the whole run. */
+  /** Number of writes of the provisioning record in the whole run. */
   readonly intentWrites: number;
+  /** Number of provisioning requests in the whole run. */
   readonly rentals: number;
   readonly lateActions: number;
 }
@@ -32,11 +34,11 @@
       ({ node, call }) => node === old.node && call.path === '/machines' && call.method === 'POST',
     );
     await scenario.submit(1);
-    await deployment.waitUntil('a rental under way', () => held.count() > 0);
+    await deployment.waitUntil('a provisioning request in flight', () => held.count() > 0);
     const stoppedAt = performance.now();
     deployment.suspend(old.node);
     const next = await scenario.waitForSuccessor(old.node);
-    const acted = await deployment.waitUntil('its first rental', () => {
+    const acted = await deployment.waitUntil("the successor's first request to the cloud", () => {
       const first = deployment.cloud.actions.find(({ node }) => node === next.node);
       return first ?? null;
     });
@@ -51,7 +53,7 @@
       lateActions: scenario.lateActions().length,
     };
   });
-  if (result === null) throw new Error('the scenario gave no result');
+  if (result === null) throw new Error('the scenario ended without a result');
   return result;
 };
 
--- a/src/testing/timeline.ts
+++ b/src/testing/timeline.ts
@@ -1,28 +1,28 @@
 /**
- * What happened in a deployment of processes on loopback, in the order of the host's steady clock, which is
- * one for all its processes: requests that reached the stand-ins and what they did, signals and when they
- * were in force, the stand-ins' own delays, and the controllers' logs. A failing test prints it.
+ * Records the events in a deployment of processes on loopback, ordered by the host's steady clock, which all
+ * of its processes share: requests to the stand-ins and their effects, signals and when they took effect,
+ * delays of the stand-ins' event loop, and the controllers' logs. A failing test prints the timeline.
  *
- * State: a {@link Timeline} owns its entries and the timer that looks for delays.
+ * State: a {@link Timeline} owns its entries and the timer that checks the event loop for delays.
  */
 import { readFileSync } from 'node:fs';
 
 const NANOSECONDS_PER_MS = 1_000_000;
-/** ms: pause between two looks at the event loop. */
+/** Interval in ms between two checks of the event loop. */
 const LOOP_CHECK_INTERVAL_MS = 10;
-/** ms: lateness of such a look from which on it is noted. */
+/** Delay of such a check in ms above which the timeline records it. */
 const MIN_RECORDED_LOOP_DELAY_MS = 20;
-/** ms: pause between two looks at whether a stopped process stands still. */
+/** Interval in ms between two checks of the state of a process that was sent SIGSTOP. */
 const STATE_CHECK_INTERVAL_MS = 1;
-/** Looks after which a process counts as not stopped. */
+/** Number of such checks after which the process counts as not stopped. */
 const STATE_CHECKS = 2_000;
-/** ms printed before and after the moment that is asked about. */
+/** Range in ms before and after the requested time in which entries are printed. */
 const PRINTED_BEFORE_MS = 8_000;
 const PRINTED_AFTER_MS = 500;
-/** Fields of a log line that every entry shows in another form. */
+/** Fields of a log line that an entry shows in another form, or not at all. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set(['level', 'time', 'steadyMs', 'event']);
 
-/** ms, steady: the same for all processes of this host. */
+/** The host's steady clock in ms; the same for all processes of the host. */
 const hostSteadyMs = (): number => Number(process.hrtime.bigint()) / NANOSECONDS_PER_MS;
 
 /** ms between this process's `performance.now()` and the host's steady clock. */
@@ -45,7 +45,7 @@
   try {
     return JSON.parse(line) as LogLine;
   } catch {
-    // A line that is still being written, or no log line.
+    // The line is incomplete, because the process is still writing it, or is no log line.
     return null;
   }
 };
@@ -61,7 +61,7 @@
   };
 };
 
-/** The state of a process as the system shows it; `T` is stopped. */
+/** The state of a process according to `/proc`; `T` means stopped. */
 const stateOf = (pid: number): string => {
   try {
     return readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.[0] ?? '?';
@@ -70,17 +70,17 @@
   }
 };
 
-/** Entries from all sources. */
+/** The recorded entries of all sources. */
 export class Timeline {
   private readonly entries: TimelineEntry[] = [];
   private loopCheck: NodeJS.Timeout | null = null;
 
-  /** Notes something that happened now. */
+  /** Records an event with the present time. */
   record(source: string, text: string): void {
     this.entries.push({ at: hostSteadyMs(), source, text });
   }
 
-  /** Notes from now on when this process's event loop stood still. */
+  /** Records delays of this process's event loop from now on. */
   watchEventLoop(source: string): void {
     let last = performance.now();
     this.loopCheck = setInterval(() => {
@@ -91,12 +91,12 @@
     }, LOOP_CHECK_INTERVAL_MS);
   }
 
-  /** Notes when a process that was sent SIGSTOP stands still. */
+  /** Records when a process that was sent SIGSTOP is stopped. */
   recordWhenStopped(node: string, pid: number, checks = STATE_CHECKS): void {
-    if (stateOf(pid) === 'T') this.record('signals', `${node} stands still`);
+    if (stateOf(pid) === 'T') this.record('signals', `${node} is stopped`);
     else if (checks > 0)
       setTimeout(() => this.recordWhenStopped(node, pid, checks - 1), STATE_CHECK_INTERVAL_MS);
-    else this.record('signals', `${node} was not seen to stand still`);
+    else this.record('signals', `${node} was not observed to stop`);
   }
 
   stop(): void {
@@ -104,9 +104,9 @@
   }
 
   /**
-   * The entries around a moment, with the controllers' logs (files by node).
+   * Renders the entries around a time, together with the controllers' logs (files by node).
    *
-   * @param around - ms of `performance.now()` in this process; null: now.
+   * @param around - Time in ms of `performance.now()` in this process; null for the present time.
    */
   render(around: number | null, logs: ReadonlyMap<string, string>): string {
     const middle = around === null ? hostSteadyMs() : around + PERFORMANCE_ORIGIN_MS;
--- a/src/testing/worker-stand-in.ts
+++ b/src/testing/worker-stand-in.ts
@@ -5,24 +5,30 @@
 import { readRedirect } from '../workers/codec.js';
 import { type WireRecord } from './key-value-store-stand-in.js';
 import type { SimulatedEnvironment } from './simulated-environment.js';
-/** A job with what its user knows of it. */
+/** A job and what its user knows about it. */
 export interface StandInJob {
   readonly body: WireRecord;
   readonly id: string;
   readonly team: string;
+  /** Whether the tasks run together as a gang. */
   readonly gang: boolean;
+  /** Whether all tasks must run in the same zone. */
   readonly oneZone: boolean;
   readonly tasks: number;
   readonly gpus: number;
   readonly cpus: number;
   readonly memoryGb: number;
+  /** Duration of the first task in ms. */
   readonly runMs: number;
-  /** Jobs that have to be done before a task of this one starts. */
+  /** Jobs that must be done before a task of this job starts. */
   readonly follows?: readonly StandInJob[];
-  /** ms that each task runs longer than the one before. */
+  /** Time in ms by which each task runs longer than the task of the next lower index. */
   readonly taskStaggerMs?: number;
+  /** Whether a controller has accepted the submission. */
   accepted: boolean;
+  /** When a controller first reported the job as withdrawn, in ms since the epoch. */
   cancelledAt: number | null;
+  /** Whether a controller has reported the job as done or withdrawn. */
   isFinalStatusReported: boolean;
 }
 
@@ -33,6 +39,7 @@
   readonly attempt: number;
   state: 'pulling' | 'gathering' | 'running' | 'exited';
   cause: string;
+  /** When the image is on the machine, in ms since the epoch. */
   readyAt: number;
   startedAt: number | null;
 }
@@ -43,16 +50,18 @@
   sequenceNumber = 0;
   token = 0;
   isTerminated = false;
-  /** Cut from the controllers: nothing gets in or out. */
+  /** Whether the machine is partitioned from the controllers in both directions. */
   isPartitioned = false;
-  /** Its reports arrive, but neither answers nor commands reach it. */
+  /** Whether the machine receives neither answers nor direct commands, while its heartbeats arrive. */
   deaf = false;
-  /** It reaches no controller, while direct commands reach it. */
+  /** Whether the machine's heartbeats are lost, while it receives direct commands. */
   mute = false;
-  /** ms: until then it does nothing; what arrives meanwhile waits. */
+  /** Until when the machine hangs, in ms since the epoch; requests to it wait until it resumes. */
   hungUntil = 0;
   readonly tasks = new Map<string, TaskOnMachine>();
+  /** Ids of the jobs whose image is on the machine. */
   readonly jobsWithCachedImage = new Set<string>();
+  /** Start of the lease, in ms since the epoch: when the last accepted heartbeat was sent. */
   private leaseStartedAt = Date.now();
   private targetNodeIndex = 0;
 
@@ -84,6 +93,7 @@
     };
   }
 
+  /** Executes commands unless their token is older than the last; returns whether it did. */
   execute(token: number, calls: readonly WireRecord[]): boolean {
     if (token < this.token) return false;
     this.token = token;
@@ -128,10 +138,11 @@
   async waitUntilResumed(): Promise<void> {
     while (this.isHung) await new Promise((resolve) => setTimeout(resolve, 20));
   }
-  /** The worker looks at its clock before anything else, also when it resumes. */
+  /** Whether the lease has expired; the worker checks this before any other action, also after a hang. */
   get leaseOver(): boolean {
     return Date.now() - this.leaseStartedAt > this.environment.leaseMs;
   }
+  /** If the lease has expired, drops all tasks and starts a new agent epoch. */
   expireLease(): void {
     if (!this.leaseOver) return;
     this.agentEpoch += 1;
@@ -139,7 +150,7 @@
     this.leaseStartedAt = Date.now();
   }
 
-  /** Called every step of the clock. */
+  /** Advances the tasks; called after every step of the virtual clock. */
   step(): void {
     const now = Date.now();
     if (this.isTerminated || this.isHung) return;
@@ -175,6 +186,7 @@
     }
   }
 
+  /** Sends heartbeats until the machine is terminated, and executes the commands in the answers. */
   async runHeartbeatLoop(): Promise<void> {
     while (!this.isTerminated) {
       const agentEpoch = this.agentEpoch;
@@ -190,7 +202,7 @@
       await this.waitUntilResumed();
       this.expireLease();
       if (this.isTerminated) return;
-      // An answer that waited with a hung machine is dropped like any that took too long.
+      // An answer that arrived while the machine hung is dropped like any answer after the timeout of 4 s.
       if (Date.now() - sentAt > 4_000) continue;
       let pause = this.environment.heartbeatIntervalMs;
       if (answer._tag === 'response' && answer.status === 200) {
