--- a/src/cluster-tests/late-copies.test.ts
+++ b/src/cluster-tests/late-copies.test.ts
@@ -8,7 +8,7 @@
 import { writeMachineRecord } from '../fleet/machine-record-codec.js';
 import { machineRecord } from '../testing/bodies.js';
 import { LeaderScenario } from '../testing/leader-scenario.js';
-import type { HoldAt, ReceivedRequest } from '../testing/loopback.js';
+import type { HoldStage, ReceivedRequest } from '../testing/loopback.js';
 
 const ON = { features: 'fencing = true\n', cloudRps: 4 };
 const TIMEOUT_MS = 150_000;
@@ -21,7 +21,7 @@
   service === 'cloud' && call.path === '/machines/release';
 
 /** Where the successor's own copy of the request is when the late one arrives. */
-const moments: readonly { name: string; successorAt: HoldAt }[] = [
+const moments: readonly { name: string; successorAt: HoldStage }[] = [
   { name: 'before the successor’s copy takes effect', successorAt: 'request' },
   { name: 'between the effect of the successor’s copy and its answer', successorAt: 'answer' },
 ];
--- a/src/cluster-tests/rolling-upgrade.test.ts
+++ b/src/cluster-tests/rolling-upgrade.test.ts
@@ -111,7 +111,7 @@
       [30, upgrade('n0')],
       [42, upgrade('n1')],
       [55, upgrade('n2')],
-      [70, (day) => (day.environment.state.limits = { valueBytes: 2 * 1024, ops: 10 })],
+      [70, (day) => (day.environment.state.limits = { maxValueBytes: 2 * 1024, maxTransactionWrites: 10 })],
       [75, (day) => day.cancelPipelines(2)],
     ],
   },
@@ -132,7 +132,7 @@
       [47, (day) => day.cluster.stop('n0')],
       [58, (day) => day.cluster.start('n0')],
       [64, upgrade('n2')],
-      [80, (day) => (day.environment.state.limits = { valueBytes: 2 * 1024, ops: 10 })],
+      [80, (day) => (day.environment.state.limits = { maxValueBytes: 2 * 1024, maxTransactionWrites: 10 })],
     ],
   },
   {
--- a/src/testing/key-value-store-stand-in.ts
+++ b/src/testing/key-value-store-stand-in.ts
@@ -25,7 +25,7 @@
   /** Whether the store is out for all nodes; set by `setOutage`. */
   down = false;
   /** Largest size of a value in bytes, and largest number of changes in a transaction. */
-  limits = { valueBytes: 16 * 1024, ops: 32 };
+  limits = { maxValueBytes: 16 * 1024, maxTransactionWrites: 32 };
   /** Descriptions of the transactions that were refused because they exceeded `limits`. */
   readonly oversizedTransactions: string[] = [];
   /** Called for every put with the new revision. */
@@ -111,8 +111,12 @@
     const sizes = writes.map((write) =>
       'write' in write ? Buffer.byteLength(JSON.stringify(write.data)) : 0,
     );
-    const large = sizes.findIndex((size) => size > this.limits.valueBytes);
-    if (large >= 0 || writes.length > this.limits.ops || when.length > 4 * this.limits.ops) {
+    const large = sizes.findIndex((size) => size > this.limits.maxValueBytes);
+    if (
+      large >= 0 ||
+      writes.length > this.limits.maxTransactionWrites ||
+      when.length > 4 * this.limits.maxTransactionWrites
+    ) {
       const key = large >= 0 ? JSON.stringify(writes[large]).slice(0, 60) : '';
       this.oversizedTransactions.push(
         `${key} ${sizes[large] ?? 0} B, ${writes.length} changes, ${when.length} conditions`,
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -30,9 +30,9 @@
 const apiPort = (node: number): number => PORT + 10 + node * 2;
 
 /** Number of requests since the start of the measurement, by kind. */
-const calls = new Map<string, number>();
-const count = (name: string): void => {
-  calls.set(name, (calls.get(name) ?? 0) + 1);
+const requestCounts = new Map<string, number>();
+const countRequest = (name: string): void => {
+  requestCounts.set(name, (requestCounts.get(name) ?? 0) + 1);
 };
 
 /** A task on a worker, with the field names of the protocol. */
@@ -106,7 +106,7 @@
   }
 
   sendHeartbeat(): Promise<void> {
-    count('report');
+    countRequest('report');
     const payload = encode(this.nextHeartbeat());
     return new Promise((resolve) => {
       const req = http.request(
@@ -125,7 +125,7 @@
             if (res.statusCode === 200)
               this.execute(decode(Buffer.concat(parts)) as Parameters<LoadWorker['execute']>[0]);
             else {
-              count(`report ${res.statusCode}`);
+              countRequest(`report ${res.statusCode}`);
               const holderNode =
                 res.statusCode === 421 ? readRedirect(decode(Buffer.concat(parts))) : undefined;
               this.agents[this.targetNodeIndex]?.destroy();
@@ -137,7 +137,7 @@
         },
       );
       req.on('error', () => {
-        count('report failed');
+        countRequest('report failed');
         resolve();
       });
       req.end(payload);
@@ -160,7 +160,7 @@
 });
 
 const cloud = (call: ServerRequest): ServerResponse => {
-  count(`cloud ${call.path}`);
+  countRequest(`cloud ${call.path}`);
   if (call.path === '/catalog') return { status: 200, body: CATALOG };
   if (call.path === '/machines' && call.method === 'GET')
     return {
@@ -186,7 +186,7 @@
     : { status: 200, body: {} };
 };
 
-const submission = (n: number): unknown => ({
+const submissionBody = (n: number): unknown => ({
   uid: `job-${String(n).padStart(6, '0')}`,
   herd: 'c',
   owner: `t${n % 6}`,
@@ -219,14 +219,14 @@
 
 const main = async (): Promise<void> => {
   const state = new KeyValueStoreStandIn();
-  state.limits.ops = 48;
+  state.limits.maxTransactionWrites = 48;
   const failed = (error: unknown): void => console.error(error);
   await serve(
     parseTarget(`${HOST}:${PORT + 1}`),
     { connections: 200 },
     16 * MAX_BODY_BYTES,
     async (call) => {
-      count(`state ${call.method} ${call.path.split('/')[1] ?? ''}`);
+      countRequest(`state ${call.method} ${call.path.split('/')[1] ?? ''}`);
       const path = call.query === '' ? call.path : `${call.path}?${call.query}`;
       const answer = await state.handle(
         'n0',
@@ -250,7 +250,7 @@
     { connections: 4_000 },
     MAX_BODY_BYTES,
     () => {
-      count('direct');
+      countRequest('direct');
       return Promise.resolve({ status: 409, body: {} });
     },
     failed,
@@ -316,10 +316,10 @@
     () => {
       submitted += 1;
       const n = submitted;
-      count('submit');
-      void users[n % NODES]?.request('POST', '/v2/runs', submission(n), 5_000).then((answer) => {
+      countRequest('submit');
+      void users[n % NODES]?.request('POST', '/v2/runs', submissionBody(n), 5_000).then((answer) => {
         if (answer._tag === 'response' && answer.status < 300) openJobs.add(n);
-        else count('submit failed');
+        else countRequest('submit failed');
       });
     },
     60_000 / (MACHINES / 8),
@@ -327,7 +327,7 @@
   const poll = setInterval(() => {
     for (const n of openJobs) {
       if (n % 5 !== Math.floor(Date.now() / 1000) % 5) continue;
-      count('poll');
+      countRequest('poll');
       void users[n % NODES]
         ?.request('GET', `/v2/runs/job-${String(n).padStart(6, '0')}`, undefined, 2_000)
         .then((answer) => {
@@ -337,7 +337,7 @@
     }
   }, 1_000);
   await new Promise((resolve) => setTimeout(resolve, 20_000));
-  calls.clear();
+  requestCounts.clear();
   const from = pids.map(cpuMs);
   await new Promise((resolve) => setTimeout(resolve, SECONDS * 1_000));
   const used = pids.map((pid, node) => cpuMs(pid) - (from[node] ?? 0));
@@ -347,7 +347,8 @@
       `n${node}: processor ${((used[node] ?? 0) / SECONDS).toFixed(1)} ms a second; memory ${rssMb(pid).toFixed(0)} MB`,
     );
   });
-  for (const [name, total] of [...calls].sort()) console.log(`${name}: ${(total / SECONDS).toFixed(1)}/s`);
+  for (const [name, total] of [...requestCounts].sort())
+    console.log(`${name}: ${(total / SECONDS).toFixed(1)}/s`);
   clearInterval(submit);
   clearInterval(poll);
   for (const child of children) child.kill('SIGTERM');
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -34,11 +34,11 @@
 }
 
 /** Where a request is held: before the stand-in executes it, or before its answer is sent. */
-export type HoldAt = 'request' | 'answer';
+export type HoldStage = 'request' | 'answer';
 
 interface Hold {
   readonly matches: (request: ReceivedRequest) => boolean;
-  readonly at: HoldAt;
+  readonly at: HoldStage;
   readonly released: Promise<void>;
   held: number;
 }
@@ -129,16 +129,16 @@
   }
 
   private async answer(request: ReceivedRequest): Promise<ServerResponse> {
-    const text = textOfRequest(request);
+    const requestText = textOfRequest(request);
     for (const refuses of this.refusals) {
       if (!refuses(request)) continue;
-      this.timeline.record(request.node, `-> refused ${text}`);
+      this.timeline.record(request.node, `-> refused ${requestText}`);
       return { status: 503 };
     }
-    this.timeline.record(request.node, `-> ${text}`);
+    this.timeline.record(request.node, `-> ${requestText}`);
     await this.waitForHolds(request, 'request');
     const answer = await this.execute(request);
-    this.timeline.record(request.node, `executed ${text}: ${textOfOutcome(answer)}`);
+    this.timeline.record(request.node, `executed ${requestText}: ${textOfOutcome(answer)}`);
     await this.waitForHolds(request, 'answer');
     return answer._tag === 'response' ? { status: answer.status, body: answer.body } : { status: 503 };
   }
@@ -151,7 +151,7 @@
       : Promise.resolve(this.cloud.handle(node, call.method, path, body));
   }
 
-  private async waitForHolds(request: ReceivedRequest, at: HoldAt): Promise<void> {
+  private async waitForHolds(request: ReceivedRequest, at: HoldStage): Promise<void> {
     for (const hold of this.holds) {
       if (hold.at !== at || !hold.matches(request)) continue;
       hold.held += 1;
@@ -160,7 +160,7 @@
   }
 
   /** Holds matching requests, or their answers, until the returned rule is released. */
-  hold(at: HoldAt, matches: (request: ReceivedRequest) => boolean): HeldRequests {
+  hold(at: HoldStage, matches: (request: ReceivedRequest) => boolean): HeldRequests {
     let release = (): void => undefined;
     const released = new Promise<void>((resolve) => {
       release = resolve;
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -81,7 +81,7 @@
   });
   liveness.loadedAt = 0;
   let jobs = 0;
-  const add = (gang: boolean) => {
+  const addJob = (gang: boolean) => {
     jobs += 1;
     return shardState.adoptJob(
       {
@@ -95,8 +95,8 @@
       1,
     );
   };
-  let job = add(false);
-  let next = 0;
+  let job = addJob(false);
+  let nextTask = 0;
   for (let m = 0; m < machines; m += 1) {
     const record = {
       shardId: 0,
@@ -118,18 +118,18 @@
     machine.answeredAt = now;
     if (m % 20 === 0) continue;
     for (let k = 0; k < 8; k += 1) {
-      if (next >= job.spec.tasks) {
-        job = add(false);
-        next = 0;
+      if (nextTask >= job.spec.tasks) {
+        job = addJob(false);
+        nextTask = 0;
       }
-      shardState.apply(shardState.bind(job, next, 1, machine, { _tag: 'bound' }), {
+      shardState.apply(shardState.bind(job, nextTask, 1, machine, { _tag: 'bound' }), {
         _tag: 'reported',
         state: { _tag: 'running' },
       });
-      next += 1;
+      nextTask += 1;
     }
   }
-  for (let k = 0; k < machines / 8; k += 1) add(k % 2 === 0);
+  for (let k = 0; k < machines / 8; k += 1) addJob(k % 2 === 0);
   const view: PlacementView = {
     shardState,
     liveness,
@@ -148,14 +148,14 @@
 const runRound = (view: PlacementView) => {
   const requests = placementRequests(view);
   const capacities = availableCapacity(view);
-  const uses = teamUsage(view.shardState);
+  const usages = teamUsage(view.shardState);
   const packed = packRequests(
     requests,
     capacities.filter((capacity) => capacity.live),
     limits,
-    uses,
+    usages,
   );
-  return { packed, capacities, uses };
+  return { packed, capacities, usages };
 };
 
 const median = (times: readonly number[]): number => [...times].sort((a, b) => a - b)[times.length >> 1] ?? 0;
@@ -172,19 +172,19 @@
 const rows = [100, 1_000, 2_000, 4_000, 6_000].map((machineCount) => {
   const { shardState, view } = createShard(machineCount / SHARD_COUNT);
   const needs = () => {
-    const { packed, capacities, uses } = runRound(view);
+    const { packed, capacities, usages } = runRound(view);
     const { objectives, wall } = view;
     return unmetDemand({
       unplaced: packed.unplaced,
       capacities,
       limits,
-      usages: uses,
+      usages,
       catalog,
       objectives,
       wall,
     });
   };
-  const free = spareMachines(
+  const spares = spareMachines(
     [...shardState.machines.values()].filter((machine) => machine.bound.size === 0),
     view.now,
   );
@@ -193,8 +193,8 @@
     claim: 1,
     revision: 1,
     needs: needs(),
-    spares: free.listed,
-    unlisted: free.unlisted,
+    spares: spares.listed,
+    unlisted: spares.unlisted,
   }));
   const records = [...shardState.jobs.values()].map((job) => writeRunRecord(runRecord(job, 0), 0));
   const roundMs = medianMs(() => runRound(view));
--- a/src/testing/simulated-environment.ts
+++ b/src/testing/simulated-environment.ts
@@ -168,9 +168,9 @@
           return;
         }
       }
-      const held = this.holdQueueBetween(from, to);
-      if (held) {
-        held.push(() => void this.deliver(from, to, method, path, sent));
+      const holdQueue = this.holdQueueBetween(from, to);
+      if (holdQueue) {
+        holdQueue.push(() => void this.deliver(from, to, method, path, sent));
         return;
       }
       const isLate = this.random.chance(this.lossProbability);
--- a/src/testing/submit.ts
+++ b/src/testing/submit.ts
@@ -1,7 +1,8 @@
 /**
  * Submits one job to a controller and polls its status until it is done:
  * `node target/testing/submit.js ADDRESS [TASKS]`. Meant for a first trial together with `load.ts`, whose
- * stand-ins run the tasks. Prints each change of the answer; exits with 1 if the job is not done within two minutes.
+ * stand-ins run the tasks. Prints each change of the answer; exits with 1 if the job is not done within two
+ * minutes.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { PooledHttpClient } from '../http/client.js';
--- a/src/testing/takeover.ts
+++ b/src/testing/takeover.ts
@@ -1,7 +1,7 @@
 /**
  * Measures the cost of a change of the leader: three controllers run on loopback, and the leader is suspended
  * by SIGSTOP while a provisioning request is in flight, several times in turn.
- * `node target/testing/takeover.js [times] [on|off]` after a build and a bundle, with fencing on or off; prints
+ * `node target/testing/takeover.js [times] [on|off]` after a build and a bundle (on: fencing); prints
  * the time until another node is the leader, and the time until that node, which first settles the open
  * requests of its predecessor, sends its first request. Figures depend on the machine that runs it.
  */
@@ -59,8 +59,8 @@
 
 const medianAndRange = (values: readonly number[]): string => {
   const sorted = [...values].sort((a, b) => a - b);
-  const middle = sorted[Math.floor(sorted.length / 2)] ?? 0;
-  return `${middle.toFixed(0)} (${(sorted[0] ?? 0).toFixed(0)} to ${(sorted.at(-1) ?? 0).toFixed(0)})`;
+  const median = sorted[Math.floor(sorted.length / 2)] ?? 0;
+  return `${median.toFixed(0)} (${(sorted[0] ?? 0).toFixed(0)} to ${(sorted.at(-1) ?? 0).toFixed(0)})`;
 };
 
 const results: Takeover[] = [];
--- a/src/testing/timeline.ts
+++ b/src/testing/timeline.ts
@@ -109,16 +109,16 @@
    * @param around - Time in ms of `performance.now()` in this process; null for the present time.
    */
   render(around: number | null, logs: ReadonlyMap<string, string>): string {
-    const middle = around === null ? hostSteadyMs() : around + PERFORMANCE_ORIGIN_MS;
+    const centerMs = around === null ? hostSteadyMs() : around + PERFORMANCE_ORIGIN_MS;
     const logged = [...logs].flatMap(([node, file]) =>
       readFileSync(file, 'utf8')
         .split('\n')
         .flatMap((line) => entryOfLine(node, line) ?? []),
     );
     return [...this.entries, ...logged]
-      .filter(({ at }) => at > middle - PRINTED_BEFORE_MS && at < middle + PRINTED_AFTER_MS)
+      .filter(({ at }) => at > centerMs - PRINTED_BEFORE_MS && at < centerMs + PRINTED_AFTER_MS)
       .sort((a, b) => a.at - b.at)
-      .map(({ at, source, text }) => `${(at - middle).toFixed(1).padStart(9)} ${source.padEnd(8)} ${text}`)
+      .map(({ at, source, text }) => `${(at - centerMs).toFixed(1).padStart(9)} ${source.padEnd(8)} ${text}`)
       .join('\n');
   }
 }
