--- a/src/testing/scenario.ts
+++ b/src/testing/scenario.ts
@@ -88,7 +88,7 @@
     this.cluster = new Cluster(this.environment);
   }
 
-  /** The node that holds this claim: the number of a shard, or `L` for the leader. */
+  /** The node that holds this claim (the number of a shard, or `L` for the leader); `n0` if no node holds it. */
   holder(claimName: string): string {
     const claim = this.environment.state.value(`w/c/${claimName}`) as { n: string } | undefined;
     return claim?.n ?? 'n0';
