--- a/src/testing/hunt.ts
+++ b/src/testing/hunt.ts
@@ -39,13 +39,13 @@
 
 const [from, to, ...wanted] = process.argv.slice(2);
 if (process.argv[1]?.endsWith('hunt.js') && from !== undefined) {
-  let broken = 0;
+  let violatingScenarios = 0;
   for (let seed = Number(from); seed <= Number(to ?? from); seed += 1) {
     const scenario = drawScenario(seed, wanted);
     const found = await new ScenarioRun(scenario).run();
     if (found.length === 0) continue;
-    broken += 1;
+    violatingScenarios += 1;
     process.stdout.write(`${seed} [${scenario.names}] ${found.slice(0, 6).join('; ')}\n`);
   }
-  process.stdout.write(`${from} to ${to ?? from}: ${broken} days broke a rule\n`);
+  process.stdout.write(`${from} to ${to ?? from}: ${violatingScenarios} days broke a rule\n`);
 }
--- a/src/testing/takeover.ts
+++ b/src/testing/takeover.ts
@@ -19,7 +19,7 @@
   /** Number of writes of the provisioning record in the whole run. */
   readonly intentWrites: number;
   /** Number of provisioning requests in the whole run. */
-  readonly rentals: number;
+  readonly provisioningRequests: number;
   readonly lateActions: number;
 }
 
@@ -38,7 +38,7 @@
     const stoppedAt = performance.now();
     deployment.suspend(old.node);
     const next = await scenario.waitForSuccessor(old.node);
-    const acted = await deployment.waitUntil("the successor's first request to the cloud", () => {
+    const firstAction = await deployment.waitUntil("the successor's first request to the cloud", () => {
       const first = deployment.cloud.actions.find(({ node }) => node === next.node);
       return first ?? null;
     });
@@ -47,9 +47,9 @@
     await scenario.waitForLateEffects();
     result = {
       claimedMs: next.from - stoppedAt,
-      firstActionMs: acted.at - next.from,
+      firstActionMs: firstAction.at - next.from,
       intentWrites: scenario.intentWrites,
-      rentals: deployment.cloud.actions.filter(({ kind }) => kind === 'rent').length,
+      provisioningRequests: deployment.cloud.actions.filter(({ kind }) => kind === 'rent').length,
       lateActions: scenario.lateActions().length,
     };
   });
@@ -68,10 +68,12 @@
 console.log(`${TIMES} changes of leader, ${FEATURES.trim()}; median (least to most)`);
 console.log(`until another leads: ${medianAndRange(results.map(({ claimedMs }) => claimedMs))} ms`);
 console.log(
-  `from then to its first rental: ${medianAndRange(results.map(({ firstActionMs: actedMs }) => actedMs))} ms`,
+  `from then to its first rental: ${medianAndRange(results.map(({ firstActionMs }) => firstActionMs))} ms`,
 );
 console.log(
   `writes of rental intents in a run: ${medianAndRange(results.map(({ intentWrites }) => intentWrites))}`,
 );
-console.log(`rental requests in a run: ${medianAndRange(results.map(({ rentals }) => rentals))}`);
+console.log(
+  `rental requests in a run: ${medianAndRange(results.map(({ provisioningRequests }) => provisioningRequests))}`,
+);
 console.log(`late actions: ${results.reduce((sum, { lateActions }) => sum + lateActions, 0)}`);
