--- a/src/testing/hunt.ts
+++ b/src/testing/hunt.ts
@@ -47,5 +47,5 @@
     violatingScenarios += 1;
     process.stdout.write(`${seed} [${scenario.names}] ${found.slice(0, 6).join('; ')}\n`);
   }
-  process.stdout.write(`${from} to ${to ?? from}: ${violatingScenarios} days broke a rule\n`);
+  process.stdout.write(`${from} to ${to ?? from}: ${violatingScenarios} scenarios violated a rule\n`);
 }
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -200,7 +200,7 @@
   const roundMs = medianMs(() => runRound(view));
   return {
     machines: machineCount,
-    'jobs of a share': shardState.jobs.size,
+    'jobs of a shard': shardState.jobs.size,
     'round ms': roundMs.toFixed(2),
     'summary ms': (medianMs(needs) - roundMs).toFixed(2),
     'plan ms': medianMs(() =>
--- a/src/testing/takeover.ts
+++ b/src/testing/takeover.ts
@@ -65,15 +65,15 @@
 
 const results: Takeover[] = [];
 for (let n = 0; n < TIMES; n += 1) results.push(await measureTakeover());
-console.log(`${TIMES} changes of leader, ${FEATURES.trim()}; median (least to most)`);
-console.log(`until another leads: ${medianAndRange(results.map(({ claimedMs }) => claimedMs))} ms`);
+console.log(`${TIMES} changes of the leader, ${FEATURES.trim()}; median (least to most)`);
+console.log(`until another node leads: ${medianAndRange(results.map(({ claimedMs }) => claimedMs))} ms`);
 console.log(
-  `from then to its first rental: ${medianAndRange(results.map(({ firstActionMs }) => firstActionMs))} ms`,
+  `from then to its first request to the cloud: ${medianAndRange(results.map(({ firstActionMs }) => firstActionMs))} ms`,
 );
 console.log(
-  `writes of rental intents in a run: ${medianAndRange(results.map(({ intentWrites }) => intentWrites))}`,
+  `writes of the provisioning record in a run: ${medianAndRange(results.map(({ intentWrites }) => intentWrites))}`,
 );
 console.log(
-  `rental requests in a run: ${medianAndRange(results.map(({ provisioningRequests }) => provisioningRequests))}`,
+  `provisioning requests in a run: ${medianAndRange(results.map(({ provisioningRequests }) => provisioningRequests))}`,
 );
 console.log(`late actions: ${results.reduce((sum, { lateActions }) => sum + lateActions, 0)}`);
