--- a/src/cancellation/acknowledgement-client.ts
+++ b/src/cancellation/acknowledgement-client.ts
@@ -21,8 +21,8 @@
   constructor(private readonly request: PeerRequest) {}
 
   /** Does this controller act on the cancellation? False also where it did not answer. */
-  ask(node: string, cancellation: Cancellation): Promise<boolean> {
-    return this.batcherFor(node).ask(cancellation);
+  requestAcknowledgement(node: string, cancellation: Cancellation): Promise<boolean> {
+    return this.batcherFor(node).submit(cancellation);
   }
 
   private batcherFor(node: string): Batcher<Cancellation, boolean> {
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -19,7 +19,7 @@
 /** What the acknowledgement of cancellations needs of the rest of the controller. */
 export interface CancellationAcknowledgementDependencies {
   /** This controller's name. */
-  readonly me: string;
+  readonly ownNode: string;
   readonly store: KeyValueStore;
   readonly linearizableReads: LinearizableReads;
   readonly cache: Pick<WatchCache, 'get'>;
@@ -47,10 +47,10 @@
 
 /** Finds out whether users may be told of a cancellation. */
 export class CancellationAcknowledgement {
-  private readonly holders: AcknowledgementClient;
+  private readonly acknowledgementClient: AcknowledgementClient;
 
   constructor(private readonly dependencies: CancellationAcknowledgementDependencies) {
-    this.holders = new AcknowledgementClient(dependencies.request);
+    this.acknowledgementClient = new AcknowledgementClient(dependencies.request);
   }
 
   /**
@@ -107,9 +107,9 @@
   }
 
   private askHolder(holder: string, cancellation: Cancellation): Effect.Effect<boolean> {
-    const { me, acknowledge } = this.dependencies;
+    const { ownNode: me, acknowledge } = this.dependencies;
     return holder === me
       ? Effect.sync(() => acknowledge(cancellation))
-      : Effect.promise(() => this.holders.ask(holder, cancellation));
+      : Effect.promise(() => this.acknowledgementClient.requestAcknowledgement(holder, cancellation));
   }
 }
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -43,14 +43,14 @@
     for (;;) {
       yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
       const loaded = this.dependencies.loadedShards();
-      this.forgetOthers(loaded);
+      this.discardOtherShards(loaded);
       // Asked directly, a holder answers sooner and for nothing.
       if (this.dependencies.allPeersConnected()) continue;
       for (const shard of loaded) if (this.pending.has(shard.shardId)) yield* this.record(shard);
     }
   });
 
-  private forgetOthers(loaded: readonly ClaimedShard[]): void {
+  private discardOtherShards(loaded: readonly ClaimedShard[]): void {
     for (const shardId of this.pending.keys())
       if (!loaded.some((shard) => shard.shardId === shardId)) this.pending.delete(shardId);
   }
--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -13,7 +13,7 @@
   | { readonly _tag: 'unknown' };
 
 /** What a holder has seen: under this claim, all shared keys up to this revision. */
-interface SeenKeys {
+interface ObservedRevision {
   readonly claim: number;
   readonly revision: number;
 }
@@ -23,9 +23,9 @@
   /** Its answer to a request for this very cancellation: its shard acts on it. */
   readonly acknowledged: { readonly claim: number } | null;
   /** Its summary, which it makes only once its shard is loaded. */
-  readonly summary: SeenKeys | null;
+  readonly summary: ObservedRevision | null;
   /** What it recorded in the key-value store. */
-  readonly durableAcknowledgement: SeenKeys | null;
+  readonly durableAcknowledgement: ObservedRevision | null;
   /** It is known to stop cancelled tasks even before its shard is loaded. */
   readonly stopsTasksBeforeLoading: boolean;
 }
@@ -45,13 +45,14 @@
   claim: number,
   evidence: CancellationEvidence,
 ): CancellationVerdict => {
-  const hasSeen = (seen: SeenKeys | null): boolean =>
+  const coversCancellation = (seen: ObservedRevision | null): boolean =>
     seen !== null && seen.claim === claim && seen.revision >= cancelledRevision;
   if (claim > cancelledRevision && evidence.stopsTasksBeforeLoading)
     return { _tag: 'confirmed', by: 'later claim' };
   if (evidence.acknowledged?.claim === claim) return { _tag: 'confirmed', by: 'acknowledged' };
-  if (hasSeen(evidence.summary)) return { _tag: 'confirmed', by: 'summary' };
-  if (hasSeen(evidence.durableAcknowledgement)) return { _tag: 'confirmed', by: 'durable acknowledgement' };
+  if (coversCancellation(evidence.summary)) return { _tag: 'confirmed', by: 'summary' };
+  if (coversCancellation(evidence.durableAcknowledgement))
+    return { _tag: 'confirmed', by: 'durable acknowledgement' };
   return UNCONFIRMED;
 };
 
--- a/src/cancellation/outage-grace.test.ts
+++ b/src/cancellation/outage-grace.test.ts
@@ -27,7 +27,13 @@
 for (const row of rows) {
   test(`outage grace: ${row.name}`, () =>
     assert.equal(
-      outageGraceUntil({ ...row, confirmedAt: 1_000, cancelMs: 44_000, leaseMs: 24_000, marginMs: 5_000 }),
+      outageGraceUntil({
+        ...row,
+        confirmedAt: 1_000,
+        cancellationLimitMs: 44_000,
+        workerLeaseMs: 24_000,
+        marginMs: 5_000,
+      }),
       row.until,
     ));
 }
--- a/src/cancellation/outage-grace.ts
+++ b/src/cancellation/outage-grace.ts
@@ -5,7 +5,7 @@
  */
 
 /** What is known of an outage. Times are ms, on one steady clock. */
-export interface Outage {
+export interface OutageStatus {
   /** The store is down as far as most controllers say. */
   readonly confirmed: boolean;
   /**
@@ -16,9 +16,9 @@
   /** Up to then this controller surely knows the shared keys. */
   readonly confirmedAt: number;
   /** ms within which the tasks of a cancelled job must be gone. */
-  readonly cancelMs: number;
+  readonly cancellationLimitMs: number;
   /** ms of a worker's lease. */
-  readonly leaseMs: number;
+  readonly workerLeaseMs: number;
   readonly marginMs: number;
 }
 
@@ -27,8 +27,8 @@
  * cancellations that were confirmed before `confirmedAt`. Any other was confirmed later, and a worker that it
  * answered last by the time returned stops its tasks a lease after that, which is still in time.
  */
-export const outageGraceUntil = (outage: Outage): number | null => {
+export const outageGraceUntil = (outage: OutageStatus): number | null => {
   if (!outage.confirmed) return null;
   if (outage.onlyAcknowledgedConfirmed) return Number.POSITIVE_INFINITY;
-  return outage.confirmedAt + outage.cancelMs - outage.leaseMs - outage.marginMs;
+  return outage.confirmedAt + outage.cancellationLimitMs - outage.workerLeaseMs - outage.marginMs;
 };
--- a/src/claims/claim-decisions.test.ts
+++ b/src/claims/claim-decisions.test.ts
@@ -2,14 +2,14 @@
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decideClaims, type ClaimSituation, type ObservedClaim, type PeerStatus } from './claim-decisions.js';
+import { decideClaims, type ClaimsSnapshot, type ObservedClaim, type PeerStatus } from './claim-decisions.js';
 
 const claim = (node: string, incarnation = '1', revision = 5): ObservedClaim => ({
   node,
   incarnation,
   revision,
 });
-const situation = (over: Partial<ClaimSituation>): ClaimSituation => ({
+const situation = (over: Partial<ClaimsSnapshot>): ClaimsSnapshot => ({
   self: { node: 'n0', incarnation: '1' },
   controllers: ['n0', 'n1', 'n2'],
   claimNames: ['0', '1', '2', 'L'],
@@ -32,7 +32,7 @@
 const claimsOf = (entries: Record<string, ObservedClaim>): ReadonlyMap<string, ObservedClaim> =>
   new Map(Object.entries(entries));
 
-const decisions: readonly { name: string; situation: ClaimSituation; expect: readonly string[] }[] = [
+const decisions: readonly { name: string; situation: ClaimsSnapshot; expect: readonly string[] }[] = [
   {
     name: 'a controller takes its own shard at once and leaves the others to theirs',
     situation: situation({}),
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -4,10 +4,10 @@
  */
 import {
   HANDBACK_STABILITY_MS,
-  HELD_SHARD_DELAY_MS,
-  LEADER_RANK_DELAY_MS,
+  TAKEOVER_DELAY_PER_HELD_SHARD_MS,
+  LEADER_TAKEOVER_RANK_DELAY_MS,
   PREFERRED_HOLDER_GRACE_MS,
-  SHARD_RANK_DELAY_MS,
+  SHARD_TAKEOVER_RANK_DELAY_MS,
 } from '../constants/leases.js';
 
 /** The claim on the leadership; every other claim has the id of its shard as its name. */
@@ -39,7 +39,7 @@
 }
 
 /** The situation in which claims are decided about. */
-export interface ClaimSituation {
+export interface ClaimsSnapshot {
   /** This process. */
   readonly self: ClaimHolder;
   /** All controllers by name; the order ranks them. */
@@ -71,72 +71,75 @@
   one.node === other.node && one.incarnation === other.incarnation;
 
 /** The controller that a shard is meant for; the leadership is meant for none. */
-const preferredHolder = ({ controllers }: ClaimSituation, claimName: string): string | undefined =>
+const preferredHolder = ({ controllers }: ClaimsSnapshot, claimName: string): string | undefined =>
   claimName === LEADER_CLAIM ? undefined : controllers[Number(claimName) % controllers.length];
 
 /** How many shards the controller holds. */
-const shardsHeldBy = ({ claims }: ClaimSituation, controller: string): number =>
+const heldShardCount = ({ claims }: ClaimsSnapshot, controller: string): number =>
   [...claims].filter(([claimName, claim]) => claimName !== LEADER_CLAIM && claim.node === controller).length;
 
-const peerNamed = ({ peers }: ClaimSituation, controller: string | undefined): PeerStatus | undefined =>
+const findPeer = ({ peers }: ClaimsSnapshot, controller: string | undefined): PeerStatus | undefined =>
   peers.find((peer) => peer.node === controller);
 
 /** ms for which this controller leaves a free claim to others. */
-const takeoverDelayMs = (situation: ClaimSituation, claimName: string): number => {
+const takeoverDelayMs = (situation: ClaimsSnapshot, claimName: string): number => {
   const { self, controllers } = situation;
   const rank = Math.max(0, controllers.indexOf(self.node));
-  if (claimName === LEADER_CLAIM) return rank * LEADER_RANK_DELAY_MS;
+  if (claimName === LEADER_CLAIM) return rank * LEADER_TAKEOVER_RANK_DELAY_MS;
   const preferred = preferredHolder(situation, claimName);
   if (preferred === self.node) return 0;
-  const delay = shardsHeldBy(situation, self.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
+  const delay =
+    heldShardCount(situation, self.node) * TAKEOVER_DELAY_PER_HELD_SHARD_MS +
+    rank * SHARD_TAKEOVER_RANK_DELAY_MS;
   // A preferred holder that fell silent is not waited for: the leases of its workers run out meanwhile.
-  const silent = (peerNamed(situation, preferred)?.steadyMs ?? 0) < 0;
+  const silent = (findPeer(situation, preferred)?.steadyMs ?? 0) < 0;
   return silent ? delay : PREFERRED_HOLDER_GRACE_MS + delay;
 };
 
 /** Has the claim been free for so long that this controller may take it? */
-const mayTakeFree = (situation: ClaimSituation, claimName: string): boolean => {
+const mayTakeFree = (situation: ClaimsSnapshot, claimName: string): boolean => {
   const { now, freeSince } = situation;
   return now - (freeSince.get(claimName) ?? now) >= takeoverDelayMs(situation, claimName);
 };
 
 /** Is this the claim of an earlier process of this controller? A controller runs one, so that one is dead. */
-const isPredecessors = ({ self }: ClaimSituation, claim: ObservedClaim): boolean =>
+const isHeldByPredecessor = ({ self }: ClaimsSnapshot, claim: ObservedClaim): boolean =>
   claim.node === self.node && !isSameHolder(claim, self);
 
-const claimsToTake = (situation: ClaimSituation): readonly ClaimAction[] =>
+const claimsToTake = (situation: ClaimsSnapshot): readonly ClaimAction[] =>
   situation.claimNames.flatMap((claimName): readonly ClaimAction[] => {
     const claim = situation.claims.get(claimName);
-    const take = claim ? isPredecessors(situation, claim) : mayTakeFree(situation, claimName);
+    const take = claim ? isHeldByPredecessor(situation, claim) : mayTakeFree(situation, claimName);
     return take ? [{ _tag: 'take', claimName, observedRevision: claim?.revision ?? 0 }] : [];
   });
 
 /** Can the peer hold a claim: does it answer, has it a lease, and does it reach the store? */
-const canHold = (peer: PeerStatus): boolean =>
+const canHoldClaims = (peer: PeerStatus): boolean =>
   peer.storeReachable && peer.lease !== null && peer.steadyMs >= 0;
 
 /** A shard whose workers reach another controller only goes to that controller. */
-const unreachableShardsToHand = (situation: ClaimSituation): readonly ClaimAction[] =>
+const unreachableShardHandovers = (situation: ClaimsSnapshot): readonly ClaimAction[] =>
   [...situation.unreachableShards].flatMap(([claimName, controller]): readonly ClaimAction[] => {
     const claim = situation.claims.get(claimName);
     if (!claim || !isSameHolder(claim, situation.self)) return [];
-    const to = peerNamed(situation, controller);
-    return to && canHold(to) ? [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }] : [];
+    const to = findPeer(situation, controller);
+    return to && canHoldClaims(to) ? [{ _tag: 'hand', claimName, observedRevision: claim.revision, to }] : [];
   });
 
 /** The preferred holder of a shard, if it holds none and has been up long enough to be handed this one. */
-const handbackTarget = (situation: ClaimSituation, claimName: string): PeerStatus | undefined => {
+const handbackTarget = (situation: ClaimsSnapshot, claimName: string): PeerStatus | undefined => {
   const preferred = preferredHolder(situation, claimName);
   if (preferred === undefined || preferred === situation.self.node) return undefined;
-  if (shardsHeldBy(situation, preferred) > 0) return undefined;
-  const peer = peerNamed(situation, preferred);
-  const steady = peer && canHold(peer) && !peer.workersUnreachable && peer.steadyMs >= HANDBACK_STABILITY_MS;
+  if (heldShardCount(situation, preferred) > 0) return undefined;
+  const peer = findPeer(situation, preferred);
+  const steady =
+    peer && canHoldClaims(peer) && !peer.workersUnreachable && peer.steadyMs >= HANDBACK_STABILITY_MS;
   return steady ? peer : undefined;
 };
 
 /** Teams stay divided among the controllers: one with several shards hands one back at a time. */
-const shardToHandBack = (situation: ClaimSituation): readonly ClaimAction[] => {
-  if (shardsHeldBy(situation, situation.self.node) <= 1) return [];
+const preferredHolderHandback = (situation: ClaimsSnapshot): readonly ClaimAction[] => {
+  if (heldShardCount(situation, situation.self.node) <= 1) return [];
   for (const claimName of situation.claimNames) {
     const claim = situation.claims.get(claimName);
     if (!claim || !isSameHolder(claim, situation.self)) continue;
@@ -147,8 +150,8 @@
 };
 
 /** The claims that this controller should take or hand to another now. */
-export const decideClaims = (situation: ClaimSituation): readonly ClaimAction[] => [
+export const decideClaims = (situation: ClaimsSnapshot): readonly ClaimAction[] => [
   ...claimsToTake(situation),
-  ...unreachableShardsToHand(situation),
-  ...(situation.unreachableShards.size > 0 ? [] : shardToHandBack(situation)),
+  ...unreachableShardHandovers(situation),
+  ...(situation.unreachableShards.size > 0 ? [] : preferredHolderHandback(situation)),
 ];
--- a/src/claims/claim-keeper.ts
+++ b/src/claims/claim-keeper.ts
@@ -4,7 +4,7 @@
  * by `lease-manager.ts`.
  */
 import * as Effect from 'effect/Effect';
-import { SHARD_CHECK_INTERVAL_MS, UNREACHABLE_HANDBACK_PAUSE_MS } from '../constants/leases.js';
+import { CLAIM_CHECK_INTERVAL_MS, UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS } from '../constants/leases.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
@@ -13,7 +13,7 @@
   decideClaims,
   type ClaimAction,
   type ClaimHolder,
-  type ClaimSituation,
+  type ClaimsSnapshot,
   type ObservedClaim,
   type PeerStatus,
 } from './claim-decisions.js';
@@ -21,7 +21,7 @@
 import type { LeaseRenewal } from './lease-renewal.js';
 
 /** What keeping claims needs of the rest of the controller. */
-export interface ClaimKeeperDependencies {
+export interface ClaimReconcilerDependencies {
   /** This process. */
   readonly self: ClaimHolder;
   /** All controllers by name, in order. */
@@ -48,7 +48,7 @@
   action._tag === 'take' ? { holder: self, lease } : { holder: action.to, lease: action.to.lease ?? lease };
 
 /** Takes claims and hands them over. */
-export class ClaimKeeper {
+export class ClaimReconciler {
   private readonly freeSince = new Map<string, number>();
   private workersUnreachableUntil = 0;
 
@@ -58,7 +58,7 @@
     private readonly renewal: LeaseRenewal,
     private readonly claimNames: readonly string[],
     private readonly readClaim: ClaimReader,
-    private readonly dependencies: ClaimKeeperDependencies,
+    private readonly dependencies: ClaimReconcilerDependencies,
   ) {}
 
   /** Workers lately could not reach this controller. */
@@ -79,10 +79,11 @@
     return claims;
   }
 
-  private situation(now: number): ClaimSituation {
+  private situation(now: number): ClaimsSnapshot {
     const claims = this.observeClaims(now);
     const unreachableShards = this.dependencies.unreachableShards();
-    if (unreachableShards.size > 0) this.workersUnreachableUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
+    if (unreachableShards.size > 0)
+      this.workersUnreachableUntil = now + UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS;
     return {
       self: this.dependencies.self,
       controllers: this.dependencies.controllers,
@@ -129,7 +130,7 @@
   /** Checks the claims for ever. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(SHARD_CHECK_INTERVAL_MS);
+      yield* Effect.sleep(CLAIM_CHECK_INTERVAL_MS);
       yield* this.check;
     }
   });
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -8,12 +8,12 @@
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 import { isSameHolder, LEADER_CLAIM, type ObservedClaim } from './claim-decisions.js';
-import { ClaimKeeper, type ClaimKeeperDependencies } from './claim-keeper.js';
+import { ClaimReconciler, type ClaimReconcilerDependencies } from './claim-keeper.js';
 import { readClaim } from './codec.js';
 import { LeaseRenewal } from './lease-renewal.js';
 
 /** What the lease manager needs of the rest of the controller. */
-interface LeaseManagerDependencies extends ClaimKeeperDependencies {
+interface LeaseManagerDependencies extends ClaimReconcilerDependencies {
   readonly shardCount: number;
 }
 
@@ -22,7 +22,7 @@
   /** The claims on all shards and on the leadership. */
   readonly claimNames: readonly string[];
   private readonly renewal: LeaseRenewal;
-  private readonly keeper: ClaimKeeper;
+  private readonly reconciler: ClaimReconciler;
 
   constructor(
     store: KeyValueStore,
@@ -32,7 +32,7 @@
     const shards = Array.from({ length: dependencies.shardCount }, (_, shardId) => String(shardId));
     this.claimNames = [...shards, LEADER_CLAIM];
     this.renewal = new LeaseRenewal(store, dependencies.now);
-    this.keeper = new ClaimKeeper(
+    this.reconciler = new ClaimReconciler(
       store,
       cache,
       this.renewal,
@@ -49,7 +49,7 @@
 
   /** Workers lately could not reach this controller. */
   get workersUnreachable(): boolean {
-    return this.keeper.workersUnreachable;
+    return this.reconciler.workersUnreachable;
   }
 
   /** The claim as the watch cache shows it; undefined: nobody holds it. */
@@ -62,7 +62,7 @@
    * The revision of this process's claim, its fencing token; null: the watch cache shows another holder or
    * none.
    */
-  ownRevision(claimName: string): number | null {
+  heldClaimRevision(claimName: string): number | null {
     const claim = this.claim(claimName);
     return claim && isSameHolder(claim, this.dependencies.self) ? claim.revision : null;
   }
@@ -71,14 +71,14 @@
    * The same, if the lease lets this process answer workers and decide under the claim now; null: it may not.
    * A claim counts under the lease that it is attached to, not under a later one of this process.
    */
-  actingRevision(claimName: string): number | null {
+  actingClaimRevision(claimName: string): number | null {
     if (!this.renewal.mayAct(this.dependencies.now())) return null;
-    const revision = this.ownRevision(claimName);
+    const revision = this.heldClaimRevision(claimName);
     return revision !== null && this.renewal.isAttached(revision) ? revision : null;
   }
 
   /** Keeps lease and claims until it is interrupted. */
   get run(): Effect.Effect<unknown> {
-    return Effect.all([this.renewal.run, this.keeper.run], { concurrency: 'unbounded' });
+    return Effect.all([this.renewal.run, this.reconciler.run], { concurrency: 'unbounded' });
   }
 }
--- a/src/claims/lease-state.ts
+++ b/src/claims/lease-state.ts
@@ -36,13 +36,13 @@
 export const leaseDeadline = (sentAt: number, ttlMs: number): number =>
   sentAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - LEASE_EXPIRY_MARGIN_MS;
 
-type LimitedState = Extract<LeaseState, { _tag: 'holding' | 'outageGrace' }>;
+type StateWithDeadline = Extract<LeaseState, { _tag: 'holding' | 'outageGrace' }>;
 type TickEvent = Extract<LeaseEvent, { _tag: 'tick' }>;
 
-const suspend = ({ lease }: LimitedState): LeaseState => ({ _tag: 'suspended', lease });
+const suspend = ({ lease }: StateWithDeadline): LeaseState => ({ _tag: 'suspended', lease });
 
 const tickInOutage = (
-  state: LimitedState,
+  state: StateWithDeadline,
   now: number,
   outageGraceUntil: number,
   ttlMs: number,
@@ -66,7 +66,7 @@
   }
 };
 
-const isAbout = (state: LeaseState, lease: number): boolean =>
+const isForLease = (state: LeaseState, lease: number): boolean =>
   state._tag !== 'detached' && state.lease === lease;
 
 /**
@@ -77,10 +77,10 @@
     case 'granted':
       return { _tag: 'holding', lease: event.lease, until: leaseDeadline(event.sentAt, ttlMs) };
     case 'renewed':
-      if (!isAbout(state, event.lease)) return state;
+      if (!isForLease(state, event.lease)) return state;
       return { _tag: 'holding', lease: event.lease, until: leaseDeadline(event.sentAt, ttlMs) };
     case 'ended':
-      return isAbout(state, event.lease) ? { _tag: 'detached' } : state;
+      return isForLease(state, event.lease) ? { _tag: 'detached' } : state;
     case 'tick':
       return afterTick(state, event, ttlMs);
   }
--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -6,7 +6,7 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import { SHARD_LEASE_RENEWAL_INTERVAL_MS } from '../constants/leases.js';
+import { CONTROLLER_LEASE_RENEWAL_INTERVAL_MS } from '../constants/leases.js';
 import type { CallOutcome } from '../http/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
@@ -82,7 +82,7 @@
       cache.apply({ _tag: 'delete', key: claimKey(claimName), version }),
     /** Time in which the lease is renewed, or found to have ended and asked for anew. */
     renew: async (): Promise<void> => {
-      mock.timers.tick(SHARD_LEASE_RENEWAL_INTERVAL_MS);
+      mock.timers.tick(CONTROLLER_LEASE_RENEWAL_INTERVAL_MS);
       await turns();
     },
     stop: async (): Promise<void> => {
@@ -102,26 +102,26 @@
       await turns();
       controller.claimShown(claimName, 5);
       leaseStore.revision = 5;
-      assert.equal(leases.actingRevision(claimName), 5, 'under the first lease');
+      assert.equal(leases.actingClaimRevision(claimName), 5, 'under the first lease');
 
       // The lease ends and a successor takes the claim; the copy of the keys shows neither yet.
       leaseStore.lease = null;
       leaseStore.revision = 7;
       await controller.renew();
       assert.equal(leases.lease, 2, 'there is a new lease');
-      assert.equal(leases.ownRevision(claimName), 5, 'the copy still shows the old claim');
-      assert.equal(leases.actingRevision(claimName), null, 'which is another process’s by now');
+      assert.equal(leases.heldClaimRevision(claimName), 5, 'the copy still shows the old claim');
+      assert.equal(leases.actingClaimRevision(claimName), null, 'which is another process’s by now');
 
       // A claim of the lease before that shows late only.
       controller.claimShown(claimName, 6);
-      assert.equal(leases.actingRevision(claimName), null);
+      assert.equal(leases.actingClaimRevision(claimName), null);
       controller.claimGone(claimName, 7);
-      assert.equal(leases.actingRevision(claimName), null);
+      assert.equal(leases.actingClaimRevision(claimName), null);
 
       controller.claimShown(claimName, 9);
-      assert.equal(leases.actingRevision(claimName), 9, 'taken under the new lease');
+      assert.equal(leases.actingClaimRevision(claimName), 9, 'taken under the new lease');
       await controller.renew();
-      assert.equal(leases.actingRevision(claimName), 9, 'a renewal changes nothing');
+      assert.equal(leases.actingClaimRevision(claimName), 9, 'a renewal changes nothing');
     } finally {
       await controller.stop();
     }
@@ -138,13 +138,13 @@
     leaseStore.revision = 7;
     leaseStore.readsFail = true;
     await controller.renew();
-    assert.equal(leases.actingRevision(LEADER_CLAIM), null);
+    assert.equal(leases.actingClaimRevision(LEADER_CLAIM), null);
     await controller.renew();
-    assert.equal(leases.actingRevision(LEADER_CLAIM), null);
+    assert.equal(leases.actingClaimRevision(LEADER_CLAIM), null);
     leaseStore.readsFail = false;
     await controller.renew();
     controller.claimShown(LEADER_CLAIM, 9);
-    assert.equal(leases.actingRevision(LEADER_CLAIM), 9);
+    assert.equal(leases.actingClaimRevision(LEADER_CLAIM), 9);
   } finally {
     await controller.stop();
   }
--- a/src/claims/outage-grace.ts
+++ b/src/claims/outage-grace.ts
@@ -36,13 +36,13 @@
 };
 
 /** ms, lease clock: until when workers may be answered without renewals; null: there is no outage. */
-export const outageGrace = (evidence: OutageEvidence): number | null =>
+export const outageGraceDeadline = (evidence: OutageEvidence): number | null =>
   outageGraceUntil({
     confirmed: isConfirmed(evidence),
     onlyAcknowledgedConfirmed:
       evidence.protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION && evidence.peers.storeDownForAll(),
     confirmedAt: evidence.cache.confirmedAt,
-    cancelMs: evidence.cancellationLimitS * MS_PER_S * (1 - CLOCK_DRIFT_FRACTION),
-    leaseMs: evidence.workerLeaseS * MS_PER_S * (1 + CLOCK_DRIFT_FRACTION),
+    cancellationLimitMs: evidence.cancellationLimitS * MS_PER_S * (1 - CLOCK_DRIFT_FRACTION),
+    workerLeaseMs: evidence.workerLeaseS * MS_PER_S * (1 + CLOCK_DRIFT_FRACTION),
     marginMs: OUTAGE_GRACE_MARGIN_MS,
   });
--- a/src/cluster-tests/rolling-upgrade.test.ts
+++ b/src/cluster-tests/rolling-upgrade.test.ts
@@ -9,7 +9,7 @@
   writeJobRecord,
 } from '../jobs/job-record-codec.js';
 import type { JobRecord, JobSpec } from '../jobs/model.js';
-import { readRunRecord, storeRun } from '../placement/run-codec.js';
+import { readRunRecord, encodeRun } from '../placement/run-codec.js';
 import type { RunRecord } from '../placement/run-records.js';
 import { runScenario, type Scenario, type ScenarioRun } from '../testing/scenario.js';
 import { buildBeforeRenaming, buildProduction, type Production } from '../testing/earlier-versions.js';
@@ -72,7 +72,7 @@
   attempt: 7,
 };
 test('upgrade: a run that an earlier version may have to read is written in its layout, however long', () => {
-  const { record, parts: parts } = storeRun(run, 1, 500, false);
+  const { record, parts: parts } = encodeRun(run, 1, 500, false);
   assert.deepEqual(parts, []);
   assert.deepEqual(old.records.readRunRecord(stored(record), 1), run);
   assert.deepEqual(readRunRecord(stored(old.records.writeRunRecord(run, 1)), 1), run);
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -46,7 +46,7 @@
   adminAccess: AdminAccess,
 ): DutiesApi =>
   new DutiesApi({
-    node: context.deployment.me.node,
+    node: context.deployment.self.node,
     registry: coordination.duties.registry,
     access: adminAccess,
     ready: () => context.storeAccess.cache.ready,
@@ -76,7 +76,7 @@
   leadership: Leadership,
 ): WorkerHeartbeatHandler =>
   new WorkerHeartbeatHandler({
-    me: deployment.me.node,
+    ownNode: deployment.self.node,
     cache: storeAccess.cache,
     now: clocks.steady,
     shard: (shardId) => shards.actingShard(shardId),
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -23,7 +23,7 @@
   shards: HeldShards,
 ): Cancellations => ({
   acknowledgement: new CancellationAcknowledgement({
-    me: deployment.me.node,
+    ownNode: deployment.self.node,
     store: storeAccess.store,
     linearizableReads: storeAccess.linearizableReads,
     cache: storeAccess.cache,
@@ -31,7 +31,7 @@
     request: (node, path, body) => peerNetwork.request(node, path, body),
     summaries: () => peers.summaries(),
     supportsAcknowledgement: (node) =>
-      node === deployment.me.node ||
+      node === deployment.self.node ||
       protocolVersion.agreed >= ACKNOWLEDGEMENT_PROTOCOL_VERSION ||
       peers.supportsVersion(node, ACKNOWLEDGEMENT_PROTOCOL_VERSION),
   }),
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -60,10 +60,10 @@
       onSummary: (from) => note(`relay: summary of ${from}`),
       onOrders: (to) => note(`relay: orders for ${to}`),
     },
-    gate: { noteClaim: (claimName, revision) => note(`gate: ${claimName} at ${revision}`) },
-    registry: { claimChanged: (claimName) => note(`registry: ${claimName}`) },
+    orderVerifier: { noteClaim: (claimName, revision) => note(`gate: ${claimName} at ${revision}`) },
+    dutyRegistry: { claimChanged: (claimName) => note(`registry: ${claimName}`) },
     shards: {
-      followClaim: (claimName) => note(`shards: ${claimName}`),
+      onClaimChanged: (claimName) => note(`shards: ${claimName}`),
       forEach: (action) => shards.forEach(action),
     },
     scarceTypes: { note: ({ id }) => note(`scarce types: ${id}`) },
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -23,10 +23,10 @@
 export interface ChangeSubscribers {
   readonly cache: Pick<WatchCache, 'get'>;
   readonly relay: Pick<KeyValueStoreRelay, 'onSummary' | 'onOrders'>;
-  readonly gate: Pick<OrderVerifier, 'noteClaim'>;
-  readonly registry: Pick<DutyRegistry, 'claimChanged'>;
+  readonly orderVerifier: Pick<OrderVerifier, 'noteClaim'>;
+  readonly dutyRegistry: Pick<DutyRegistry, 'claimChanged'>;
   readonly shards: {
-    followClaim(claimName: string): void;
+    onClaimChanged(claimName: string): void;
     forEach(action: (shard: ShardListener) => void): void;
   };
   readonly scarceTypes: Pick<ScarceTypes, 'note'>;
@@ -78,10 +78,10 @@
 
   /** The duties come first: a shard that is taken begins with them. */
   private onClaim({ claimName, revision }: ChangeOf<'claimChanged'>): void {
-    const { gate, registry, shards } = this.subscribers;
+    const { orderVerifier: gate, dutyRegistry: registry, shards } = this.subscribers;
     if (revision !== null) gate.noteClaim(claimName, revision);
     registry.claimChanged(claimName);
-    shards.followClaim(claimName);
+    shards.onClaimChanged(claimName);
   }
 
   /** The shards come last: what they decide about the job depends on what the others know of it. */
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -2,7 +2,7 @@
 import type * as Effect from 'effect/Effect';
 import { divideStoreRates } from '../peers/rate-division.js';
 import { NO_FEATURES, type Features } from '../settings/features.js';
-import { ANYONE, type AdminAccess } from '../settings/networks.js';
+import { ALLOW_ANY_ADDRESS, type AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
 import { decodeChange } from '../kv-store/change-feed.js';
 import { createApi, createPeerRequests, createWorkerHeartbeatHandler } from './api.js';
@@ -37,7 +37,7 @@
   const heartbeatHandler = createWorkerHeartbeatHandler(context, shards, leadership);
   const peerRequests = createPeerRequests(coordination, shards, leadership);
   const heartbeatSources = {
-    me: deployment.me,
+    me: deployment.self,
     leases: coordination.leases,
     leaderNode: coordination.leaderNode,
     msSinceStoreAnswered: storeAccess.msSinceAnswered,
@@ -50,14 +50,14 @@
 };
 
 /** Passes each change of the shared keys to the subsystems that follow it. */
-const followChanges = (subsystems: Subsystems): void => {
+const subscribeToChanges = (subsystems: Subsystems): void => {
   const { context, coordination, sharding, leadership, cancellations } = subsystems;
   const { cache } = context.storeAccess;
   const dispatcher = new ChangeDispatcher({
     cache,
     relay: leadership.relay,
-    gate: coordination.duties.orderVerifier,
-    registry: coordination.duties.registry,
+    orderVerifier: coordination.duties.orderVerifier,
+    dutyRegistry: coordination.duties.registry,
     shards: sharding.shards,
     scarceTypes: sharding.scarceTypes,
     bootBoundTypes: sharding.bootBoundTypes,
@@ -91,11 +91,11 @@
   settings: Settings,
   ports: Ports,
   features: Features = NO_FEATURES,
-  adminAccess: AdminAccess = ANYONE,
+  adminAccess: AdminAccess = ALLOW_ANY_ADDRESS,
 ): Controller => {
   const subsystems = createSubsystems(settings, ports, features);
   const { coordination, sharding } = subsystems;
-  followChanges(subsystems);
+  subscribeToChanges(subsystems);
   return {
     route: createApi(subsystems, adminAccess),
     peerRoute: (call) => coordination.peerNetwork.handle(call),
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -5,7 +5,7 @@
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
-import { outageGrace } from '../claims/outage-grace.js';
+import { outageGraceDeadline } from '../claims/outage-grace.js';
 import { FENCED_ORDERS_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { composeDuties, type Duties } from '../duties/compose.js';
 import type { ServerResponse } from '../http/model.js';
@@ -46,7 +46,7 @@
   leaderNode: () => string | undefined,
 ): PeerNetwork =>
   new PeerNetwork({
-    me: deployment.me.node,
+    ownNode: deployment.self.node,
     peers: readPeerAddresses(settings),
     now: clocks.lease,
     createHttpClient: ports.createHttpClient,
@@ -68,15 +68,15 @@
     store: storeAccess.store,
     cache: storeAccess.cache,
     announcedVersions: () => peers.announcedVersions(),
-    beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
+    beginAgreement: () => duties.registry.leaderDuty('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
-    self: deployment.me,
+    self: deployment.self,
     controllers: deployment.nodes,
     shardCount: deployment.shardCount,
     peers: () => peers.statuses(),
     outageGraceUntil: () =>
-      outageGrace({
+      outageGraceDeadline({
         controllerCount: deployment.nodes.length,
         msSinceStoreAnswered: storeAccess.msSinceAnswered,
         peers,
@@ -96,6 +96,6 @@
     enforceFencing: context.features.fencing,
     tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
-  const mayLead = (): boolean => leases.actingRevision(LEADER_CLAIM) !== null;
+  const mayLead = (): boolean => leases.actingClaimRevision(LEADER_CLAIM) !== null;
   return { peerNetwork, peers, protocolVersion, leases, duties, leaderNode, mayLead };
 };
--- a/src/controller/deployment.ts
+++ b/src/controller/deployment.ts
@@ -18,7 +18,7 @@
 /** What the settings say of the deployment. */
 export interface Deployment {
   /** This process, as its claims name it. */
-  readonly me: ClaimHolder;
+  readonly self: ClaimHolder;
   /** All controllers by name, in order. */
   readonly nodes: readonly string[];
   readonly shardCount: number;
@@ -44,7 +44,7 @@
   const shardByTeam = divideTeams(facts.teams, facts.count);
   const storeLimits = effectiveLimits(facts.state);
   return {
-    me: { node: settings.host_name, incarnation },
+    self: { node: settings.host_name, incarnation },
     nodes: readControllerNames(settings),
     shardCount: facts.count,
     shardByTeam,
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -15,7 +15,7 @@
 
 /** What a heartbeat is built from. */
 export interface HeartbeatSources {
-  readonly me: ClaimHolder;
+  readonly self: ClaimHolder;
   readonly leases: Pick<LeaseManager, 'lease' | 'workersUnreachable'>;
   readonly leaderNode: () => string | undefined;
   /** ms since the key-value store last answered this controller. */
@@ -29,7 +29,7 @@
 
 /** The heartbeat to a peer; the order of its fields is that of the wire. */
 export const createHeartbeat = (sources: HeartbeatSources, to: string): PeerHeartbeat => {
-  const { me, leases, shards, store } = sources;
+  const { self: me, leases, shards, store } = sources;
   return {
     from: me.node,
     incarnation: me.incarnation,
--- a/src/controller/held-shards.test.ts
+++ b/src/controller/held-shards.test.ts
@@ -67,7 +67,7 @@
   private readonly cache = new WatchCache(this.store, () => Date.now());
   readonly shards = new HeldShards({
     shardCount: 2,
-    leases: { ownRevision: () => this.claim, actingRevision: () => this.claim },
+    leases: { heldClaimRevision: () => this.claim, actingClaimRevision: () => this.claim },
     create: (shardId, claim) => new Shard(shardId, claim, this.context(claim)),
     onTaken: () => undefined,
   });
@@ -92,7 +92,7 @@
       reservations: () => [],
       sendCommands: () => Promise.resolve({ _tag: 'refused', heartbeat: null }),
       releaseNow: () => Promise.resolve(false),
-      cleanUp: null,
+      cleanUpDuty: null,
       catalog: () => null,
       scarceDemand: () => null,
       isBootBound: () => false,
@@ -117,12 +117,12 @@
 
   take(claim: number): void {
     this.claim = claim;
-    this.shards.followClaim(CLAIM_NAME);
+    this.shards.onClaimChanged(CLAIM_NAME);
   }
 
   lose(): void {
     this.claim = null;
-    this.shards.followClaim(CLAIM_NAME);
+    this.shards.onClaimChanged(CLAIM_NAME);
   }
 
   /** Answers the request that waits; false: there is none. */
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -42,10 +42,10 @@
   constructor(private readonly dependencies: HeldShardsDependencies) {}
 
   /** A claim changed; a `Shard` lives as long as this process's claim with that very revision. */
-  followClaim(claimName: string): void {
+  onClaimChanged(claimName: string): void {
     const shardId = parseShardId(claimName);
     if (shardId === null || shardId >= this.dependencies.shardCount) return;
-    const claim = this.dependencies.leases.ownRevision(claimName);
+    const claim = this.dependencies.leases.heldClaimRevision(claimName);
     const held = this.running.get(shardId);
     if (held?.shard.claim === claim) return;
     if (held) this.drop(shardId, held);
@@ -72,7 +72,7 @@
 
   /** The shard, if this process may act for it now. */
   actingShard(shardId: number): Shard | null {
-    const claim = this.dependencies.leases.actingRevision(String(shardId));
+    const claim = this.dependencies.leases.actingClaimRevision(String(shardId));
     const shard = this.running.get(shardId)?.shard;
     return claim !== null && shard?.claim === claim && shard.stage !== 'lost' ? shard : null;
   }
@@ -85,7 +85,7 @@
   /** Puts a cancellation to a shard held here; false: this process does not hold it under that very claim. */
   acknowledge({ shardId, claim, job, revision }: Cancellation): boolean {
     const shard = this.running.get(shardId)?.shard;
-    return shard?.claim === claim && shard.acknowledge(job, revision);
+    return shard?.claim === claim && shard.acknowledgeCancellation(job, revision);
   }
 
   /** The summaries of the shards that this process may act for. */
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -39,7 +39,7 @@
 ): readonly ShardSummary[] => {
   const leader = leaderNode();
   const relayed =
-    leader !== undefined && leader !== deployment.me.node && peers.recentHeartbeat(leader) === null;
+    leader !== undefined && leader !== deployment.self.node && peers.recentHeartbeat(leader) === null;
   return relayed ? shards.ownSummaries() : [];
 };
 
@@ -78,7 +78,7 @@
   const { peerNetwork, peers, leases, duties, protocolVersion, mayLead } = coordination;
   const relay: KeyValueStoreRelay = createRelay(context, coordination, shards, () => transfers);
   const transfers = new Transfers({
-    node: deployment.me.node,
+    node: deployment.self.node,
     shards,
     leases,
     peers,
@@ -97,7 +97,7 @@
     valueBytes: deployment.valueBytes,
     maySplit: () => protocolVersion.agreed >= PIPELINES_PROTOCOL_VERSION,
     catalog: storeAccess.catalog,
-    actingRevision: () => leases.actingRevision(LEADER_CLAIM),
+    actingRevision: () => leases.actingClaimRevision(LEADER_CLAIM),
     summaries: () => collectSummaries({ shardCount: deployment.shardCount, leases, shards, peers, relay }),
     orderTransfers: (from, transferred, permit) => transfers.order(from, transferred, permit),
     now: clocks.steady,
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -15,7 +15,7 @@
 
 /** The controller that the shard's workers reach while none of them reaches this one; null: there is none. */
 const nodeReachedInstead = (shard: Shard, peers: MisroutingSources['peers']): string | null => {
-  const { machines, heard } = shard.heartbeatCoverage();
+  const { machines, reporting: heard } = shard.heartbeatCoverage();
   if (machines === 0 || heard > 0) return null;
   const misrouted = peers.misroutedHeartbeats(String(shard.shardId));
   return misrouted && misrouted.count >= machines * MISROUTED_HANDOVER_FRACTION ? misrouted.node : null;
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -1,7 +1,7 @@
 /** The controller's interface to its process: what it is given, and what it offers. No state. */
 import type * as Effect from 'effect/Effect';
 import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http/model.js';
-import type { DirectCommands } from '../workers/worker-client.js';
+import type { DirectCommandSender } from '../workers/worker-client.js';
 
 /** What a controller needs of the world outside; tests put stand-ins here. */
 export interface Ports {
@@ -14,7 +14,7 @@
   /** Differs for every process that ever runs as this controller. */
   readonly incarnation: string;
   readonly createHttpClient: HttpClientFactory;
-  readonly workerClient: DirectCommands;
+  readonly workerClient: DirectCommandSender;
 }
 
 /** A composed controller. */
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -33,7 +33,7 @@
 const createClaimContext = (subsystems: ShardSubsystems, shardId: number, claim: number): ClaimContext => {
   const { context, coordination, leadership } = subsystems;
   const { leases, duties, peerNetwork, leaderNode } = coordination;
-  const mayAct = (): boolean => leases.actingRevision(String(shardId)) === claim;
+  const mayAct = (): boolean => leases.actingClaimRevision(String(shardId)) === claim;
   return {
     mayAct,
     reservations: () => leadership().reservations.forShard(shardId),
@@ -46,8 +46,8 @@
       releaseWithoutIntent(
         {
           shardId,
-          duty: duties.registry.shard(shardId, 'reclaim'),
-          ownNode: context.deployment.me.node,
+          duty: duties.registry.shardDuty(shardId, 'reclaim'),
+          ownNode: context.deployment.self.node,
           leaderNode,
           msSinceStoreAnswered: context.storeAccess.msSinceAnswered,
           releaseLocally: (own) => leadership().leader.releaseNow(own),
@@ -55,7 +55,7 @@
         },
         machines,
       ),
-    cleanUp: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    cleanUpDuty: context.features.fencing ? duties.registry.shardDuty(shardId, 'clean-up') : null,
     onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
--- a/src/placement/attempt-phase.ts
+++ b/src/placement/attempt-phase.ts
@@ -15,10 +15,10 @@
   | { readonly _tag: 'running' }
   | { readonly _tag: 'saving' }
   /** Evidence is in: the attempt is no longer on its machine. */
-  | { readonly _tag: 'gone'; readonly how: Gone };
+  | { readonly _tag: 'gone'; readonly how: GoneEvidence };
 
 /** The evidence that an attempt is gone. */
-export type Gone =
+export type GoneEvidence =
   | { readonly _tag: 'exited'; readonly cause: ExitCause; readonly saved: boolean }
   /** A newer heartbeat under the current token, without it. */
   | { readonly _tag: 'absent' }
@@ -30,7 +30,7 @@
 export type PhaseEvent =
   | { readonly _tag: 'durable' }
   | { readonly _tag: 'reported'; readonly state: TaskState }
-  | { readonly _tag: 'lost'; readonly how: Gone };
+  | { readonly _tag: 'lost'; readonly how: GoneEvidence };
 
 /** The one place where the phase of an attempt changes. */
 export const nextPhase = (phase: Phase, event: PhaseEvent): Phase => {
@@ -54,7 +54,7 @@
 };
 
 /** Has a worker reported this attempt? */
-export const onMachine = (phase: Phase): boolean => {
+export const isOnMachine = (phase: Phase): boolean => {
   switch (phase._tag) {
     case 'fetching':
     case 'waiting':
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -25,7 +25,7 @@
   /**
    * One of the keys in the conditions: only this holder changes it, so it tells whether a copy was applied.
    */
-  readonly witness: string;
+  readonly outcomeKey: string;
   readonly priority: RequestPriority;
 }
 
@@ -116,7 +116,7 @@
 
   /** A conflict after an unacknowledged copy may be that copy's own doing: the witness tells. */
   private onConflict(
-    { conditions, witness, priority }: ClaimTransaction,
+    { conditions, outcomeKey: witness, priority }: ClaimTransaction,
     conflict: Conflict,
     unacknowledged: boolean,
   ): Effect.Effect<AttemptOutcome> {
--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -6,7 +6,7 @@
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
 import type { DirectResult } from '../workers/worker-client.js';
-import { noteLastSeen, tokenOf } from './heartbeat-order.js';
+import { recordLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import type { CommandSender } from './shard-context.js';
 import { bindingKey, type Binding, type ShardMachine } from './shard-model.js';
@@ -58,7 +58,7 @@
     const toRun = bindings.filter((binding) => binding.phase._tag === 'bound' && !binding.stop);
     for (const [machine, ofMachine] of this.groupByMachine(toRun)) {
       // The answer that is held for this round carries them.
-      if (machine.heldAnswers > 0) continue;
+      if (machine.pendingAnswers > 0) continue;
       const token = this.token(machine);
       for (const binding of ofMachine) machine.unacknowledgedRuns.set(keyOf(binding), token);
       void this.send(machine, ofMachine.map(runCommand)).then((result) =>
@@ -83,7 +83,7 @@
         if (result._tag === 'executed') this.onResponse(machine, result.heartbeat);
         return;
       case 'unknown':
-        machine.raiseToken = true;
+        machine.needsHigherToken = true;
         log.info({ event: 'direct_commands.unacknowledged', machine: machine.id, tasks: bindings.length });
         this.dependencies.requestRound();
     }
@@ -129,7 +129,7 @@
         lastSeen?.agentEpoch === heartbeat.agentEpoch && lastSeen.sequenceNumber >= heartbeat.sequenceNumber;
       if (!shownAlready) shardState.apply(binding, { _tag: 'reported', state: task.state });
     }
-    noteLastSeen(machine, heartbeat);
+    recordLastSeen(machine, heartbeat);
   }
 
   private send(machine: ShardMachine, commands: readonly Command[]): Promise<DirectResult> {
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -24,7 +24,7 @@
 }
 
 /** Jobs whose final records are durable, and keys that are left to clear away. */
-export interface Finished {
+export interface FinishResult {
   readonly done: readonly { readonly job: ShardJob; readonly final: FinalRecord }[];
   readonly orphanedKeys: readonly OrphanedKey[];
 }
@@ -35,21 +35,21 @@
   readonly store: KeyValueStore;
 }
 
-const NOTHING_FINISHED: Finished = { done: [], orphanedKeys: [] };
+const NOTHING_FINISHED: FinishResult = { done: [], orphanedKeys: [] };
 
 /** The writer of final records of one shard. */
 export class FinalRecordWriter {
   constructor(private readonly dependencies: FinalRecordWriterDependencies) {}
 
   /** How many changes the final record of a job takes, with all its runs. */
-  changesOf(job: ShardJob): number {
+  changeCountOf(job: ShardJob): number {
     let parts = job.dependencyParts;
     for (const chunk of job.chunks.values()) parts += 1 + chunk.parts;
     return 2 + parts;
   }
 
   /** Final records of jobs in one transaction. Returns those that are durable, with the keys left over. */
-  async finish(jobs: readonly FinishedJob[]): Promise<Finished> {
+  async finish(jobs: readonly FinishedJob[]): Promise<FinishResult> {
     const first = jobs[0];
     if (!first) return NOTHING_FINISHED;
     const finals = jobs.map(({ job, state }): FinalWrite => ({
@@ -67,7 +67,7 @@
         { key: finalKey(job.spec.id), version: 0 },
       ]),
       writes,
-      witness: finalKey(first.job.spec.id),
+      outcomeKey: finalKey(first.job.spec.id),
       priority: 'bind',
     });
     if (result._tag !== 'committed') {
--- a/src/placement/gang.test.ts
+++ b/src/placement/gang.test.ts
@@ -6,7 +6,7 @@
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
-import { isValid, partsOf, readRunRecord, validAttempt } from './run-codec.js';
+import { isRunValid, partCountOf, readRunRecord, validAttempt } from './run-codec.js';
 import { chunkOf } from './run-records.js';
 import { ClaimTransactions } from './claim-transactions.js';
 import { RunWriter } from './run-writer.js';
@@ -63,7 +63,7 @@
     valueBytes,
     maySplit: () => true,
   });
-  const job = shardState.adoptJob(
+  const job = shardState.applyJobRecord(
     {
       spec: jobSpec('job-1', {
         team: 't',
@@ -101,13 +101,13 @@
   const first = items.get(runKey(0, 'job-1', 0));
   for (const [key, value] of items) {
     const name = parseRunKey(key);
-    if (name?.part !== null || !isValid(value, first)) continue;
-    const parts = Array.from({ length: partsOf(value) }, (_, part) =>
+    if (name?.part !== null || !isRunValid(value, first)) continue;
+    const parts = Array.from({ length: partCountOf(value) }, (_, part) =>
       items.get(runPartKey(0, 'job-1', name.chunk, part)),
     );
     found += readRunRecord(value, name.chunk, parts).bindings.length;
   }
-  return { bound, found, committed, job, valid: validAttempt(first), writing: job.writesUnderWay };
+  return { bound, found, committed, job, valid: validAttempt(first), writing: job.writesInProgress };
 };
 
 /** Gangs too large for one transaction, up to one task on each of 4,000 machines. */
--- a/src/placement/heartbeat-order.ts
+++ b/src/placement/heartbeat-order.ts
@@ -20,7 +20,7 @@
 export const tokenOf = (claim: number, machine: ShardMachine): number => Math.max(claim, machine.version);
 
 /** Notes, for each binding that a message shows, that this is the newest message which did. */
-export const noteLastSeen = (machine: ShardMachine, heartbeat: WorkerHeartbeat): void => {
+export const recordLastSeen = (machine: ShardMachine, heartbeat: WorkerHeartbeat): void => {
   for (const task of heartbeat.tasks) {
     const binding = machine.bound.get(bindingKey(task.job, task.index, task.attempt));
     if (!binding) continue;
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -61,7 +61,7 @@
     machine.confirmedToken = 1;
     row.running.forEach((overrides, index) => {
       const spec = jobSpec(`job-${index}`, overrides);
-      const job = shardState.adoptJob(
+      const job = shardState.applyJobRecord(
         { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
         1,
       );
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -3,7 +3,7 @@
  * Owns when it last looked and last asked for an urgent release; `Shard` calls it once a round and on the
  * leader's transfer orders.
  */
-import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
+import { URGENT_RELEASE_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
 import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import { log } from '../log.js';
@@ -68,9 +68,9 @@
   /** Machines whose record is to be rewritten, for a higher token. */
   private machinesToRenew(): readonly ShardMachine[] {
     const machines = [...this.dependencies.shardState.machines.values()].filter(
-      (machine) => machine.raiseToken && !machine.releasing,
+      (machine) => machine.needsHigherToken && !machine.releasing,
     );
-    for (const machine of machines) machine.raiseToken = false;
+    for (const machine of machines) machine.needsHigherToken = false;
     return machines;
   }
 
@@ -96,7 +96,7 @@
   private releaseNow(ids: readonly string[]): void {
     const { now, shardState, releaseNow, isLost } = this.dependencies;
     const askedAt = now();
-    if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
+    if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RELEASE_INTERVAL_MS) return;
     this.urgentReleaseAt = askedAt;
     // The request may be carried out late, whatever its answer: nothing new goes there from now on.
     for (const id of ids) {
@@ -125,7 +125,7 @@
     return (
       !machine.releasing &&
       !machine.cordoned &&
-      !machine.raiseToken &&
+      !machine.needsHigherToken &&
       this.dependencies.liveness.isIdle(machine) &&
       machine.unacknowledgedRuns.size === 0 &&
       machine.reclaimNoticeAt === null &&
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -3,20 +3,20 @@
  * Owns when the shard was loaded; of machines it changes `total`, `health` once a suspicion is over, and
  * `idleSince`. Rounds and `MachineLifecycle` ask it.
  */
-import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
-import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
+import { CANCELLED_MACHINE_RELEASE_MARGIN_MS } from '../constants/cancellation.js';
+import { CLOCK_DRIFT_FRACTION, UNREACHABLE_WORKERS_REPORT_INTERVALS } from '../constants/leases.js';
 import {
-  BOOT_BOUND_IDLE_HOLD_BOOT_TIMES,
+  BOOT_BOUND_IDLE_HOLD_BOOT_FACTOR,
   BOOT_TIMEOUT_FACTOR,
   BOOT_TIMEOUT_SLACK_S,
-  IDLE_HOLD_BOOT_TIMES,
+  IDLE_HOLD_BOOT_FACTOR,
   LIVE_LEASE_FRACTION,
   LONG_IDLE_HOLD_MACHINES,
   MIN_IDLE_HOLD_S,
-  MOVED_MACHINE_CONTACT_TIMEOUT_MS,
-  SETTLING_SPOT_SILENCES,
+  TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS,
+  SHARD_LOAD_GRACE_SPOT_SILENCES,
   SPOT_SILENCE_REPORT_INTERVALS,
-  SURPLUS_IDLE_HOLD_BOOT_TIMES,
+  SURPLUS_IDLE_HOLD_BOOT_FACTOR,
   UNCONFIRMED_TOKEN_LEASES,
   UNKNOWN_TYPE_BOOT_S,
   USUAL_BOOT_FACTOR,
@@ -64,16 +64,16 @@
    * ms after a cancellation: a machine on which one of its tasks isn't proven gone by then goes back to the
    * cloud.
    */
-  readonly cancelledReturnMs: number;
+  readonly cancelledReleaseMs: number;
   /** ms: the full lease, with drift, that this holder must see pass after its last answer. */
   readonly leaseMs: number;
 
   constructor(private readonly dependencies: MachineLivenessDependencies) {
     const reportMs = dependencies.workers.report_s * 1000;
-    this.unreachableAfterMs = reportMs * UNREACHABLE_REPORT_INTERVALS;
+    this.unreachableAfterMs = reportMs * UNREACHABLE_WORKERS_REPORT_INTERVALS;
     this.rebuildTimeoutMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
     this.spotSilenceMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
-    this.cancelledReturnMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
+    this.cancelledReleaseMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RELEASE_MARGIN_MS;
     this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
@@ -96,7 +96,7 @@
   isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
     // It came from another shard, where it was up and free: its worker is just being told.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
-      return now - machine.takenAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
+      return now - machine.addedAt < TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
       this.isBooting(machine, wall) &&
       wall - machine.recordedAt <
@@ -106,7 +106,7 @@
 
   /** Its lease has expired, as far as this holder's answers go. */
   isSilent(machine: ShardMachine, now: number): boolean {
-    const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.takenAt);
+    const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.addedAt);
     return now - from > this.leaseMs;
   }
 
@@ -132,7 +132,7 @@
     let machines = 0;
     let heard = this.loadedAt === null || now - this.loadedAt < ms ? 1 : 0;
     for (const machine of this.dependencies.machines.values()) {
-      if (machine.answeredAt === null && (now - machine.takenAt < ms || this.isBooting(machine))) continue;
+      if (machine.answeredAt === null && (now - machine.addedAt < ms || this.isBooting(machine))) continue;
       machines += 1;
       if (now - (machine.answeredAt ?? 0) < ms) heard += 1;
     }
@@ -157,7 +157,7 @@
     const wall = this.dependencies.wall();
     const late = new Set<ShardMachine>();
     for (const job of jobs) {
-      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReturnMs) continue;
+      if (job.cancelledAt === null || wall - job.cancelledAt < this.cancelledReleaseMs) continue;
       for (const binding of job.bindings.values()) {
         const machine = this.dependencies.machines.get(binding.machine);
         if (machine) late.add(machine);
@@ -173,10 +173,10 @@
   private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
       !machine.spot && this.dependencies.isBootBound(machine.type)
-        ? BOOT_BOUND_IDLE_HOLD_BOOT_TIMES
+        ? BOOT_BOUND_IDLE_HOLD_BOOT_FACTOR
         : rank < LONG_IDLE_HOLD_MACHINES
-          ? IDLE_HOLD_BOOT_TIMES
-          : SURPLUS_IDLE_HOLD_BOOT_TIMES;
+          ? IDLE_HOLD_BOOT_FACTOR
+          : SURPLUS_IDLE_HOLD_BOOT_FACTOR;
     return Math.max(MIN_IDLE_HOLD_S, this.bootSecondsOf(machine, 0) * boots) * 1000;
   }
 
@@ -214,7 +214,7 @@
       hearsMost: heard * 2 >= machines,
       isHeardByMost: unconfirmed * 2 <= reporting,
       hasSettledIn:
-        this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SETTLING_SPOT_SILENCES,
+        this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SHARD_LOAD_GRACE_SPOT_SILENCES,
     };
   }
 
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -70,7 +70,7 @@
         key: machineKey(assignment.machine.id),
         value: this.recordOf(assignment, imageBytes),
       })),
-      witness: machineKey(first.machine.id),
+      outcomeKey: machineKey(first.machine.id),
       priority,
     });
     if (result._tag === 'committed') return true;
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -18,7 +18,7 @@
   /** Has these keys removed some time. */
   discard(keys: readonly OrphanedKey[]): void;
   /** Is there anything to do now? */
-  readonly due: boolean;
+  readonly hasWork: boolean;
   /** Writes tombstones for a few, or removes a few that have them. */
   step(): Promise<void>;
 }
@@ -36,7 +36,7 @@
     this.keys.push(...keys.map(({ key }) => key));
   }
 
-  get due(): boolean {
+  get hasWork(): boolean {
     return this.keys.length > 0;
   }
 
@@ -52,7 +52,7 @@
   readonly store: KeyValueStore;
   readonly duty: Duty;
   /** Does the shard know this job, or do the shared records show it? */
-  readonly jobKnown: (job: string) => boolean;
+  readonly isJobKnown: (job: string) => boolean;
 }
 
 /** Removal in two steps, each under the duty's token and the revision of every key. */
@@ -87,7 +87,7 @@
   /** A run whose job is there after all is left alone; its parts and lists go by the job's name as well. */
   private inUse(key: string): boolean {
     const job = parseRunKey(key)?.job ?? key.split('/')[2];
-    return job !== undefined && this.dependencies.jobKnown(job);
+    return job !== undefined && this.dependencies.isJobKnown(job);
   }
 
   private logRemoved(keys: readonly Tombstone[]): void {
@@ -104,7 +104,7 @@
     this.garbageCollector.enqueue(keys);
   }
 
-  get due(): boolean {
+  get hasWork(): boolean {
     return this.garbageCollector.hasWork;
   }
 
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -119,7 +119,7 @@
     });
     row.jobs.forEach((record, version) => {
       const { spec, dependsOn } = record;
-      shardState.adoptJob(record, version + 1);
+      shardState.applyJobRecord(record, version + 1);
       index.put({
         id: spec.id,
         dependsOn,
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -89,7 +89,7 @@
     log.info({ event: 'job.preempted', job: victim.job, machine: victim.machine, for: preemptingJob });
     for (const binding of job.bindings.values()) {
       if (job.spec.kind === 'gang' || binding.machine === victim.machine)
-        shardState.stop(binding, 'evicted', shardState.graceOf(job));
+        shardState.stop(binding, 'evicted', shardState.saveGraceS(job));
     }
   }
 
@@ -126,6 +126,6 @@
   private isWorthStopping({ binding, job }: TasksOnMachine, now: number): boolean {
     const { estimateS } = job.spec;
     const leftS = estimateS - (now - (binding.runningAt ?? now)) / 1000;
-    return leftS > this.dependencies.shardState.graceOf(job) || leftS < -estimateS;
+    return leftS > this.dependencies.shardState.saveGraceS(job) || leftS < -estimateS;
   }
 }
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -63,7 +63,7 @@
     requestRound: () => undefined,
     onFinalRecord: (job) => settled.push(job),
   });
-  shardState.adoptJob(record, ACCEPTED_AT);
+  shardState.applyJobRecord(record, ACCEPTED_AT);
   const round = async (): Promise<void> => {
     flusher.finishJobs();
     await new Promise((resolve) => setTimeout(resolve, 5));
@@ -115,7 +115,7 @@
     for (const step of row.steps) {
       switch (step) {
         case 'acknowledge':
-          shard.shardState.acknowledge('job-1', CANCELLED_AT);
+          shard.shardState.acknowledgeCancellation('job-1', CANCELLED_AT);
           break;
         case 'round':
           await shard.round();
@@ -124,10 +124,10 @@
           void shard.round();
           break;
         case 'cancelled record seen':
-          shard.shardState.adoptJob(cancelledRecord, CANCELLED_AT);
+          shard.shardState.applyJobRecord(cancelledRecord, CANCELLED_AT);
           break;
         case 'deletion seen':
-          shard.shardState.onRecordGone('job-1');
+          shard.shardState.onJobRecordDeleted('job-1');
           break;
       }
     }
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -40,7 +40,7 @@
     const begunAt = now();
     if (this.flushing || begunAt - this.flushedAt < FLUSH_INTERVAL_MS || isLost()) return;
     const entries = this.dirtyRuns(begunAt);
-    if (entries.length === 0 && !orphanedKeys.due) return;
+    if (entries.length === 0 && !orphanedKeys.hasWork) return;
     this.flushing = true;
     this.flushedAt = begunAt;
     void this.write(entries).finally(() => {
@@ -56,7 +56,7 @@
     const delayMs = changes.demand() < changes.perSecond * IMMEDIATE_FLUSH_RATE_FRACTION ? 0 : FLUSH_DELAY_MS;
     const entries: { write: RunWrite }[] = [];
     for (const job of shardState.jobs.values()) {
-      if (job.finishing || job.writesUnderWay > 0 || isOver(job)) continue;
+      if (job.finishing || job.writesInProgress > 0 || isOver(job)) continue;
       for (const [number, chunk] of job.chunks) {
         if (chunk.dirtySince !== null && now - chunk.dirtySince >= delayMs)
           entries.push({ write: runs.runWrite(job, number) });
@@ -73,7 +73,7 @@
       const writes = batch.map((entry) => entry.write);
       await runs.commitRuns(writes, 'work');
     }
-    if (orphanedKeys.due) await orphanedKeys.step();
+    if (orphanedKeys.hasWork) await orphanedKeys.step();
   }
 
   /** Writes the final records of jobs that are over and have no task left. */
@@ -87,8 +87,8 @@
       size = 0;
     };
     for (const job of shardState.jobs.values()) {
-      if (job.finishing || job.writesUnderWay > 0 || !isOver(job)) continue;
-      const more = finalRecords.changesOf(job);
+      if (job.finishing || job.writesInProgress > 0 || !isOver(job)) continue;
+      const more = finalRecords.changeCountOf(job);
       if (job.finishSeparately || size + more > store.batchWrites) send();
       batch.push({ job, state: job.cancelled ? 'cancelled' : 'done' });
       size += more;
@@ -101,10 +101,10 @@
     const { shardState, finalRecords, orphanedKeys, onFinalRecord, requestRound } = this.dependencies;
     const finished = await finalRecords.finish(jobs);
     for (const { job, final } of finished.done) {
-      shardState.dropFinished(job);
+      shardState.removeFinishedJob(job);
       onFinalRecord(job.spec.id, final);
     }
-    for (const { job } of jobs) shardState.dropIfOver(job);
+    for (const { job } of jobs) shardState.removeIfRecordDeleted(job);
     orphanedKeys.discard(finished.orphanedKeys);
     requestRound();
   }
--- a/src/placement/run-codec.ts
+++ b/src/placement/run-codec.ts
@@ -87,7 +87,7 @@
  * earlier version may have to read it; else with rows for tasks side by side, and the rest in parts that
  * are written in the same transaction.
  */
-export const storeRun = (record: RunRecord, chunk: number, bytes: number, maySplit: boolean): StoredRun => {
+export const encodeRun = (record: RunRecord, chunk: number, bytes: number, maySplit: boolean): StoredRun => {
   const plain = plainRecord(record, chunk);
   if (!maySplit || JSON.stringify(plain).length <= bytes) return { record: plain, parts: [] };
   const [first, ...rest] = splitRows(rowsOf(record), bytes);
@@ -102,25 +102,25 @@
  * and count for nothing until the first, written last, names their attempt as valid. That one write binds the
  * gang.
  */
-export const prepared = (stored: StoredRun): StoredRun => ({
+export const asPrepared = (stored: StoredRun): StoredRun => ({
   ...stored,
   record: { ...(stored.record as object), q: 1 },
 });
 /** A run record that makes what was prepared for this attempt valid. */
-export const validating = (stored: StoredRun, attempt: number): StoredRun => ({
+export const withValidAttempt = (stored: StoredRun, attempt: number): StoredRun => ({
   ...stored,
   record: { ...(stored.record as object), v: attempt },
 });
 /** The attempt that a job's first run names as valid; 0: none. */
 export const validAttempt = (first: unknown): number => (first as StoredRecord | undefined)?.v ?? 0;
 /** Do the bindings of a run count, given the first of its job? */
-export const isValid = (data: unknown, first: unknown): boolean => {
+export const isRunValid = (data: unknown, first: unknown): boolean => {
   const { q, n } = data as StoredRecord;
   return q === undefined || validAttempt(first) === n;
 };
 
 /** How many parts the stored record of a run has. */
-export const partsOf = (data: unknown): number => (data as StoredRecord).p ?? 0;
+export const partCountOf = (data: unknown): number => (data as StoredRecord).p ?? 0;
 
 /** Reads a stored run with its parts. */
 export const readRunRecord = (data: unknown, chunk: number, parts: readonly unknown[] = []): RunRecord => {
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -5,7 +5,7 @@
 import type { OrphanedKey } from '@dalegate/fencing';
 import type { StoredEntry } from '../kv-store/model.js';
 import { parseRunKey, runKey, runPartKey } from '../kv-store/keys.js';
-import { isValid, partsOf, readRunRecord, validAttempt } from './run-codec.js';
+import { isRunValid, partCountOf, readRunRecord, validAttempt } from './run-codec.js';
 import { durableKeys, type RunRecord } from './run-records.js';
 import type { Chunk, ShardJob } from './shard-model.js';
 import type { ShardIdentity } from './ports.js';
@@ -46,13 +46,13 @@
   /** Parts are read with the record that they belong to; one that it doesn't name is orphaned. */
   private checkPart(item: StoredEntry, job: string, chunk: number, part: number, entries: Entries): void {
     const whole = entries.get(runKey(this.dependencies.shardId, job, chunk));
-    if (!whole || part >= partsOf(whole.value)) this.discard(item, 'part not named');
+    if (!whole || part >= partCountOf(whole.value)) this.discard(item, 'part not named');
   }
 
   private loadRun(item: StoredEntry, job: ShardJob, chunkNumber: number, entries: Entries): void {
     const { shardId } = this.dependencies;
     const { id } = job.spec;
-    const count = partsOf(item.value);
+    const count = partCountOf(item.value);
     const parts = Array.from(
       { length: count },
       (_, part) => entries.get(runPartKey(shardId, id, chunkNumber, part))?.value ?? { b: [] },
@@ -63,7 +63,7 @@
     const first = entries.get(runKey(shardId, id, 0))?.value;
     if (chunkNumber === 0) job.validAttempt = validAttempt(first);
     // Prepared for a bind that never was: it counts for nothing, and is cleared.
-    const valid = isValid(item.value, first);
+    const valid = isRunValid(item.value, first);
     const chunk: Chunk = {
       version: item.version,
       parts: count,
--- a/src/placement/run-records.test.ts
+++ b/src/placement/run-records.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { bytesOf, SMALLEST_TRANSACTION, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
-import { partsOf, readRunRecord, storeRun } from './run-codec.js';
+import { partCountOf, readRunRecord, encodeRun } from './run-codec.js';
 import type { RunRecord } from './run-records.js';
 
 const runs: readonly { name: string; record: RunRecord }[] = [
@@ -35,10 +35,10 @@
 ];
 for (const row of runs) {
   test(`run record limits: ${row.name}`, () => {
-    const { record, parts } = storeRun(row.record, 780, SMALLEST_VALUE_BYTES * VALUE_FILL_FRACTION, true);
+    const { record, parts } = encodeRun(row.record, 780, SMALLEST_VALUE_BYTES * VALUE_FILL_FRACTION, true);
     for (const value of [record, ...parts])
       assert.ok(bytesOf(value) <= SMALLEST_VALUE_BYTES, `${bytesOf(value)} B`);
-    assert.equal(partsOf(record), parts.length);
+    assert.equal(partCountOf(record), parts.length);
     assert.ok(1 + parts.length <= SMALLEST_TRANSACTION);
     assert.deepEqual(readRunRecord(JSON.parse(JSON.stringify(record)), 780, parts), row.record);
   });
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -18,7 +18,7 @@
 import type { RequestPriority } from '../kv-store/rate-limiter.js';
 import type { ClaimTransactions } from './claim-transactions.js';
 import type { ShardIdentity, ValueLimits } from './ports.js';
-import { prepared, storeRun, validating, type StoredRun } from './run-codec.js';
+import { asPrepared, encodeRun, withValidAttempt, type StoredRun } from './run-codec.js';
 import { durableKeys, runRecord, type RunRecord } from './run-records.js';
 import type { Chunk, ShardJob } from './shard-model.js';
 
@@ -48,7 +48,7 @@
   );
 
 /** What is known of the stored run, from now on without changes that wait: the write has them all. */
-const cleanChunkOf = ({ job, chunk: number }: RunWrite): Chunk => {
+const markChunkClean = ({ job, chunk: number }: RunWrite): Chunk => {
   const known = job.chunks.get(number);
   if (known) {
     known.dirtySince = null;
@@ -77,12 +77,12 @@
   runWrite(job: ShardJob, chunk: number): RunWrite {
     const record = runRecord(job, chunk);
     const bytes = this.dependencies.valueBytes * VALUE_FILL_FRACTION;
-    const stored = storeRun(record, chunk, bytes, this.dependencies.maySplit());
+    const stored = encodeRun(record, chunk, bytes, this.dependencies.maySplit());
     const keeps = chunk === 0 && job.validAttempt > 0;
-    return { job, chunk, record, stored: keeps ? validating(stored, job.validAttempt) : stored };
+    return { job, chunk, record, stored: keeps ? withValidAttempt(stored, job.validAttempt) : stored };
   }
 
-  private changesOf(write: RunWrite): number {
+  private changeCountOf(write: RunWrite): number {
     return 1 + Math.max(write.stored.parts.length, write.job.chunks.get(write.chunk)?.parts ?? 0);
   }
 
@@ -94,7 +94,7 @@
     let changes = 0;
     for (const entry of entries) {
       const size = estimatedBytes(entry.write.record);
-      const more = this.changesOf(entry.write);
+      const more = this.changeCountOf(entry.write);
       if (
         batch.length > 0 &&
         (changes + more > this.dependencies.store.batchWrites || bytes + size > MAX_RECORD_BATCH_BYTES)
@@ -117,18 +117,18 @@
     const first = writes[0];
     if (!first) return true;
     const jobs = new Set(writes.map((write) => write.job));
-    const chunks = writes.map(cleanChunkOf);
-    for (const job of jobs) job.writesUnderWay += 1;
+    const chunks = writes.map(markChunkClean);
+    for (const job of jobs) job.writesInProgress += 1;
     const result = await this.dependencies.transactions.commit({
       conditions: [
         ...[...jobs].map((job) => ({ key: jobKey(job.spec.id), version: job.version })),
         ...writes.map((write, index) => ({ key: this.keyOf(write), version: chunks[index]?.version ?? 0 })),
       ],
       writes: writes.flatMap((write, index) => this.changes(write, chunks[index]?.parts ?? 0)),
-      witness: this.keyOf(first),
+      outcomeKey: this.keyOf(first),
       priority,
     });
-    for (const job of jobs) job.writesUnderWay -= 1;
+    for (const job of jobs) job.writesInProgress -= 1;
     writes.forEach((write, index) => {
       const chunk = chunks[index];
       if (chunk) noteWritten(chunk, write, result);
@@ -145,7 +145,7 @@
     let changes = 0;
     let bytes = 0;
     for (const write of writes) {
-      changes += this.changesOf(write);
+      changes += this.changeCountOf(write);
       bytes += storedBytes(write.stored);
     }
     return changes <= this.dependencies.store.maxTransactionWrites && bytes <= MAX_TRANSACTION_BYTES;
@@ -162,19 +162,19 @@
     // upgrade.
     if (!this.dependencies.maySplit()) return false;
     // Nothing else writes its runs in between.
-    job.writesUnderWay += 1;
+    job.writesInProgress += 1;
     try {
       const bound = (await this.prepare(others, priority)) && (await this.validate(job, first, priority));
       if (!bound) this.rewritePrepared(job);
       return bound;
     } finally {
-      job.writesUnderWay -= 1;
+      job.writesInProgress -= 1;
     }
   }
 
   /** Writes runs that count for nothing yet. */
   private async prepare(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
-    const entries = writes.map((write) => ({ write: { ...write, stored: prepared(write.stored) } }));
+    const entries = writes.map((write) => ({ write: { ...write, stored: asPrepared(write.stored) } }));
     for (const batch of this.batches(entries)) {
       const batchWrites = batch.map((entry) => entry.write);
       if (!(await this.commitRuns(batchWrites, priority))) return false;
@@ -186,7 +186,7 @@
   private async validate(job: ShardJob, first: RunWrite, priority: RequestPriority): Promise<boolean> {
     const before = job.validAttempt;
     job.validAttempt = job.attempt;
-    const write = { ...first, stored: validating(first.stored, job.attempt) };
+    const write = { ...first, stored: withValidAttempt(first.stored, job.attempt) };
     const bound = await this.commitRuns([write], priority);
     if (!bound) job.validAttempt = before;
     return bound;
--- a/src/placement/shard-changes.ts
+++ b/src/placement/shard-changes.ts
@@ -29,7 +29,10 @@
 /** Is the job cancelled, as far as the shared records and other controllers' acknowledgements go? */
 export const isKnownCancelled = (shardState: ShardState, cache: WatchCache, job: string): boolean => {
   const item = cache.get(jobKey(job));
-  return shardState.acknowledged.has(job) || (item !== undefined && readJobRecord(item.value).cancelled);
+  return (
+    shardState.acknowledgedCancellations.has(job) ||
+    (item !== undefined && readJobRecord(item.value).cancelled)
+  );
 };
 
 /** Changes that come from outside the shard. */
@@ -41,7 +44,7 @@
     const known = shardState.machines.get(id);
     if (record.shardId !== shardId) {
       // Its former holder moves only free ones, so nothing of this shard is on it.
-      if (known) shardState.dropMachine(known, { _tag: 'released' });
+      if (known) shardState.removeMachine(known, { _tag: 'released' });
       return;
     }
     if (known) this.renew(known, record, version);
@@ -68,13 +71,13 @@
     const { shardState } = this.dependencies;
     const machine = shardState.machines.get(id);
     // The record goes only after the cloud answered 200 to the machine's release.
-    if (machine) shardState.dropMachine(machine, { _tag: 'released' });
+    if (machine) shardState.removeMachine(machine, { _tag: 'released' });
   }
 
   onJobRecord(record: JobRecord, version: number): void {
     const { shardOfTeam, shardId, isLoaded, shardState, requestRound } = this.dependencies;
     if (shardOfTeam.get(record.spec.team) !== shardId || !isLoaded()) return;
-    shardState.adoptJob(record, version);
+    shardState.applyJobRecord(record, version);
     this.onEffectivePriority(record.spec.id);
     requestRound();
   }
@@ -91,14 +94,14 @@
    * Another controller is about to tell a user of this cancellation. True: from now on every answer to a
    * worker says so.
    */
-  acknowledge(id: string, version: number): boolean {
+  acknowledgeCancellation(id: string, version: number): boolean {
     if (this.dependencies.isLost()) return false;
-    this.dependencies.shardState.acknowledge(id, version);
+    this.dependencies.shardState.acknowledgeCancellation(id, version);
     this.dependencies.requestRound();
     return true;
   }
 
   onJobGone(id: string): void {
-    this.dependencies.shardState.onRecordGone(id);
+    this.dependencies.shardState.onJobRecordDeleted(id);
   }
 }
--- a/src/placement/shard-composition.ts
+++ b/src/placement/shard-composition.ts
@@ -102,7 +102,7 @@
   shardState: ShardState,
   transactions: ClaimTransactions,
 ): OrphanedKeys => {
-  const { store, cache, cleanUp, valueBytes, wall } = context;
+  const { store, cache, cleanUpDuty: cleanUp, valueBytes, wall } = context;
   if (cleanUp === null) return new ImmediateRemoval(store, transactions);
   return new TombstonedRemoval({
     store,
@@ -110,7 +110,7 @@
     claim,
     duty: cleanUp,
     valueBytes,
-    jobKnown: (job) => shardState.jobs.has(job) || cache.get(jobKey(job)) !== undefined,
+    isJobKnown: (job) => shardState.jobs.has(job) || cache.get(jobKey(job)) !== undefined,
     wall,
   });
 };
--- a/src/placement/shard-context.ts
+++ b/src/placement/shard-context.ts
@@ -73,7 +73,7 @@
   /** Machines that the leader keeps free for gangs. */
   readonly reservations: () => readonly Reservation[];
   /** The duty of cleaning up this shard's orphaned keys; null: it is done without tombstones. */
-  readonly cleanUp: Duty | null;
+  readonly cleanUpDuty: Duty | null;
   /** The shard's runs are read: its duties begin. */
   readonly onLoaded: () => void;
   /** Something changed that the leader waits for. */
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -70,9 +70,9 @@
 
   private adoptJobs(): void {
     const { cache, shardOfTeam, shardId, shardState, onEffectivePriority } = this.dependencies;
-    for (const item of cache.under(JOB_PREFIX)) {
+    for (const item of cache.entriesOfKind(JOB_PREFIX)) {
       const record = readJobRecord(item.value);
-      if (shardOfTeam.get(record.spec.team) === shardId) shardState.adoptJob(record, item.version);
+      if (shardOfTeam.get(record.spec.team) === shardId) shardState.applyJobRecord(record, item.version);
       onEffectivePriority(record.spec.id);
     }
   }
--- a/src/placement/shard-model-factories.ts
+++ b/src/placement/shard-model-factories.ts
@@ -24,13 +24,13 @@
   sequenceNumber: 0,
   confirmedToken: 0,
   everConfirmedToken: false,
-  takenAt,
+  addedAt: takenAt,
   unconfirmedSince: null,
   answeredAt: null,
   reclaimNoticeAt: null,
   reclaimNoticeS: null,
   unacknowledgedRuns: new Map(),
-  heldAnswers: 0,
+  pendingAnswers: 0,
   reportedTasks: [],
   exitsPendingSince: null,
   bound: new Map(),
@@ -39,7 +39,7 @@
   idleSince: null,
   total,
   free: null,
-  raiseToken: false,
+  needsHigherToken: false,
 });
 
 /** A job as its record shows it, before its runs are read; whether it is cancelled is the shard state's. */
@@ -65,7 +65,7 @@
   backoffUntil: 0,
   hasCompletedTask: false,
   finishing: false,
-  recordGone: false,
+  recordDeleted: false,
   finishSeparately: false,
-  writesUnderWay: 0,
+  writesInProgress: 0,
 });
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -83,7 +83,7 @@
   hasCompletedTask: boolean;
   finishing: boolean;
   /** Its record is deleted, which happens only together with the write of its final record. */
-  recordGone: boolean;
+  recordDeleted: boolean;
   /**
    * Its final record failed in company: it is written alone, or it would hold up the others for ever. Set
    * by the writer of final records.
@@ -93,11 +93,11 @@
    * Transactions under way that write its runs; nothing else may write them meanwhile. Set by the run
    * writer.
    */
-  writesUnderWay: number;
+  writesInProgress: number;
 }
 
 /** Whether a machine can be trusted with tasks. */
-export type Health =
+export type MachineHealth =
   | { readonly _tag: 'healthy' }
   /** A task of `job` failed here; nothing new until it is clear whose fault that is. */
   | { readonly _tag: 'suspect'; readonly job: string; readonly until: number }
@@ -148,7 +148,7 @@
   /** It has reported a token of this holder at some time: no command of an earlier one can reach it. */
   everConfirmedToken: boolean;
   /** ms: when it came into this shard under this holder. */
-  readonly takenAt: number;
+  readonly addedAt: number;
   /**
    * ms: since when it reports without naming the current token, so that answers may not reach it; null: it
    * names it.
@@ -169,16 +169,16 @@
    * Its record is to be rewritten, for a higher token, under which no unacknowledged command is carried
    * out.
    */
-  raiseToken: boolean;
+  needsHigherToken: boolean;
   /** Heartbeats whose answer is held for a placement round: direct commands are not needed. */
-  heldAnswers: number;
+  pendingAnswers: number;
   reportedTasks: readonly ReportedTask[];
   /** ms: since when exits on it wait to be forgotten; null: none do. */
   exitsPendingSince: number | null;
   readonly bound: Map<string, Binding>;
   readonly images: Set<string>;
   /** Set by the failure accounting; a suspicion ends with time, in `MachineLiveness`. */
-  health: Health;
+  health: MachineHealth;
   /** ms; null: it is not idle. */
   idleSince: number | null;
   total: Demand;
--- a/src/placement/shard-state.test.ts
+++ b/src/placement/shard-state.test.ts
@@ -20,7 +20,7 @@
     image: 'i',
     estimateS: 1,
   });
-  const job = shardState.adoptJob(
+  const job = shardState.applyJobRecord(
     { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     1,
   );
@@ -39,7 +39,7 @@
   for (const other of others)
     assert.equal(other.stop?.reason, 'finished', 'a worker that missed it hears of it');
   // A gang that broke is still told at once, all of it.
-  const broken = shardState.adoptJob(
+  const broken = shardState.applyJobRecord(
     { spec: { ...spec, id: 'job-2' }, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     2,
   );
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -7,7 +7,7 @@
 import type { Demand, JobRecord } from '../jobs/model.js';
 import { log } from '../log.js';
 import type { EffectivePriority, Readiness } from '../pipelines/graph.js';
-import { nextPhase, onMachine, type Gone, type Phase, type PhaseEvent } from './attempt-phase.js';
+import { nextPhase, isOnMachine, type GoneEvidence, type Phase, type PhaseEvent } from './attempt-phase.js';
 import { FailureAccounting } from './failure-accounting.js';
 import type { RoundTrigger, SteadyClock, WallClock } from './ports.js';
 import { chunkOf } from './run-records.js';
@@ -38,7 +38,7 @@
   /** Bindings whose stop is to go out directly. */
   readonly stopsToSend: ReadonlySet<Binding> = this.pendingStops;
   /** Cancellations heard of before their jobs, by the revision at which they became durable. */
-  readonly acknowledged: ReadonlyMap<string, number> = this.acknowledgedVersions;
+  readonly acknowledgedCancellations: ReadonlyMap<string, number> = this.acknowledgedVersions;
   private readonly failures = new FailureAccounting(this.machines);
 
   constructor(private readonly dependencies: ShardStateDependencies) {}
@@ -51,7 +51,7 @@
     return machine;
   }
 
-  dropMachine(machine: ShardMachine, how: Gone): void {
+  removeMachine(machine: ShardMachine, how: GoneEvidence): void {
     for (const binding of [...machine.bound.values()]) this.apply(binding, { _tag: 'lost', how });
     this.machinesById.delete(machine.id);
     this.dependencies.requestRound();
@@ -61,24 +61,24 @@
   drain(machine: ShardMachine): void {
     for (const binding of machine.bound.values()) {
       const job = this.jobs.get(binding.job);
-      if (!job || binding.stop || this.graceOf(job) === 0) continue;
+      if (!job || binding.stop || this.saveGraceS(job) === 0) continue;
       if (job.spec.kind === 'gang')
-        for (const member of job.bindings.values()) this.stop(member, 'draining', this.graceOf(job));
-      else this.stop(binding, 'draining', this.graceOf(job));
+        for (const member of job.bindings.values()) this.stop(member, 'draining', this.saveGraceS(job));
+      else this.stop(binding, 'draining', this.saveGraceS(job));
     }
   }
 
   // ---- jobs -----------------------------------------------------------------------------------------------
 
   /** Takes in a job's record; one older than what is known changes nothing. */
-  adoptJob(record: JobRecord, version: number): ShardJob {
+  applyJobRecord(record: JobRecord, version: number): ShardJob {
     const job = this.jobs.get(record.spec.id) ?? this.addJob(record, version);
     // The news of a change may come after a message about a later one.
     if (version < job.version) return job;
     job.version = version;
-    const acknowledged = this.acknowledged.get(job.spec.id);
-    if (record.cancelled || acknowledged !== undefined) {
-      job.version = Math.max(version, acknowledged ?? 0);
+    const acknowledgedRevision = this.acknowledgedCancellations.get(job.spec.id);
+    if (record.cancelled || acknowledgedRevision !== undefined) {
+      job.version = Math.max(version, acknowledgedRevision ?? 0);
       this.acknowledgedVersions.delete(job.spec.id);
       this.cancel(job, record.cancelledAt);
     }
@@ -99,17 +99,17 @@
   }
 
   /** A job's record was deleted: its final record is durable. */
-  onRecordGone(id: string): void {
+  onJobRecordDeleted(id: string): void {
     this.acknowledgedVersions.delete(id);
     const job = this.jobs.get(id);
     if (!job) return;
-    job.recordGone = true;
-    this.dropIfOver(job);
+    job.recordDeleted = true;
+    this.removeIfRecordDeleted(job);
     if (job.bindings.size > 0) log.error({ event: 'job.record_vanished', job: id });
   }
 
   /** Forgets a job whose final record this shard has written. */
-  dropFinished(job: ShardJob): void {
+  removeFinishedJob(job: ShardJob): void {
     this.jobsById.delete(job.spec.id);
   }
 
@@ -118,8 +118,8 @@
    * before its watch shows the cancelled record; that older event then brings the job back, and its final
    * record could never be written again.
    */
-  dropIfOver(job: ShardJob): void {
-    if (!job.recordGone || job.finishing || job.bindings.size > 0) return;
+  removeIfRecordDeleted(job: ShardJob): void {
+    if (!job.recordDeleted || job.finishing || job.bindings.size > 0) return;
     if (this.jobs.get(job.spec.id) === job) this.jobsById.delete(job.spec.id);
   }
 
@@ -127,7 +127,7 @@
    * A cancellation that is durable at this revision, told by another controller: the shared records may show
    * it much later.
    */
-  acknowledge(id: string, version: number): void {
+  acknowledgeCancellation(id: string, version: number): void {
     const job = this.jobs.get(id);
     if (!job) {
       this.acknowledgedVersions.set(id, version);
@@ -159,7 +159,7 @@
   }
 
   /** s: how long a task of the job may take to save its work when it is stopped; 0: it saves nothing. */
-  graceOf(job: ShardJob): number {
+  saveGraceS(job: ShardJob): number {
     return job.spec.checkpointS > 0 ? job.spec.saveS + STOP_GRACE_EXTRA_S : 0;
   }
 
@@ -205,14 +205,14 @@
     binding.stop = { reason, graceS, since: this.dependencies.now() };
     // What is finished ends by itself, with the others of its gang; a worker that missed that hears of it
     // with its heartbeat.
-    if (onMachine(binding.phase) && reason !== 'finished') this.pendingStops.add(binding);
+    if (isOnMachine(binding.phase) && reason !== 'finished') this.pendingStops.add(binding);
     this.dependencies.requestRound();
   }
 
   /** Hands over the stops that are to go out directly, of tasks that are still on their machines. */
   takeStopsToSend(): readonly Binding[] {
     if (this.pendingStops.size === 0) return [];
-    const stops = [...this.pendingStops].filter((binding) => binding.stop && onMachine(binding.phase));
+    const stops = [...this.pendingStops].filter((binding) => binding.stop && isOnMachine(binding.phase));
     this.pendingStops.clear();
     return stops;
   }
@@ -251,7 +251,7 @@
     images?.add(image);
   }
 
-  private onGone(binding: Binding, how: Gone, job: ShardJob | undefined): void {
+  private onGone(binding: Binding, how: GoneEvidence, job: ShardJob | undefined): void {
     const machine = this.removeFromMachine(binding);
     this.dependencies.requestRound();
     if (job?.bindings.get(binding.index) !== binding) return;
@@ -279,7 +279,7 @@
 
   private onFailedExit(
     binding: Binding,
-    cause: Extract<Gone, { _tag: 'exited' }>['cause'],
+    cause: Extract<GoneEvidence, { _tag: 'exited' }>['cause'],
     job: ShardJob,
     machine: ShardMachine | undefined,
   ): void {
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -21,7 +21,7 @@
 import type { ShardContext } from './shard-context.js';
 import { ShardStage, type Stage } from './shard-stage.js';
 import { allTaskCounts, taskCountsOf, type NamedTaskCounts, type TaskCounts } from './task-counts.js';
-import type { AddressedCommands, HeartbeatReceipt } from './worker-sessions.js';
+import type { FencedCommands, HeartbeatReceipt } from './worker-sessions.js';
 
 /** One shard, under one claim. */
 export class Shard {
@@ -53,7 +53,7 @@
       requestRound: this.roundLoop.requestRound,
       markLost: () => this.markLost(),
     });
-    for (const { key, value, version } of context.cache.under(MACHINE_PREFIX))
+    for (const { key, value, version } of context.cache.entriesOfKind(MACHINE_PREFIX))
       this.onMachineRecord(machineOfKey(key), readMachineRecord(value), version);
   }
 
@@ -93,8 +93,8 @@
    * Another controller is about to tell a user of the cancellation that is durable at this revision. True:
    * from now on every answer to a worker says so.
    */
-  acknowledge(id: string, version: number): boolean {
-    return this.components.changes.acknowledge(id, version);
+  acknowledgeCancellation(id: string, version: number): boolean {
+    return this.components.changes.acknowledgeCancellation(id, version);
   }
 
   // ---- workers --------------------------------------------------------------------------------------------
@@ -105,7 +105,7 @@
   }
 
   /** The answer to the heartbeat that was received last from this machine; null: it is not the last one. */
-  orders(heartbeat: WorkerHeartbeat): AddressedCommands | null {
+  orders(heartbeat: WorkerHeartbeat): FencedCommands | null {
     return this.components.sessions.commandsFor(heartbeat);
   }
 
@@ -113,9 +113,9 @@
   nextRound(machineId: string, ms: number): Promise<void> {
     this.requestRound();
     const machine = this.components.shardState.machines.get(machineId);
-    if (machine) machine.heldAnswers += 1;
+    if (machine) machine.pendingAnswers += 1;
     return this.roundWaiters.wait(ms).then(() => {
-      if (machine) machine.heldAnswers -= 1;
+      if (machine) machine.pendingAnswers -= 1;
     });
   }
 
@@ -123,7 +123,7 @@
    * Machines that should report, and those heard from lately: all of none means that no worker reaches this
    * controller.
    */
-  heartbeatCoverage(): { readonly machines: number; readonly heard: number } {
+  heartbeatCoverage(): { readonly machines: number; readonly reporting: number } {
     const { liveness } = this.components;
     return liveness.heartbeatCoverage(liveness.unreachableAfterMs);
   }
--- a/src/placement/task-counts.ts
+++ b/src/placement/task-counts.ts
@@ -1,6 +1,6 @@
 /** Counts of a job's tasks, for users and other controllers. No state; `Shard` calls it. */
 import { MAX_JOBS_WITH_TASK_COUNTS } from '../constants/peers.js';
-import { onMachine } from './attempt-phase.js';
+import { isOnMachine } from './attempt-phase.js';
 import type { ShardJob } from './shard-model.js';
 
 /** Numbers of tasks of a job that are done, and that workers report on their machines now. */
@@ -15,7 +15,7 @@
 /** The counts of one job. */
 export const taskCountsOf = (job: ShardJob): TaskCounts => {
   let running = 0;
-  for (const binding of job.bindings.values()) if (onMachine(binding.phase)) running += 1;
+  for (const binding of job.bindings.values()) if (isOnMachine(binding.phase)) running += 1;
   return { done: job.done.size, running };
 };
 
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -59,7 +59,7 @@
     isPlacing: () => true,
     requestRound: () => undefined,
   });
-  readonly job = this.shardState.adoptJob(
+  readonly job = this.shardState.applyJobRecord(
     { spec, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     1,
   );
@@ -156,7 +156,11 @@
       }
       scenario.report('m-0', 5);
       assert.deepEqual(scenario.last, [], 'no more of it');
-      assert.equal(scenario.machines[0]?.raiseToken, true, 'nothing new until it takes up a higher token');
+      assert.equal(
+        scenario.machines[0]?.needsHigherToken,
+        true,
+        'nothing new until it takes up a higher token',
+      );
       assert.ok(
         [...scenario.job.bindings.values()].every((binding) => binding.stop !== null),
         'the whole gang is stopped',
@@ -173,7 +177,7 @@
       scenario.now += 5_000;
       scenario.report('m-0', 2, { agentEpoch: 2 });
       assert.equal(scenario.at(0), 'none', 'its new session is the proof');
-      assert.equal(scenario.machines[0]?.raiseToken, true);
+      assert.equal(scenario.machines[0]?.needsHigherToken, true);
     },
   },
   {
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -6,8 +6,8 @@
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
-import { answerCommands, readChanges } from '../workers/reconcile.js';
-import { isNewer, noteLastSeen, tokenOf } from './heartbeat-order.js';
+import { answerCommands, detectPhaseChanges } from '../workers/reconcile.js';
+import { isNewer, recordLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import { chunkOf } from './run-records.js';
 import { bindingKey, type ShardMachine } from './shard-model.js';
@@ -34,7 +34,7 @@
 }
 
 /** Commands for a worker, under the token that it must know or learn. */
-export interface AddressedCommands {
+export interface FencedCommands {
   readonly token: number;
   readonly commands: readonly Command[];
 }
@@ -57,7 +57,7 @@
     const underToken = heartbeat.token === this.token(machine);
     const restarted = this.restartedWithinLease(machine, heartbeat, receivedAt);
     const changes = this.changesShown(machine, heartbeat, underToken);
-    noteLastSeen(machine, heartbeat);
+    recordLastSeen(machine, heartbeat);
     const newlyConfirmed = underToken && machine.confirmedToken === 0;
     this.recordSession(machine, heartbeat, underToken, receivedAt);
     const boundBefore = machine.bound.size;
@@ -90,9 +90,9 @@
     machine: ShardMachine,
     heartbeat: WorkerHeartbeat,
     underToken: boolean,
-  ): ReturnType<typeof readChanges> {
+  ): ReturnType<typeof detectPhaseChanges> {
     if (!this.dependencies.isLoaded()) return [];
-    return readChanges(machine, heartbeat, underToken, (key) =>
+    return detectPhaseChanges(machine, heartbeat, underToken, (key) =>
       this.mayStillRun(machine, key, heartbeat.token),
     );
   }
@@ -135,7 +135,7 @@
   private markUnreachable(machine: ShardMachine, why: string): void {
     const { shardState, requestRound } = this.dependencies;
     log.info({ event: 'machine.unreachable', machine: machine.id, why });
-    machine.raiseToken = true;
+    machine.needsHigherToken = true;
     for (const binding of [...machine.bound.values()]) {
       if (binding.phase._tag !== 'bound') continue;
       const job = shardState.jobs.get(binding.job);
@@ -157,7 +157,7 @@
   // ---- what is answered -----------------------------------------------------------------------------------
 
   /** The commands that answer a machine's last heartbeat; null: it is not the last one. */
-  commandsFor(heartbeat: WorkerHeartbeat): AddressedCommands | null {
+  commandsFor(heartbeat: WorkerHeartbeat): FencedCommands | null {
     const machine = this.dependencies.shardState.machines.get(heartbeat.machine);
     if (machine?.sequenceNumber !== heartbeat.sequenceNumber || machine.agentEpoch !== heartbeat.agentEpoch)
       return null;
--- a/src/recorded-formats/earlier-layouts.test.ts
+++ b/src/recorded-formats/earlier-layouts.test.ts
@@ -12,7 +12,7 @@
 import type { WireHeartbeat } from '../peers/heartbeat-codec.js';
 import type { WireReservation } from '../peers/reservation-codec.js';
 import type { WireSpareMachine, WireSummary, WireUnmetDemand } from '../peers/summary-codec.js';
-import { prepared, readRunRecord, storeRun, validating } from '../placement/run-codec.js';
+import { asPrepared, readRunRecord, encodeRun, withValidAttempt } from '../placement/run-codec.js';
 import type { RunRecord } from '../placement/run-records.js';
 import { compose } from '../controller/compose.js';
 import * as keys from '../kv-store/keys.js';
@@ -134,7 +134,7 @@
     text: `{${RUN}}`,
     read: readRun,
     means: run,
-    written: storeRun(run, 1, 1e4, true).record,
+    written: encodeRun(run, 1, 1e4, true).record,
   },
   {
     name: 'a run that is prepared',
@@ -142,7 +142,7 @@
     text: `{${RUN},"q":1}`,
     read: readRun,
     means: run,
-    written: prepared(storeRun(run, 1, 1e4, true)).record,
+    written: asPrepared(encodeRun(run, 1, 1e4, true)).record,
   },
   {
     name: 'a run that makes its attempt valid',
@@ -150,7 +150,7 @@
     text: `{${RUN},"v":8}`,
     read: readRun,
     means: run,
-    written: validating(storeRun(run, 1, 1e4, true), 8).record,
+    written: withValidAttempt(encodeRun(run, 1, 1e4, true), 8).record,
   },
   {
     name: 'a machine',
@@ -202,7 +202,7 @@
     ),
     wide,
   );
-  const stored = storeRun(wide, 1, 150, true);
+  const stored = encodeRun(wide, 1, 150, true);
   assert.equal(JSON.stringify(stored.record), record);
   assert.deepEqual(
     stored.parts.map((part) => JSON.stringify(part)),
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -7,7 +7,7 @@
 } from '@dalegate/fencing';
 import { readDurableAcknowledgement, writeDurableAcknowledgement } from '../cancellation/codec.js';
 import { releaseWithoutIntent } from '../duties/release-without-intent.js';
-import { readStored, storeCatalog } from '../fleet/catalog.js';
+import { readStoredTypes, catalogWrites } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
 import {
   readFinalRecord,
@@ -18,11 +18,11 @@
 } from '../jobs/job-record-codec.js';
 import { packIds, splitIds, unpackIds } from '../pipelines/codec.js';
 import {
-  partsOf,
-  prepared,
+  partCountOf,
+  asPrepared,
   readRunRecord,
-  storeRun,
-  validating,
+  encodeRun,
+  withValidAttempt,
   type StoredRun,
 } from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
@@ -59,12 +59,12 @@
   Object.fromEntries(Object.entries(objects).map(([name, object]) => [`${kind}, ${name}`, write(object)]));
 
 const runs = (): Readonly<Record<string, StoredRun>> => ({
-  plain: storeRun(RUN, RUN_CHUNK, ROOM, true),
-  'as earlier versions read it': storeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, false),
-  'in parts': storeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true),
-  prepared: prepared(storeRun(RUN, RUN_CHUNK, ROOM, true)),
-  'prepared, in parts': prepared(storeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true)),
-  'that makes its attempt valid': validating(storeRun(RUN, RUN_CHUNK, ROOM, true), RUN.attempt),
+  plain: encodeRun(RUN, RUN_CHUNK, ROOM, true),
+  'as earlier versions read it': encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, false),
+  'in parts': encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true),
+  prepared: asPrepared(encodeRun(RUN, RUN_CHUNK, ROOM, true)),
+  'prepared, in parts': asPrepared(encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true)),
+  'that makes its attempt valid': withValidAttempt(encodeRun(RUN, RUN_CHUNK, ROOM, true), RUN.attempt),
 });
 
 const keysOfState = (): readonly string[] => [
@@ -93,7 +93,7 @@
   await releaseWithoutIntent(
     {
       shardId: 1,
-      duty: leaderDuties(TOKEN, () => 0).leader('release'),
+      duty: leaderDuties(TOKEN, () => 0).leaderDuty('release'),
       ownNode: 'n1',
       leaderNode: () => 'n0',
       msSinceStoreAnswered: () => ROOM,
@@ -125,8 +125,8 @@
   ...written('run', runs(), (run) => run),
   'list of followed jobs': packIds(FOLLOWED),
   'list of followed jobs, in parts': splitIds(FOLLOWED, 12).map(packIds),
-  'catalog in one value': storeCatalog(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
-  'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
+  'catalog in one value': catalogWrites(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
+  'catalog in parts': catalogWrites(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
   ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
   'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
   'mark of a holder': writeDurableAcknowledgement(ACKNOWLEDGEMENT),
@@ -142,9 +142,9 @@
   const { record, parts } = stored as StoredRun;
   const marks = record as { readonly q?: number; readonly v?: number };
   const run = readRunRecord(record, RUN_CHUNK, parts);
-  const again = storeRun(run, RUN_CHUNK, partsOf(record) > 0 ? LITTLE_ROOM : ROOM, true);
-  const valid = marks.v === undefined ? again : validating(again, marks.v);
-  return marks.q === undefined ? valid : prepared(valid);
+  const again = encodeRun(run, RUN_CHUNK, partCountOf(record) > 0 ? LITTLE_ROOM : ROOM, true);
+  const valid = marks.v === undefined ? again : withValidAttempt(again, marks.v);
+  return marks.q === undefined ? valid : asPrepared(valid);
 };
 
 const rereadCatalog = (stored: unknown): unknown => {
@@ -154,9 +154,9 @@
     value: rows[key],
     version: 7,
   });
-  const types = readStored(itemOf(keys.CATALOG_KEY), itemOf);
+  const types = readStoredTypes(itemOf(keys.CATALOG_KEY), itemOf);
   const room = keys.catalogPartKey(0) in rows ? 2 * LITTLE_ROOM : ROOM;
-  return types && storeCatalog(types, room, TXN_OPS, true)?.map(storedChange);
+  return types && catalogWrites(types, room, TXN_OPS, true)?.map(storedChange);
 };
 
 /** Reads stored values and writes them again, by the beginning of their names. */
--- a/src/testing/duties.ts
+++ b/src/testing/duties.ts
@@ -15,8 +15,8 @@
     leases: {
       claimNames: [LEADER_CLAIM],
       claim: () => ({ node: 'n0', incarnation: '1', revision }),
-      ownRevision: () => revision,
-      actingRevision: () => (mayAct() ? revision : null),
+      heldClaimRevision: () => revision,
+      actingClaimRevision: () => (mayAct() ? revision : null),
     },
     timeOfDay: wall,
     enforceFencing: true,
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -73,7 +73,7 @@
   const answer = readHeartbeat(recordedValue('first-beats', 'n0 to n1'));
   if (answer === null) throw new Error('the recorded heartbeat names no sender');
   return new PeerNetwork({
-    me: 'n0',
+    ownNode: 'n0',
     peers: [{ node: 'n1', endpoint: 'n1:2' }],
     heartbeat: () => answer,
     leader: () => undefined,
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -3,7 +3,7 @@
  * `node target/testing/scale.js`. Prints the milliseconds of one placement round, one summary for the leader,
  * one scaling plan of the leader and one takeover of a shard.
  */
-import { planSteps } from '../fleet/scaling-plan.js';
+import { planScaling } from '../fleet/scaling-plan.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { Catalog, JobSpec } from '../jobs/model.js';
 import {
@@ -83,7 +83,7 @@
   let jobs = 0;
   const addJob = (gang: boolean) => {
     jobs += 1;
-    return shardState.adoptJob(
+    return shardState.applyJobRecord(
       {
         spec: specOf(jobs, gang),
         at: now - 20_000,
@@ -204,7 +204,7 @@
     'round ms': roundMs.toFixed(2),
     'summary ms': (medianMs(needs) - roundMs).toFixed(2),
     'plan ms': medianMs(() =>
-      planSteps({
+      planScaling({
         summaries,
         catalog,
         isRefused: () => true,
