--- a/src/cluster-tests/concurrent-faults.test.ts
+++ b/src/cluster-tests/concurrent-faults.test.ts
@@ -45,7 +45,7 @@
     name: `the state refuses the holder alone, jobs are cancelled elsewhere, then it is out for all (seed ${seed})`,
     seed,
     jobs: 9,
-    runS: [90, 140] as const,
+    taskDurationRangeS: [90, 140] as const,
     faults: [
       [40, (day) => day.environment.state.refused.add(day.busiestNode())],
       [40.1, (day) => day.cancelRunning(8)],
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -1,8 +1,8 @@
 /**
- * Controllers as real processes on loopback (one, holding every share, unless told otherwise) against our
- * stand-ins: what reports, polls and submissions cost.
+ * Measures the cost of worker heartbeats, status requests and submissions: controllers run as real processes
+ * on loopback against the stand-ins; by default a single controller holds every shard.
  * `node target/testing/load.js [machines] [seconds] [controllers] [node flags for them...]` after a build and
- * a bundle; prints processor time, memory and calls a second. Figures are of the machine that runs it.
+ * a bundle; prints processor time, memory and requests per second, which depend on the machine that runs it.
  */
 import { readRedirect } from '../workers/codec.js';
 import { spawn } from 'node:child_process';
@@ -25,15 +25,17 @@
 const HEARTBEAT_INTERVAL_MS = 3_000;
 const TASK_DURATION_MS = 20_000;
 const HOST = '127.0.0.1';
-/** Several may run side by side, each with ports of its own. */
+/** The first port; a different value lets several programs run side by side. */
 const PORT = Number(process.env['LOAD_PORT'] ?? 21_000);
 const apiPort = (node: number): number => PORT + 10 + node * 2;
 
-const calls = new Map<string, number>();
-const count = (name: string): void => {
-  calls.set(name, (calls.get(name) ?? 0) + 1);
+/** Number of requests since the start of the measurement, by kind. */
+const requestCounts = new Map<string, number>();
+const countRequest = (name: string): void => {
+  requestCounts.set(name, (requestCounts.get(name) ?? 0) + 1);
 };
 
+/** A task on a worker, with the field names of the protocol. */
 interface LoadTask {
   head: string;
   try: number;
@@ -42,7 +44,7 @@
   endAt: number;
 }
 
-/** A worker that does as it is told; its tasks run for a fixed time. */
+/** A worker that executes every command; its tasks run for a fixed time. */
 class LoadWorker {
   readonly heads = new Map<string, LoadTask>();
   token = 0;
@@ -104,7 +106,7 @@
   }
 
   sendHeartbeat(): Promise<void> {
-    count('report');
+    countRequest('report');
     const payload = encode(this.nextHeartbeat());
     return new Promise((resolve) => {
       const req = http.request(
@@ -123,7 +125,7 @@
             if (res.statusCode === 200)
               this.execute(decode(Buffer.concat(parts)) as Parameters<LoadWorker['execute']>[0]);
             else {
-              count(`report ${res.statusCode}`);
+              countRequest(`report ${res.statusCode}`);
               const holderNode =
                 res.statusCode === 421 ? readRedirect(decode(Buffer.concat(parts))) : undefined;
               this.agents[this.targetNodeIndex]?.destroy();
@@ -135,7 +137,7 @@
         },
       );
       req.on('error', () => {
-        count('report failed');
+        countRequest('report failed');
         resolve();
       });
       req.end(payload);
@@ -151,13 +153,14 @@
   }
 }
 
+/** Ids of the machines that a controller has released. */
 const releasedMachines = new Set<string>();
 const workers = Array.from({ length: MACHINES }, (_, n) => {
   return new LoadWorker(`i-${String(n).padStart(6, '0')}`, n % 2 === 0);
 });
 
 const cloud = (call: ServerRequest): ServerResponse => {
-  count(`cloud ${call.path}`);
+  countRequest(`cloud ${call.path}`);
   if (call.path === '/catalog') return { status: 200, body: CATALOG };
   if (call.path === '/machines' && call.method === 'GET')
     return {
@@ -206,6 +209,7 @@
   dueS: null,
 });
 
+/** Processor time of a process in ms, at 100 clock ticks per second. */
 const cpuMs = (pid: number): number => {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   return (Number(fields[11]) + Number(fields[12])) * 10;
@@ -222,7 +226,7 @@
     { connections: 200 },
     16 * MAX_BODY_BYTES,
     async (call) => {
-      count(`state ${call.method} ${call.path.split('/')[1] ?? ''}`);
+      countRequest(`state ${call.method} ${call.path.split('/')[1] ?? ''}`);
       const path = call.query === '' ? call.path : `${call.path}?${call.query}`;
       const answer = await state.handle(
         'n0',
@@ -246,7 +250,7 @@
     { connections: 4_000 },
     MAX_BODY_BYTES,
     () => {
-      count('direct');
+      countRequest('direct');
       return Promise.resolve({ status: 409, body: {} });
     },
     failed,
@@ -312,10 +316,10 @@
     () => {
       submitted += 1;
       const n = submitted;
-      count('submit');
+      countRequest('submit');
       void users[n % NODES]?.request('POST', '/v2/runs', submissionBody(n), 5_000).then((answer) => {
         if (answer._tag === 'response' && answer.status < 300) openJobs.add(n);
-        else count('submit failed');
+        else countRequest('submit failed');
       });
     },
     60_000 / (MACHINES / 8),
@@ -323,7 +327,7 @@
   const poll = setInterval(() => {
     for (const n of openJobs) {
       if (n % 5 !== Math.floor(Date.now() / 1000) % 5) continue;
-      count('poll');
+      countRequest('poll');
       void users[n % NODES]
         ?.request('GET', `/v2/runs/job-${String(n).padStart(6, '0')}`, undefined, 2_000)
         .then((answer) => {
@@ -333,7 +337,7 @@
     }
   }, 1_000);
   await new Promise((resolve) => setTimeout(resolve, 20_000));
-  calls.clear();
+  requestCounts.clear();
   const from = pids.map(cpuMs);
   await new Promise((resolve) => setTimeout(resolve, SECONDS * 1_000));
   const used = pids.map((pid, node) => cpuMs(pid) - (from[node] ?? 0));
@@ -343,7 +347,8 @@
       `n${node}: processor ${((used[node] ?? 0) / SECONDS).toFixed(1)} ms a second; memory ${rssMb(pid).toFixed(0)} MB`,
     );
   });
-  for (const [name, calls_] of [...calls].sort()) console.log(`${name}: ${(calls_ / SECONDS).toFixed(1)}/s`);
+  for (const [name, total] of [...requestCounts].sort())
+    console.log(`${name}: ${(total / SECONDS).toFixed(1)}/s`);
   clearInterval(submit);
   clearInterval(poll);
   for (const child of children) child.kill('SIGTERM');
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -1,7 +1,7 @@
 /**
- * What decisions cost as machines and jobs grow, on the machine that runs this:
- * `node target/testing/scale.js`. Prints milliseconds of one placement round, one summary for the leader, one
- * plan of the leader's and one takeover.
+ * Measures the cost of decisions for growing numbers of machines and jobs, on the machine that runs it:
+ * `node target/testing/scale.js`. Prints the milliseconds of one placement round, one summary for the leader,
+ * one scaling plan of the leader and one takeover of a shard.
  */
 import { planScaling } from '../fleet/scaling-plan.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
@@ -40,6 +40,7 @@
 ]);
 const limits = new Map([['t', { cpusMax: 0, gpusMax: 1_000_000 }]]);
 
+/** An array or a gang; a gang needs whole machines. */
 const specOf = (n: number, gang: boolean): JobSpec => ({
   id: `job-${n}`,
   jobClass: gang ? 'gang' : 'array',
@@ -63,7 +64,10 @@
   deadlineS: null,
 });
 
-/** One share with its machines full but for one in twenty, and a job waiting for every eight machines. */
+/**
+ * A shard in which one of twenty machines is free and the others are full, with a waiting job per eight
+ * machines.
+ */
 const createShard = (machines: number) => {
   const now = 1_000_000;
   const shardState = new ShardState({ now: () => now, wall: () => now, requestRound: () => undefined });
@@ -140,20 +144,22 @@
   return { shardState, view };
 };
 
+/** One placement round, without its writes. */
 const runRound = (view: PlacementView) => {
   const requests = placementRequests(view);
   const capacities = availableCapacity(view);
-  const uses = teamUsage(view.shardState);
+  const usages = teamUsage(view.shardState);
   const packed = packRequests(
     requests,
     capacities.filter((capacity) => capacity.live),
     limits,
-    uses,
+    usages,
   );
-  return { packed, capacities, uses };
+  return { packed, capacities, usages };
 };
 
 const median = (times: readonly number[]): number => [...times].sort((a, b) => a - b)[times.length >> 1] ?? 0;
+/** Median duration of `work` in ms, over 25 runs. */
 const medianMs = (work: () => unknown): number =>
   median(
     Array.from({ length: 25 }, () => {
@@ -166,13 +172,13 @@
 const rows = [100, 1_000, 2_000, 4_000, 6_000].map((machineCount) => {
   const { shardState, view } = createShard(machineCount / SHARD_COUNT);
   const needs = () => {
-    const { packed, capacities, uses: usages } = runRound(view);
+    const { packed, capacities, usages } = runRound(view);
     const { objectives, wall } = view;
     return unmetDemand({
       unplaced: packed.unplaced,
       capacities,
       limits,
-      usages: usages,
+      usages,
       catalog,
       objectives,
       wall,
@@ -194,7 +200,7 @@
   const roundMs = medianMs(() => runRound(view));
   return {
     machines: machineCount,
-    'jobs of a share': shardState.jobs.size,
+    'jobs of a shard': shardState.jobs.size,
     'round ms': roundMs.toFixed(2),
     'summary ms': (medianMs(needs) - roundMs).toFixed(2),
     'plan ms': medianMs(() =>
