--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -27,7 +27,7 @@
 } from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
 import { leaderDuties } from '../testing/duties.js';
-import { messageOf, type Recording } from './fixtures.js';
+import { toRecordedMessage, type Recording } from './fixtures.js';
 import {
   ACKNOWLEDGEMENT,
   FINAL_RECORDS,
@@ -35,8 +35,8 @@
   LONG_RUN,
   MACHINE_RECORDS,
   MACHINE_TYPES,
-  REMOVAL_BOOK,
-  RENTAL_BOOKS,
+  TOMBSTONE_RECORD,
+  PROVISIONING_RECORDS,
   RUN,
   RUN_CHUNK,
   TOKEN,
@@ -109,7 +109,7 @@
   return {
     'path of the order to return machines': path,
     'order to return machines': body,
-    'order to return machines, as sent': messageOf(body),
+    'order to return machines, as sent': toRecordedMessage(body),
   };
 };
 
@@ -127,8 +127,10 @@
   'list of followed jobs, in parts': splitIds(FOLLOWED, 12).map(packIds),
   'catalog in one value': catalogWrites(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
   'catalog in parts': catalogWrites(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
-  ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
-  'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
+  ...written('book of rental requests', PROVISIONING_RECORDS, (book) =>
+    writeProvisioningRecord(book, TOKEN, ROOM),
+  ),
+  'book of removals': writeTombstoneRecord(TOMBSTONE_RECORD, ROOM),
   'mark of a holder': writeDurableAcknowledgement(ACKNOWLEDGEMENT),
   keys: keysOfState(),
   ...(await orderToReturn()),
@@ -175,7 +177,7 @@
 };
 
 /** Stored values after they were read and written again; those that no codec reads are left out. */
-export const reread = (stored: Recording): Recording =>
+export const reencode = (stored: Recording): Recording =>
   Object.fromEntries(
     Object.entries(stored).flatMap(([name, value]) => {
       const kind = Object.keys(REREAD).find((prefix) => name.startsWith(prefix));
