--- a/src/recorded-formats/catalog.ts
+++ b/src/recorded-formats/catalog.ts
@@ -1,12 +1,12 @@
-/** A catalog that one value cannot hold: as it is stored, and as another controller reads it. */
-import { peersOf, recordWith, SETTLED_MS } from './deployment.js';
+/** A catalog that is too large for one value: how the leader stores it and another controller reads it. */
+import { peerResponder, recordWith, STARTUP_MS } from './deployment.js';
 import { readFixture, type Recording } from './fixtures.js';
 import { HarnessedController, submissionOf, type SentRequest, type StubAnswer } from './harness.js';
 
-/** ms in which the catalog is read and stored. */
-const STORED_MS = 3_000;
+/** ms in which the leader reads the catalog from the cloud and stores it. */
+const CATALOG_WRITE_MS = 3_000;
 
-const breed = (k: number): object => ({
+const catalogEntry = (k: number): object => ({
   sku: `g${k}`,
   vcpus: 64 + k,
   accelerators: 8,
@@ -18,19 +18,20 @@
   readyS: 40 + k,
   paddocks: ['x', 'y'],
 });
-const BREEDS = Array.from({ length: 24 }, (_, k) => breed(k));
+const CATALOG_ENTRIES = Array.from({ length: 24 }, (_, k) => catalogEntry(k));
 
 const recordWriting = async (): Promise<Recording> => {
   const controller = new HarnessedController('n0');
   return recordWith(controller, async (recording) => {
     await controller.seed('w/level', '{"v":2}');
     await controller.seedClaims({ 1: 'n1', 2: 'n2' });
-    const peers = peersOf('n0');
+    const peers = peerResponder('n0');
     controller.respond = (request: SentRequest): StubAnswer | Promise<StubAnswer> =>
-      request.path === '/catalog' ? { status: 200, body: { breeds: BREEDS } } : peers(request);
+      request.path === '/catalog' ? { status: 200, body: { breeds: CATALOG_ENTRIES } } : peers(request);
     controller.start();
-    await controller.advance(SETTLED_MS + STORED_MS);
-    for (const key of controller.state.keys('w/catalog')) recording[`stored ${key}`] = controller.stored(key);
+    await controller.advance(STARTUP_MS + CATALOG_WRITE_MS);
+    for (const key of controller.state.keys('w/catalog'))
+      recording[`stored ${key}`] = controller.storedValue(key);
   });
 };
 
@@ -43,17 +44,17 @@
       .filter(([name]) => name.startsWith('stored '))
       .map(([name, data]) => ({ write: name.slice('stored '.length), data }));
     await controller.state.handle('seed', 'POST', '/txn', { when: [], writes: changes });
-    controller.respond = peersOf('n1');
+    controller.respond = peerResponder('n1');
     controller.start();
-    await controller.advance(SETTLED_MS);
-    recording['readiness with a catalog in parts: answer'] = await controller.ask('GET', '/ready');
+    await controller.advance(STARTUP_MS);
+    recording['readiness with a catalog in parts: answer'] = await controller.request('GET', '/ready');
     const large = { heads: 1, together: false, breeds: null, vcpus: 87 };
-    recording['a task that the last type holds: answer'] = await controller.ask(
+    recording['a task that the last type holds: answer'] = await controller.request(
       'POST',
       '/v2/runs',
       submissionOf({ ...large, uid: 'job-000420' }),
     );
-    recording['a task that no type holds: answer'] = await controller.ask(
+    recording['a task that no type holds: answer'] = await controller.request(
       'POST',
       '/v2/runs',
       submissionOf({ ...large, uid: 'job-000421', vcpus: 87.5 }),
@@ -61,8 +62,11 @@
   });
 };
 
-/** Records the catalog; it is read from the fixture once there is one. */
-export const recordCatalog = async (first = false): Promise<Recording> => {
+/**
+ * Records the catalog. The reading controller reads the fixture; while the recorder writes the first fixture,
+ * it reads the values that were just recorded.
+ */
+export const recordCatalog = async (beforeFixture = false): Promise<Recording> => {
   const stored = await recordWriting();
-  return { ...stored, ...(await recordReading(first ? stored : readFixture('catalog'))) };
+  return { ...stored, ...(await recordReading(beforeFixture ? stored : readFixture('catalog'))) };
 };
--- a/src/recorded-formats/command-line.ts
+++ b/src/recorded-formats/command-line.ts
@@ -1,4 +1,4 @@
-/** The command line: what `dalegate duties` prints of recorded answers, its errors and its exit codes. */
+/** Records the command line: the output of `dalegate duties` for recorded answers, errors and exit codes. */
 import { spawn } from 'node:child_process';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -6,11 +6,11 @@
 import type { Recording } from './fixtures.js';
 
 const HOST = '127.0.0.1';
-/** The bundle, as an installation runs it; tests run in the root of the repository. */
+/** The bundled program, as installations run it; tests run in the root of the repository. */
 const PROGRAM = 'target/app/main.js';
-/** A port at which nobody listens. */
+/** A port on which no process listens. */
 const CLOSED_PORT = 9;
-/** The recorded answers, by path; that of an outage stands where one of a duty would. */
+/** The recorded answers, by path; the path of the duty `adopt` gets the answer recorded in an outage. */
 const ANSWERS: Readonly<Record<string, readonly [fixture: string, entry: string]>> = {
   '/admin/v1/duties': ['leader', 'GET /admin/v1/duties from 10.1.2.3: answer'],
   '/admin/v1/duties/move': ['leader', 'GET /admin/v1/duties/move from 10.1.2.3: answer'],
@@ -30,7 +30,7 @@
     child.on('close', (code) => resolve({ code, out: lines(out), err: lines(err) }));
   });
 
-/** Records the command line against a server that gives the recorded answers. */
+/** Records the command line against a server that returns the recorded answers. */
 export const recordCommandLine = async (): Promise<Recording> => {
   const server = createServer((request, response) => {
     const entry = ANSWERS[request.url ?? ''];
@@ -44,7 +44,7 @@
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
   const { port } = server.address() as AddressInfo;
   const node = `${HOST}:${port}`;
-  const rows: readonly (readonly string[])[] = [
+  const invocations: readonly (readonly string[])[] = [
     ['duties', '--node', node],
     ['duties', '--node', node, '--json'],
     ['duties', 'move', '--node', node],
@@ -63,9 +63,9 @@
   ];
   const recording: Record<string, unknown> = {};
   try {
-    for (const args of rows) {
-      const shown = ['dalegate', ...args].join(' ').replace(`:${port}`, ':PORT');
-      recording[shown] = await run(args, port);
+    for (const args of invocations) {
+      const commandLine = ['dalegate', ...args].join(' ').replace(`:${port}`, ':PORT');
+      recording[commandLine] = await run(args, port);
     }
   } finally {
     server.close();
--- a/src/recorded-formats/earlier-layouts.test.ts
+++ b/src/recorded-formats/earlier-layouts.test.ts
@@ -19,10 +19,10 @@
 import { settingsOf } from '../testing/cluster.js';
 
 /**
- * Recorded fixtures of what earlier versions store and send: 79bc3b2, the last without pipelines, and
- * 55b30b1, the first released with them. Records and messages outlive the code that wrote them, so a change
- * of names in the code must not change a byte here. A layout that has to change gets a new fixture beside the
- * old one, never in its place.
+ * Fixtures of values that earlier versions store and send: 79bc3b2, the last version without pipelines, and
+ * 55b30b1, the first release with them. Records and messages outlive the code that wrote them, so renaming
+ * identifiers must not change a byte here. A layout that has to change gets a new fixture beside the old one,
+ * which stays.
  */
 const spec: JobSpec = {
   id: 'job-000412',
@@ -46,7 +46,7 @@
   saveS: 4,
   deadlineS: 900,
 };
-const SPEC =
+const SPEC_JSON =
   '["job-000412","train","red","gang",2,300,8,1,64,["g8"],null,true,false,true,"img",6.2,240,30,4,900]';
 const job: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 
@@ -59,7 +59,8 @@
   ],
   attempt: 8,
 };
-const RUN = '"d":"1000000000000000001","b":[[130,"i-000001",7],[131,"i-000001",7],[140,"i-000002",8]],"n":8';
+const RUN_FIELDS_JSON =
+  '"d":"1000000000000000001","b":[[130,"i-000001",7],[131,"i-000001",7],[140,"i-000002",8]],"n":8';
 const readRun = (data: unknown): RunRecord => readRunRecord(data, 1);
 
 const machine: MachineRecord = {
@@ -76,36 +77,36 @@
 interface Fixture {
   readonly name: string;
   readonly version: '79bc3b2' | '55b30b1';
-  readonly text: string;
+  readonly storedJson: string;
   readonly read: (data: unknown) => unknown;
-  readonly means: unknown;
-  /** Null: this version reads it, and writes another layout. */
-  readonly written: unknown;
+  readonly expected: unknown;
+  /** The record as this version encodes it; null: this version encodes it in another layout. */
+  readonly encoded: unknown;
 }
 const fixtures: readonly Fixture[] = [
   {
     name: 'a job',
     version: '79bc3b2',
-    text: `{"s":${SPEC},"t":17,"c":false}`,
+    storedJson: `{"s":${SPEC_JSON},"t":17,"c":false}`,
     read: readJobRecord,
-    means: job,
-    written: writeJobRecord(job),
+    expected: job,
+    encoded: writeJobRecord(job),
   },
   {
-    name: 'a cancelled job, without its moment',
+    name: 'a cancelled job, without the time of the cancellation',
     version: '79bc3b2',
-    text: `{"s":${SPEC},"t":17,"c":true}`,
+    storedJson: `{"s":${SPEC_JSON},"t":17,"c":true}`,
     read: readJobRecord,
-    means: { ...job, cancelled: true },
-    written: null,
+    expected: { ...job, cancelled: true },
+    encoded: null,
   },
   {
-    name: 'a cancelled job that follows others',
+    name: 'a cancelled job that depends on others',
     version: '55b30b1',
-    text: `{"s":${SPEC},"t":17,"c":true,"x":40,"f":["6:b2.7"]}`,
+    storedJson: `{"s":${SPEC_JSON},"t":17,"c":true,"x":40,"f":["6:b2.7"]}`,
     read: readJobRecord,
-    means: { ...job, cancelled: true, cancelledAt: 40, dependsOn: ['job-000398', 'job-000405'] },
-    written: writeJobRecord({
+    expected: { ...job, cancelled: true, cancelledAt: 40, dependsOn: ['job-000398', 'job-000405'] },
+    encoded: writeJobRecord({
       ...job,
       cancelled: true,
       cancelledAt: 40,
@@ -113,71 +114,72 @@
     }),
   },
   {
-    name: 'a job whose list of followed jobs stands in parts',
+    name: 'a job whose list of dependencies is stored in parts',
     version: '55b30b1',
-    text: `{"s":${SPEC},"t":17,"c":false,"p":2}`,
+    storedJson: `{"s":${SPEC_JSON},"t":17,"c":false,"p":2}`,
     read: readJobRecord,
-    means: { ...job, parts: 2 },
-    written: writeJobRecord({ ...job, parts: 2 }),
+    expected: { ...job, parts: 2 },
+    encoded: writeJobRecord({ ...job, parts: 2 }),
   },
   {
     name: 'a final record',
     version: '79bc3b2',
-    text: '{"s":"done","t":9,"n":3}',
+    storedJson: '{"s":"done","t":9,"n":3}',
     read: readFinalRecord,
-    means: { state: 'done', at: 9, tasks: 3 },
-    written: writeFinalRecord({ state: 'done', at: 9, tasks: 3 }),
+    expected: { state: 'done', at: 9, tasks: 3 },
+    encoded: writeFinalRecord({ state: 'done', at: 9, tasks: 3 }),
   },
   {
     name: 'a run',
     version: '79bc3b2',
-    text: `{${RUN}}`,
+    storedJson: `{${RUN_FIELDS_JSON}}`,
     read: readRun,
-    means: run,
-    written: encodeRun(run, 1, 1e4, true).record,
+    expected: run,
+    encoded: encodeRun(run, 1, 1e4, true).record,
   },
   {
     name: 'a run that is prepared',
     version: '55b30b1',
-    text: `{${RUN},"q":1}`,
+    storedJson: `{${RUN_FIELDS_JSON},"q":1}`,
     read: readRun,
-    means: run,
-    written: asPrepared(encodeRun(run, 1, 1e4, true)).record,
+    expected: run,
+    encoded: asPrepared(encodeRun(run, 1, 1e4, true)).record,
   },
   {
     name: 'a run that makes its attempt valid',
     version: '55b30b1',
-    text: `{${RUN},"v":8}`,
+    storedJson: `{${RUN_FIELDS_JSON},"v":8}`,
     read: readRun,
-    means: run,
-    written: withValidAttempt(encodeRun(run, 1, 1e4, true), 8).record,
+    expected: run,
+    encoded: withValidAttempt(encodeRun(run, 1, 1e4, true), 8).record,
   },
   {
     name: 'a machine',
     version: '79bc3b2',
-    text: '{"s":1,"b":"g","z":"x","p":true,"t":5,"r":true,"a":"10.1.0.1:9000","n":3}',
+    storedJson: '{"s":1,"b":"g","z":"x","p":true,"t":5,"r":true,"a":"10.1.0.1:9000","n":3}',
     read: readMachineRecord,
-    means: machine,
-    written: writeMachineRecord(machine),
+    expected: machine,
+    encoded: writeMachineRecord(machine),
   },
   {
-    name: 'a machine that was never heard',
+    name: 'a machine without any worker heartbeat',
     version: '79bc3b2',
-    text: '{"s":1,"b":"g","z":"x","p":false,"t":5,"r":false}',
+    storedJson: '{"s":1,"b":"g","z":"x","p":false,"t":5,"r":false}',
     read: readMachineRecord,
-    means: { ...machine, spot: false, releasing: false, addr: '', agentEpoch: 0 },
-    written: writeMachineRecord({ ...machine, spot: false, releasing: false, addr: '', agentEpoch: 0 }),
+    expected: { ...machine, spot: false, releasing: false, addr: '', agentEpoch: 0 },
+    encoded: writeMachineRecord({ ...machine, spot: false, releasing: false, addr: '', agentEpoch: 0 }),
   },
   {
     name: 'a machine with images, which earlier versions ignore',
     version: '55b30b1',
-    text: '{"s":1,"b":"g","z":"x","p":true,"t":5,"r":true,"a":"10.1.0.1:9000","n":3,"i":["img-1","img-2"]}',
+    storedJson:
+      '{"s":1,"b":"g","z":"x","p":true,"t":5,"r":true,"a":"10.1.0.1:9000","n":3,"i":["img-1","img-2"]}',
     read: readMachineRecord,
-    means: { ...machine, images: ['img-1', 'img-2'] },
-    written: writeMachineRecord({ ...machine, images: ['img-1', 'img-2'] }),
+    expected: { ...machine, images: ['img-1', 'img-2'] },
+    encoded: writeMachineRecord({ ...machine, images: ['img-1', 'img-2'] }),
   },
 ];
-for (const { name, version, text, read, means, written } of fixtures) {
+for (const { name, version, storedJson: text, read, expected: means, encoded: written } of fixtures) {
   test(`layout: ${name}, as ${version} stored it`, () => {
     assert.deepEqual(read(JSON.parse(text)), means);
     if (written !== null) assert.equal(JSON.stringify(written), text);
@@ -185,7 +187,7 @@
 }
 
 test('layout: a run in parts, as 55b30b1 stored it', () => {
-  const wide: RunRecord = {
+  const longRun: RunRecord = {
     ...run,
     bindings: [
       ...Array.from({ length: 6 }, (_, k) => ({ index: 130 + k, machine: 'i-000001', attempt: 7 })),
@@ -200,9 +202,9 @@
       1,
       parts.map((part): unknown => JSON.parse(part)),
     ),
-    wide,
+    longRun,
   );
-  const stored = encodeRun(wide, 1, 150, true);
+  const stored = encodeRun(longRun, 1, 150, true);
   assert.equal(JSON.stringify(stored.record), record);
   assert.deepEqual(
     stored.parts.map((part) => JSON.stringify(part)),
@@ -210,7 +212,7 @@
   );
 });
 
-test('layout: keys are those of 79bc3b2, and of 55b30b1 where that is new', () => {
+test('layout: keys are those of 79bc3b2, and of 55b30b1 where the key is new there', () => {
   assert.deepEqual(
     [
       keys.SHARED_PREFIX,
@@ -249,8 +251,8 @@
   );
 });
 
-/** What nodes send each other: field names are the wire, so the compiler and these lists hold them. */
-const need = {
+/** Messages between controllers: their types and the JSON texts below fix the field names on the wire. */
+const unmetDemand = {
   cpus: 1,
   gpus: 1,
   memoryGb: 1,
@@ -266,9 +268,15 @@
   room: { x: 1 },
   waitedMs: 5,
 } satisfies WireUnmetDemand;
-const spare = { id: 'i-1', type: 'g', zone: 'x', spot: false, idleS: 3 } satisfies WireSpareMachine;
-const summary = { share: 1, claim: 7, revision: 9, needs: [need], spares: [spare] } satisfies WireSummary;
-const hold = {
+const spareMachine = { id: 'i-1', type: 'g', zone: 'x', spot: false, idleS: 3 } satisfies WireSpareMachine;
+const summary = {
+  share: 1,
+  claim: 7,
+  revision: 9,
+  needs: [unmetDemand],
+  spares: [spareMachine],
+} satisfies WireSummary;
+const reservation = {
   share: 1,
   job: 'job-1',
   zone: 'x',
@@ -281,7 +289,7 @@
   priority: 1,
   ageMs: 4,
 } satisfies WireReservation;
-const earlierBeat = {
+const earlierHeartbeat = {
   from: 'n1',
   incarnation: 'n1.1',
   lease: 3,
@@ -291,10 +299,10 @@
   deaf: false,
   strays: { '0': 2 },
   demand: { requests: 1, changes: 2 },
-  holds: [hold],
+  holds: [reservation],
 } satisfies WireHeartbeat;
 
-const BEAT =
+const HEARTBEAT_JSON =
   '{"from":"n1","incarnation":"n1.1","lease":3,"stateAgeMs":20,"summaries":[{"share":1,"claim":7,"revision":9,' +
   '"needs":[{"cpus":1,"gpus":1,"memoryGb":1,"types":null,"zone":null,"spot":false,"gang":true,"oneZone":true,' +
   '"urgent":false,"priority":1,"tasks":2,"gangs":[{"job":"job-1","tasks":2,"waitedMs":5,"patienceMs":9}],' +
@@ -302,10 +310,10 @@
   '"counts":[{"slot":1,"jobs":[["job-1",2,1]]}],"deaf":false,"strays":{"0":2},' +
   '"demand":{"requests":1,"changes":2},"holds":[{"share":1,"job":"job-1","zone":"x","spot":false,"types":null,' +
   '"cpus":1,"gpus":1,"memoryGb":1,"tasks":2,"priority":1,"ageMs":4}]}';
-test('layout: the fields of a beat are those of 79bc3b2', () =>
-  assert.equal(JSON.stringify(earlierBeat), BEAT));
+test('layout: the fields of a heartbeat are those of 79bc3b2', () =>
+  assert.equal(JSON.stringify(earlierHeartbeat), HEARTBEAT_JSON));
 
-test('layout: a beat of 79bc3b2 is answered with one that has all its fields', async () => {
+test('layout: the answer to a heartbeat of 79bc3b2 has all fields of that heartbeat', async () => {
   const controller = compose(settingsOf('n0', new Map([['red', 8]])), {
     now: () => 1_000,
     wall: () => 1_000,
@@ -318,10 +326,10 @@
     method: 'POST',
     path: '/beat',
     query: '',
-    body: { _tag: 'value', value: JSON.parse(BEAT) as unknown },
+    body: { _tag: 'value', value: JSON.parse(HEARTBEAT_JSON) as unknown },
   });
   controller.stop();
   const { level, ...fields } = reply.body as Record<string, unknown>;
-  assert.deepEqual(Object.keys(fields).sort(), Object.keys(earlierBeat).sort());
-  assert.equal(typeof level, 'number', 'an earlier version does not read it');
+  assert.deepEqual(Object.keys(fields).sort(), Object.keys(earlierHeartbeat).sort());
+  assert.equal(typeof level, 'number', 'the protocol version, which earlier versions do not read');
 });
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -1,7 +1,7 @@
 /**
- * One composed controller on virtual time, seen only from its edges: requests that it sends, answers that it
- * gives and values that it stores, all as bytes. Everything that recordings use of the controller's types
- * stands here.
+ * Runs one composed controller on virtual time between stand-ins and records what crosses its boundaries: the
+ * requests that the controller sends, the responses that it returns and the values that it stores, as bytes.
+ * Recordings use the controller's types only through this module.
  */
 import { mock } from 'node:test';
 import * as Effect from 'effect/Effect';
@@ -15,40 +15,40 @@
 import { checkSettings, type Settings } from '../settings/schema.js';
 import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
 import { writeOrders } from '../workers/codec.js';
-import { messageOf, type RecordedMessage } from './fixtures.js';
+import { toRecordedMessage, type RecordedMessage } from './fixtures.js';
 
-/** ms since the epoch at which recordings begin. */
+/** ms since the epoch: the time at which each recording begins. */
 export const START_MS = 1_700_000_000_000;
-/** ms of virtual time between two looks. */
+/** ms of virtual time by which the clock advances in one step. */
 const STEP_MS = 20;
-/** Turns of the event loop in which everything that is due runs to its end. */
-const TURNS = 12;
-/** ms of virtual time after which an answer is missed. */
-const PATIENCE_MS = 10_000;
-/** ms: life of the leases that stand for other controllers. */
-const FOREIGN_LEASE_MS = 600_000;
-/** Names of the controllers. */
+/** Turns of the event loop after which all callbacks that are due at the current virtual time have run. */
+const EVENT_LOOP_TURNS = 12;
+/** ms of virtual time that a request to the controller may take. */
+const ANSWER_TIMEOUT_MS = 10_000;
+/** ms: duration of the lease under which claims of other controllers are stored. */
+const PEER_LEASE_MS = 600_000;
+/** Names of the controllers of the deployment. */
 const NODES = ['n0', 'n1', 'n2'] as const;
 
-/** A controller of the deployment. */
+/** The name of a controller of the deployment. */
 export type Node = (typeof NODES)[number];
 
-/** A request that left the controller. */
+/** A request that the controller sent. */
 export interface SentRequest {
   readonly to: string;
   readonly method: string;
   readonly path: string;
-  /** MessagePack; null: without a body. */
+  /** The body in MessagePack; null: the request has no body. */
   readonly bytes: Buffer | null;
 }
 
-/** Answers a request that left the controller. */
+/** Answers requests of the controller to the cloud and to other controllers. */
 export type Responder = (request: SentRequest) => StubAnswer | Promise<StubAnswer>;
 
-/** A stand-in's answer; null: the connection is refused. */
+/** The response of a stand-in; null: the connection is refused. */
 export type StubAnswer = { readonly status: number; readonly body: unknown } | null;
 
-/** An answer of the controller. */
+/** A response of the controller, as it is recorded. */
 export interface RecordedReply {
   readonly status: number;
   readonly headers?: Readonly<Record<string, string>>;
@@ -58,7 +58,7 @@
 
 const team = (name: string, gpus: number): object => ({ name, cpus: 0, cpus_max: 0, gpus, gpus_max: 1_000 });
 
-/** The settings as the platform hands them over; team k of the list belongs to share k. */
+/** The settings file of a controller, as the platform provides it; team k of the list belongs to shard k. */
 const settingsText = (node: Node): string =>
   JSON.stringify({
     host_name: node,
@@ -90,33 +90,35 @@
   return checked.settings;
 };
 
-/** Who may use the administration API. */
+/** The networks file: the networks from which the administration API may be used. */
 const ADMIN_NETWORKS = 'admin = ["10.0.0.0/8"]\n';
-/** An address from which it may be used. */
+/** An address from which the administration API may be used. */
 export const ADMIN_ADDRESS = '10.1.2.3';
-/** An address from which it may not be used. */
-export const FOREIGN_ADDRESS = '192.0.2.7';
+/** An address from which the administration API may not be used. */
+export const UNAUTHORIZED_ADDRESS = '192.0.2.7';
 
-const turns = async (): Promise<void> => {
-  for (let turn = 0; turn < TURNS; turn += 1) await new Promise((resolve) => setImmediate(resolve));
+/** Lets all callbacks that are due at the current virtual time run. */
+const runDueCallbacks = async (): Promise<void> => {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1)
+    await new Promise((resolve) => setImmediate(resolve));
 };
 
-const recordReply = (reply: ServerResponse): RecordedReply => ({
+const toRecordedReply = (reply: ServerResponse): RecordedReply => ({
   status: reply.status,
   ...(reply.headers === undefined ? {} : { headers: reply.headers }),
-  ...(reply.text === undefined ? { body: messageOf(reply.body ?? {}) } : { text: reply.text }),
+  ...(reply.text === undefined ? { body: toRecordedMessage(reply.body ?? {}) } : { text: reply.text }),
 });
 
-/** A controller between stand-ins. */
+/** A controller on virtual time, between stand-ins for the key-value store, the cloud, peers and workers. */
 export class HarnessedController {
   readonly state = new KeyValueStoreStandIn();
   readonly sent: SentRequest[] = [];
-  /** Commands sent straight to workers, as `POST /commands` carries them. */
+  /** Commands that the controller sent directly to workers, with the body of `POST /commands`. */
   readonly commands: { readonly address: string; readonly body: RecordedMessage }[] = [];
-  /** How cloud and peers answer; the state service is a stand-in of its own. */
+  /** Answers requests to the cloud and to peers; `state` answers those to the key-value store. */
   respond: Responder = () => null;
-  /** The state service does not answer at all. */
-  stateSilent = false;
+  /** Whether requests to the key-value store never get a response. */
+  storeUnresponsive = false;
   private wallMs = START_MS;
   private controller: Controller | null = null;
   private fiber: Fiber.Fiber<unknown> | null = null;
@@ -125,7 +127,7 @@
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: START_MS });
   }
 
-  /** Puts a value into the state service, given as it is stored. */
+  /** Writes a value, given in its stored JSON form, to the key-value store; returns the key's revision. */
   async seed(key: string, json: string, lease?: number): Promise<number> {
     const write = { write: key, data: JSON.parse(json) as unknown, ...(lease ? { permit: lease } : {}) };
     const answer = await this.state.handle('seed', 'POST', '/txn', { when: [], writes: [write] });
@@ -133,9 +135,9 @@
     return (answer.body as { epoch: number }).epoch;
   }
 
-  /** Claims that other controllers hold. */
+  /** Stores claims that other controllers hold, under a lease: by claim name, the holder. */
   async seedClaims(claims: Readonly<Record<string, Node>>): Promise<void> {
-    const granted = await this.state.handle('seed', 'POST', '/holds', { ttlMs: FOREIGN_LEASE_MS });
+    const granted = await this.state.handle('seed', 'POST', '/holds', { ttlMs: PEER_LEASE_MS });
     const { permit } = (granted as CallOutcome & { _tag: 'response' }).body as { permit: number };
     for (const [claimName, node] of Object.entries(claims))
       await this.seed(`w/c/${claimName}`, `{"n":"${node}","i":"${node}.1"}`, permit);
@@ -163,7 +165,7 @@
           ...[addr, token, agentEpoch, commands]: SendArguments
         ): Promise<{ _tag: 'refused'; heartbeat: null }> => {
           const body = { ...writeOrders(token, commands), stint: agentEpoch };
-          this.commands.push({ address: addr, body: messageOf(body) });
+          this.commands.push({ address: addr, body: toRecordedMessage(body) });
           return Promise.resolve({ _tag: 'refused', heartbeat: null });
         },
       },
@@ -172,11 +174,11 @@
     this.fiber = Effect.runFork(this.controller.run);
   }
 
-  /** Ends the controller and gives the clock back. */
+  /** Stops the controller and restores the real clock. */
   async stop(): Promise<void> {
     this.controller?.stop();
     if (this.fiber) Effect.runFork(Fiber.interrupt(this.fiber));
-    await turns();
+    await runDueCallbacks();
     mock.timers.reset();
   }
 
@@ -192,7 +194,7 @@
     const request: SentRequest = { to, method, path, bytes };
     this.sent.push(request);
     if (to === 'state') {
-      if (this.stateSilent) return new Promise(() => undefined);
+      if (this.storeUnresponsive) return new Promise(() => undefined);
       return this.state.handle(this.node, method, path, bytes ? decode(bytes) : {});
     }
     const answer = await this.respond(request);
@@ -201,30 +203,33 @@
   }
 
   /**
-   * Lets virtual time pass; the time of day stands still unless `wall` is set, so that stamps are known
-   * beforehand.
+   * Advances virtual time. The time of day advances only if `advanceWall` is set, so that timestamps in
+   * recordings are predictable.
    */
-  async advance(ms: number, wall = false): Promise<void> {
-    for (let passed = 0; passed < ms; passed += STEP_MS) {
-      if (wall) this.wallMs += STEP_MS;
+  async advance(ms: number, advanceWall = false): Promise<void> {
+    for (let elapsed = 0; elapsed < ms; elapsed += STEP_MS) {
+      if (advanceWall) this.wallMs += STEP_MS;
       mock.timers.tick(STEP_MS);
-      await turns();
+      await runDueCallbacks();
     }
   }
 
-  private async settled<T>(promise: Promise<T>): Promise<T> {
-    let over = false;
-    const end = (): void => {
-      over = true;
+  /** Awaits a promise while virtual time advances. */
+  private async awaitWhileAdvancing<T>(promise: Promise<T>): Promise<T> {
+    let isSettled = false;
+    const markSettled = (): void => {
+      isSettled = true;
     };
-    promise.then(end, end);
-    await turns();
-    for (let passed = 0; !over && passed < PATIENCE_MS; passed += STEP_MS) await this.advance(STEP_MS);
-    if (!over) throw new Error('no answer');
+    promise.then(markSettled, markSettled);
+    await runDueCallbacks();
+    for (let elapsed = 0; !isSettled && elapsed < ANSWER_TIMEOUT_MS; elapsed += STEP_MS)
+      await this.advance(STEP_MS);
+    if (!isSettled) throw new Error('the controller did not answer the request in time');
     return promise;
   }
 
-  private call(
+  /** A request as the HTTP server passes it to a handler. */
+  private serverRequest(
     method: string,
     path: string,
     body: unknown,
@@ -237,48 +242,57 @@
     return { method, path, query: '', body: read, ...(remoteAddress === undefined ? {} : { remoteAddress }) };
   }
 
-  /** Requests of users, workers and operators, as the server hands them over. */
+  /** The handler of requests of users, workers and operators, as the HTTP server calls it. */
   get route(): Controller['route'] {
     if (!this.controller) throw new Error('not started');
     return this.controller.route;
   }
 
-  /** A request of a user, a worker or an operator. */
-  async ask(method: string, path: string, body?: unknown, remoteAddress?: string): Promise<RecordedReply> {
+  /** Sends the controller a request of a user, a worker or an operator. */
+  async request(
+    method: string,
+    path: string,
+    body?: unknown,
+    remoteAddress?: string,
+  ): Promise<RecordedReply> {
     if (!this.controller) throw new Error('not started');
-    return recordReply(
-      await this.settled(this.controller.route(this.call(method, path, body, remoteAddress))),
+    return toRecordedReply(
+      await this.awaitWhileAdvancing(
+        this.controller.route(this.serverRequest(method, path, body, remoteAddress)),
+      ),
     );
   }
 
-  /** A request of another controller. */
-  async askPeer(path: string, body?: unknown): Promise<RecordedReply> {
+  /** Sends the controller a request of another controller. */
+  async requestFromPeer(path: string, body?: unknown): Promise<RecordedReply> {
     if (!this.controller) throw new Error('not started');
-    return recordReply(await this.settled(this.controller.peerRoute(this.call('POST', path, body))));
+    return toRecordedReply(
+      await this.awaitWhileAdvancing(this.controller.peerRoute(this.serverRequest('POST', path, body))),
+    );
   }
 
-  /** A peer's request with a body that was read already, and the answer's body as it is sent. */
-  async exchange(path: string, value: unknown): Promise<Buffer> {
+  /** Sends the controller a peer's request with a decoded body; returns the encoded body of the response. */
+  async exchangeWithPeer(path: string, value: unknown): Promise<Buffer> {
     if (!this.controller) throw new Error('not started');
-    const call = { method: 'POST', path, query: '', body: { _tag: 'value', value } } as const;
-    return encode((await this.controller.peerRoute(call)).body);
+    const request = { method: 'POST', path, query: '', body: { _tag: 'value', value } } as const;
+    return encode((await this.controller.peerRoute(request)).body);
   }
 
-  /** What is stored under a key. */
-  stored(key: string): unknown {
+  /** The value that the key-value store holds for a key. */
+  storedValue(key: string): unknown {
     const value = this.state.value(key);
     if (value === undefined) throw new Error(`nothing stored under ${key}`);
     return value;
   }
 
-  /** The first request of a kind. */
-  firstSent(what: string, matches: (request: SentRequest) => boolean): SentRequest {
+  /** The first request of the controller that matches. */
+  firstSent(description: string, matches: (request: SentRequest) => boolean): SentRequest {
     const found = this.sent.find(matches);
-    if (!found) throw new Error(`${this.node} sent no ${what}`);
+    if (!found) throw new Error(`${this.node} sent no ${description}`);
     return found;
   }
 
-  /** The first transaction that writes or removes a key of this prefix. */
+  /** The first transaction of the controller that writes or removes a key with this prefix. */
   firstTransaction(prefix: string): SentRequest {
     return this.firstSent(`transaction on ${prefix}`, (request) => {
       if (request.path !== '/txn') return false;
@@ -287,33 +301,30 @@
     });
   }
 
-  /** The last heartbeat to a peer, with fixed numbers for what follows the clock. */
-  lastBeat(to: Node): RecordedMessage {
+  /** The last heartbeat to a peer, with fixed values for fields that depend on the clock or the load. */
+  lastHeartbeat(to: Node): RecordedMessage {
     const found = this.sent.findLast((request) => request.to === to && request.path === '/beat');
     if (!found) throw new Error(`${this.node} sent no heartbeat to ${to}`);
-    return messageOf(masked(valueOf(found)));
+    return toRecordedMessage(masked(valueOf(found)));
   }
 }
 
 type SendArguments = Parameters<Parameters<typeof compose>[1]['workerClient']['send']>;
 
-/** A request as it is recorded. */
-export const recordRequest = ({ to, method, path, bytes }: SentRequest): object => ({
+/** A request of the controller, as it is recorded. */
+export const toRecordedRequest = ({ to, method, path, bytes }: SentRequest): object => ({
   to,
   method,
   path,
   ...(bytes === null ? {} : { body: { bytes: bytes.toString('base64'), json: decode(bytes) } }),
 });
 
-/** The value of a sent message. */
+/** The decoded body of a request; undefined: the request has no body. */
 export const valueOf = (request: SentRequest): unknown =>
   request.bytes === null ? undefined : decode(request.bytes);
 
-/**
- * Fields of heartbeats, summaries and orders that follow the clock or the load, and what stands in their
- * place.
- */
-const MASKED: Readonly<Record<string, number>> = {
+/** Fixed values for fields of heartbeats, summaries and orders that depend on the clock or the load. */
+const MASKED_FIELDS: Readonly<Record<string, number>> = {
   stateAgeMs: 20,
   requests: 1.5,
   changes: 0.5,
@@ -322,8 +333,8 @@
   revision: 900,
 };
 
-/** A message with fixed numbers for what follows the clock, all else and the order of fields kept. */
-export const masked = (value: unknown, fields: Readonly<Record<string, number>> = MASKED): unknown => {
+/** A copy of a message in which numeric fields have these fixed values; the order of fields stays. */
+export const masked = (value: unknown, fields: Readonly<Record<string, number>> = MASKED_FIELDS): unknown => {
   if (Array.isArray(value)) return value.map((entry) => masked(entry, fields));
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(
@@ -334,22 +345,22 @@
   );
 };
 
-/** A reply with a masked body. */
+/** A copy of a response whose body has the fixed values of {@link MASKED_FIELDS}. */
 export const maskedReply = (reply: RecordedReply): RecordedReply => ({
   ...reply,
   ...(reply.body === undefined
     ? {}
-    : { body: messageOf(masked(decode(Buffer.from(reply.body.bytes, 'base64')))) }),
+    : { body: toRecordedMessage(masked(decode(Buffer.from(reply.body.bytes, 'base64')))) }),
 });
 
-/** The machine types of all recordings, as they are stored. */
+/** The catalog of machine types of all recordings, as it is stored. */
 export const CATALOG_JSON =
   '[{"name":"g8","cpus":64,"gpus":8,"memoryGb":256,"cacheGb":100,"price":8.5,"spotPrice":2.25,"bootS":40,' +
   '"zones":["x","y"]},' +
   '{"name":"c16","cpus":16,"gpus":0,"memoryGb":64,"cacheGb":50,"price":1,"spotPrice":0.25,"bootS":20,' +
   '"zones":["y"]}]';
 
-/** A worker that reports to the controller, in the protocol's words. */
+/** A worker that sends heartbeats to the controller, with the field names of the wire protocol. */
 export class ReportingWorker {
   private tally = 0;
   private crook = 0;
@@ -361,9 +372,10 @@
     private readonly paddock = 'x',
   ) {}
 
-  async report(over: object = {}): Promise<RecordedReply> {
+  /** Sends a heartbeat and adopts the token of the response for the next one. */
+  async sendHeartbeat(overrides: object = {}): Promise<RecordedReply> {
     this.tally += 1;
-    const reply = await this.controller.ask('POST', '/hello', {
+    const reply = await this.controller.request('POST', '/hello', {
       drover: this.id,
       addr: `${this.id}:9000`,
       breed: 'g8',
@@ -374,24 +386,24 @@
       crook: this.crook,
       warningS: null,
       heads: this.heads,
-      ...over,
+      ...overrides,
     });
     if (reply.status === 200) this.crook = (reply.body?.json as { crook: number }).crook;
     return reply;
   }
 
-  /** Its record as it is stored. */
+  /** The record of the worker's machine in a shard, as it is stored. */
   recordJson(shardId: number): string {
     return `{"s":${shardId},"b":"g8","z":"${this.paddock}","p":true,"t":${START_MS},"r":false}`;
   }
 }
 
-/** Names of machines in order. */
-export const machineNames = (first: number, count: number): readonly string[] =>
+/** Ids of machines, in ascending order. */
+export const machineIds = (first: number, count: number): readonly string[] =>
   Array.from({ length: count }, (_, k) => `i-${String(first + k).padStart(6, '0')}`);
 
-/** A submission with every field, in the protocol's words; what a recording is about goes over it. */
-export const submissionOf = (over: object): object => ({
+/** The body of a submission with every field, under the names of the wire protocol. */
+export const submissionOf = (overrides: object): object => ({
   uid: 'job-000412',
   herd: 'train',
   owner: 'blue',
@@ -412,5 +424,5 @@
   musterEveryS: 30,
   musterS: 4,
   dueS: 900,
-  ...over,
+  ...overrides,
 });
--- a/src/recorded-formats/http-bytes.ts
+++ b/src/recorded-formats/http-bytes.ts
@@ -1,4 +1,4 @@
-/** Whole HTTP messages as they stand on the wire: requests of the clients, and answers of the server. */
+/** Records whole HTTP messages as sent on the wire: requests of the clients and responses of the server. */
 import { createServer, connect, type AddressInfo, type Server, type Socket } from 'node:net';
 import { PooledHttpClient } from '../http/client.js';
 import { encode } from '../http/msgpack.js';
@@ -11,12 +11,12 @@
 
 const HOST = '127.0.0.1';
 const TIMEOUT_MS = 5_000;
-/** bytes: the bound on bodies of the server that is recorded. */
+/** bytes: the largest request body that the recorded server accepts. */
 const BODY_MAX = 64 * 1024;
 const BODY = { name: 'größe', count: 3, list: [1, 2.5, null, true] };
 
-/** What came through a socket: the head as lines, and the body in base64. */
-const wire = (bytes: Buffer, port: number): object => {
+/** A message received through a socket: the head as lines, the body in base64. */
+const messageOnWire = (bytes: Buffer, port: number): object => {
   const text = bytes.toString('latin1');
   const end = text.indexOf('\r\n\r\n');
   return {
@@ -25,7 +25,7 @@
   };
 };
 
-const wholeMessage = (bytes: Buffer): boolean => {
+const isCompleteMessage = (bytes: Buffer): boolean => {
   const text = bytes.toString('latin1');
   const end = text.indexOf('\r\n\r\n');
   if (end < 0) return false;
@@ -42,15 +42,15 @@
   '\r\n',
 ].join('\r\n');
 
-/** A server that keeps what it is sent. */
-const listening = (seen: Buffer[]): Promise<Server> =>
+/** Starts a server that captures each request and answers it with an empty map. */
+const startCapturingServer = (captured: Buffer[]): Promise<Server> =>
   new Promise((resolve) => {
     const server = createServer((socket: Socket) => {
       let bytes = Buffer.alloc(0);
       socket.on('data', (part) => {
         bytes = Buffer.concat([bytes, part]);
-        if (!wholeMessage(bytes)) return;
-        seen.push(bytes);
+        if (!isCompleteMessage(bytes)) return;
+        captured.push(bytes);
         socket.end(Buffer.concat([Buffer.from(ANSWER_HEAD), ANSWER]));
       });
       socket.on('error', () => undefined);
@@ -59,22 +59,22 @@
   });
 
 const recordClients = async (): Promise<Recording> => {
-  const seen: Buffer[] = [];
-  const server = await listening(seen);
+  const captured: Buffer[] = [];
+  const server = await startCapturingServer(captured);
   const { port } = server.address() as AddressInfo;
   const client = new PooledHttpClient({ host: HOST, port }, 1);
-  const last = (): object => wire(seen.at(-1) ?? Buffer.alloc(0), port);
+  const lastCaptured = (): object => messageOnWire(captured.at(-1) ?? Buffer.alloc(0), port);
   const recording: Record<string, unknown> = {};
   await client.request('GET', '/store/w/level', undefined, TIMEOUT_MS);
-  recording['request without a body'] = last();
+  recording['request without a body'] = lastCaptured();
   await client.request('POST', '/txn', BODY, TIMEOUT_MS);
-  recording['request with a body'] = last();
+  recording['request with a body'] = lastCaptured();
   await client.request('POST', '/machines', BODY, TIMEOUT_MS, () => true);
-  recording['request that asks for its right'] = last();
+  recording['request that asks for its right'] = lastCaptured();
   await new WorkerClient(4).send(`${HOST}:${port}`, 41, 3, COMMANDS);
-  recording['commands to a worker'] = last();
+  recording['commands to a worker'] = lastCaptured();
   await new WorkerClient(4).send(`${HOST}:${port}`, 41, 3, []);
-  recording['greeting of a worker'] = last();
+  recording['greeting of a worker'] = lastCaptured();
   server.close();
   return recording;
 };
@@ -85,14 +85,14 @@
     let bytes = Buffer.alloc(0);
     socket.on('data', (part) => {
       bytes = Buffer.concat([bytes, part]);
-      if (!wholeMessage(bytes)) return;
+      if (!isCompleteMessage(bytes)) return;
       socket.destroy();
       resolve(bytes);
     });
     socket.on('error', reject);
   });
 
-const requestOf = (path: string, body: Buffer): Buffer =>
+const requestBytes = (path: string, body: Buffer): Buffer =>
   Buffer.concat([
     Buffer.from(`POST ${path} HTTP/1.1\r\nhost: x\r\ncontent-length: ${body.length}\r\n\r\n`),
     body,
@@ -118,21 +118,24 @@
   const { port } = server.address() as AddressInfo;
   const recording: Record<string, unknown> = {};
   for (const path of Object.keys(replies))
-    recording[`answer of ${path}`] = wire(await exchange(port, requestOf(path, encode(BODY))), port);
+    recording[`answer of ${path}`] = messageOnWire(
+      await exchange(port, requestBytes(path, encode(BODY))),
+      port,
+    );
   server.closeAllConnections();
   server.close();
   return recording;
 };
 
-/** Bodies that no handler sees, and what the users' and the workers' interfaces answer to them. */
-const UNREAD_BODIES: Readonly<Record<string, Buffer>> = {
+/** Request bodies that are empty, malformed or too large, by name. */
+const REJECTED_BODIES: Readonly<Record<string, Buffer>> = {
   empty: Buffer.alloc(0),
   malformed: encode(BODY).subarray(0, 12),
   'too large': Buffer.alloc(BODY_MAX + 1),
   'too large as JSON': encode({ text: '\n'.repeat(BODY_MAX / 2) }),
 };
 
-const recordUnreadBodies = async (): Promise<Recording> => {
+const recordRejectedBodies = async (): Promise<Recording> => {
   const controller = new HarnessedController('n0');
   return recordWith(controller, async (recording) => {
     controller.start();
@@ -145,9 +148,9 @@
     );
     const { port } = server.address() as AddressInfo;
     for (const path of ['/v2/runs', '/hello'])
-      for (const [name, body] of Object.entries(UNREAD_BODIES))
-        recording[`answer of ${path} to a body that is ${name}`] = wire(
-          await exchange(port, requestOf(path, body)),
+      for (const [name, body] of Object.entries(REJECTED_BODIES))
+        recording[`answer of ${path} to a body that is ${name}`] = messageOnWire(
+          await exchange(port, requestBytes(path, body)),
           port,
         );
     server.closeAllConnections();
@@ -159,5 +162,5 @@
 export const recordHttpBytes = async (): Promise<Recording> => ({
   ...(await recordClients()),
   ...(await recordServer()),
-  ...(await recordUnreadBodies()),
+  ...(await recordRejectedBodies()),
 });
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -1,7 +1,7 @@
 /**
- * The objects of the code that codecs write, in the code's own names: the one place of the recordings that
- * follows a change of those names. What they are written as is compared with the fixtures, which never
- * follow.
+ * In-memory objects that the codecs encode, with the field names of the code. Renaming a field changes this
+ * module, and no other part of the recordings; the encoded forms are compared with the fixtures, which never
+ * change.
  */
 import { tokenOf, type TombstoneRecord, type ProvisioningRecord } from '@dalegate/fencing';
 import type { MachineRecord } from '../fleet/machine-record.js';
@@ -44,7 +44,7 @@
   parts: 0,
 };
 
-/** Jobs by what is recorded of them. */
+/** Job records, by their name in the fixture. */
 export const JOB_RECORDS: Readonly<Record<string, JobRecord>> = {
   plain: JOB,
   'without optional values': {
@@ -70,7 +70,7 @@
   'with followed jobs in parts': { ...JOB, parts: 2 },
 };
 
-/** Final records by what is recorded of them. */
+/** Final records, by their name in the fixture. */
 export const FINAL_RECORDS: Readonly<Record<string, FinalRecord>> = {
   done: { state: 'done', at: AT, tasks: 3 },
   cancelled: { state: 'cancelled', at: AT, tasks: 300 },
@@ -87,7 +87,7 @@
   agentEpoch: 0,
 };
 
-/** Machine records by what is recorded of them. */
+/** Machine records, by their name in the fixture. */
 export const MACHINE_RECORDS: Readonly<Record<string, MachineRecord>> = {
   'never heard': MACHINE,
   heard: { ...MACHINE, spot: false, addr: '10.1.0.1:9000', agentEpoch: 3 },
@@ -103,7 +103,7 @@
   },
 };
 
-/** A run of tasks with finished and bound ones. */
+/** A run with finished and with bound tasks. */
 export const RUN: RunRecord = {
   done: [128, 200],
   bindings: [
@@ -113,7 +113,7 @@
   ],
   attempt: 8,
 };
-/** A run that one small value cannot hold. */
+/** A run that is too long for one small value. */
 export const LONG_RUN: RunRecord = {
   ...RUN,
   bindings: [
@@ -121,7 +121,7 @@
     ...Array.from({ length: 9 }, (_, k) => ({ index: 140 + k, machine: `i-00000${k}`, attempt: 8 })),
   ],
 };
-/** The number of these runs among those of their job. */
+/** The index of these runs among the runs of their job. */
 export const RUN_CHUNK = 1;
 
 /** Machine types with a different value in every field. */
@@ -156,11 +156,11 @@
   'repeated by successor',
 ] as const;
 
-/** The token under which books are written. */
+/** The token under which provisioning records are written. */
 export const TOKEN = tokenOf(40);
 
-/** Books of rental requests by what is recorded of them. */
-export const RENTAL_BOOKS: Readonly<Record<string, ProvisioningRecord>> = {
+/** Provisioning records, by their name in the fixture. */
+export const PROVISIONING_RECORDS: Readonly<Record<string, ProvisioningRecord>> = {
   'with open requests': { token: TOKEN, open: [intent(1), intent(2)], settled: [], malformed: [] },
   'with every outcome': {
     token: TOKEN,
@@ -171,8 +171,8 @@
   'with what could not be read': { token: TOKEN, open: [], settled: [], malformed: [{ n: 'r-1' }, 7] },
 };
 
-/** A book of removals with every reason. */
-export const REMOVAL_BOOK: TombstoneRecord = {
+/** A tombstone record with every reason for a removal. */
+export const TOMBSTONE_RECORD: TombstoneRecord = {
   marked: [
     { key: 'r/1/job-000412/0', revision: 12, reason: 'job over', token: tokenOf(40), at: AT },
     { key: 'r/1/job-000413/0+1', revision: 13, reason: 'part not named', token: tokenOf(41), at: AT + 1 },
@@ -188,7 +188,7 @@
   ],
 };
 
-/** A holder's word that it has seen the shared keys. */
+/** A durable acknowledgement: the holder of a claim has seen the shared keys up to a revision. */
 export const ACKNOWLEDGEMENT = { claim: 40, revision: 57 };
 
 /** A command of each kind. */
--- a/src/recorded-formats/receivers.ts
+++ b/src/recorded-formats/receivers.ts
@@ -1,18 +1,18 @@
-/** What controllers make of the leader's recorded orders and reservations. */
-import { peersOf, prepared, recordedJson, recordWith, SETTLED_MS } from './deployment.js';
+/** How controllers handle recorded orders and reservations of the leader, and task counts of other holders. */
+import { peerResponder, prepareController, recordedJson, recordWith, STARTUP_MS } from './deployment.js';
 import { decode } from '../http/msgpack.js';
 import { recordedValue, type Recording } from './fixtures.js';
 import {
-  machineNames,
+  machineIds,
   ReportingWorker,
   submissionOf,
   type HarnessedController,
   type Responder,
 } from './harness.js';
 
-/** ms until what was reported or submitted is placed. */
-const PLACED_MS = 2_000;
-const MACHINES_OF_SHARE_2 = machineNames(28, 4);
+/** ms until workers' heartbeats and submitted jobs lead to placements. */
+const PLACEMENT_MS = 2_000;
+const MACHINES_OF_SHARD_2 = machineIds(28, 4);
 const SMALL_JOB = {
   shape: 'sweep',
   owner: 'green',
@@ -24,94 +24,97 @@
   together: false,
 };
 
-/** The holder of share 2 with machines that are idle. */
-const withIdleMachines = async (controller: HarnessedController, respond: Responder): Promise<void> => {
-  const workers = MACHINES_OF_SHARE_2.map((id) => new ReportingWorker(controller, id));
+/** Starts the holder of shard 2 with idle machines. */
+const startWithIdleMachines = async (controller: HarnessedController, respond: Responder): Promise<void> => {
+  const workers = MACHINES_OF_SHARD_2.map((id) => new ReportingWorker(controller, id));
   for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(2));
   controller.respond = respond;
   controller.start();
-  await controller.advance(SETTLED_MS);
-  for (const worker of [...workers, ...workers]) await worker.report();
-  await controller.advance(PLACED_MS);
+  await controller.advance(STARTUP_MS);
+  for (const worker of [...workers, ...workers]) await worker.sendHeartbeat();
+  await controller.advance(PLACEMENT_MS);
 };
 
-/** An order of the leader, sent directly. */
+/** The leader's transfer order in a request. */
 const recordDirectOrder = async (): Promise<Recording> => {
-  const controller = await prepared('n2');
+  const controller = await prepareController('n2');
   return recordWith(controller, async (recording) => {
-    await withIdleMachines(controller, peersOf('n2'));
-    const order = (recordedJson('leader', 'order to a holder') as { body: { bytes: string } }).body.bytes;
+    await startWithIdleMachines(controller, peerResponder('n2'));
+    const orderBytes = (recordedJson('leader', 'order to a holder') as { body: { bytes: string } }).body
+      .bytes;
     const token = controller.state.version('w/c/L');
-    const body = { ...(decode(Buffer.from(order, 'base64')) as object), token };
-    recording['order to the holder: answer'] = await controller.askPeer('/move', body);
-    recording['order of a replaced leader: answer'] = await controller.askPeer('/move', {
+    const body = { ...(decode(Buffer.from(orderBytes, 'base64')) as object), token };
+    recording['order to the holder: answer'] = await controller.requestFromPeer('/move', body);
+    recording['order of a replaced leader: answer'] = await controller.requestFromPeer('/move', {
       ...body,
       token: token - 1,
     });
-    await controller.advance(PLACED_MS);
-    recording['machines after the order'] = MACHINES_OF_SHARE_2.map((id) => controller.stored(`w/m/${id}`));
+    await controller.advance(PLACEMENT_MS);
+    recording['machines after the order'] = MACHINES_OF_SHARD_2.map((id) =>
+      controller.storedValue(`w/m/${id}`),
+    );
   });
 };
 
-/** An order of the leader, through the state service. */
+/** The leader's transfer orders, relayed through the key-value store. */
 const recordRelayedOrder = async (): Promise<Recording> => {
-  const controller = await prepared('n2');
+  const controller = await prepareController('n2');
   return recordWith(controller, async (recording) => {
-    await withIdleMachines(controller, () => null);
+    await startWithIdleMachines(controller, () => null);
     const leader = controller.state.version('w/c/L');
     const orders = recordedJson('leader', 'relayed orders w/o/2') as object;
     await controller.seed('w/o/2', JSON.stringify({ ...orders, leader: leader - 1 }));
-    await controller.advance(PLACED_MS);
-    const shares = (): unknown =>
-      MACHINES_OF_SHARE_2.map((id) => (controller.stored(`w/m/${id}`) as { s: number }).s);
-    recording['shares after relayed orders of a replaced leader'] = shares();
+    await controller.advance(PLACEMENT_MS);
+    const shardIds = (): unknown =>
+      MACHINES_OF_SHARD_2.map((id) => (controller.storedValue(`w/m/${id}`) as { s: number }).s);
+    recording['shares after relayed orders of a replaced leader'] = shardIds();
     await controller.seed('w/o/2', JSON.stringify({ ...orders, leader }));
-    await controller.advance(PLACED_MS);
-    recording['shares after relayed orders'] = shares();
+    await controller.advance(PLACEMENT_MS);
+    recording['shares after relayed orders'] = shardIds();
   });
 };
 
-/** Work of lower priority leaves machines alone that the leader gathers for a gang of another share. */
+/** A job of lower priority is not placed on machines that the leader reserves for a gang of another shard. */
 const recordReservation = async (reserved: boolean): Promise<Recording> => {
-  const controller = await prepared('n2');
+  const controller = await prepareController('n2');
   return recordWith(controller, async (recording) => {
-    const others = peersOf('n2');
-    const beat = recordedValue('leader', 'beat with reservations');
-    await withIdleMachines(controller, (request) =>
+    const peers = peerResponder('n2');
+    const heartbeat = recordedValue('leader', 'beat with reservations');
+    await startWithIdleMachines(controller, (request) =>
       reserved && request.to === 'n0' && request.path === '/beat'
-        ? { status: 200, body: beat }
-        : others(request),
+        ? { status: 200, body: heartbeat }
+        : peers(request),
     );
-    await controller.ask('POST', '/v2/runs', submissionOf({ ...SMALL_JOB, uid: 'job-000600' }));
-    await controller.advance(PLACED_MS);
+    await controller.request('POST', '/v2/runs', submissionOf({ ...SMALL_JOB, uid: 'job-000600' }));
+    await controller.advance(PLACEMENT_MS);
     recording[`a small job is placed ${reserved ? 'beside a reservation' : 'without a reservation'}`] =
       controller.state.keys('r/2/').length > 0;
   });
 };
 
-/** Task counts of another holder's jobs, for display. */
-const recordCounts = async (): Promise<Recording> => {
-  const controller = await prepared('n2');
+/** Task counts of another holder's jobs, which the controller only displays. */
+const recordTaskCounts = async (): Promise<Recording> => {
+  const controller = await prepareController('n2');
   return recordWith(controller, async (recording) => {
     const job = JSON.stringify(recordedJson('holder', 'record w/j/job-000413'));
     await controller.seed('w/j/job-000413', job);
-    const others = peersOf('n2');
-    const beat = recordedValue('holder', 'beat to a peer');
-    await withIdleMachines(controller, (request) =>
-      request.to === 'n1' && request.path === '/beat' ? { status: 200, body: beat } : others(request),
+    const peers = peerResponder('n2');
+    const heartbeat = recordedValue('holder', 'beat to a peer');
+    await startWithIdleMachines(controller, (request) =>
+      request.to === 'n1' && request.path === '/beat' ? { status: 200, body: heartbeat } : peers(request),
     );
-    recording["question for another holder's job: answer"] = await controller.ask(
+    recording["question for another holder's job: answer"] = await controller.request(
       'GET',
       '/v2/runs/job-000413',
     );
   });
 };
 
-/** Records the receivers. */
+/** Records how controllers handle these messages. */
 export const recordReceivers = async (): Promise<Recording> => ({
   ...(await recordDirectOrder()),
   ...(await recordRelayedOrder()),
   ...(await recordReservation(false)),
   ...(await recordReservation(true)),
-  ...(await recordCounts()),
+  ...(await recordTaskCounts()),
 });
--- a/src/recorded-formats/recorder.ts
+++ b/src/recorded-formats/recorder.ts
@@ -1,14 +1,14 @@
 /**
- * Writes the fixtures: `node target/recorded-formats/recorder.js` in the root of the repository, after the
- * bundle was made. It was run once, with the sources of the version that the fixtures name, and is kept to
- * show where they come from; it refuses to write over a fixture that is there.
+ * Writes the fixtures: run `node target/recorded-formats/recorder.js` in the root of the repository, after
+ * `npm run bundle`. The recorder ran once, with the sources of the version that the fixtures' directory
+ * names, and documents how the fixtures were made. It never overwrites an existing fixture.
  */
 import { existsSync, writeFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import * as prettier from 'prettier';
 import { recordCatalog } from './catalog.js';
 import { recordCommandLine } from './command-line.js';
-import { recordFirstBeats } from './deployment.js';
+import { recordFirstHeartbeats } from './deployment.js';
 import { fixtureFile, type Recording } from './fixtures.js';
 import { recordHolder } from './holder.js';
 import { recordHttpBytes } from './http-bytes.js';
@@ -19,11 +19,11 @@
 import { recordStoredValues } from './stored-values.js';
 import { recordUsers } from './users.js';
 
-/** In this order: what one sends is what the next receives. */
+/** Recorders in the order in which they run: later ones read fixtures of earlier ones. */
 const RECORDERS: readonly (readonly [name: string, record: () => Promise<Recording>])[] = [
   ['stored-values', recordStoredValues],
   ['http-bytes', recordHttpBytes],
-  ['first-beats', recordFirstBeats],
+  ['first-beats', recordFirstHeartbeats],
   ['other-holder', recordOtherHolder],
   ['holder', recordHolder],
   ['leader', recordLeader],
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -1,4 +1,4 @@
-/** Stored values as the codecs write them, and as they are written again after they were read. */
+/** Stored values as the codecs write them, and as the codecs write them again after reading them. */
 import {
   readProvisioningRecord,
   readTombstoneRecord,
@@ -27,7 +27,7 @@
 } from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
 import { leaderDuties } from '../testing/duties.js';
-import { messageOf, type Recording } from './fixtures.js';
+import { toRecordedMessage, type Recording } from './fixtures.js';
 import {
   ACKNOWLEDGEMENT,
   FINAL_RECORDS,
@@ -35,23 +35,27 @@
   LONG_RUN,
   MACHINE_RECORDS,
   MACHINE_TYPES,
-  REMOVAL_BOOK,
-  RENTAL_BOOKS,
+  TOMBSTONE_RECORD,
+  PROVISIONING_RECORDS,
   RUN,
   RUN_CHUNK,
   TOKEN,
 } from './in-memory-objects.js';
 
-/** bytes: room for everything that is recorded, and room for a part of it. */
-const ROOM = 16 * 1024;
-const LITTLE_ROOM = 180;
-/** Changes in one transaction. */
+/**
+ * bytes: more than any recorded value takes. Also ms since the key-value store last answered, long enough to
+ * count as an outage.
+ */
+const LARGE_LIMIT = 16 * 1024;
+/** bytes: too little for the long run and the cancelled job; the catalog needs more than twice as much. */
+const SMALL_VALUE_BYTES = 180;
+/** Largest number of writes in one transaction. */
 const TXN_OPS = 32;
 
-const FOLLOWED = ['job-000398', 'job-000405', 'job-1000000', 'job-000412', 'job-999999'];
+const DEPENDENCIES = ['job-000398', 'job-000405', 'job-1000000', 'job-000412', 'job-999999'];
 
-/** Writes each object, under the name of its kind. */
-const written = <T>(
+/** Encodes each object; entries are named by the kind and the object's name. */
+const encodeAll = <T>(
   kind: string,
   objects: Readonly<Record<string, T>>,
   write: (object: T) => unknown,
@@ -59,15 +63,15 @@
   Object.fromEntries(Object.entries(objects).map(([name, object]) => [`${kind}, ${name}`, write(object)]));
 
 const runs = (): Readonly<Record<string, StoredRun>> => ({
-  plain: encodeRun(RUN, RUN_CHUNK, ROOM, true),
-  'as earlier versions read it': encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, false),
-  'in parts': encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true),
-  prepared: asPrepared(encodeRun(RUN, RUN_CHUNK, ROOM, true)),
-  'prepared, in parts': asPrepared(encodeRun(LONG_RUN, RUN_CHUNK, LITTLE_ROOM, true)),
-  'that makes its attempt valid': withValidAttempt(encodeRun(RUN, RUN_CHUNK, ROOM, true), RUN.attempt),
+  plain: encodeRun(RUN, RUN_CHUNK, LARGE_LIMIT, true),
+  'as earlier versions read it': encodeRun(LONG_RUN, RUN_CHUNK, SMALL_VALUE_BYTES, false),
+  'in parts': encodeRun(LONG_RUN, RUN_CHUNK, SMALL_VALUE_BYTES, true),
+  prepared: asPrepared(encodeRun(RUN, RUN_CHUNK, LARGE_LIMIT, true)),
+  'prepared, in parts': asPrepared(encodeRun(LONG_RUN, RUN_CHUNK, SMALL_VALUE_BYTES, true)),
+  'that makes its attempt valid': withValidAttempt(encodeRun(RUN, RUN_CHUNK, LARGE_LIMIT, true), RUN.attempt),
 });
 
-const keysOfState = (): readonly string[] => [
+const storeKeys = (): readonly string[] => [
   keys.SHARED_PREFIX,
   keys.claimKey('2'),
   keys.machineKey('i-000001'),
@@ -87,8 +91,8 @@
   keys.finalKey('job-000412'),
 ];
 
-/** A holder's order to the leader while the state service answers nobody. */
-const orderToReturn = async (): Promise<Recording> => {
+/** The order to release machines that a holder sends the leader while the key-value store does not answer. */
+const recordReleaseRequest = async (): Promise<Recording> => {
   const sent: Record<string, unknown> = {};
   await releaseWithoutIntent(
     {
@@ -96,7 +100,7 @@
       duty: leaderDuties(TOKEN, () => 0).leader('release'),
       ownNode: 'n1',
       leaderNode: () => 'n0',
-      msSinceStoreAnswered: () => ROOM,
+      msSinceStoreAnswered: () => LARGE_LIMIT,
       releaseLocally: () => Promise.resolve(false),
       sendRequest: (_node, path, body) => {
         Object.assign(sent, { path, body });
@@ -109,45 +113,47 @@
   return {
     'path of the order to return machines': path,
     'order to return machines': body,
-    'order to return machines, as sent': messageOf(body),
+    'order to return machines, as sent': toRecordedMessage(body),
   };
 };
 
 /** Records stored values. */
 export const recordStoredValues = async (): Promise<Recording> => ({
-  ...written('job record', JOB_RECORDS, writeJobRecord),
+  ...encodeAll('job record', JOB_RECORDS, writeJobRecord),
   'job record, cancelled, shortened': writeCancelledRecord(
     JOB_RECORDS['cancelled, with followed jobs'] as never,
-    LITTLE_ROOM,
+    SMALL_VALUE_BYTES,
   ),
-  ...written('final record', FINAL_RECORDS, writeFinalRecord),
-  ...written('machine record', MACHINE_RECORDS, writeMachineRecord),
-  ...written('run', runs(), (run) => run),
-  'list of followed jobs': packIds(FOLLOWED),
-  'list of followed jobs, in parts': splitIds(FOLLOWED, 12).map(packIds),
-  'catalog in one value': storeCatalog(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
-  'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
-  ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
-  'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
+  ...encodeAll('final record', FINAL_RECORDS, writeFinalRecord),
+  ...encodeAll('machine record', MACHINE_RECORDS, writeMachineRecord),
+  ...encodeAll('run', runs(), (run) => run),
+  'list of followed jobs': packIds(DEPENDENCIES),
+  'list of followed jobs, in parts': splitIds(DEPENDENCIES, 12).map(packIds),
+  'catalog in one value': storeCatalog(MACHINE_TYPES, LARGE_LIMIT, TXN_OPS, true)?.map(storedChange),
+  'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * SMALL_VALUE_BYTES, TXN_OPS, true)?.map(storedChange),
+  ...encodeAll('book of rental requests', PROVISIONING_RECORDS, (book) =>
+    writeProvisioningRecord(book, TOKEN, LARGE_LIMIT),
+  ),
+  'book of removals': writeTombstoneRecord(TOMBSTONE_RECORD, LARGE_LIMIT),
   'mark of a holder': writeDurableAcknowledgement(ACKNOWLEDGEMENT),
-  keys: keysOfState(),
-  ...(await orderToReturn()),
+  keys: storeKeys(),
+  ...(await recordReleaseRequest()),
 });
 
 const storedChange = (change: { readonly key: string; readonly value?: unknown }): object => ({
   [change.key]: change.value,
 });
 
-const rereadRun = (stored: unknown): unknown => {
+const reencodeRun = (stored: unknown): unknown => {
   const { record, parts } = stored as StoredRun;
-  const marks = record as { readonly q?: number; readonly v?: number };
+  const flags = record as { readonly q?: number; readonly v?: number };
   const run = readRunRecord(record, RUN_CHUNK, parts);
-  const again = encodeRun(run, RUN_CHUNK, partCountOf(record) > 0 ? LITTLE_ROOM : ROOM, true);
-  const valid = marks.v === undefined ? again : withValidAttempt(again, marks.v);
-  return marks.q === undefined ? valid : asPrepared(valid);
+  const encoded = encodeRun(run, RUN_CHUNK, partCountOf(record) > 0 ? SMALL_VALUE_BYTES : LARGE_LIMIT, true);
+  const withAttempt = flags.v === undefined ? encoded : withValidAttempt(encoded, flags.v);
+  return flags.q === undefined ? withAttempt : asPrepared(withAttempt);
 };
 
-const rereadCatalog = (stored: unknown): unknown => {
+const reencodeCatalog = (stored: unknown): unknown => {
   const rows = Object.assign({}, ...(stored as object[])) as Record<string, unknown>;
   const itemOf = (key: string): { key: string; value: unknown; version: number } => ({
     key,
@@ -155,32 +161,33 @@
     version: 7,
   });
   const types = readStored(itemOf(keys.CATALOG_KEY), itemOf);
-  const room = keys.catalogPartKey(0) in rows ? 2 * LITTLE_ROOM : ROOM;
-  return types && storeCatalog(types, room, TXN_OPS, true)?.map(storedChange);
+  const valueBytes = keys.catalogPartKey(0) in rows ? 2 * SMALL_VALUE_BYTES : LARGE_LIMIT;
+  return types && storeCatalog(types, valueBytes, TXN_OPS, true)?.map(storedChange);
 };
 
-/** Reads stored values and writes them again, by the beginning of their names. */
-const REREAD: Readonly<Record<string, (stored: unknown) => unknown>> = {
+/** Functions that read a stored value and write it again, by the prefix of the entry's name. */
+const REENCODERS: Readonly<Record<string, (stored: unknown) => unknown>> = {
   'job record': (stored) => writeJobRecord(readJobRecord(stored)),
   'final record': (stored) => writeFinalRecord(readFinalRecord(stored)),
   'machine record': (stored) => writeMachineRecord(readMachineRecord(stored)),
-  run: rereadRun,
+  run: reencodeRun,
   'list of followed jobs, in parts': (stored) =>
     (stored as string[][]).map((part) => packIds(unpackIds(part))),
   'list of followed jobs': (stored) => packIds(unpackIds(stored as string[])),
-  catalog: rereadCatalog,
-  'book of rental requests': (stored) => writeProvisioningRecord(readProvisioningRecord(stored), TOKEN, ROOM),
-  'book of removals': (stored) => writeTombstoneRecord(readTombstoneRecord(stored), ROOM),
+  catalog: reencodeCatalog,
+  'book of rental requests': (stored) =>
+    writeProvisioningRecord(readProvisioningRecord(stored), TOKEN, LARGE_LIMIT),
+  'book of removals': (stored) => writeTombstoneRecord(readTombstoneRecord(stored), LARGE_LIMIT),
   'mark of a holder': (stored) => writeDurableAcknowledgement(readDurableAcknowledgement(stored)),
 };
 
-/** Stored values after they were read and written again; those that no codec reads are left out. */
-export const reread = (stored: Recording): Recording =>
+/** Reads stored values and writes them again; entries that no codec reads are left out. */
+export const reencode = (stored: Recording): Recording =>
   Object.fromEntries(
     Object.entries(stored).flatMap(([name, value]) => {
-      const kind = Object.keys(REREAD).find((prefix) => name.startsWith(prefix));
-      // The plain layout of a long run is only written while an earlier version may have to read it.
+      const kind = Object.keys(REENCODERS).find((prefix) => name.startsWith(prefix));
+      // A long run is written in the plain layout only while an earlier version may have to read it.
       if (kind === undefined || name.includes('as earlier versions read it')) return [];
-      return [[name, REREAD[kind]?.(value)]];
+      return [[name, REENCODERS[kind]?.(value)]];
     }),
   );
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -7,10 +7,10 @@
 import { decode } from '../http/msgpack.js';
 import { readHeartbeat } from '../peers/heartbeat-codec.js';
 import { PeerNetwork } from '../peers/network.js';
-import { peersOf, prepared, SETTLED_MS } from '../recorded-formats/deployment.js';
+import { peerResponder, prepareController, STARTUP_MS } from '../recorded-formats/deployment.js';
 import { recordedValue } from '../recorded-formats/fixtures.js';
 import {
-  machineNames,
+  machineIds,
   ReportingWorker,
   START_MS,
   type HarnessedController,
@@ -34,8 +34,8 @@
 
 /** The holder of a share with all these machines and jobs, as a restart finds them. */
 const holder = async (): Promise<HarnessedController> => {
-  const controller = await prepared('n1');
-  const workers = machineNames(1, MACHINES).map((id) => new ReportingWorker(controller, id));
+  const controller = await prepareController('n1');
+  const workers = machineIds(1, MACHINES).map((id) => new ReportingWorker(controller, id));
   for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
   for (let n = 0; n < JOBS; n += 1) {
     const worker = workers[Math.floor(n / JOBS_A_MACHINE)];
@@ -44,11 +44,11 @@
     await controller.seed(`r/1/${jobId(n)}/0`, `{"d":"0","b":[[0,"${worker.id}",1]],"n":1}`);
     worker.heads = [...worker.heads, { head: `${jobId(n)}/0`, try: 1, status: 'running' }];
   }
-  controller.respond = peersOf('n1');
+  controller.respond = peerResponder('n1');
   controller.start();
-  await controller.advance(SETTLED_MS);
-  for (const worker of workers) await worker.report();
-  for (const worker of workers) await worker.report();
+  await controller.advance(STARTUP_MS);
+  for (const worker of workers) await worker.sendHeartbeat();
+  for (const worker of workers) await worker.sendHeartbeat();
   await controller.advance(PLACED_MS);
   return controller;
 };
@@ -82,7 +82,7 @@
 
 const measure = async (controller: HarnessedController, to: 'n0' | 'n2'): Promise<object> => {
   const question = recordedValue('first-beats', `${to} to n1`);
-  const bytes = await controller.exchange('/beat', question);
+  const bytes = await controller.exchangeWithPeer('/beat', question);
   const network = listener();
   const note = async (): Promise<void> => {
     await network.handle({
@@ -95,7 +95,9 @@
   return {
     to: to === 'n0' ? 'the leader' : 'a peer',
     bytes: bytes.length,
-    'build and encode ms': (await processorMs(() => controller.exchange('/beat', question))).toFixed(3),
+    'build and encode ms': (await processorMs(() => controller.exchangeWithPeer('/beat', question))).toFixed(
+      3,
+    ),
     'decode and note ms': (await processorMs(note)).toFixed(3),
     'first task count ms': (
       await processorMs(async () => {
