--- a/src/cluster-tests/clock-jumps.test.ts
+++ b/src/cluster-tests/clock-jumps.test.ts
@@ -3,47 +3,47 @@
 import { runScenario, type Scenario, type ScenarioRun } from '../testing/scenario.js';
 
 /**
- * Somebody sets the time of day of one host. The protocol bounds it, so this is beyond what a deployment
- * promises; it may cost a duty for a moment, and must break no rule.
+ * The time of day of one host jumps. The protocol bounds the error of clocks, so a jump is beyond what a
+ * deployment guarantees. A controller may lose a duty for a short time, but no rule may be violated.
  */
 const HOUR_MS = 3_600_000;
 
-const setTime =
+const shiftClock =
   (claimName: string, ms: number) =>
-  (day: ScenarioRun): void => {
-    day.cluster.timeOfDayOffsets.set(day.holder(claimName), ms);
+  (run: ScenarioRun): void => {
+    run.cluster.timeOfDayOffsets.set(run.holder(claimName), ms);
   };
-const mend = (day: ScenarioRun): void => day.cluster.timeOfDayOffsets.clear();
+const resetClocks = (run: ScenarioRun): void => run.cluster.timeOfDayOffsets.clear();
 
 const rows: readonly (Scenario & { readonly name: string })[] = [
   {
-    name: "the leader's time jumps an hour forward, and back",
+    name: "the leader's time of day jumps an hour forward, and back",
     seed: 301,
     jobs: 10,
     faults: [
-      [30, setTime('L', HOUR_MS)],
-      [60, mend],
+      [30, shiftClock('L', HOUR_MS)],
+      [60, resetClocks],
     ],
   },
   {
-    name: "the leader's time jumps an hour back while jobs are cancelled",
+    name: "the leader's time of day jumps an hour back while jobs are cancelled",
     seed: 302,
     jobs: 10,
     faults: [
-      [30, setTime('L', -HOUR_MS)],
-      [40, (day) => day.cancelRunning(2)],
-      [60, mend],
+      [30, shiftClock('L', -HOUR_MS)],
+      [40, (run) => run.cancelRunning(2)],
+      [60, resetClocks],
     ],
   },
   {
-    name: 'the time of the holder of a share jumps forward in an outage',
+    name: "the time of day of a shard's holder jumps forward during an outage of the key-value store",
     seed: 303,
     jobs: 10,
     faults: [
-      [30, (day) => day.world.state.outage(true)],
-      [33, setTime('0', HOUR_MS)],
-      [45, (day) => day.world.state.outage(false)],
-      [60, mend],
+      [30, (run) => run.world.state.outage(true)],
+      [33, shiftClock('0', HOUR_MS)],
+      [45, (run) => run.world.state.outage(false)],
+      [60, resetClocks],
     ],
   },
 ];
--- a/src/cluster-tests/concurrent-faults.test.ts
+++ b/src/cluster-tests/concurrent-faults.test.ts
@@ -5,250 +5,259 @@
 import { FAULTS } from '../testing/faults.js';
 import { SeededRandom } from '../testing/seeded-random.js';
 
-/** A trouble from the list, beginning at this second, drawn from a seed of its own. */
-const at = (start: number, name: keyof typeof FAULTS, seed: number): Scenario['faults'] =>
+/** The events of a fault from the list that begins at this second; its parameters are drawn from the seed. */
+const faultAt = (start: number, name: keyof typeof FAULTS, seed: number): Scenario['faults'] =>
   (FAULTS[name]?.(new SeededRandom(seed)) ?? []).map(([offset, happen]) => [start + offset, happen] as const);
 
-/** Troubles that meet, each brought about against our own stand-ins. */
-/** The gap again, with its times drawn: refusal, cancellations, outage, and a crash or a takeover in it. */
-const drawnGap = (seed: number): Scenario & { readonly name: string } => {
+/** The first scenario of the list with random times, and a crash and a restart of one controller. */
+const randomOutage = (seed: number): Scenario & { readonly name: string } => {
   const random = new SeededRandom(seed);
-  const tenths = (below: number): number => random.below(below * 10) / 10;
-  const refused = 36 + tenths(8);
-  const outage = refused + 0.3 + tenths(5);
-  const over = outage + 20 + tenths(40);
-  const crash = outage - 2 + tenths(30);
+  const randomTenths = (below: number): number => random.below(below * 10) / 10;
+  const refused = 36 + randomTenths(8);
+  const outage = refused + 0.3 + randomTenths(5);
+  const over = outage + 20 + randomTenths(40);
+  const crash = outage - 2 + randomTenths(30);
   return {
-    name: `refusal, cancellations, outage, crash and takeover at drawn times (seed ${seed})`,
+    name: `refusal, cancellations, outage, crash and takeover at random times (seed ${seed})`,
     seed,
     jobs: 9,
     runS: [90, 140],
     faults: [
-      [refused, (day) => day.world.state.refused.add(day.busiest())],
+      [refused, (run) => run.world.state.refused.add(run.busiest())],
       ...[0, 1, 2].map(
         () =>
-          [refused - 1 + tenths(4), (day: ScenarioRun) => day.cancelRunning(1 + random.below(3))] as const,
+          [
+            refused - 1 + randomTenths(4),
+            (run: ScenarioRun) => run.cancelRunning(1 + random.below(3)),
+          ] as const,
       ),
-      [outage, (day) => day.world.state.outage(true)],
-      [refused + 1 + tenths(30), (day) => day.world.state.refused.clear()],
-      [crash, (day) => day.cluster.down(NODES[seed % 3] ?? 'n0')],
-      [crash + (random.chance(0.5) ? 0.1 : 4), (day) => day.cluster.up(NODES[seed % 3] ?? 'n0')],
-      [over, (day) => day.world.state.outage(false)],
+      [outage, (run) => run.world.state.outage(true)],
+      [refused + 1 + randomTenths(30), (run) => run.world.state.refused.clear()],
+      [crash, (run) => run.cluster.down(NODES[seed % 3] ?? 'n0')],
+      [crash + (random.chance(0.5) ? 0.1 : 4), (run) => run.cluster.up(NODES[seed % 3] ?? 'n0')],
+      [over, (run) => run.world.state.outage(false)],
     ],
   };
 };
 
+/** Scenarios of concurrent faults, each run against the stand-ins. */
 const rows: readonly (Scenario & { readonly name: string })[] = [
-  // The holder never saw the cancellation, and rode out the outage that followed, answering its workers all
-  // the while.
+  // The holder of the shard never received the cancellations, kept its claim through the outage that
+  // followed, and answered its workers throughout.
   ...[21, 22, 23].map((seed) => ({
-    name: `the state refuses the holder alone, jobs are cancelled elsewhere, then it is out for all (seed ${seed})`,
+    name: `the store refuses one holder, jobs are cancelled elsewhere, then the store is out (seed ${seed})`,
     seed,
     jobs: 9,
     runS: [90, 140] as const,
     faults: [
-      [40, (day) => day.world.state.refused.add(day.busiest())],
-      [40.1, (day) => day.cancelRunning(8)],
-      [41, (day) => day.world.state.outage(true)],
-      [55, (day) => day.world.state.refused.clear()],
-      [98, (day) => day.world.state.outage(false)],
+      [40, (run) => run.world.state.refused.add(run.busiest())],
+      [40.1, (run) => run.cancelRunning(8)],
+      [41, (run) => run.world.state.outage(true)],
+      [55, (run) => run.world.state.refused.clear()],
+      [98, (run) => run.world.state.outage(false)],
     ] satisfies Scenario['faults'],
   })),
-  ...[71, 72, 73, 74].map(drawnGap),
+  ...[71, 72, 73, 74].map(randomOutage),
 
-  // 1. Slow state, then refused alone, then out for all: answers about cancellations wait for their holder,
-  //    nothing is told too early.
+  // 1. The key-value store is slow, then refuses one holder, then is out for all. Controllers answer
+  //    cancellations only once the holder of the shard has acknowledged them, never earlier.
   {
-    name: 'a slow state, then the holder refused, then an outage, while users cancel and ask',
+    name: 'the store is slow, then refuses the holder, then has an outage, while users cancel and poll',
     seed: 31,
     jobs: 10,
     runS: [60, 120],
     faults: [
-      ...at(35, 'slowState', 1),
-      [40, (day) => day.cancelRunning(3)],
-      [44, (day) => day.world.state.refused.add(day.busiest())],
-      [44.3, (day) => day.cancelRunning(3)],
-      [45.5, (day) => day.world.state.outage(true)],
-      [97, (day) => day.world.state.outage(false)],
-      [98, (day) => day.world.state.refused.clear()],
+      ...faultAt(35, 'slowState', 1),
+      [40, (run) => run.cancelRunning(3)],
+      [44, (run) => run.world.state.refused.add(run.busiest())],
+      [44.3, (run) => run.cancelRunning(3)],
+      [45.5, (run) => run.world.state.outage(true)],
+      [97, (run) => run.world.state.outage(false)],
+      [98, (run) => run.world.state.refused.clear()],
     ],
   },
-  // 2. A report that a former holder never got arrives at the new one, which has acted: it proves nothing by
-  //    its silence.
+  // 2. Worker heartbeats that a former holder never received reach the new holder, which has acted meanwhile.
+  //    A task that such a heartbeat does not name is not proven gone.
   {
-    name: 'reports held back until a new holder has acted, then delivered there',
+    name: 'worker heartbeats are held back until a new holder has acted, then delivered to it',
     seed: 32,
     runS: [20, 60],
     faults: [
-      [35, (day) => day.world.hold('n0', day.working())],
-      [36, (day) => day.cluster.down('n0')],
-      [36.1, (day) => day.cluster.up('n0')],
-      [52, (day) => day.world.hold('n0', [])],
-      [60, (day) => day.world.hold(day.busiest(), day.working().slice(0, 3))],
-      [85, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.world.hold(node, []))],
+      [35, (run) => run.world.hold('n0', run.working())],
+      [36, (run) => run.cluster.down('n0')],
+      [36.1, (run) => run.cluster.up('n0')],
+      [52, (run) => run.world.hold('n0', [])],
+      [60, (run) => run.world.hold(run.busiest(), run.working().slice(0, 3))],
+      [85, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.world.hold(node, []))],
     ],
   },
-  // 3. Each write is conditional on what it changes, so an older one that comes late fails.
+  // 3. Each write is conditional on the revision of the key that it changes, so an older write that arrives
+  //    late fails.
   {
-    name: 'transactions without an answer, carried out after newer ones of the same controller',
+    name: 'transactions without an answer take effect after newer ones of the same controller',
     seed: 33,
     runS: [10, 40],
     faults: [
-      [15, (day) => (day.world.lateWrites = 0.25)],
-      [45, (day) => day.cancelRunning(3)],
-      [60, (day) => day.cluster.down(day.busiest())],
-      [60.1, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
-      [100, (day) => (day.world.lateWrites = 0)],
+      [15, (run) => (run.world.lateWrites = 0.25)],
+      [45, (run) => run.cancelRunning(3)],
+      [60, (run) => run.cluster.down(run.busiest())],
+      [60.1, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      [100, (run) => (run.world.lateWrites = 0)],
     ],
   },
-  // 4. A direct command that hung with its machine is carried out when that resumes, under the same token and
-  //    session.
+  // 4. A direct command to a hung machine is executed when the machine resumes, under the same token and
+  //    agent epoch.
   {
-    name: 'commands held up with their machines, which then go on',
+    name: 'commands are delayed while their machines hang, and the machines then resume',
     seed: 34,
     runS: [15, 50],
     faults: [10, 20, 30, 42, 54].flatMap((start, k) => [
-      ...at(start, 'hang', k),
-      [start + 1, (day: ScenarioRun) => day.cancelRunning(1)] as const,
+      ...faultAt(start, 'hang', k),
+      [start + 1, (run: ScenarioRun) => run.cancelRunning(1)] as const,
     ]),
   },
-  // 6. What is not proven gone counts, cancelled or not, from before the first bind of a takeover.
+  // 6. Tasks that are not proven gone count against the limit of their team, cancelled or not, before a new
+  //    holder binds its first task.
   {
-    name: 'teams at their limits, the holder ends, machines can not be asked, and jobs are cancelled',
+    name: 'teams at their limits, the holder stops, machines are unreachable, and jobs are cancelled',
     seed: 36,
     jobs: 18,
     everyS: 1,
     tasks: 16,
     runS: [25, 60],
     faults: [
-      ...at(40, 'cut', 3),
-      [40.5, (day) => day.cluster.down(day.busiest())],
-      [41, (day) => day.cancelRunning(3)],
-      [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
-      [47, (day) => day.cancelRunning(2)],
+      ...faultAt(40, 'cut', 3),
+      [40.5, (run) => run.cluster.down(run.busiest())],
+      [41, (run) => run.cancelRunning(3)],
+      [44, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      [47, (run) => run.cancelRunning(2)],
     ],
   },
-  // 7. Workers begin new sessions and forget their exits; nothing is done twice at once, nothing forgotten.
+  // 7. Workers begin new agent epochs and discard exited tasks. No task runs twice at the same time, and no
+  //    job is lost.
   {
-    name: 'all controllers away for longer than a lease',
+    name: 'all controllers are down for longer than a lease',
     seed: 37,
     runS: [15, 60],
     faults: [
-      [40, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [59, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
+      [40, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
+      [59, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
     ],
   },
-  // 8. Cut from state and peers a holder is silent when its lease may be over, so its workers let go in time.
+  // 8. A holder without the key-value store and peers stops answering its workers when its lease may have
+  //    expired, so that the leases of the workers expire in time.
   {
-    name: 'the holder loses the state and its siblings, not its workers; jobs are cancelled through the new one',
+    name: 'the holder loses the store and its peers, not its workers; jobs are cancelled at its successor',
     seed: 38,
     jobs: 10,
     runS: [80, 120],
     faults: [
-      ...at(40, 'isolated', 2),
-      [41, (day) => day.cancelRunning(4)],
-      [50, (day) => day.cancelRunning(3)],
+      ...faultAt(40, 'isolated', 2),
+      [41, (run) => run.cancelRunning(4)],
+      [50, (run) => run.cancelRunning(3)],
     ],
   },
-  // 9. Direct commands renew no lease: what is bound there is over a lease after the last answer.
+  // 9. Direct commands renew no lease: tasks on such a machine end one lease after its last answered
+  //    heartbeat.
   {
-    name: 'workers that reach no controller while direct commands reach them',
+    name: 'workers reach no controller while direct commands reach the workers',
     seed: 39,
     runS: [15, 60],
-    faults: [...at(30, 'mute', 1), ...at(45, 'mute', 7), [50, (day) => day.cancelRunning(2)]],
+    faults: [...faultAt(30, 'mute', 1), ...faultAt(45, 'mute', 7), [50, (run) => run.cancelRunning(2)]],
   },
-  // 10. The final record and the cancellation are conditional on the same key: one of them comes first, for
-  //     everybody.
+  // 10. The final record and the cancellation are conditional on the same key, so all controllers see the
+  //     same one of them succeed.
   {
-    name: 'each job is cancelled at the very end of its last task, or asked about',
+    name: 'jobs are cancelled when their last task ends, or polled',
     seed: 40,
     jobs: 16,
     runS: [6, 14],
     cancelAtEnd: 0.6,
     faults: [],
   },
-  // 11. Whatever lives in a holder's memory only (sick, deaf, waited) is lost ten times.
+  // 11. State that a holder keeps only in memory (quarantined and unreachable machines, waiting times) is
+  //     lost ten times.
   {
-    name: 'ten changes of holder in two minutes, an outage among them',
+    name: 'ten changes of holder in two minutes, with an outage in between',
     seed: 41,
     runS: [15, 60],
     faults: [
-      ...at(20, 'changes', 1),
-      [70, (day) => day.world.state.outage(true)],
-      [88, (day) => day.world.state.outage(false)],
-      [92, (day) => day.cancelRunning(3)],
+      ...faultAt(20, 'changes', 1),
+      [70, (run) => run.world.state.outage(true)],
+      [88, (run) => run.world.state.outage(false)],
+      [92, (run) => run.cancelRunning(3)],
     ],
   },
-  // 12. A new holder knows of bindings only from the records; machines that don't hear it are no proof of
-  //     anything.
+  // 12. A new holder knows bindings only from the records. Machines that receive none of its messages prove
+  //     nothing about their tasks.
   {
-    name: 'a holder ends while machines with long tasks are cut off or do not hear',
+    name: 'a holder stops while machines with long tasks are cut off or receive nothing',
     seed: 42,
     jobs: 8,
     runS: [70, 110],
     faults: [
-      ...at(35, 'deaf', 5),
-      ...at(36, 'cut', 6),
-      [38, (day) => day.cluster.down(day.busiest())],
-      [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
+      ...faultAt(35, 'deaf', 5),
+      ...faultAt(36, 'cut', 6),
+      [38, (run) => run.cluster.down(run.busiest())],
+      [44, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
     ],
   },
-  // 13. A copy from before is acknowledged neither by the holder that saw newer ones nor by one that saw
-  //     none.
+  // 13. An old copy of a heartbeat is not acknowledged, neither by a holder that received newer heartbeats
+  //     nor by one that received none.
   {
-    name: 'old reports after newer ones, from earlier sessions and attempts, across takeovers',
+    name: 'old worker heartbeats after newer ones, from earlier agent epochs and attempts, across takeovers',
     seed: 43,
     runS: [10, 40],
     faults: [
-      [10, (day) => (day.world.lateReports = 0.5)],
-      ...at(30, 'cut', 2),
-      [45, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [45.2, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
-      ...at(55, 'roll', 3),
-      [110, (day) => (day.world.lateReports = 0)],
+      [10, (run) => (run.world.lateReports = 0.5)],
+      ...faultAt(30, 'cut', 2),
+      [45, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
+      [45.2, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      ...faultAt(55, 'roll', 3),
+      [110, (run) => (run.world.lateReports = 0)],
     ],
   },
-  // 14. An exit is forgotten on its machine only once its record says so, so a new holder finds one or the
-  //     other.
+  // 14. A worker forgets an exited task only after the run record contains the exit, so a new holder finds
+  //     the exit on the machine or in the record.
   {
-    name: 'tasks of one job end far apart, with changes of holder between',
+    name: 'tasks of one job end far apart, with changes of holder in between',
     seed: 44,
     jobs: 12,
     runS: [5, 25],
     apart: true,
-    faults: [20, 34, 48, 62].flatMap((start, k) => at(start, 'crashBusiest', k)),
+    faults: [20, 34, 48, 62].flatMap((start, k) => faultAt(start, 'crashBusiest', k)),
   },
-  // 15. More than there is room for, over links that lose much: nothing is bound twice or waits for ever.
+  // 15. More work than capacity, over links that lose many messages: no task is bound twice or waits forever.
   {
-    name: 'more work than room over poor links',
+    name: 'more work than capacity, over links that lose messages',
     seed: 45,
     jobs: 22,
     everyS: 1,
     runS: [15, 40],
     loss: 0.02,
     faults: [
-      [10, (day) => (day.world.stateSlowMs = 600)],
-      [90, (day) => (day.world.stateSlowMs = 0)],
-      [91, (day) => (day.world.loss = 0)],
+      [10, (run) => (run.world.stateSlowMs = 600)],
+      [90, (run) => (run.world.stateSlowMs = 0)],
+      [91, (run) => (run.world.loss = 0)],
     ],
   },
-  // 16. Handed over, handed back, all ended, one back within a second.
+  // 16. Claims are handed over and back, all controllers stop, and one restarts within a second.
   {
-    name: 'controllers hand over and back, all end, and one returns within a second',
+    name: 'controllers hand claims over and back, all stop, and one restarts within a second',
     seed: 46,
     runS: [15, 50],
     faults: [
-      ...at(25, 'roll', 4),
-      [60, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [60.4, (day) => day.cluster.up('n1')],
-      [70, (day) => day.cluster.up('n0')],
-      [71, (day) => day.cluster.up('n2')],
-      [90, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [90.1, (day) => day.cluster.up('n2')],
-      [108, (day) => ['n0', 'n1'].forEach((node) => day.cluster.up(node))],
+      ...faultAt(25, 'roll', 4),
+      [60, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
+      [60.4, (run) => run.cluster.up('n1')],
+      [70, (run) => run.cluster.up('n0')],
+      [71, (run) => run.cluster.up('n2')],
+      [90, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
+      [90.1, (run) => run.cluster.up('n2')],
+      [108, (run) => ['n0', 'n1'].forEach((node) => run.cluster.up(node))],
     ],
   },
-  // 17. Tasks of the old attempt keep their zone until they are proven gone.
+  // 17. The remaining tasks of an earlier attempt tie their job to its zone until they are proven gone.
   {
     name: 'one-zone gangs and arrays lose machines, some for good',
     seed: 47,
@@ -256,76 +265,76 @@
     everyS: 2,
     runS: [20, 50],
     faults: [
-      ...at(25, 'cut', 8),
-      ...at(28, 'dies', 1),
-      ...at(45, 'dies', 2),
-      ...at(46, 'hang', 4),
-      ...at(60, 'cut', 5),
-      ...at(61, 'crashBusiest', 6),
+      ...faultAt(25, 'cut', 8),
+      ...faultAt(28, 'dies', 1),
+      ...faultAt(45, 'dies', 2),
+      ...faultAt(46, 'hang', 4),
+      ...faultAt(60, 'cut', 5),
+      ...faultAt(61, 'crashBusiest', 6),
     ],
   },
-  // 18. Inside the zone the controller falls silent with its claim; what was held back comes when all has
-  //     changed.
+  // 18. The controller inside the zone stops answering when its claim may have expired. The messages that
+  //     were held back arrive after other controllers have taken over.
   {
-    name: 'a zone with workers and a controller is cut off for longer than a lease, its messages come late',
+    name: 'a zone with workers and a controller is cut off for longer than a lease; its messages arrive late',
     seed: 48,
     runS: [20, 70],
     faults: [
       [
         35,
-        (day) => {
-          day.world.hold('n1', ['state', 'cloud', 'n0', 'n2', 'user']);
+        (run) => {
+          run.world.hold('n1', ['state', 'cloud', 'n0', 'n2', 'user']);
           for (const node of ['n0', 'n2'])
-            day.world.hold(
+            run.world.hold(
               node,
-              [...day.world.machines.values()].filter((m) => m.zone === 'y').map((m) => m.id),
+              [...run.world.machines.values()].filter((m) => m.zone === 'y').map((m) => m.id),
             );
         },
       ],
-      [42, (day) => day.cancelRunning(4)],
-      [65, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.world.hold(node, []))],
+      [42, (run) => run.cancelRunning(4)],
+      [65, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.world.hold(node, []))],
     ],
   },
 
-  // Pipelines: nothing starts before what it follows is done, and nothing outlives what is cancelled before
-  // it.
+  // Pipelines: no job starts before its dependencies are done, and cancelling a job cancels the jobs that
+  // depend on it.
   {
-    name: 'pipelines across shares, holders end between the stages',
+    name: 'pipelines across shards, holders stop between the stages',
     seed: 81,
     jobs: 6,
     pipelines: 6,
-    faults: [18, 30, 41, 53].flatMap((start, k) => at(start, 'crashBusiest', k)),
+    faults: [18, 30, 41, 53].flatMap((start, k) => faultAt(start, 'crashBusiest', k)),
   },
   {
-    name: 'pipelines called off while holders are cut off, refused and replaced, then an outage',
+    name: 'pipelines are cancelled while holders are cut off, refused and replaced, then an outage',
     seed: 82,
     jobs: 5,
     pipelines: 7,
     everyS: 2,
     faults: [
-      [18, (day) => day.cancelPipelines(1)],
-      ...at(24, 'isolated', 3),
-      [25, (day) => day.cancelPipelines(2)],
-      [40, (day) => day.world.state.refused.add(day.busiest())],
-      [40.2, (day) => day.cancelPipelines(2)],
-      [41, (day) => day.world.state.outage(true)],
-      [66, (day) => day.world.state.outage(false)],
-      [67, (day) => day.world.state.refused.clear()],
+      [18, (run) => run.cancelPipelines(1)],
+      ...faultAt(24, 'isolated', 3),
+      [25, (run) => run.cancelPipelines(2)],
+      [40, (run) => run.world.state.refused.add(run.busiest())],
+      [40.2, (run) => run.cancelPipelines(2)],
+      [41, (run) => run.world.state.outage(true)],
+      [66, (run) => run.world.state.outage(false)],
+      [67, (run) => run.world.state.refused.clear()],
     ],
   },
   {
-    name: 'pipelines under late transactions, late reports and copies, all controllers away between',
+    name: 'pipelines under late transactions, late heartbeats and copies, all controllers down in between',
     seed: 83,
     jobs: 5,
     pipelines: 6,
     faults: [
-      ...at(10, 'lateWrites', 2),
-      ...at(12, 'lateReports', 3),
-      ...at(14, 'copies', 4),
-      [30, (day) => day.cancelPipelines(1)],
-      ...at(36, 'crashAll', 1),
-      ...at(60, 'lateWrites', 5),
-      [62, (day) => day.cancelPipelines(1)],
+      ...faultAt(10, 'lateWrites', 2),
+      ...faultAt(12, 'lateReports', 3),
+      ...faultAt(14, 'copies', 4),
+      [30, (run) => run.cancelPipelines(1)],
+      ...faultAt(36, 'crashAll', 1),
+      ...faultAt(60, 'lateWrites', 5),
+      [62, (run) => run.cancelPipelines(1)],
     ],
   },
 ];
--- a/src/cluster-tests/controllers.test.ts
+++ b/src/cluster-tests/controllers.test.ts
@@ -7,27 +7,28 @@
 import type { StandInJob } from '../testing/worker-stand-in.js';
 
 /**
- * The service's main path, end to end, against our stand-ins: loss, delay, restarts; one seed, virtual time.
+ * The main path of the service, end to end, against the stand-ins: message loss, delays and restarts, on
+ * virtual time and from one seed per test.
  */
 const LIMITS = new Map([
   ['red', 24],
   ['blue', 16],
 ]);
 
-type Fault = (world: SimulatedEnvironment, cluster: Cluster) => void;
-const days: readonly {
+type Fault = (env: SimulatedEnvironment, cluster: Cluster) => void;
+const scenarios: readonly {
   name: string;
   seed: number;
   loss: number;
   faults: readonly (readonly [number, Fault])[];
-  copies?: number;
-  /** Starts of one task at most. */
-  most?: number;
+  duplicateProbability?: number;
+  /** The largest number of times that one task may start. */
+  maxStarts?: number;
 }[] = [
-  { name: 'a quiet day', seed: 1, loss: 0, faults: [] },
-  { name: 'messages lost, and some delivered long after', seed: 2, loss: 0.01, faults: [] },
+  { name: 'no faults', seed: 1, loss: 0, faults: [] },
+  { name: 'messages are lost, and some are delivered late', seed: 2, loss: 0.01, faults: [] },
   {
-    name: 'one controller killed and back at once, then all three',
+    name: 'one controller is killed and restarts immediately, then all three',
     seed: 3,
     loss: 0.002,
     faults: [
@@ -38,60 +39,61 @@
     ],
   },
   {
-    name: 'a state outage longer than a lease, a controller refused by the state alone, machines dying',
+    name: 'a store outage longer than a lease, one controller refused by the store, machines failing',
     seed: 4,
     loss: 0.002,
     faults: [
-      [20, (world) => world.state.outage(true)],
-      [40, (world) => world.state.outage(false)],
-      [50, (world) => world.state.refused.add('n1')],
+      [20, (env) => env.state.outage(true)],
+      [40, (env) => env.state.outage(false)],
+      [50, (env) => env.state.refused.add('n1')],
       [
         55,
-        (world) =>
-          [...world.machines.values()]
+        (env) =>
+          [...env.machines.values()]
             .filter((machine) => machine.tasks.size > 0)
             .slice(0, 1)
-            .forEach((machine) => world.kill(machine.id)),
+            .forEach((machine) => env.kill(machine.id)),
       ],
-      [65, (world) => world.state.refused.delete('n1')],
+      [65, (env) => env.state.refused.delete('n1')],
     ],
   },
   {
-    name: 'machines cut off at work: for less than their lease, then for longer',
+    name: 'machines with tasks are cut off: for less than their lease, then for longer',
     seed: 5,
     loss: 0.001,
     faults: [
-      [24, (world) => world.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
-      [36, (world) => world.machines.forEach((machine) => (machine.cut = false))],
-      [48, (world) => world.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
-      [70, (world) => world.machines.forEach((machine) => (machine.cut = false))],
+      [24, (env) => env.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
+      [36, (env) => env.machines.forEach((machine) => (machine.cut = false))],
+      [48, (env) => env.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
+      [70, (env) => env.machines.forEach((machine) => (machine.cut = false))],
     ],
   },
-  // Its session rises as its lease ends, which is the proof; a gang must not be bound there time and again.
+  // The agent epoch of such a machine increases when its lease expires, which proves that its tasks are gone.
+  // A gang must not be bound to the machine again and again.
   {
-    name: 'a machine whose reports arrive but which hears nothing, at work and then for long',
+    name: 'machines with tasks send heartbeats but receive nothing, for a long time',
     seed: 6,
     loss: 0,
     faults: [
       [
         24,
-        (world) =>
-          [...world.machines.values()]
+        (env) =>
+          [...env.machines.values()]
             .filter((machine) => machine.tasks.size > 0)
             .slice(0, 2)
             .forEach((machine) => (machine.deaf = true)),
       ],
-      [140, (world) => world.machines.forEach((machine) => (machine.deaf = false))],
+      [140, (env) => env.machines.forEach((machine) => (machine.deaf = false))],
     ],
-    most: 3,
+    maxStarts: 3,
   },
-  // A late copy of a report is never evidence, nor a machine that still is; a late copy of a request that was
-  // carried out changes nothing.
+  // A late copy of a heartbeat proves neither that a task is gone nor that its machine still exists. A late
+  // copy of a request that took effect changes nothing.
   {
-    name: 'everything said twice, the copy 1 s, a lease or three later, across takeovers and moves',
+    name: 'messages arrive twice, the copy 1 s, one lease or three leases later, across takeovers and moves',
     seed: 8,
     loss: 0.001,
-    copies: 0.15,
+    duplicateProbability: 0.15,
     faults: [
       [22, (_, cluster) => cluster.down('n1')],
       [22.1, (_, cluster) => cluster.up('n1')],
@@ -101,20 +103,21 @@
       [60.1, (_, cluster) => NODES.forEach((node) => cluster.up(node))],
     ],
   },
-  // It hears no word of a new holder, so it must fall silent by itself before one commands its workers.
+  // The controller cannot learn of a new holder, so it must stop answering its workers by itself before a new
+  // holder commands them.
   {
-    name: 'a controller that loses the state and its siblings, but not its workers; then another',
+    name: 'a controller loses the store and its peers, but not its workers; then another one does',
     seed: 9,
     loss: 0,
     faults: [
-      [20, (world) => world.sever('n0', ['state', 'mesh-n1', 'mesh-n2'])],
-      [50, (world) => world.sever('n0', [])],
-      [62, (world) => world.sever('n1', ['state', 'mesh-n0', 'mesh-n2'])],
-      [85, (world) => world.sever('n1', [])],
+      [20, (env) => env.sever('n0', ['state', 'mesh-n1', 'mesh-n2'])],
+      [50, (env) => env.sever('n0', [])],
+      [62, (env) => env.sever('n1', ['state', 'mesh-n0', 'mesh-n2'])],
+      [85, (env) => env.sever('n1', [])],
     ],
   },
   {
-    name: 'processes back within 0.1 s, several times in a row, also while claims are taken over',
+    name: 'processes restart within 0.1 s, several times in a row, also while claims are taken over',
     seed: 10,
     loss: 0.001,
     faults: [20, 20.4, 21, 25, 25.3, 26, 30.2, 30.4].flatMap((at, k) => {
@@ -126,44 +129,44 @@
     }),
   },
   {
-    name: 'connections between controllers refused for long',
+    name: 'connections between controllers are refused for a long time',
     seed: 11,
     loss: 0,
     faults: [
       [
         18,
-        (world) =>
+        (env) =>
           NODES.forEach((node) =>
-            world.sever(
+            env.sever(
               node,
               NODES.map((other) => `mesh-${other}`),
             ),
           ),
       ],
-      [80, (world) => NODES.forEach((node) => world.sever(node, []))],
+      [80, (env) => NODES.forEach((node) => env.sever(node, []))],
     ],
   },
 ];
 
-for (const day of days) {
-  test(`service: ${day.name}`, { timeout: 120_000 }, async () => {
+for (const scenario of scenarios) {
+  test(`service: ${scenario.name}`, { timeout: 120_000 }, async () => {
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-    const world = new SimulatedEnvironment(
+    const env = new SimulatedEnvironment(
       NODES,
-      new SeededRandom(day.seed),
+      new SeededRandom(scenario.seed),
       15_000,
       3_000,
       LIMITS,
       CANCEL_MS,
     );
-    const cluster = new Cluster(world);
+    const cluster = new Cluster(env);
     try {
       const begin = Date.now();
       NODES.forEach((node) => cluster.up(node));
-      for (let k = 0; k < 4; k += 1) world.boot(k % 2 === 0 ? 'x' : 'y', false, 100);
-      world.loss = day.loss;
-      world.copies = day.copies ?? 0;
-      world.copyAfter = [1_000, 15_000, 45_000];
+      for (let k = 0; k < 4; k += 1) env.boot(k % 2 === 0 ? 'x' : 'y', false, 100);
+      env.loss = scenario.loss;
+      env.copies = scenario.duplicateProbability ?? 0;
+      env.copyAfter = [1_000, 15_000, 45_000];
 
       const jobs: StandInJob[] = [];
       for (let n = 0; n < 16; n += 1) {
@@ -178,24 +181,24 @@
         else if (n % 4 === 3) jobs.push(jobOf(n, { owner: 'blue', heads: 7, agistment: true }, 12_000));
         else jobs.push(jobOf(n, { heads: 1 + (n % 5) }, 8_000 + 1_500 * n));
       }
-      /** Users: submit until accepted, poll until done; one cancels. */
-      const user = async (job: StandInJob, order: number): Promise<void> => {
+      /** A user: submits a job until it is accepted and polls until it is done; one user cancels the job. */
+      const simulateUser = async (job: StandInJob, order: number): Promise<void> => {
         await new Promise((resolve) => setTimeout(resolve, 3_000 + order * 4_000));
-        const ask = (method: string, path: string, body?: unknown): Promise<CallOutcome> =>
-          world.call('user', NODES[world.random.below(3)] ?? 'n0', method, path, body, 2_000);
-        world.jobs.set(job.id, job);
+        const request = (method: string, path: string, body?: unknown): Promise<CallOutcome> =>
+          env.call('user', NODES[env.random.below(3)] ?? 'n0', method, path, body, 2_000);
+        env.jobs.set(job.id, job);
         for (;;) {
-          const answer = await ask('POST', '/v2/runs', job.body);
+          const answer = await request('POST', '/v2/runs', job.body);
           if (answer._tag === 'response' && (answer.status === 201 || answer.status === 200)) break;
           if (answer._tag === 'response' && answer.status < 500)
-            world.broken.push(`refused ${job.id} ${answer.status}`);
+            env.broken.push(`refused ${job.id} ${answer.status}`);
           await new Promise((resolve) => setTimeout(resolve, 1_000));
         }
         job.accepted = true;
         if (order === 6) {
           await new Promise((resolve) => setTimeout(resolve, 6_000));
           for (;;) {
-            const answer = await ask('POST', `/v2/runs/${job.id}/abort`);
+            const answer = await request('POST', `/v2/runs/${job.id}/abort`);
             if (answer._tag === 'response' && answer.status === 200) {
               if ((answer.body as { status: string }).status === 'withdrawn') job.cancelledAt = Date.now();
               break;
@@ -204,15 +207,15 @@
           }
         }
         for (;;) {
-          const answer = await ask('GET', `/v2/runs/${job.id}`);
-          if (answer._tag === 'response' && answer.status === 404) world.broken.push(`forgotten ${job.id}`);
+          const answer = await request('GET', `/v2/runs/${job.id}`);
+          if (answer._tag === 'response' && answer.status === 404) env.broken.push(`forgotten ${job.id}`);
           if (answer._tag === 'response' && answer.status === 200) {
             const { status } = answer.body as { status: string };
-            if (status === 'done' && !world.allDone(job)) world.broken.push(`not_done ${job.id}`);
+            if (status === 'done' && !env.allDone(job)) env.broken.push(`not_done ${job.id}`);
             if (job.cancelledAt !== null && status !== 'withdrawn')
-              world.broken.push(`went_back ${job.id} ${status}`);
+              env.broken.push(`went_back ${job.id} ${status}`);
             if (job.cancelledAt === null && status === 'withdrawn')
-              world.broken.push(`went_back ${job.id} ${status}`);
+              env.broken.push(`went_back ${job.id} ${status}`);
             if (status === 'done' || status === 'withdrawn') {
               job.doneTold = true;
               return;
@@ -221,66 +224,67 @@
           await new Promise((resolve) => setTimeout(resolve, 2_000));
         }
       };
-      jobs.forEach((job, order) => void user(job, order));
+      jobs.forEach((job, order) => void simulateUser(job, order));
 
       /**
-       * Once all troubles are over, a job about which no question is answered for 75 s counts as forgotten.
+       * Asks each controller for each accepted job, 60 s after the last fault. The rule allows 75 s without
+       * an answer; a job without status 200 in 5 attempts counts as forgotten.
        */
-      const askAll = async (): Promise<void> => {
+      const queryAllJobs = async (): Promise<void> => {
         for (const node of NODES) {
           for (const job of jobs.filter((other) => other.accepted)) {
             let known = false;
             for (let tries = 0; tries < 5 && !known; tries += 1) {
-              const answer = await world.call('user', node, 'GET', `/v2/runs/${job.id}`, undefined, 2_000);
+              const answer = await env.call('user', node, 'GET', `/v2/runs/${job.id}`, undefined, 2_000);
               known = answer._tag === 'response' && answer.status === 200;
             }
-            if (!known) world.broken.push(`forgotten ${job.id} at ${node}`);
+            if (!known) env.broken.push(`forgotten ${job.id} at ${node}`);
           }
         }
       };
-      const faults = [...day.faults];
+      const faults = [...scenario.faults];
       const end = begin + 400_000;
       const lastFault = begin + (faults.at(-1)?.[0] ?? 0) * 1000;
-      let asked = false;
-      while (Date.now() < end && !(asked && jobs.every((job) => job.doneTold))) {
-        if (!asked && Date.now() > lastFault + 60_000) {
-          asked = true;
-          void askAll();
+      let areJobsQueried = false;
+      while (Date.now() < end && !(areJobsQueried && jobs.every((job) => job.doneTold))) {
+        if (!areJobsQueried && Date.now() > lastFault + 60_000) {
+          areJobsQueried = true;
+          void queryAllJobs();
         }
         mock.timers.tick(STEP_MS);
         await tick();
-        world.step();
-        while (faults[0] && Date.now() - begin >= faults[0][0] * 1000) faults.shift()?.[1](world, cluster);
+        env.step();
+        while (faults[0] && Date.now() - begin >= faults[0][0] * 1000) faults.shift()?.[1](env, cluster);
       }
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(env.broken, []);
       assert.deepEqual(
         jobs.filter((job) => !job.doneTold).map((job) => job.id),
         [],
-        'every job is over and its user told',
+        'every job has ended and its user was told so',
       );
       assert.ok(
-        world.starts.length >= jobs.reduce((sum, job) => sum + (job.cancelledAt === null ? job.tasks : 0), 0),
+        env.starts.length >= jobs.reduce((sum, job) => sum + (job.cancelledAt === null ? job.tasks : 0), 0),
       );
-      assert.equal(faults.length, 0, 'the day was long enough for its troubles');
+      assert.equal(faults.length, 0, 'the scenario was long enough for its faults');
       const starts = new Map<string, number>();
-      for (const start of world.starts) {
+      for (const start of env.starts) {
         const task = start.slice(0, start.indexOf('@'));
         starts.set(task, (starts.get(task) ?? 0) + 1);
       }
-      if (day.most !== undefined)
-        assert.ok(Math.max(...starts.values()) <= day.most, 'nothing is started again and again');
-      // No record of a machine that is gone stays: late reports must not bring it back for good.
-      world.copies = 0;
+      if (scenario.maxStarts !== undefined)
+        assert.ok(Math.max(...starts.values()) <= scenario.maxStarts, 'no task starts again and again');
+      // No record of a terminated machine remains: late heartbeats must not restore a record permanently.
+      env.copies = 0;
       for (const until = Date.now() + 70_000; Date.now() < until;) {
         mock.timers.tick(STEP_MS);
         await tick();
-        world.step();
+        env.step();
       }
       assert.deepEqual(
-        world.state.keys('w/m/').filter((key) => world.machines.get(key.slice(4))?.dead !== false),
+        env.state.keys('w/m/').filter((key) => env.machines.get(key.slice(4))?.dead !== false),
         [],
       );
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(env.broken, []);
     } finally {
       NODES.forEach((node) => cluster.down(node));
       mock.timers.reset();
@@ -288,10 +292,11 @@
   });
 }
 
-// Smaller jobs of their priority took whatever came free first, and the largest gangs never began.
-test('service: of a saturated mix the largest gangs begin within 240 s, and each class and team is half served', async () => {
+// Guards against starvation: smaller jobs of the same priority took freed machines first, and the largest
+// gangs never started.
+test('service: in a saturated mix the largest gangs start in 240 s, and half of each class and team is served', async () => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-  const world = new SimulatedEnvironment(
+  const env = new SimulatedEnvironment(
     NODES,
     new SeededRandom(13),
     15_000,
@@ -302,22 +307,22 @@
     ]),
     CANCEL_MS,
   );
-  const cluster = new Cluster(world);
-  const begun = new Map<string, number>();
+  const cluster = new Cluster(env);
+  const startedAt = new Map<string, number>();
   const submitted = new Map<string, { job: StandInJob; at: number; kind: string }>();
   try {
     NODES.forEach((node) => cluster.up(node));
     const gang = { shape: 'group', accelerators: 8, vcpus: 60, together: true };
     const begin = Date.now();
     let n = 0;
-    const submit = (kind: string, over: Partial<Record<string, unknown>>, runMs: number): void => {
+    const submit = (kind: string, overrides: Partial<Record<string, unknown>>, runMs: number): void => {
       n += 1;
-      const job = jobOf(n, { herd: kind, owner: n % 2 === 0 ? 'red' : 'blue', ...over }, runMs);
-      world.jobs.set(job.id, job);
+      const job = jobOf(n, { herd: kind, owner: n % 2 === 0 ? 'red' : 'blue', ...overrides }, runMs);
+      env.jobs.set(job.id, job);
       submitted.set(job.id, { job, at: Date.now(), kind });
       const send = async (): Promise<void> => {
         for (;;) {
-          const answer = await world.call('user', NODES[n % 3] ?? 'n0', 'POST', '/v2/runs', job.body, 2_000);
+          const answer = await env.call('user', NODES[n % 3] ?? 'n0', 'POST', '/v2/runs', job.body, 2_000);
           if (answer._tag === 'response' && answer.status < 300) return;
           await new Promise((resolve) => setTimeout(resolve, 1_000));
         }
@@ -326,17 +331,17 @@
     };
     let nextSmall = begin + 3_000;
     let nextArray = begin + 3_000;
-    const larges = [40, 60, 80, 100, 120].map((at) => begin + at * 1000);
+    const largeGangTimes = [40, 60, 80, 100, 120].map((at) => begin + at * 1000);
     while (Date.now() < begin + 380_000) {
       mock.timers.tick(STEP_MS);
       await tick();
-      world.step();
-      for (const start of world.starts.splice(0)) {
+      env.step();
+      for (const start of env.starts.splice(0)) {
         const id = start.slice(0, start.indexOf('/'));
-        if (!begun.has(id)) begun.set(id, Date.now());
+        if (!startedAt.has(id)) startedAt.set(id, Date.now());
       }
       if (Date.now() > begin + 300_000) continue;
-      // Single machines for more than there are in all: 12 machines, 15 s each.
+      // Gangs of one machine that need more than all 12 machines together; each occupies a machine for 15 s.
       if (Date.now() >= nextSmall) {
         nextSmall += 1_100;
         submit('small', { ...gang, heads: 1 }, 12_000);
@@ -345,18 +350,18 @@
         nextArray += 12_000;
         submit('array', { heads: 6 }, 8_000);
       }
-      if (larges[0] !== undefined && Date.now() >= larges[0]) {
-        larges.shift();
+      if (largeGangTimes[0] !== undefined && Date.now() >= largeGangTimes[0]) {
+        largeGangTimes.shift();
         submit('large', { ...gang, heads: 5 }, 12_000);
       }
     }
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(env.broken, []);
     const groups = new Map<string, { all: number; served: number }>();
     for (const [id, { job, at, kind }] of submitted) {
-      const start = begun.get(id);
+      const start = startedAt.get(id);
       if (kind === 'large') {
-        assert.ok(start !== undefined, `${id}, a large gang, never began`);
-        assert.ok(start - at <= 240_000, `${id}, a large gang, began after ${(start - at) / 1000} s`);
+        assert.ok(start !== undefined, `${id}, a large gang, never started`);
+        assert.ok(start - at <= 240_000, `${id}, a large gang, started after ${(start - at) / 1000} s`);
       }
       for (const group of [kind, job.team]) {
         const known = groups.get(group) ?? { all: 0, served: 0 };
@@ -365,41 +370,41 @@
         if (start !== undefined) known.served += 1;
       }
     }
-    assert.equal(submitted.size > 280, true, 'the mix saturates');
+    assert.equal(submitted.size > 280, true, 'the submitted jobs saturate the machines');
     for (const [group, { all, served }] of groups)
-      assert.ok(served * 2 >= all, `${group}: ${served} of ${all} served`);
+      assert.ok(served * 2 >= all, `${group}: ${served} of ${all} started`);
   } finally {
     NODES.forEach((node) => cluster.down(node));
     mock.timers.reset();
   }
 });
 
-test('service: a late report of a machine that was released does not bring it back for good', async () => {
+test('service: a late heartbeat of a released machine does not restore its record permanently', async () => {
   mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-  const world = new SimulatedEnvironment(NODES, new SeededRandom(12), 15_000, 3_000, LIMITS, CANCEL_MS);
-  const cluster = new Cluster(world);
-  const pass = async (ms: number): Promise<void> => {
+  const env = new SimulatedEnvironment(NODES, new SeededRandom(12), 15_000, 3_000, LIMITS, CANCEL_MS);
+  const cluster = new Cluster(env);
+  const advance = async (ms: number): Promise<void> => {
     for (const end = Date.now() + ms; Date.now() < end;) {
       mock.timers.tick(STEP_MS);
       await tick();
-      world.step();
+      env.step();
     }
   };
   try {
     NODES.forEach((node) => cluster.up(node));
-    const id = world.boot('x', false, 100);
-    await pass(8_000);
-    assert.deepEqual(world.state.keys('w/m/'), [`w/m/${id}`], 'adopted');
-    const report = world.machines.get(id)?.report();
-    await pass(40_000);
-    assert.deepEqual(world.state.keys('w/m/'), [], 'idle, and returned');
-    NODES.forEach((node) => cluster.up(node)); // No node remembers that it was released.
-    await pass(10_000);
-    for (const node of NODES) void world.call(id, node, 'POST', '/hello', report, 4_000);
-    await pass(4_000);
-    assert.deepEqual(world.state.keys('w/m/'), [`w/m/${id}`], 'it may be a machine that nobody knows');
-    await pass(20_000);
-    assert.deepEqual(world.state.keys('w/m/'), [], 'but it is not heard from');
+    const id = env.boot('x', false, 100);
+    await advance(8_000);
+    assert.deepEqual(env.state.keys('w/m/'), [`w/m/${id}`], 'adopted');
+    const report = env.machines.get(id)?.report();
+    await advance(40_000);
+    assert.deepEqual(env.state.keys('w/m/'), [], 'idle, and released');
+    NODES.forEach((node) => cluster.up(node)); // After a restart no controller remembers the release.
+    await advance(10_000);
+    for (const node of NODES) void env.call(id, node, 'POST', '/hello', report, 4_000);
+    await advance(4_000);
+    assert.deepEqual(env.state.keys('w/m/'), [`w/m/${id}`], 'the machine may be one without a record');
+    await advance(20_000);
+    assert.deepEqual(env.state.keys('w/m/'), [], 'the machine sends no further heartbeat');
   } finally {
     NODES.forEach((node) => cluster.down(node));
     mock.timers.reset();
@@ -407,45 +412,45 @@
 });
 
 test(
-  'service: a job of 100,000 tasks costs no key for each task, and can be cancelled',
+  'service: a job of 100,000 tasks does not need one key per task, and can be cancelled',
   { timeout: 120_000 },
   async () => {
     mock.timers.enable({ apis: ['setTimeout', 'Date'], now: 1_700_000_000_000 });
-    const world = new SimulatedEnvironment(NODES, new SeededRandom(7), 15_000, 3_000, LIMITS, CANCEL_MS);
-    const cluster = new Cluster(world);
-    const pass = async (ms: number): Promise<void> => {
+    const env = new SimulatedEnvironment(NODES, new SeededRandom(7), 15_000, 3_000, LIMITS, CANCEL_MS);
+    const cluster = new Cluster(env);
+    const advance = async (ms: number): Promise<void> => {
       for (const end = Date.now() + ms; Date.now() < end;) {
         mock.timers.tick(STEP_MS);
         await tick();
-        world.step();
+        env.step();
       }
     };
-    const ask = async (method: string, path: string, body?: unknown): Promise<CallOutcome> => {
+    const request = async (method: string, path: string, body?: unknown): Promise<CallOutcome> => {
       let answer: CallOutcome = { _tag: 'noResponse', why: 'not yet' };
-      void world.call('user', 'n0', method, path, body, 2_000).then((said) => (answer = said));
-      await pass(2_100);
+      void env.call('user', 'n0', method, path, body, 2_000).then((outcome) => (answer = outcome));
+      await advance(2_100);
       return answer;
     };
     try {
       NODES.forEach((node) => cluster.up(node));
-      for (let k = 0; k < 2; k += 1) world.boot('x', false, 100);
-      await pass(5_000);
+      for (let k = 0; k < 2; k += 1) env.boot('x', false, 100);
+      await advance(5_000);
       const job = jobOf(1, { heads: 100_000, owner: 'blue' }, 1_500);
-      world.jobs.set(job.id, job);
-      const accepted = await ask('POST', '/v2/runs', job.body);
+      env.jobs.set(job.id, job);
+      const accepted = await request('POST', '/v2/runs', job.body);
       assert.ok(accepted._tag === 'response' && accepted.status === 201);
-      await pass(20_000);
-      assert.ok(world.starts.length > 20, 'tasks run');
-      const touched = Math.ceil((world.starts.length + 16) / 128) + 1;
-      assert.ok(world.state.keys('r/').length <= touched, `${world.state.keys('r/').length} run records`);
-      const cancelled = await ask('POST', `/v2/runs/${job.id}/abort`);
+      await advance(20_000);
+      assert.ok(env.starts.length > 20, 'tasks run');
+      const touched = Math.ceil((env.starts.length + 16) / 128) + 1;
+      assert.ok(env.state.keys('r/').length <= touched, `${env.state.keys('r/').length} run records`);
+      const cancelled = await request('POST', `/v2/runs/${job.id}/abort`);
       assert.ok(cancelled._tag === 'response' && cancelled.status === 200);
       job.cancelledAt = Date.now();
-      await pass(12_000);
-      assert.deepEqual(world.state.keys('r/'), []);
-      assert.deepEqual(world.state.keys('w/j/'), []);
-      assert.deepEqual(world.state.keys('f/'), [`f/${job.id}`]);
-      assert.deepEqual(world.broken, []);
+      await advance(12_000);
+      assert.deepEqual(env.state.keys('r/'), []);
+      assert.deepEqual(env.state.keys('w/j/'), []);
+      assert.deepEqual(env.state.keys('f/'), [`f/${job.id}`]);
+      assert.deepEqual(env.broken, []);
     } finally {
       NODES.forEach((node) => cluster.down(node));
       mock.timers.reset();
--- a/src/cluster-tests/frozen-leader-queue.test.ts
+++ b/src/cluster-tests/frozen-leader-queue.test.ts
@@ -5,16 +5,17 @@
 import type { SeenRequest } from '../testing/loopback.js';
 
 const TIMEOUT_MS = 150_000;
-/** Freezes until one has to let a late action land where fencing is off. */
-const MOST_FREEZES = 3;
+/** Attempts to provoke a late action without fencing. */
+const MAX_FREEZES = 3;
 
 /**
- * The leader decides to rent and waits for the cloud's rate; its renewals are refused from then on, so that
- * its lease is nearly over, and it is frozen. A successor leads before it wakes, and the cloud's rate lets
- * the request pass at once.
+ * Returns the late actions of a leader that is suspended while its provisioning request waits for the rate
+ * limit of the cloud. The key-value store refuses lease renewals of the leader from before the decision on,
+ * so that its lease is about to expire. When the leader resumes, a successor leads, and the rate limit lets
+ * the request pass immediately.
  */
-const frozenInQueue = async (features: string): Promise<readonly LateAction[]> => {
-  // Calls per second, at which each call makes the next one wait for about four seconds.
+const lateActionsAfterFreeze = async (features: string): Promise<readonly LateAction[]> => {
+  // At this rate of calls per second, each call makes the next one wait for about four seconds.
   const options = { features, cloudRps: 0.25 };
   let found: readonly LateAction[] = [];
   await LeaderScenario.play(options, async (scenario) => {
@@ -22,17 +23,17 @@
     const old = await deployment.ready();
     await scenario.held(old.node);
     const callsBefore = deployment.cloud.requests.length;
-    await deployment.until('a call, after which the next one waits', () =>
+    await deployment.until('a call to the cloud, after which the next one waits', () =>
       deployment.cloud.requests.slice(callsBefore).some(({ node }) => node === old.node),
     );
     const isRenewal = ({ call }: SeenRequest): boolean => /^\/holds\/\d+\/renew$/.test(call.path);
-    const lift = deployment.refuse((seen) => seen.node === old.node && isRenewal(seen));
+    const stopRefusing = deployment.refuse((seen) => seen.node === old.node && isRenewal(seen));
     await scenario.submit(1);
     await scenario.decided(old.node);
     deployment.freeze(old.node);
     await scenario.successor(old.node);
     deployment.resume(old.node);
-    lift();
+    stopRefusing();
     await scenario.aftermath();
     found = scenario.lateActions();
   });
@@ -40,22 +41,22 @@
 };
 
 test(
-  'fencing: a request that waited for the rate while its leader was frozen is withheld',
+  'fencing: a request that waited for the rate limit while its leader was suspended is withheld',
   { timeout: TIMEOUT_MS },
   async () => {
-    assert.deepEqual(await frozenInQueue('fencing = true\n'), []);
+    assert.deepEqual(await lateActionsAfterFreeze('fencing = true\n'), []);
   },
 );
 
 test(
-  'fencing: taken out, the same freeze lets a late action land, and the checker sees it',
+  'fencing: without it, the same suspension lets a late action take effect, and the checker finds it',
   { timeout: TIMEOUT_MS },
   async () => {
-    // The freeze has to fall between the decision and the moment at which the rate lets the request pass; on
-    // a machine that is busy enough it may miss that. One late action shows that the checker sees them.
+    // The suspension has to begin between the decision and the time at which the rate limit lets the request
+    // pass. On a busy machine it may begin too late. One late action shows that the checker finds them.
     let found: readonly LateAction[] = [];
-    for (let freezes = 0; freezes < MOST_FREEZES && found.length === 0; freezes += 1)
-      found = await frozenInQueue('fencing = false\n');
-    assert.equal(found[0]?.action.kind, 'rent', 'the checker would not notice a missing fence');
+    for (let freezes = 0; freezes < MAX_FREEZES && found.length === 0; freezes += 1)
+      found = await lateActionsAfterFreeze('fencing = false\n');
+    assert.equal(found[0]?.action.kind, 'rent', 'the checker does not detect that fencing is missing');
   },
 );
--- a/src/cluster-tests/frozen-leader-stale-claim.test.ts
+++ b/src/cluster-tests/frozen-leader-stale-claim.test.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against a leader that acts on a claim of an earlier lease: woken after its successor took over, it
- * had a new lease before its watch showed that the claim was gone, and its request landed.
+ * Guards against a leader that acts on a claim of an earlier lease: the leader resumed after its successor
+ * had taken over, acquired a new lease before its watch reported that the claim was gone, and its request
+ * took effect.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -8,34 +9,35 @@
 import type { SeenRequest } from '../testing/loopback.js';
 
 const TIMEOUT_MS = 150_000;
-const ON = { features: 'fencing = true\n', cloudRps: 4 };
+const FENCING_ON = { features: 'fencing = true\n', cloudRps: 4 };
 
-const isRental = ({ service, call }: SeenRequest): boolean =>
+const isProvisioningRequest = ({ service, call }: SeenRequest): boolean =>
   service === 'cloud' && call.path === '/machines' && call.method === 'POST';
-const isWatch = ({ service, call }: SeenRequest): boolean => service === 'state' && call.path === '/follow';
+const isWatchRequest = ({ service, call }: SeenRequest): boolean =>
+  service === 'state' && call.path === '/follow';
 const isLeaseRequest = ({ service, call }: SeenRequest): boolean =>
   service === 'state' && call.path === '/holds';
 
 test(
-  'fencing: a leader woken under a new lease, whose watch is late, repeats no request of the lease before',
+  'fencing: a leader that resumes under a new lease with a late watch repeats no request of the earlier one',
   { timeout: TIMEOUT_MS },
   async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+    await LeaderScenario.play(FENCING_ON, async (scenario) => {
       const { deployment } = scenario;
       const old = await deployment.ready();
       await scenario.held(old.node);
       let rentals = 0;
-      // The first copy never arrives; the leader repeats the request once it has waited in vain for the answer.
+      // The first copy never arrives; the leader repeats the request after the request times out.
       const first = deployment.hold('request', (seen) => {
-        if (seen.node !== old.node || !isRental(seen)) return false;
+        if (seen.node !== old.node || !isProvisioningRequest(seen)) return false;
         rentals += 1;
         return rentals === 1;
       });
       // The successor has not settled the open request yet.
-      deployment.hold('request', (seen) => seen.node !== old.node && isRental(seen));
+      deployment.hold('request', (seen) => seen.node !== old.node && isProvisioningRequest(seen));
       await scenario.submit(1);
-      await deployment.until('the request to be under way', () => first.count() > 0);
-      deployment.hold('answer', (seen) => seen.node === old.node && isWatch(seen));
+      await deployment.until('the provisioning request to be in flight', () => first.count() > 0);
+      deployment.hold('answer', (seen) => seen.node === old.node && isWatchRequest(seen));
       deployment.freeze(old.node);
       await scenario.successor(old.node);
       let leaseRequests = 0;
@@ -45,7 +47,7 @@
       });
       deployment.resume(old.node);
       await deployment.until('a new lease of the old leader', () => leaseRequests > 0);
-      // It gives up the first copy 6 s after it sent it.
+      // The first copy times out 6 s after the leader sent it.
       for (let pauses = 0; pauses < 3; pauses += 1) await scenario.aftermath();
       assert.deepEqual(scenario.lateActions(), []);
       assert.equal(rentals, 1, 'the request was not sent again');
--- a/src/cluster-tests/frozen-leader.test.ts
+++ b/src/cluster-tests/frozen-leader.test.ts
@@ -6,126 +6,159 @@
 import type { LoopbackOptions, SeenRequest } from '../testing/loopback.js';
 
 /**
- * Three real controllers on loopback. The leader is stopped by SIGSTOP in each window of renting and
- * returning machines, and resumed after its successor acted; the stand-ins' logs must show no late action.
+ * Three controllers as real processes on loopback. SIGSTOP suspends the leader in each phase of provisioning
+ * and releasing machines, and the leader resumes after its successor acted. The logs of the stand-ins must
+ * show no late action of the old leader.
  */
-const ON: LoopbackOptions = { features: 'fencing = true\n', cloudRps: 4 };
+const FENCING_ON: LoopbackOptions = { features: 'fencing = true\n', cloudRps: 4 };
 const TIMEOUT_MS = 150_000;
-const isIntent = ({ service, call }: SeenRequest): boolean =>
+const isIntentWrite = ({ service, call }: SeenRequest): boolean =>
   service === 'state' && call.path === '/txn' && JSON.stringify(call.body).includes('"i/rent"');
-const isRental = ({ service, call }: SeenRequest): boolean =>
+const isProvisioningRequest = ({ service, call }: SeenRequest): boolean =>
   service === 'cloud' && call.path === '/machines' && call.method === 'POST';
-const isRelease = ({ service, call }: SeenRequest): boolean =>
+const isReleaseRequest = ({ service, call }: SeenRequest): boolean =>
   service === 'cloud' && call.path === '/machines/release';
 
 const windows: readonly {
   name: string;
   at: 'request' | 'answer';
   matches: (request: SeenRequest) => boolean;
-  /** Who ends up having rented under the old leader's name. */
-  rentedUnderOldName: number;
+  /** Number of requests under the old leader's request name that created machines. */
+  provisionedUnderOldName: number;
 }[] = [
-  { name: 'between decision and intent', at: 'request', matches: isIntent, rentedUnderOldName: 0 },
-  { name: 'between intent and call', at: 'answer', matches: isIntent, rentedUnderOldName: 1 },
-  { name: 'between call and its effect', at: 'request', matches: isRental, rentedUnderOldName: 1 },
-  { name: 'between effect and answer', at: 'answer', matches: isRental, rentedUnderOldName: 1 },
+  { name: 'between decision and intent', at: 'request', matches: isIntentWrite, provisionedUnderOldName: 0 },
+  { name: 'between intent and call', at: 'answer', matches: isIntentWrite, provisionedUnderOldName: 1 },
+  {
+    name: 'between call and its effect',
+    at: 'request',
+    matches: isProvisioningRequest,
+    provisionedUnderOldName: 1,
+  },
+  {
+    name: 'between effect and answer',
+    at: 'answer',
+    matches: isProvisioningRequest,
+    provisionedUnderOldName: 1,
+  },
 ];
 for (const window of windows) {
-  test(`fencing: the leader is frozen ${window.name} of a rental`, { timeout: TIMEOUT_MS }, async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+  test(
+    `fencing: the leader is suspended ${window.name} of a provisioning request`,
+    { timeout: TIMEOUT_MS },
+    async () => {
+      await LeaderScenario.play(FENCING_ON, async (scenario) => {
+        const { deployment } = scenario;
+        const old = await deployment.ready();
+        await scenario.held(old.node);
+        const held = deployment.hold(window.at, (seen) => seen.node === old.node && window.matches(seen));
+        await scenario.submit(1);
+        await deployment.until('the leader to reach the phase', () => held.count() > 0);
+        deployment.freeze(old.node);
+        const next = await scenario.successor(old.node);
+        await scenario.held(next.node);
+        deployment.resume(old.node);
+        held.release();
+        await scenario.aftermath();
+        assert.ok(next.token > old.token, 'the token of the successor is higher');
+        assert.deepEqual(scenario.lateActions(), []);
+        const underOldName = deployment.cloud.actions.filter(
+          ({ kind, name, machines }) =>
+            kind === 'rent' && name?.startsWith(`r-${old.token}-`) && machines.length > 0,
+        );
+        assert.equal(
+          underOldName.length,
+          window.provisionedUnderOldName,
+          'the request took effect at most once',
+        );
+        // One job needs one machine: no machine was provisioned twice.
+        await deployment.until('one machine', () => deployment.cloud.machines.size === 1);
+      });
+    },
+  );
+}
+
+test(
+  'fencing: the leader is suspended while its release request is in flight',
+  { timeout: TIMEOUT_MS },
+  async () => {
+    await LeaderScenario.play(FENCING_ON, async (scenario) => {
       const { deployment } = scenario;
       const old = await deployment.ready();
-      await scenario.held(old.node);
-      const held = deployment.hold(window.at, (seen) => seen.node === old.node && window.matches(seen));
-      await scenario.submit(1);
-      await deployment.until('the leader to be in the window', () => held.count() > 0);
+      const held = deployment.hold('request', (seen) => seen.node === old.node && isReleaseRequest(seen));
+      deployment.cloud.add('i-900001');
+      await deployment.state.handle('test', 'POST', '/txn', {
+        when: [],
+        writes: [{ write: 'w/m/i-900001', data: writeMachineRecord(machineRecord({ releasing: true })) }],
+      });
+      await deployment.until('the release request to be in flight', () => held.count() > 0);
       deployment.freeze(old.node);
       const next = await scenario.successor(old.node);
-      await scenario.held(next.node);
+      await deployment.until(
+        'the successor to release the machine',
+        () => !deployment.cloud.machines.has('i-900001'),
+      );
+      await deployment.until(
+        'the record of the machine to be removed',
+        () => deployment.state.version('w/m/i-900001') === 0,
+      );
       deployment.resume(old.node);
       held.release();
       await scenario.aftermath();
-      assert.ok(next.token > old.token, 'tokens rise');
+      assert.ok(next.token > old.token);
       assert.deepEqual(scenario.lateActions(), []);
-      const underOldName = deployment.cloud.actions.filter(
-        ({ kind, name, machines }) =>
-          kind === 'rent' && name?.startsWith(`r-${old.token}-`) && machines.length > 0,
-      );
-      assert.equal(underOldName.length, window.rentedUnderOldName, 'carried out once, or never');
-      // One job needs one machine: nothing was rented twice.
-      await deployment.until('one machine', () => deployment.cloud.machines.size === 1);
     });
-  });
-}
+  },
+);
 
 test(
-  'fencing: the leader is frozen while its release request is under way',
+  'fencing: the key-value store has an outage while the leader is suspended',
   { timeout: TIMEOUT_MS },
   async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+    await LeaderScenario.play(FENCING_ON, async (scenario) => {
       const { deployment } = scenario;
       const old = await deployment.ready();
-      const held = deployment.hold('request', (seen) => seen.node === old.node && isRelease(seen));
-      deployment.cloud.add('i-900001');
-      await deployment.state.handle('test', 'POST', '/txn', {
-        when: [],
-        writes: [{ write: 'w/m/i-900001', data: writeMachineRecord(machineRecord({ releasing: true })) }],
-      });
-      await deployment.until('the release to be under way', () => held.count() > 0);
+      await scenario.held(old.node);
+      const held = deployment.hold('answer', (seen) => seen.node === old.node && isIntentWrite(seen));
+      await scenario.submit(1);
+      await deployment.until('the intent to be durable', () => held.count() > 0);
       deployment.freeze(old.node);
+      deployment.state.outage(true);
+      await scenario.aftermath();
+      // The end of the outage restarts the old leader's lease; a successor takes the duty when that lease
+      // expires.
+      deployment.state.outage(false);
       const next = await scenario.successor(old.node);
-      await deployment.until('the successor to release it', () => !deployment.cloud.machines.has('i-900001'));
-      await deployment.until('its record to go', () => deployment.state.version('w/m/i-900001') === 0);
+      await scenario.held(next.node);
       deployment.resume(old.node);
       held.release();
       await scenario.aftermath();
-      assert.ok(next.token > old.token);
       assert.deepEqual(scenario.lateActions(), []);
+      assert.equal(deployment.cloud.machines.size, 1);
     });
   },
 );
 
-test('fencing: the state service is out while the leader is frozen', { timeout: TIMEOUT_MS }, async () => {
-  await LeaderScenario.play(ON, async (scenario) => {
-    const { deployment } = scenario;
-    const old = await deployment.ready();
-    await scenario.held(old.node);
-    const held = deployment.hold('answer', (seen) => seen.node === old.node && isIntent(seen));
-    await scenario.submit(1);
-    await deployment.until('the intent to be durable', () => held.count() > 0);
-    deployment.freeze(old.node);
-    deployment.state.outage(true);
-    await scenario.aftermath();
-    // Its lease has its full time again, so only then does a successor take the duty.
-    deployment.state.outage(false);
-    const next = await scenario.successor(old.node);
-    await scenario.held(next.node);
-    deployment.resume(old.node);
-    held.release();
-    await scenario.aftermath();
-    assert.deepEqual(scenario.lateActions(), []);
-    assert.equal(deployment.cloud.machines.size, 1);
-  });
-});
-
 test(
-  'fencing: a leader killed with an open intent and back at once settles it itself',
+  'fencing: a leader that is killed with an open intent and restarts immediately settles the intent itself',
   { timeout: TIMEOUT_MS },
   async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+    await LeaderScenario.play(FENCING_ON, async (scenario) => {
       const { deployment } = scenario;
       const old = await deployment.ready();
       await scenario.held(old.node);
-      const held = deployment.hold('request', (seen) => seen.node === old.node && isRental(seen));
+      const held = deployment.hold(
+        'request',
+        (seen) => seen.node === old.node && isProvisioningRequest(seen),
+      );
       await scenario.submit(1);
-      await deployment.until('the call to be under way', () => held.count() > 0);
+      await deployment.until('the provisioning request to be in flight', () => held.count() > 0);
       await deployment.kill(old.node);
       deployment.spawn(old.node);
-      const next = await deployment.until('a later token', () => {
+      const next = await deployment.until('a claim with a higher token', () => {
         const last = scenario.tenures.at(-1);
         return last && last.token > old.token ? last : null;
       });
-      // The late request of the process that ended arrives after the new one has begun.
+      // The request of the killed process arrives after the new process has started.
       held.release();
       await scenario.held(next.node);
       await scenario.aftermath();
@@ -135,7 +168,7 @@
       assert.deepEqual(
         made.map(({ name }) => name),
         [`r-${old.token}-1`],
-        'under one name, once',
+        'machines were provisioned once, under one request name',
       );
       assert.equal(deployment.cloud.machines.size, 1);
     });
--- a/src/cluster-tests/invalid-input.test.ts
+++ b/src/cluster-tests/invalid-input.test.ts
@@ -5,9 +5,9 @@
 import { ScenarioRun, type Scenario } from '../testing/scenario.js';
 
 /**
- * What is malformed, can never run or is not known gets its own answer at once, under full load, right after
- * a takeover and while the state service is away as at rest. A node that can't know says so with 503, also at
- * once.
+ * Malformed requests, jobs that can never run and unknown jobs get the specific status code immediately: at
+ * rest, under full load, right after a takeover and during an outage of the key-value store. A controller
+ * that lacks the data to decide answers 503, also immediately.
  */
 const body = (n: number, over: object): object => submission({ uid: `job-9${n}`, accelerators: 1, ...over });
 interface Row {
@@ -15,9 +15,9 @@
   readonly method: string;
   readonly path: string;
   readonly body?: object;
-  /** Where the node can know; where it can't, 503. */
+  /** The status of controllers that have the data to decide; other controllers answer 503. */
   readonly status: number;
-  /** It needs nothing that the node could lack. */
+  /** Whether the answer needs no data that a controller may lack. */
   readonly always?: boolean;
 }
 const post = (name: string, over: object, status: number, always = false): Row => ({
@@ -30,69 +30,73 @@
 });
 const rows: readonly Row[] = [
   post('lacks a field', { herd: undefined }, 400, true),
-  post('a wrong kind', { shape: 'flock' }, 400, true),
-  post('follows no ids', { follows: ['x'] }, 400, true),
-  post('an unknown team', { owner: 'nobody' }, 422),
+  post('has an unknown shape', { shape: 'flock' }, 400, true),
+  post('follows malformed job ids', { follows: ['x'] }, 400, true),
+  post('has an unknown team', { owner: 'nobody' }, 422),
   post('fits no machine', { accelerators: 9 }, 422),
-  post('no such type', { breeds: ['h1'] }, 422),
-  post('no such zone', { paddock: 'z' }, 422),
-  post('a gang over its limit', { shape: 'group', heads: 25, accelerators: 8 }, 422),
-  post('follows one that was never accepted', { follows: ['job-7'] }, 422),
+  post('has an unknown machine type', { breeds: ['h1'] }, 422),
+  post('has an unknown zone', { paddock: 'z' }, 422),
+  post('a gang over the limit of its team', { shape: 'group', heads: 25, accelerators: 8 }, 422),
+  post('follows a job that was never accepted', { follows: ['job-7'] }, 422),
   { name: 'an unknown job', method: 'GET', path: '/v2/runs/job-777', status: 404 },
   { name: 'cancels an unknown job', method: 'POST', path: '/v2/runs/job-777/abort', status: 404 },
   { name: 'no id at all', method: 'GET', path: '/v2/runs/nothing', status: 404, always: true },
 ];
 
-test('bad input: its own answer at once, whatever else goes on', { timeout: 240_000 }, async () => {
-  const wrong: string[] = [];
-  const answers = new Map<string, number>();
-  const askAll = (day: ScenarioRun, when: string): void => {
-    for (const node of NODES) {
-      for (const row of rows) {
-        day.askNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
-          const allowed = status === row.status || (status === 503 && row.always !== true);
-          if (!allowed) wrong.push(`${when}, ${node}, ${row.name}: ${status}`);
-          if (tookMs > 2_500) wrong.push(`${when}, ${node}, ${row.name}: held back ${tookMs} ms`);
-          const key = `${when}, ${row.name}`;
-          if (status === row.status) answers.set(key, (answers.get(key) ?? 0) + 1);
-        });
+test(
+  'bad input: each request gets its specific answer immediately, under load and faults',
+  { timeout: 240_000 },
+  async () => {
+    const wrong: string[] = [];
+    const answers = new Map<string, number>();
+    const askAll = (run: ScenarioRun, when: string): void => {
+      for (const node of NODES) {
+        for (const row of rows) {
+          run.askNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
+            const allowed = status === row.status || (status === 503 && row.always !== true);
+            if (!allowed) wrong.push(`${when}, ${node}, ${row.name}: ${status}`);
+            if (tookMs > 2_500) wrong.push(`${when}, ${node}, ${row.name}: held back ${tookMs} ms`);
+            const key = `${when}, ${row.name}`;
+            if (status === row.status) answers.set(key, (answers.get(key) ?? 0) + 1);
+          });
+        }
+        // A finished job stays done when a user cancels it or submits it again.
+        const done = run.jobs.find((job) => job.doneTold && job.cancelledAt === null);
+        if (!done) continue;
+        const check = (status: number, said: unknown): void => {
+          if (status !== 200 && status !== 503) wrong.push(`${when}, ${node}, done: ${status}`);
+          if (status === 200 && (said as { status: string }).status !== 'done')
+            wrong.push(`${when}, ${node}, done: ${JSON.stringify(said)}`);
+        };
+        run.askNode(node, 'POST', `/v2/runs/${done.id}/abort`, undefined, check);
+        run.askNode(node, 'POST', '/v2/runs', done.body, check);
+        run.askNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
       }
-      // A job that is done stays so for whoever cancels it or sends it again.
-      const done = day.jobs.find((job) => job.doneTold && job.cancelledAt === null);
-      if (!done) continue;
-      const check = (status: number, said: unknown): void => {
-        if (status !== 200 && status !== 503) wrong.push(`${when}, ${node}, done: ${status}`);
-        if (status === 200 && (said as { status: string }).status !== 'done')
-          wrong.push(`${when}, ${node}, done: ${JSON.stringify(said)}`);
-      };
-      day.askNode(node, 'POST', `/v2/runs/${done.id}/abort`, undefined, check);
-      day.askNode(node, 'POST', '/v2/runs', done.body, check);
-      day.askNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
+    };
+    const scenario: Scenario = {
+      seed: 91,
+      jobs: 18,
+      everyS: 1,
+      runS: [8, 20],
+      faults: [
+        [12, (run) => askAll(run, 'under load')],
+        [30, (run) => run.cluster.down(run.busiest())],
+        [36, (run) => askAll(run, 'right after a takeover')],
+        [40, (run) => NODES.forEach((node) => run.cluster.up(node))],
+        [40.3, (run) => askAll(run, 'right after a start')],
+        [55, (run) => run.world.state.outage(true)],
+        [58, (run) => askAll(run, 'in an outage')],
+        [66, (run) => run.world.state.outage(false)],
+        [75, (run) => askAll(run, 'afterwards')],
+      ],
+    };
+    assert.deepEqual(await new ScenarioRun(scenario).run(), []);
+    assert.deepEqual(wrong, []);
+    // Under load and after the faults every controller has the data to decide.
+    for (const row of rows) {
+      assert.equal(answers.get(`under load, ${row.name}`), 3, row.name);
+      assert.equal(answers.get(`afterwards, ${row.name}`), 3, row.name);
+      if (row.always === true) assert.equal(answers.get(`in an outage, ${row.name}`), 3, row.name);
     }
-  };
-  const day: Scenario = {
-    seed: 91,
-    jobs: 18,
-    everyS: 1,
-    runS: [8, 20],
-    faults: [
-      [12, (play) => askAll(play, 'under load')],
-      [30, (play) => play.cluster.down(play.busiest())],
-      [36, (play) => askAll(play, 'right after a takeover')],
-      [40, (play) => NODES.forEach((node) => play.cluster.up(node))],
-      [40.3, (play) => askAll(play, 'right after a start')],
-      [55, (play) => play.world.state.outage(true)],
-      [58, (play) => askAll(play, 'in an outage')],
-      [66, (play) => play.world.state.outage(false)],
-      [75, (play) => askAll(play, 'afterwards')],
-    ],
-  };
-  assert.deepEqual(await new ScenarioRun(day).run(), []);
-  assert.deepEqual(wrong, []);
-  // At rest and under load every node can know.
-  for (const row of rows) {
-    assert.equal(answers.get(`under load, ${row.name}`), 3, row.name);
-    assert.equal(answers.get(`afterwards, ${row.name}`), 3, row.name);
-    if (row.always === true) assert.equal(answers.get(`in an outage, ${row.name}`), 3, row.name);
-  }
-});
+  },
+);
--- a/src/cluster-tests/late-copies.test.ts
+++ b/src/cluster-tests/late-copies.test.ts
@@ -1,7 +1,7 @@
 /**
- * Guards the window that no check inside a process closes: a request whose permit was given in time leaves, or
- * arrives, after the successor's claim. The intent is durable, so a late copy changes nothing that the
- * successor would not do itself, at whatever moment of its settlement it arrives.
+ * Guards the interval that no check inside a process can close: a request that was permitted in time leaves
+ * the process, or reaches the cloud, after the successor's claim. The intent is durable, so a late copy has
+ * no effect that the successor's own copy would not have, at any point of the successor's settlement.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -10,39 +10,45 @@
 import { LeaderScenario } from '../testing/leader-scenario.js';
 import type { HoldAt, SeenRequest } from '../testing/loopback.js';
 
-const ON = { features: 'fencing = true\n', cloudRps: 4 };
+const FENCING_ON = { features: 'fencing = true\n', cloudRps: 4 };
 const TIMEOUT_MS = 150_000;
 const MACHINE = 'i-900001';
 const RECORD_KEY = `w/m/${MACHINE}`;
 
-const isRental = ({ service, call }: SeenRequest): boolean =>
+const isProvisioningRequest = ({ service, call }: SeenRequest): boolean =>
   service === 'cloud' && call.path === '/machines' && call.method === 'POST';
-const isRelease = ({ service, call }: SeenRequest): boolean =>
+const isReleaseRequest = ({ service, call }: SeenRequest): boolean =>
   service === 'cloud' && call.path === '/machines/release';
 
-/** Where the successor's own copy of the request is when the late one arrives. */
+/** Where the successor's own copy of the request is held when the late copy arrives. */
 const moments: readonly { name: string; successorAt: HoldAt }[] = [
   { name: 'before the successor’s copy takes effect', successorAt: 'request' },
   { name: 'between the effect of the successor’s copy and its answer', successorAt: 'answer' },
 ];
 
 for (const { name, successorAt } of moments) {
-  test(`fencing: a late request for machines arrives ${name}`, { timeout: TIMEOUT_MS }, async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+  test(`fencing: a late provisioning request arrives ${name}`, { timeout: TIMEOUT_MS }, async () => {
+    await LeaderScenario.play(FENCING_ON, async (scenario) => {
       const { deployment } = scenario;
       const old = await deployment.ready();
       await scenario.held(old.node);
-      const late = deployment.hold('request', (seen) => seen.node === old.node && isRental(seen));
-      const settling = deployment.hold(successorAt, (seen) => seen.node !== old.node && isRental(seen));
+      const late = deployment.hold(
+        'request',
+        (seen) => seen.node === old.node && isProvisioningRequest(seen),
+      );
+      const settling = deployment.hold(
+        successorAt,
+        (seen) => seen.node !== old.node && isProvisioningRequest(seen),
+      );
       await scenario.submit(1);
-      await deployment.until('the request to be under way', () => late.count() > 0);
+      await deployment.until('the provisioning request to be in flight', () => late.count() > 0);
       deployment.freeze(old.node);
       const next = await scenario.successor(old.node);
-      await deployment.until('the successor to settle it', () => settling.count() > 0);
+      await deployment.until('the successor to send its copy of the request', () => settling.count() > 0);
       late.release();
-      const carriedOut = (): number =>
+      const effectiveRequests = (): number =>
         deployment.cloud.actions.filter(({ node, kind }) => node === old.node && kind === 'rent').length;
-      await deployment.until('the late copy to arrive', () => carriedOut() > 0);
+      await deployment.until('the late copy to arrive', () => effectiveRequests() > 0);
       settling.release();
       await scenario.held(next.node);
       deployment.resume(old.node);
@@ -52,37 +58,43 @@
       assert.deepEqual(
         made.map((action) => action.name),
         [`r-${old.token}-1`],
-        'carried out once, under one name',
+        'machines were provisioned once, under one request name',
       );
-      assert.equal(deployment.cloud.machines.size, 1, 'nothing was rented twice');
-      assert.equal(deployment.state.keys('w/m/').length, 1, 'and it is known');
+      assert.equal(deployment.cloud.machines.size, 1, 'no machine was provisioned twice');
+      assert.equal(deployment.state.keys('w/m/').length, 1, 'the machine has a record');
     });
   });
 
-  test(`fencing: a late release arrives ${name}`, { timeout: TIMEOUT_MS }, async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+  test(`fencing: a late release request arrives ${name}`, { timeout: TIMEOUT_MS }, async () => {
+    await LeaderScenario.play(FENCING_ON, async (scenario) => {
       const { deployment } = scenario;
       const old = await deployment.ready();
-      const late = deployment.hold('request', (seen) => seen.node === old.node && isRelease(seen));
-      const settling = deployment.hold(successorAt, (seen) => seen.node !== old.node && isRelease(seen));
+      const late = deployment.hold('request', (seen) => seen.node === old.node && isReleaseRequest(seen));
+      const settling = deployment.hold(
+        successorAt,
+        (seen) => seen.node !== old.node && isReleaseRequest(seen),
+      );
       deployment.cloud.add(MACHINE);
       await deployment.state.handle('test', 'POST', '/txn', {
         when: [],
         writes: [{ write: RECORD_KEY, data: writeMachineRecord(machineRecord({ releasing: true })) }],
       });
-      await deployment.until('the release to be under way', () => late.count() > 0);
+      await deployment.until('the release request to be in flight', () => late.count() > 0);
       deployment.freeze(old.node);
       await scenario.successor(old.node);
-      await deployment.until('the successor to release it', () => settling.count() > 0);
+      await deployment.until('the successor to release the machine', () => settling.count() > 0);
       late.release();
-      await deployment.until('the machine to be gone', () => !deployment.cloud.machines.has(MACHINE));
+      await deployment.until('the machine to be released', () => !deployment.cloud.machines.has(MACHINE));
       settling.release();
-      await deployment.until('its record to go', () => deployment.state.version(RECORD_KEY) === 0);
+      await deployment.until(
+        'the record of the machine to be removed',
+        () => deployment.state.version(RECORD_KEY) === 0,
+      );
       deployment.resume(old.node);
       await scenario.aftermath();
-      assert.deepEqual(scenario.lateActions(), [], 'a record asked for every release');
+      assert.deepEqual(scenario.lateActions(), [], 'each release was requested by a machine record');
       assert.equal(deployment.cloud.machines.size, 0);
-      assert.equal(deployment.state.version(RECORD_KEY), 0, 'no record comes back');
+      assert.equal(deployment.state.version(RECORD_KEY), 0, 'the record is not written again');
     });
   });
 }
--- a/src/cluster-tests/rolling-upgrade.test.ts
+++ b/src/cluster-tests/rolling-upgrade.test.ts
@@ -14,15 +14,15 @@
 import { runScenario, type Scenario, type ScenarioRun } from '../testing/scenario.js';
 import { buildBeforeRenaming, buildProduction, type Production } from '../testing/earlier-versions.js';
 
-/** The version in production and this one side by side: on each other's records, and on the same day. */
-let old: Production;
-/** The last version before the renaming, whose code has other names for what both send and store. */
+/** The version in production: it and this version read each other's records and run side by side. */
+let production: Production;
+/** The last version before identifiers were renamed; its messages and records are the same. */
 let beforeRenaming: Production['compose'];
 before(async () => {
-  old = await buildProduction();
+  production = await buildProduction();
   beforeRenaming = await buildBeforeRenaming();
 });
-const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+const asStored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 const spec: JobSpec = {
   id: 'job-000412',
@@ -48,34 +48,34 @@
 };
 const plain: JobRecord = { spec, at: 17, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 };
 
-const jobs: readonly { name: string; record: JobRecord; same: boolean }[] = [
-  { name: 'a job', record: plain, same: true },
-  // The moment of the cancellation is new, and goes unread there.
-  { name: 'a cancelled job', record: { ...plain, cancelled: true, cancelledAt: 40 }, same: false },
+const jobs: readonly { name: string; record: JobRecord; sameJson: boolean }[] = [
+  { name: 'a job', record: plain, sameJson: true },
+  // Only this version stores the time of the cancellation; the version in production ignores it.
+  { name: 'a cancelled job', record: { ...plain, cancelled: true, cancelledAt: 40 }, sameJson: false },
 ];
 for (const row of jobs) {
   test(`upgrade: the record of ${row.name} is read by both versions`, () => {
-    const { cancelledAt, dependsOn: follows, parts, ...earlier } = row.record;
-    assert.deepEqual([follows, parts], [[], 0], 'nothing that the earlier version can not know');
-    const written = stored(writeJobRecord(row.record));
-    assert.deepEqual(old.codec.readJobRecord(written), earlier);
-    const before = stored(old.codec.writeJobRecord(row.record));
-    assert.deepEqual(readJobRecord(before), { ...row.record, cancelledAt: null });
-    assert.equal(JSON.stringify(before) === JSON.stringify(written), row.same);
-    assert.ok(row.same || cancelledAt !== null);
+    const { cancelledAt, dependsOn, parts, ...earlier } = row.record;
+    assert.deepEqual([dependsOn, parts], [[], 0], 'the record uses no field that the earlier version lacks');
+    const byThisVersion = asStored(writeJobRecord(row.record));
+    assert.deepEqual(production.codec.readJobRecord(byThisVersion), earlier);
+    const byProduction = asStored(production.codec.writeJobRecord(row.record));
+    assert.deepEqual(readJobRecord(byProduction), { ...row.record, cancelledAt: null });
+    assert.equal(JSON.stringify(byProduction) === JSON.stringify(byThisVersion), row.sameJson);
+    assert.ok(row.sameJson || cancelledAt !== null);
   });
 }
 
-const run: RunRecord = {
+const runRecord: RunRecord = {
   done: [128, 200],
   bindings: Array.from({ length: 100 }, (_, k) => ({ index: 130 + k, machine: `i-${k}`, attempt: 7 })),
   attempt: 7,
 };
-test('upgrade: a run that an earlier version may have to read is written in its layout, however long', () => {
-  const { record, parts: parts } = encodeRun(run, 1, 500, false);
+test('upgrade: a run of any length has the earlier layout while an earlier version may read it', () => {
+  const { record, parts } = encodeRun(runRecord, 1, 500, false);
   assert.deepEqual(parts, []);
-  assert.deepEqual(old.records.readRunRecord(stored(record), 1), run);
-  assert.deepEqual(readRunRecord(stored(old.records.writeRunRecord(run, 1)), 1), run);
+  assert.deepEqual(production.records.readRunRecord(asStored(record), 1), runRecord);
+  assert.deepEqual(readRunRecord(asStored(production.records.writeRunRecord(runRecord, 1)), 1), runRecord);
 });
 
 test('upgrade: machines and final records are the same in both versions', () => {
@@ -90,19 +90,19 @@
     agentEpoch: 3,
   };
   const final = { state: 'cancelled', at: 9, tasks: 3 } as const;
-  assert.deepEqual(old.machines.readMachineRecord(stored(writeMachineRecord(machine))), machine);
-  assert.deepEqual(readMachineRecord(stored(old.machines.writeMachineRecord(machine))), machine);
-  assert.deepEqual(old.codec.readFinalRecord(stored(writeFinalRecord(final))), final);
-  assert.deepEqual(readFinalRecord(stored(old.codec.writeFinalRecord(final))), final);
+  assert.deepEqual(production.machines.readMachineRecord(asStored(writeMachineRecord(machine))), machine);
+  assert.deepEqual(readMachineRecord(asStored(production.machines.writeMachineRecord(machine))), machine);
+  assert.deepEqual(production.codec.readFinalRecord(asStored(writeFinalRecord(final))), final);
+  assert.deepEqual(readFinalRecord(asStored(production.codec.writeFinalRecord(final))), final);
 });
 
 const upgrade =
   (node: string) =>
-  (day: ScenarioRun): void =>
-    day.upgrade(node);
+  (run: ScenarioRun): void =>
+    run.upgrade(node);
 const rows: readonly (Omit<Scenario, 'production'> & { readonly name: string })[] = [
   {
-    name: 'a roll from the one to the other, with pipelines once all are new, and the limits lowered',
+    name: 'a rolling upgrade, with pipelines after it, and lower limits of the key-value store',
     seed: 61,
     pipelines: 6,
     pipelinesFromS: 62,
@@ -111,13 +111,14 @@
       [30, upgrade('n0')],
       [42, upgrade('n1')],
       [55, upgrade('n2')],
-      [70, (day) => (day.world.state.limits = { valueBytes: 2 * 1024, ops: 10 })],
-      [75, (day) => day.cancelPipelines(2)],
+      [70, (run) => (run.world.state.limits = { valueBytes: 2 * 1024, ops: 10 })],
+      [75, (run) => run.cancelPipelines(2)],
     ],
   },
-  // A request that comes early is answered 503, and never taken by a node that would understand half of it.
+  // A pipeline job that is submitted too early is answered 503. No controller of the earlier version may
+  // accept a job whose dependencies it would ignore.
   {
-    name: 'pipelines that are submitted before all are new; a crash back to the old version',
+    name: 'pipelines submitted before all controllers are upgraded; a restart with the old version',
     seed: 62,
     jobs: 8,
     pipelines: 5,
@@ -126,52 +127,53 @@
     faults: [
       [30, upgrade('n1')],
       [38, upgrade('n0')],
-      // Its turn has not come: it comes back old, and takes over what a new one held.
-      [44, (day) => day.cluster.down('n2')],
-      [45, (day) => day.cluster.up('n2')],
-      [47, (day) => day.cluster.down('n0')],
-      [58, (day) => day.cluster.up('n0')],
+      // This controller is not upgraded yet: it restarts with the old version and takes over claims of an
+      // upgraded one.
+      [44, (run) => run.cluster.down('n2')],
+      [45, (run) => run.cluster.up('n2')],
+      [47, (run) => run.cluster.down('n0')],
+      [58, (run) => run.cluster.up('n0')],
       [64, upgrade('n2')],
-      [80, (day) => (day.world.state.limits = { valueBytes: 2 * 1024, ops: 10 })],
+      [80, (run) => (run.world.state.limits = { valueBytes: 2 * 1024, ops: 10 })],
     ],
   },
   {
-    name: 'takeovers both ways, jobs cancelled between, and an outage',
+    name: 'takeovers between the versions in both directions, cancellations, and an outage',
     seed: 63,
     jobs: 12,
     runS: [40, 80],
     faults: [
       [35, upgrade('n0')],
-      [40, (day) => day.cancelRunning(2)],
-      [46, (day) => day.cluster.down('n1')],
-      [52, (day) => day.cancelRunning(2)],
-      [56, (day) => day.cluster.up('n1')],
+      [40, (run) => run.cancelRunning(2)],
+      [46, (run) => run.cluster.down('n1')],
+      [52, (run) => run.cancelRunning(2)],
+      [56, (run) => run.cluster.up('n1')],
       [62, upgrade('n1')],
-      [66, (day) => day.cluster.down('n0')],
-      [72, (day) => day.cluster.up('n0')],
-      [80, (day) => day.world.state.outage(true)],
-      [95, (day) => day.world.state.outage(false)],
-      [100, (day) => day.cancelRunning(2)],
+      [66, (run) => run.cluster.down('n0')],
+      [72, (run) => run.cluster.up('n0')],
+      [80, (run) => run.world.state.outage(true)],
+      [95, (run) => run.world.state.outage(false)],
+      [100, (run) => run.cancelRunning(2)],
       [104, upgrade('n2')],
     ],
   },
 ];
 for (const row of rows) {
   test(`upgrade: ${row.name}`, { timeout: 240_000 }, async () =>
-    assert.deepEqual(await runScenario({ ...row, production: old.compose }), []),
+    assert.deepEqual(await runScenario({ ...row, production: production.compose }), []),
   );
   test(`upgrade from ba59fc1: ${row.name}`, { timeout: 240_000 }, async () =>
     assert.deepEqual(await runScenario({ ...row, production: beforeRenaming }), []),
   );
 }
 
-/** Without this, an earlier version that its adapter keeps from working would pass as one that is idle. */
+/** Guards against an adapter that keeps an earlier version idle, whose upgrade tests could then pass. */
 const versions: readonly (readonly [name: string, compose: () => Production['compose']])[] = [
-  ['the version in production', () => old.compose],
+  ['the version in production', () => production.compose],
   ['ba59fc1', () => beforeRenaming],
 ];
 for (const [name, compose] of versions)
-  test(`upgrade: ${name} by itself serves a day among the stand-ins`, { timeout: 240_000 }, async () =>
+  test(`upgrade: ${name} alone serves a scenario without faults`, { timeout: 240_000 }, async () =>
     assert.deepEqual(
       await runScenario({ seed: 64, jobs: 10, runS: [10, 40], faults: [], production: compose() }),
       [],
