--- a/src/recorded-formats/other-holder.ts
+++ b/src/recorded-formats/other-holder.ts
@@ -39,10 +39,9 @@
     for (const worker of own) await controller.seed(`w/m/${worker.id}`, worker.recordJson(2));
     for (const id of ['job-000500', 'job-000501'])
       await controller.seed(`w/j/${id}`, JOB_JSON.replace('job-000500', id));
-    let acknowledgement: StubAnswer = { status: 200, body: { heeded: [true] } };
+    let holderAnswer: StubAnswer = { status: 200, body: { heeded: [true] } };
     const peers = peerResponder('n2');
-    controller.respond = (request: SentRequest) =>
-      request.path === '/heed' ? acknowledgement : peers(request);
+    controller.respond = (request: SentRequest) => (request.path === '/heed' ? holderAnswer : peers(request));
     controller.start();
     await controller.advance(STARTUP_MS);
     for (const worker of [...own, ...own]) await worker.sendHeartbeat();
@@ -60,7 +59,7 @@
     recording['question to the holder'] = toRecordedRequest(
       controller.firstSent('question to a holder', ({ path }) => path === '/heed'),
     );
-    acknowledgement = { status: 200, body: { heeded: [false] } };
+    holderAnswer = { status: 200, body: { heeded: [false] } };
     recording['cancellation that the holder does not acknowledge: answer'] = await controller.request(
       'POST',
       '/v2/runs/job-000501/abort',
