--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -1,11 +1,11 @@
 /**
  * Coordination among the controllers: connections to peers, the agreed protocol version, this controller's
- * lease and claims, and the duties that go with them. Built by the composition root; every later subsystem
- * asks it who holds what.
+ * lease and claims, and the duties that belong to the claims. Created by the composition root; the subsystems
+ * created later look up the holders of claims here.
  */
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
 import { LeaseManager } from '../claims/lease-manager.js';
-import { outageGrace } from '../claims/outage-grace.js';
+import { outageGraceDeadline } from '../claims/outage-grace.js';
 import { FENCED_ORDERS_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { composeDuties, type Duties } from '../duties/compose.js';
 import type { ServerResponse } from '../http/model.js';
@@ -16,27 +16,29 @@
 import { readPeerAddresses } from './address-codec.js';
 import type { ControllerContext } from './context.js';
 
-/** What coordination needs of subsystems that are built after it; called only once the controller runs. */
+/**
+ * What coordination needs from subsystems that are created after it; called only once the controller runs.
+ */
 export interface CoordinationDependencies {
-  /** What this controller tells a peer. */
+  /** Returns the heartbeat that this controller sends to a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
-  /** Answers a peer's request that is not a heartbeat; null: there is nothing under this path. */
+  /** Answers a peer's request that is not a heartbeat; null: the path is unknown. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
-  /** Shards held here whose workers reach only another controller: by claim name, that controller. */
+  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
 
 /** Coordination among the controllers. */
 export interface Coordination {
   readonly peerNetwork: PeerNetwork;
-  /** What the heartbeats of the peers say. */
+  /** The state of the peers according to their heartbeats. */
   readonly peers: PeerView;
   readonly protocolVersion: ProtocolVersion;
   readonly leases: LeaseManager;
   readonly duties: Duties;
-  /** The controller that leads, as far as this controller knows. */
+  /** Returns the name of the leader, as far as this controller knows; undefined: there is none. */
   readonly leaderNode: () => string | undefined;
-  /** May this controller act as the leader now? */
+  /** Whether this controller may act as the leader now. */
   readonly mayLead: () => boolean;
 }
 
@@ -46,7 +48,7 @@
   leaderNode: () => string | undefined,
 ): PeerNetwork =>
   new PeerNetwork({
-    me: deployment.me.node,
+    me: deployment.self.node,
     peers: readPeerAddresses(settings),
     now: clocks.lease,
     createHttpClient: ports.createHttpClient,
@@ -71,12 +73,12 @@
     beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
-    self: deployment.me,
+    self: deployment.self,
     controllers: deployment.nodes,
     shardCount: deployment.shardCount,
     peers: () => peers.statuses(),
     outageGraceUntil: () =>
-      outageGrace({
+      outageGraceDeadline({
         controllerCount: deployment.nodes.length,
         msSinceStoreAnswered: storeAccess.msSinceAnswered,
         peers,
@@ -96,6 +98,6 @@
     enforceFencing: context.features.fencing,
     tokensRequired: () => protocolVersion.agreed >= FENCED_ORDERS_PROTOCOL_VERSION,
   });
-  const mayLead = (): boolean => leases.actingRevision(LEADER_CLAIM) !== null;
+  const mayLead = (): boolean => leases.actingClaimRevision(LEADER_CLAIM) !== null;
   return { peerNetwork, peers, protocolVersion, leases, duties, leaderNode, mayLead };
 };
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -20,8 +20,8 @@
 };
 
 /**
- * An idle machine is held for as long as a boot would cost more than it saves, so that it is not provisioned
- * anew at once.
+ * An idle machine is held for as long as booting a new one would cost more than its release saves, so that it
+ * is not provisioned again at once.
  */
 const cases: readonly {
   readonly name: string;
@@ -51,7 +51,13 @@
     idleBoots: 9,
     isKept: true,
   },
-  { name: 'not for ever', bootBound: true, spot: false, idleBoots: 11, isKept: false },
+  {
+    name: 'a boot misses every target, but the hold time is over',
+    bootBound: true,
+    spot: false,
+    idleBoots: 11,
+    isKept: false,
+  },
   { name: 'a spot machine', bootBound: true, spot: true, idleBoots: 1.6, isKept: false },
 ];
 for (const row of cases) {
--- a/src/placement/shard-stage.test.ts
+++ b/src/placement/shard-stage.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { nextStage, ShardStage, type Stage, type StageEvent } from './shard-stage.js';
 
-/** For every stage and event the stage that follows; null: the event does not belong to the stage. */
+/** For every stage and event the stage that follows; null: the event does not apply to the stage. */
 const transitions: Readonly<Record<Stage, Readonly<Record<StageEvent, Stage | null>>>> = {
   loading: { loaded: 'rebuilding', rebuilt: null, lost: 'lost' },
   rebuilding: { loaded: null, rebuilt: 'placing', lost: 'lost' },
@@ -12,7 +12,7 @@
 };
 
 /** Events that bring a new shard to a stage. */
-const waysTo: Readonly<Record<Stage, readonly StageEvent[]>> = {
+const eventsLeadingTo: Readonly<Record<Stage, readonly StageEvent[]>> = {
   loading: [],
   rebuilding: ['loaded'],
   placing: ['loaded', 'rebuilt'],
@@ -25,7 +25,7 @@
     test(`shard stage: ${event} at ${stage} ${expected === null ? 'changes nothing' : `is ${expected}`}`, () => {
       assert.equal(nextStage(stage, event), expected);
       const shardStage = new ShardStage({ shardId: 1, claim: 2 });
-      for (const step of waysTo[stage]) shardStage.apply(step);
+      for (const step of eventsLeadingTo[stage]) shardStage.apply(step);
       shardStage.apply(event);
       assert.equal(shardStage.current, expected ?? stage);
     });
--- a/src/placement/shard-state.test.ts
+++ b/src/placement/shard-state.test.ts
@@ -1,11 +1,11 @@
-/** Which stops are sent when the tasks of a gang end. */
+/** Which stops are sent directly when the tasks of a gang end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
 import { ShardState } from './shard-state.js';
 
-test('shard state: tasks of a gang that is done are not told to stop one by one', () => {
-  // They end together, and each worker reports so itself.
+test('shard state: no direct stops are sent to the tasks of a finished gang', () => {
+  // The tasks end together, and each worker reports the end itself.
   const shardState = new ShardState({ now: () => 0, wall: () => 0, requestRound: () => undefined });
   const tasks = 3;
   const spec = jobSpec('job-1', {
@@ -35,10 +35,10 @@
   assert.ok(first);
   shardState.apply(first, { _tag: 'reported', state: { _tag: 'exited', cause: 'done', saved: false } });
   assert.equal(job.done.size, tasks);
-  assert.equal(shardState.stopsToSend.size, 0, 'nothing goes out directly');
+  assert.equal(shardState.stopsToSend.size, 0, 'no stop is sent directly');
   for (const other of others)
-    assert.equal(other.stop?.reason, 'finished', 'a worker that missed it hears of it');
-  // A gang that broke is still told at once, all of it.
+    assert.equal(other.stop?.reason, 'finished', 'a worker that missed the end receives the stop');
+  // All tasks of a broken gang are still stopped directly.
   const broken = shardState.applyJobRecord(
     { spec: { ...spec, id: 'job-2' }, at: 0, cancelled: false, cancelledAt: null, dependsOn: [], parts: 0 },
     2,
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -7,7 +7,7 @@
 } from '@dalegate/fencing';
 import { readDurableAcknowledgement, writeDurableAcknowledgement } from '../cancellation/codec.js';
 import { releaseWithoutIntent } from '../duties/release-without-intent.js';
-import { readStored, storeCatalog } from '../fleet/catalog.js';
+import { readStoredTypes, catalogWrites } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
 import {
   readFinalRecord,
@@ -129,8 +129,8 @@
   ...encodeAll('run', runs(), (run) => run),
   'list of followed jobs': packIds(DEPENDENCIES),
   'list of followed jobs, in parts': splitIds(DEPENDENCIES, 12).map(packIds),
-  'catalog in one value': storeCatalog(MACHINE_TYPES, LARGE_LIMIT, TXN_OPS, true)?.map(storedChange),
-  'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * SMALL_VALUE_BYTES, TXN_OPS, true)?.map(storedChange),
+  'catalog in one value': catalogWrites(MACHINE_TYPES, LARGE_LIMIT, TXN_OPS, true)?.map(storedChange),
+  'catalog in parts': catalogWrites(MACHINE_TYPES, 2 * SMALL_VALUE_BYTES, TXN_OPS, true)?.map(storedChange),
   ...encodeAll('book of rental requests', PROVISIONING_RECORDS, (book) =>
     writeProvisioningRecord(book, TOKEN, LARGE_LIMIT),
   ),
@@ -160,9 +160,9 @@
     value: rows[key],
     version: 7,
   });
-  const types = readStored(itemOf(keys.CATALOG_KEY), itemOf);
+  const types = readStoredTypes(itemOf(keys.CATALOG_KEY), itemOf);
   const valueBytes = keys.catalogPartKey(0) in rows ? 2 * SMALL_VALUE_BYTES : LARGE_LIMIT;
-  return types && storeCatalog(types, valueBytes, TXN_OPS, true)?.map(storedChange);
+  return types && catalogWrites(types, valueBytes, TXN_OPS, true)?.map(storedChange);
 };
 
 /** Functions that read a stored value and write it again, by the prefix of the entry's name. */
