--- a/src/recorded-formats/takeover.ts
+++ b/src/recorded-formats/takeover.ts
@@ -6,7 +6,7 @@
 /** ms until orphaned keys are marked for removal, and ms of the time of day until marked keys are removed. */
 const MARK_MS = 3_000;
 const REMOVAL_MS = 12_000;
-/** ms between the marking of a key by an earlier holder and the begin of the recording. */
+/** ms between the marking of a key by an earlier holder and the start of the recording. */
 const MARKED_BEFORE_MS = 20_000;
 /** The index of the recorded runs in their jobs; the run begins with task 128. */
 const CHUNK = 1;
