--- a/src/cluster-tests/clock-jumps.test.ts
+++ b/src/cluster-tests/clock-jumps.test.ts
@@ -40,9 +40,9 @@
     seed: 303,
     jobs: 10,
     faults: [
-      [30, (run) => run.world.state.outage(true)],
+      [30, (run) => run.environment.state.setOutage(true)],
       [33, shiftClock('0', HOUR_MS)],
-      [45, (run) => run.world.state.outage(false)],
+      [45, (run) => run.environment.state.setOutage(false)],
       [60, resetClocks],
     ],
   },
--- a/src/cluster-tests/concurrent-faults.test.ts
+++ b/src/cluster-tests/concurrent-faults.test.ts
@@ -21,9 +21,9 @@
     name: `refusal, cancellations, outage, crash and takeover at random times (seed ${seed})`,
     seed,
     jobs: 9,
-    runS: [90, 140],
+    taskDurationRangeS: [90, 140],
     faults: [
-      [refused, (run) => run.world.state.refused.add(run.busiest())],
+      [refused, (run) => run.environment.state.refused.add(run.busiestNode())],
       ...[0, 1, 2].map(
         () =>
           [
@@ -31,11 +31,11 @@
             (run: ScenarioRun) => run.cancelRunning(1 + random.below(3)),
           ] as const,
       ),
-      [outage, (run) => run.world.state.outage(true)],
-      [refused + 1 + randomTenths(30), (run) => run.world.state.refused.clear()],
-      [crash, (run) => run.cluster.down(NODES[seed % 3] ?? 'n0')],
-      [crash + (random.chance(0.5) ? 0.1 : 4), (run) => run.cluster.up(NODES[seed % 3] ?? 'n0')],
-      [over, (run) => run.world.state.outage(false)],
+      [outage, (run) => run.environment.state.setOutage(true)],
+      [refused + 1 + randomTenths(30), (run) => run.environment.state.refused.clear()],
+      [crash, (run) => run.cluster.stop(NODES[seed % 3] ?? 'n0')],
+      [crash + (random.chance(0.5) ? 0.1 : 4), (run) => run.cluster.start(NODES[seed % 3] ?? 'n0')],
+      [over, (run) => run.environment.state.setOutage(false)],
     ],
   };
 };
@@ -50,11 +50,11 @@
     jobs: 9,
     runS: [90, 140] as const,
     faults: [
-      [40, (run) => run.world.state.refused.add(run.busiest())],
+      [40, (run) => run.environment.state.refused.add(run.busiestNode())],
       [40.1, (run) => run.cancelRunning(8)],
-      [41, (run) => run.world.state.outage(true)],
-      [55, (run) => run.world.state.refused.clear()],
-      [98, (run) => run.world.state.outage(false)],
+      [41, (run) => run.environment.state.setOutage(true)],
+      [55, (run) => run.environment.state.refused.clear()],
+      [98, (run) => run.environment.state.setOutage(false)],
     ] satisfies Scenario['faults'],
   })),
   ...[71, 72, 73, 74].map(randomOutage),
@@ -65,15 +65,15 @@
     name: 'the store is slow, then refuses the holder, then has an outage, while users cancel and poll',
     seed: 31,
     jobs: 10,
-    runS: [60, 120],
+    taskDurationRangeS: [60, 120],
     faults: [
       ...faultAt(35, 'slowState', 1),
       [40, (run) => run.cancelRunning(3)],
-      [44, (run) => run.world.state.refused.add(run.busiest())],
+      [44, (run) => run.environment.state.refused.add(run.busiestNode())],
       [44.3, (run) => run.cancelRunning(3)],
-      [45.5, (run) => run.world.state.outage(true)],
-      [97, (run) => run.world.state.outage(false)],
-      [98, (run) => run.world.state.refused.clear()],
+      [45.5, (run) => run.environment.state.setOutage(true)],
+      [97, (run) => run.environment.state.setOutage(false)],
+      [98, (run) => run.environment.state.refused.clear()],
     ],
   },
   // 2. Worker heartbeats that a former holder never received reach the new holder, which has acted meanwhile.
@@ -81,14 +81,14 @@
   {
     name: 'worker heartbeats are held back until a new holder has acted, then delivered to it',
     seed: 32,
-    runS: [20, 60],
+    taskDurationRangeS: [20, 60],
     faults: [
-      [35, (run) => run.world.hold('n0', run.working())],
-      [36, (run) => run.cluster.down('n0')],
-      [36.1, (run) => run.cluster.up('n0')],
-      [52, (run) => run.world.hold('n0', [])],
-      [60, (run) => run.world.hold(run.busiest(), run.working().slice(0, 3))],
-      [85, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.world.hold(node, []))],
+      [35, (run) => run.environment.holdMessages('n0', run.machinesWithTasks())],
+      [36, (run) => run.cluster.stop('n0')],
+      [36.1, (run) => run.cluster.start('n0')],
+      [52, (run) => run.environment.holdMessages('n0', [])],
+      [60, (run) => run.environment.holdMessages(run.busiestNode(), run.machinesWithTasks().slice(0, 3))],
+      [85, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.environment.holdMessages(node, []))],
     ],
   },
   // 3. Each write is conditional on the revision of the key that it changes, so an older write that arrives
@@ -96,13 +96,13 @@
   {
     name: 'transactions without an answer take effect after newer ones of the same controller',
     seed: 33,
-    runS: [10, 40],
+    taskDurationRangeS: [10, 40],
     faults: [
-      [15, (run) => (run.world.lateWrites = 0.25)],
+      [15, (run) => (run.environment.lateWriteProbability = 0.25)],
       [45, (run) => run.cancelRunning(3)],
-      [60, (run) => run.cluster.down(run.busiest())],
-      [60.1, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
-      [100, (run) => (run.world.lateWrites = 0)],
+      [60, (run) => run.cluster.stop(run.busiestNode())],
+      [60.1, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.start(node))],
+      [100, (run) => (run.environment.lateWriteProbability = 0)],
     ],
   },
   // 4. A direct command to a hung machine is executed when the machine resumes, under the same token and
@@ -110,7 +110,7 @@
   {
     name: 'commands are delayed while their machines hang, and the machines then resume',
     seed: 34,
-    runS: [15, 50],
+    taskDurationRangeS: [15, 50],
     faults: [10, 20, 30, 42, 54].flatMap((start, k) => [
       ...faultAt(start, 'hang', k),
       [start + 1, (run: ScenarioRun) => run.cancelRunning(1)] as const,
@@ -122,14 +122,14 @@
     name: 'teams at their limits, the holder stops, machines are unreachable, and jobs are cancelled',
     seed: 36,
     jobs: 18,
-    everyS: 1,
+    submissionIntervalS: 1,
     tasks: 16,
-    runS: [25, 60],
+    taskDurationRangeS: [25, 60],
     faults: [
       ...faultAt(40, 'cut', 3),
-      [40.5, (run) => run.cluster.down(run.busiest())],
+      [40.5, (run) => run.cluster.stop(run.busiestNode())],
       [41, (run) => run.cancelRunning(3)],
-      [44, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      [44, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.start(node))],
       [47, (run) => run.cancelRunning(2)],
     ],
   },
@@ -138,10 +138,10 @@
   {
     name: 'all controllers are down for longer than a lease',
     seed: 37,
-    runS: [15, 60],
+    taskDurationRangeS: [15, 60],
     faults: [
-      [40, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
-      [59, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      [40, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.stop(node))],
+      [59, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.start(node))],
     ],
   },
   // 8. A holder without the key-value store and peers stops answering its workers when its lease may have
@@ -150,7 +150,7 @@
     name: 'the holder loses the store and its peers, not its workers; jobs are cancelled at its successor',
     seed: 38,
     jobs: 10,
-    runS: [80, 120],
+    taskDurationRangeS: [80, 120],
     faults: [
       ...faultAt(40, 'isolated', 2),
       [41, (run) => run.cancelRunning(4)],
@@ -162,7 +162,7 @@
   {
     name: 'workers reach no controller while direct commands reach the workers',
     seed: 39,
-    runS: [15, 60],
+    taskDurationRangeS: [15, 60],
     faults: [...faultAt(30, 'mute', 1), ...faultAt(45, 'mute', 7), [50, (run) => run.cancelRunning(2)]],
   },
   // 10. The final record and the cancellation are conditional on the same key, so all controllers see the
@@ -171,8 +171,8 @@
     name: 'jobs are cancelled when their last task ends, or polled',
     seed: 40,
     jobs: 16,
-    runS: [6, 14],
-    cancelAtEnd: 0.6,
+    taskDurationRangeS: [6, 14],
+    cancelAtEndProbability: 0.6,
     faults: [],
   },
   // 11. State that a holder keeps only in memory (quarantined and unreachable machines, waiting times) is
@@ -180,11 +180,11 @@
   {
     name: 'ten changes of holder in two minutes, with an outage in between',
     seed: 41,
-    runS: [15, 60],
+    taskDurationRangeS: [15, 60],
     faults: [
       ...faultAt(20, 'changes', 1),
-      [70, (run) => run.world.state.outage(true)],
-      [88, (run) => run.world.state.outage(false)],
+      [70, (run) => run.environment.state.setOutage(true)],
+      [88, (run) => run.environment.state.setOutage(false)],
       [92, (run) => run.cancelRunning(3)],
     ],
   },
@@ -194,12 +194,12 @@
     name: 'a holder stops while machines with long tasks are cut off or receive nothing',
     seed: 42,
     jobs: 8,
-    runS: [70, 110],
+    taskDurationRangeS: [70, 110],
     faults: [
       ...faultAt(35, 'deaf', 5),
       ...faultAt(36, 'cut', 6),
-      [38, (run) => run.cluster.down(run.busiest())],
-      [44, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      [38, (run) => run.cluster.stop(run.busiestNode())],
+      [44, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.start(node))],
     ],
   },
   // 13. An old copy of a heartbeat is not acknowledged, neither by a holder that received newer heartbeats
@@ -207,14 +207,14 @@
   {
     name: 'old worker heartbeats after newer ones, from earlier agent epochs and attempts, across takeovers',
     seed: 43,
-    runS: [10, 40],
+    taskDurationRangeS: [10, 40],
     faults: [
-      [10, (run) => (run.world.lateReports = 0.5)],
+      [10, (run) => (run.environment.lateHeartbeatProbability = 0.5)],
       ...faultAt(30, 'cut', 2),
-      [45, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
-      [45.2, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.up(node))],
+      [45, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.stop(node))],
+      [45.2, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.start(node))],
       ...faultAt(55, 'roll', 3),
-      [110, (run) => (run.world.lateReports = 0)],
+      [110, (run) => (run.environment.lateHeartbeatProbability = 0)],
     ],
   },
   // 14. A worker forgets an exited task only after the run record contains the exit, so a new holder finds
@@ -223,8 +223,8 @@
     name: 'tasks of one job end far apart, with changes of holder in between',
     seed: 44,
     jobs: 12,
-    runS: [5, 25],
-    apart: true,
+    taskDurationRangeS: [5, 25],
+    staggeredTaskEnds: true,
     faults: [20, 34, 48, 62].flatMap((start, k) => faultAt(start, 'crashBusiest', k)),
   },
   // 15. More work than capacity, over links that lose many messages: no task is bound twice or waits forever.
@@ -232,29 +232,29 @@
     name: 'more work than capacity, over links that lose messages',
     seed: 45,
     jobs: 22,
-    everyS: 1,
-    runS: [15, 40],
-    loss: 0.02,
+    submissionIntervalS: 1,
+    taskDurationRangeS: [15, 40],
+    lossProbability: 0.02,
     faults: [
-      [10, (run) => (run.world.stateSlowMs = 600)],
-      [90, (run) => (run.world.stateSlowMs = 0)],
-      [91, (run) => (run.world.loss = 0)],
+      [10, (run) => (run.environment.maxStoreDelayMs = 600)],
+      [90, (run) => (run.environment.maxStoreDelayMs = 0)],
+      [91, (run) => (run.environment.lossProbability = 0)],
     ],
   },
   // 16. Claims are handed over and back, all controllers stop, and one restarts within a second.
   {
     name: 'controllers hand claims over and back, all stop, and one restarts within a second',
     seed: 46,
-    runS: [15, 50],
+    taskDurationRangeS: [15, 50],
     faults: [
       ...faultAt(25, 'roll', 4),
-      [60, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
-      [60.4, (run) => run.cluster.up('n1')],
-      [70, (run) => run.cluster.up('n0')],
-      [71, (run) => run.cluster.up('n2')],
-      [90, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.down(node))],
-      [90.1, (run) => run.cluster.up('n2')],
-      [108, (run) => ['n0', 'n1'].forEach((node) => run.cluster.up(node))],
+      [60, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.stop(node))],
+      [60.4, (run) => run.cluster.start('n1')],
+      [70, (run) => run.cluster.start('n0')],
+      [71, (run) => run.cluster.start('n2')],
+      [90, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.cluster.stop(node))],
+      [90.1, (run) => run.cluster.start('n2')],
+      [108, (run) => ['n0', 'n1'].forEach((node) => run.cluster.start(node))],
     ],
   },
   // 17. The remaining tasks of an earlier attempt tie their job to its zone until they are proven gone.
@@ -262,8 +262,8 @@
     name: 'one-zone gangs and arrays lose machines, some for good',
     seed: 47,
     jobs: 16,
-    everyS: 2,
-    runS: [20, 50],
+    submissionIntervalS: 2,
+    taskDurationRangeS: [20, 50],
     faults: [
       ...faultAt(25, 'cut', 8),
       ...faultAt(28, 'dies', 1),
@@ -278,21 +278,21 @@
   {
     name: 'a zone with workers and a controller is cut off for longer than a lease; its messages arrive late',
     seed: 48,
-    runS: [20, 70],
+    taskDurationRangeS: [20, 70],
     faults: [
       [
         35,
         (run) => {
-          run.world.hold('n1', ['state', 'cloud', 'n0', 'n2', 'user']);
+          run.environment.holdMessages('n1', ['state', 'cloud', 'n0', 'n2', 'user']);
           for (const node of ['n0', 'n2'])
-            run.world.hold(
+            run.environment.holdMessages(
               node,
-              [...run.world.machines.values()].filter((m) => m.zone === 'y').map((m) => m.id),
+              [...run.environment.machines.values()].filter((m) => m.zone === 'y').map((m) => m.id),
             );
         },
       ],
       [42, (run) => run.cancelRunning(4)],
-      [65, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.world.hold(node, []))],
+      [65, (run) => ['n0', 'n1', 'n2'].forEach((node) => run.environment.holdMessages(node, []))],
     ],
   },
 
@@ -310,16 +310,16 @@
     seed: 82,
     jobs: 5,
     pipelines: 7,
-    everyS: 2,
+    submissionIntervalS: 2,
     faults: [
       [18, (run) => run.cancelPipelines(1)],
       ...faultAt(24, 'isolated', 3),
       [25, (run) => run.cancelPipelines(2)],
-      [40, (run) => run.world.state.refused.add(run.busiest())],
+      [40, (run) => run.environment.state.refused.add(run.busiestNode())],
       [40.2, (run) => run.cancelPipelines(2)],
-      [41, (run) => run.world.state.outage(true)],
-      [66, (run) => run.world.state.outage(false)],
-      [67, (run) => run.world.state.refused.clear()],
+      [41, (run) => run.environment.state.setOutage(true)],
+      [66, (run) => run.environment.state.setOutage(false)],
+      [67, (run) => run.environment.state.refused.clear()],
     ],
   },
   {
--- a/src/cluster-tests/controllers.test.ts
+++ b/src/cluster-tests/controllers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import type { CallOutcome } from '../http/model.js';
-import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from '../testing/cluster.js';
+import { CANCEL_MS, Cluster, createStandInJob, NODES, STEP_MS, runDueCallbacks } from '../testing/cluster.js';
 import { SeededRandom } from '../testing/seeded-random.js';
 import { SimulatedEnvironment } from '../testing/simulated-environment.js';
 import type { StandInJob } from '../testing/worker-stand-in.js';
@@ -32,10 +32,10 @@
     seed: 3,
     loss: 0.002,
     faults: [
-      [15, (_, cluster) => cluster.down('n0')],
-      [15.3, (_, cluster) => cluster.up('n0')],
-      [30, (_, cluster) => NODES.forEach((node) => cluster.down(node))],
-      [33, (_, cluster) => NODES.forEach((node) => cluster.up(node))],
+      [15, (_, cluster) => cluster.stop('n0')],
+      [15.3, (_, cluster) => cluster.start('n0')],
+      [30, (_, cluster) => NODES.forEach((node) => cluster.stop(node))],
+      [33, (_, cluster) => NODES.forEach((node) => cluster.start(node))],
     ],
   },
   {
@@ -43,8 +43,8 @@
     seed: 4,
     loss: 0.002,
     faults: [
-      [20, (env) => env.state.outage(true)],
-      [40, (env) => env.state.outage(false)],
+      [20, (env) => env.state.setOutage(true)],
+      [40, (env) => env.state.setOutage(false)],
       [50, (env) => env.state.refused.add('n1')],
       [
         55,
@@ -52,7 +52,7 @@
           [...env.machines.values()]
             .filter((machine) => machine.tasks.size > 0)
             .slice(0, 1)
-            .forEach((machine) => env.kill(machine.id)),
+            .forEach((machine) => env.terminateMachine(machine.id)),
       ],
       [65, (env) => env.state.refused.delete('n1')],
     ],
@@ -62,10 +62,10 @@
     seed: 5,
     loss: 0.001,
     faults: [
-      [24, (env) => env.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
-      [36, (env) => env.machines.forEach((machine) => (machine.cut = false))],
-      [48, (env) => env.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
-      [70, (env) => env.machines.forEach((machine) => (machine.cut = false))],
+      [24, (env) => env.machines.forEach((machine) => (machine.isPartitioned = machine.tasks.size > 0))],
+      [36, (env) => env.machines.forEach((machine) => (machine.isPartitioned = false))],
+      [48, (env) => env.machines.forEach((machine) => (machine.isPartitioned = machine.tasks.size > 0))],
+      [70, (env) => env.machines.forEach((machine) => (machine.isPartitioned = false))],
     ],
   },
   // The agent epoch of such a machine increases when its lease expires, which proves that its tasks are gone.
@@ -95,12 +95,12 @@
     loss: 0.001,
     duplicateProbability: 0.15,
     faults: [
-      [22, (_, cluster) => cluster.down('n1')],
-      [22.1, (_, cluster) => cluster.up('n1')],
-      [40, (_, cluster) => cluster.down('n0')],
-      [52, (_, cluster) => cluster.up('n0')],
-      [60, (_, cluster) => NODES.forEach((node) => cluster.down(node))],
-      [60.1, (_, cluster) => NODES.forEach((node) => cluster.up(node))],
+      [22, (_, cluster) => cluster.stop('n1')],
+      [22.1, (_, cluster) => cluster.start('n1')],
+      [40, (_, cluster) => cluster.stop('n0')],
+      [52, (_, cluster) => cluster.start('n0')],
+      [60, (_, cluster) => NODES.forEach((node) => cluster.stop(node))],
+      [60.1, (_, cluster) => NODES.forEach((node) => cluster.start(node))],
     ],
   },
   // The controller cannot learn of a new holder, so it must stop answering its workers by itself before a new
@@ -110,10 +110,10 @@
     seed: 9,
     loss: 0,
     faults: [
-      [20, (env) => env.sever('n0', ['state', 'mesh-n1', 'mesh-n2'])],
-      [50, (env) => env.sever('n0', [])],
-      [62, (env) => env.sever('n1', ['state', 'mesh-n0', 'mesh-n2'])],
-      [85, (env) => env.sever('n1', [])],
+      [20, (env) => env.partition('n0', ['state', 'mesh-n1', 'mesh-n2'])],
+      [50, (env) => env.partition('n0', [])],
+      [62, (env) => env.partition('n1', ['state', 'mesh-n0', 'mesh-n2'])],
+      [85, (env) => env.partition('n1', [])],
     ],
   },
   {
@@ -123,8 +123,8 @@
     faults: [20, 20.4, 21, 25, 25.3, 26, 30.2, 30.4].flatMap((at, k) => {
       const node = NODES[k % 2] ?? 'n0';
       return [
-        [at, (_: SimulatedEnvironment, cluster: Cluster) => cluster.down(node)],
-        [at + 0.1, (_: SimulatedEnvironment, cluster: Cluster) => cluster.up(node)],
+        [at, (_: SimulatedEnvironment, cluster: Cluster) => cluster.stop(node)],
+        [at + 0.1, (_: SimulatedEnvironment, cluster: Cluster) => cluster.start(node)],
       ] as const;
     }),
   },
@@ -137,13 +137,13 @@
         18,
         (env) =>
           NODES.forEach((node) =>
-            env.sever(
+            env.partition(
               node,
               NODES.map((other) => `mesh-${other}`),
             ),
           ),
       ],
-      [80, (env) => NODES.forEach((node) => env.sever(node, []))],
+      [80, (env) => NODES.forEach((node) => env.partition(node, []))],
     ],
   },
 ];
@@ -162,24 +162,25 @@
     const cluster = new Cluster(env);
     try {
       const begin = Date.now();
-      NODES.forEach((node) => cluster.up(node));
-      for (let k = 0; k < 4; k += 1) env.boot(k % 2 === 0 ? 'x' : 'y', false, 100);
-      env.loss = scenario.loss;
-      env.copies = scenario.duplicateProbability ?? 0;
-      env.copyAfter = [1_000, 15_000, 45_000];
+      NODES.forEach((node) => cluster.start(node));
+      for (let k = 0; k < 4; k += 1) env.bootMachine(k % 2 === 0 ? 'x' : 'y', false, 100);
+      env.lossProbability = scenario.loss;
+      env.duplicateProbability = scenario.duplicateProbability ?? 0;
+      env.duplicateDelaysMs = [1_000, 15_000, 45_000];
 
       const jobs: StandInJob[] = [];
       for (let n = 0; n < 16; n += 1) {
         if (n % 4 === 1)
           jobs.push(
-            jobOf(
+            createStandInJob(
               n,
               { shape: 'group', heads: 2, accelerators: 8, vcpus: 60, together: true, owner: 'red' },
               8_000,
             ),
           );
-        else if (n % 4 === 3) jobs.push(jobOf(n, { owner: 'blue', heads: 7, agistment: true }, 12_000));
-        else jobs.push(jobOf(n, { heads: 1 + (n % 5) }, 8_000 + 1_500 * n));
+        else if (n % 4 === 3)
+          jobs.push(createStandInJob(n, { owner: 'blue', heads: 7, agistment: true }, 12_000));
+        else jobs.push(createStandInJob(n, { heads: 1 + (n % 5) }, 8_000 + 1_500 * n));
       }
       /** A user: submits a job until it is accepted and polls until it is done; one user cancels the job. */
       const simulateUser = async (job: StandInJob, order: number): Promise<void> => {
@@ -191,7 +192,7 @@
           const answer = await request('POST', '/v2/runs', job.body);
           if (answer._tag === 'response' && (answer.status === 201 || answer.status === 200)) break;
           if (answer._tag === 'response' && answer.status < 500)
-            env.broken.push(`refused ${job.id} ${answer.status}`);
+            env.violations.push(`refused ${job.id} ${answer.status}`);
           await new Promise((resolve) => setTimeout(resolve, 1_000));
         }
         job.accepted = true;
@@ -208,16 +209,16 @@
         }
         for (;;) {
           const answer = await request('GET', `/v2/runs/${job.id}`);
-          if (answer._tag === 'response' && answer.status === 404) env.broken.push(`forgotten ${job.id}`);
+          if (answer._tag === 'response' && answer.status === 404) env.violations.push(`forgotten ${job.id}`);
           if (answer._tag === 'response' && answer.status === 200) {
             const { status } = answer.body as { status: string };
-            if (status === 'done' && !env.allDone(job)) env.broken.push(`not_done ${job.id}`);
+            if (status === 'done' && !env.areAllTasksDone(job)) env.violations.push(`not_done ${job.id}`);
             if (job.cancelledAt !== null && status !== 'withdrawn')
-              env.broken.push(`went_back ${job.id} ${status}`);
+              env.violations.push(`went_back ${job.id} ${status}`);
             if (job.cancelledAt === null && status === 'withdrawn')
-              env.broken.push(`went_back ${job.id} ${status}`);
+              env.violations.push(`went_back ${job.id} ${status}`);
             if (status === 'done' || status === 'withdrawn') {
-              job.doneTold = true;
+              job.isFinalStatusReported = true;
               return;
             }
           }
@@ -238,7 +239,7 @@
               const answer = await env.call('user', node, 'GET', `/v2/runs/${job.id}`, undefined, 2_000);
               known = answer._tag === 'response' && answer.status === 200;
             }
-            if (!known) env.broken.push(`forgotten ${job.id} at ${node}`);
+            if (!known) env.violations.push(`forgotten ${job.id} at ${node}`);
           }
         }
       };
@@ -246,19 +247,19 @@
       const end = begin + 400_000;
       const lastFault = begin + (faults.at(-1)?.[0] ?? 0) * 1000;
       let areJobsQueried = false;
-      while (Date.now() < end && !(areJobsQueried && jobs.every((job) => job.doneTold))) {
+      while (Date.now() < end && !(areJobsQueried && jobs.every((job) => job.isFinalStatusReported))) {
         if (!areJobsQueried && Date.now() > lastFault + 60_000) {
           areJobsQueried = true;
           void queryAllJobs();
         }
         mock.timers.tick(STEP_MS);
-        await tick();
+        await runDueCallbacks();
         env.step();
         while (faults[0] && Date.now() - begin >= faults[0][0] * 1000) faults.shift()?.[1](env, cluster);
       }
-      assert.deepEqual(env.broken, []);
+      assert.deepEqual(env.violations, []);
       assert.deepEqual(
-        jobs.filter((job) => !job.doneTold).map((job) => job.id),
+        jobs.filter((job) => !job.isFinalStatusReported).map((job) => job.id),
         [],
         'every job has ended and its user was told so',
       );
@@ -274,19 +275,19 @@
       if (scenario.maxStarts !== undefined)
         assert.ok(Math.max(...starts.values()) <= scenario.maxStarts, 'no task starts again and again');
       // No record of a terminated machine remains: late heartbeats must not restore a record permanently.
-      env.copies = 0;
+      env.duplicateProbability = 0;
       for (const until = Date.now() + 70_000; Date.now() < until;) {
         mock.timers.tick(STEP_MS);
-        await tick();
+        await runDueCallbacks();
         env.step();
       }
       assert.deepEqual(
-        env.state.keys('w/m/').filter((key) => env.machines.get(key.slice(4))?.dead !== false),
+        env.state.keys('w/m/').filter((key) => env.machines.get(key.slice(4))?.isTerminated !== false),
         [],
       );
-      assert.deepEqual(env.broken, []);
+      assert.deepEqual(env.violations, []);
     } finally {
-      NODES.forEach((node) => cluster.down(node));
+      NODES.forEach((node) => cluster.stop(node));
       mock.timers.reset();
     }
   });
@@ -311,13 +312,17 @@
   const startedAt = new Map<string, number>();
   const submitted = new Map<string, { job: StandInJob; at: number; kind: string }>();
   try {
-    NODES.forEach((node) => cluster.up(node));
+    NODES.forEach((node) => cluster.start(node));
     const gang = { shape: 'group', accelerators: 8, vcpus: 60, together: true };
     const begin = Date.now();
     let n = 0;
     const submit = (kind: string, overrides: Partial<Record<string, unknown>>, runMs: number): void => {
       n += 1;
-      const job = jobOf(n, { herd: kind, owner: n % 2 === 0 ? 'red' : 'blue', ...overrides }, runMs);
+      const job = createStandInJob(
+        n,
+        { herd: kind, owner: n % 2 === 0 ? 'red' : 'blue', ...overrides },
+        runMs,
+      );
       env.jobs.set(job.id, job);
       submitted.set(job.id, { job, at: Date.now(), kind });
       const send = async (): Promise<void> => {
@@ -334,7 +339,7 @@
     const largeGangTimes = [40, 60, 80, 100, 120].map((at) => begin + at * 1000);
     while (Date.now() < begin + 380_000) {
       mock.timers.tick(STEP_MS);
-      await tick();
+      await runDueCallbacks();
       env.step();
       for (const start of env.starts.splice(0)) {
         const id = start.slice(0, start.indexOf('/'));
@@ -355,7 +360,7 @@
         submit('large', { ...gang, heads: 5 }, 12_000);
       }
     }
-    assert.deepEqual(env.broken, []);
+    assert.deepEqual(env.violations, []);
     const groups = new Map<string, { all: number; served: number }>();
     for (const [id, { job, at, kind }] of submitted) {
       const start = startedAt.get(id);
@@ -374,7 +379,7 @@
     for (const [group, { all, served }] of groups)
       assert.ok(served * 2 >= all, `${group}: ${served} of ${all} started`);
   } finally {
-    NODES.forEach((node) => cluster.down(node));
+    NODES.forEach((node) => cluster.stop(node));
     mock.timers.reset();
   }
 });
@@ -386,19 +391,19 @@
   const advance = async (ms: number): Promise<void> => {
     for (const end = Date.now() + ms; Date.now() < end;) {
       mock.timers.tick(STEP_MS);
-      await tick();
+      await runDueCallbacks();
       env.step();
     }
   };
   try {
-    NODES.forEach((node) => cluster.up(node));
-    const id = env.boot('x', false, 100);
+    NODES.forEach((node) => cluster.start(node));
+    const id = env.bootMachine('x', false, 100);
     await advance(8_000);
     assert.deepEqual(env.state.keys('w/m/'), [`w/m/${id}`], 'adopted');
-    const report = env.machines.get(id)?.report();
+    const report = env.machines.get(id)?.nextHeartbeat();
     await advance(40_000);
     assert.deepEqual(env.state.keys('w/m/'), [], 'idle, and released');
-    NODES.forEach((node) => cluster.up(node)); // After a restart no controller remembers the release.
+    NODES.forEach((node) => cluster.start(node)); // After a restart no controller remembers the release.
     await advance(10_000);
     for (const node of NODES) void env.call(id, node, 'POST', '/hello', report, 4_000);
     await advance(4_000);
@@ -406,7 +411,7 @@
     await advance(20_000);
     assert.deepEqual(env.state.keys('w/m/'), [], 'the machine sends no further heartbeat');
   } finally {
-    NODES.forEach((node) => cluster.down(node));
+    NODES.forEach((node) => cluster.stop(node));
     mock.timers.reset();
   }
 });
@@ -421,7 +426,7 @@
     const advance = async (ms: number): Promise<void> => {
       for (const end = Date.now() + ms; Date.now() < end;) {
         mock.timers.tick(STEP_MS);
-        await tick();
+        await runDueCallbacks();
         env.step();
       }
     };
@@ -432,10 +437,10 @@
       return answer;
     };
     try {
-      NODES.forEach((node) => cluster.up(node));
-      for (let k = 0; k < 2; k += 1) env.boot('x', false, 100);
+      NODES.forEach((node) => cluster.start(node));
+      for (let k = 0; k < 2; k += 1) env.bootMachine('x', false, 100);
       await advance(5_000);
-      const job = jobOf(1, { heads: 100_000, owner: 'blue' }, 1_500);
+      const job = createStandInJob(1, { heads: 100_000, owner: 'blue' }, 1_500);
       env.jobs.set(job.id, job);
       const accepted = await request('POST', '/v2/runs', job.body);
       assert.ok(accepted._tag === 'response' && accepted.status === 201);
@@ -450,9 +455,9 @@
       assert.deepEqual(env.state.keys('r/'), []);
       assert.deepEqual(env.state.keys('w/j/'), []);
       assert.deepEqual(env.state.keys('f/'), [`f/${job.id}`]);
-      assert.deepEqual(env.broken, []);
+      assert.deepEqual(env.violations, []);
     } finally {
-      NODES.forEach((node) => cluster.down(node));
+      NODES.forEach((node) => cluster.stop(node));
       mock.timers.reset();
     }
   },
--- a/src/cluster-tests/invalid-input.test.ts
+++ b/src/cluster-tests/invalid-input.test.ts
@@ -52,7 +52,7 @@
     const askAll = (run: ScenarioRun, when: string): void => {
       for (const node of NODES) {
         for (const row of rows) {
-          run.askNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
+          run.requestFromNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
             const allowed = status === row.status || (status === 503 && row.always !== true);
             if (!allowed) wrong.push(`${when}, ${node}, ${row.name}: ${status}`);
             if (tookMs > 2_500) wrong.push(`${when}, ${node}, ${row.name}: held back ${tookMs} ms`);
@@ -61,32 +61,32 @@
           });
         }
         // A finished job stays done when a user cancels it or submits it again.
-        const done = run.jobs.find((job) => job.doneTold && job.cancelledAt === null);
+        const done = run.jobs.find((job) => job.isFinalStatusReported && job.cancelledAt === null);
         if (!done) continue;
         const check = (status: number, said: unknown): void => {
           if (status !== 200 && status !== 503) wrong.push(`${when}, ${node}, done: ${status}`);
           if (status === 200 && (said as { status: string }).status !== 'done')
             wrong.push(`${when}, ${node}, done: ${JSON.stringify(said)}`);
         };
-        run.askNode(node, 'POST', `/v2/runs/${done.id}/abort`, undefined, check);
-        run.askNode(node, 'POST', '/v2/runs', done.body, check);
-        run.askNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
+        run.requestFromNode(node, 'POST', `/v2/runs/${done.id}/abort`, undefined, check);
+        run.requestFromNode(node, 'POST', '/v2/runs', done.body, check);
+        run.requestFromNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
       }
     };
     const scenario: Scenario = {
       seed: 91,
       jobs: 18,
-      everyS: 1,
-      runS: [8, 20],
+      submissionIntervalS: 1,
+      taskDurationRangeS: [8, 20],
       faults: [
         [12, (run) => askAll(run, 'under load')],
-        [30, (run) => run.cluster.down(run.busiest())],
+        [30, (run) => run.cluster.stop(run.busiestNode())],
         [36, (run) => askAll(run, 'right after a takeover')],
-        [40, (run) => NODES.forEach((node) => run.cluster.up(node))],
+        [40, (run) => NODES.forEach((node) => run.cluster.start(node))],
         [40.3, (run) => askAll(run, 'right after a start')],
-        [55, (run) => run.world.state.outage(true)],
+        [55, (run) => run.environment.state.setOutage(true)],
         [58, (run) => askAll(run, 'in an outage')],
-        [66, (run) => run.world.state.outage(false)],
+        [66, (run) => run.environment.state.setOutage(false)],
         [75, (run) => askAll(run, 'afterwards')],
       ],
     };
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -6,9 +6,9 @@
 import * as Effect from 'effect/Effect';
 import {
   MACHINE_LIST_INTERVAL_MS,
-  RETURNED_MACHINE_LISTING_FACTOR,
-  UNKNOWN_MACHINE_LAG_FACTOR,
-  UNKNOWN_MACHINE_SLACK_S,
+  RELEASED_MACHINE_LISTING_FACTOR,
+  UNRECORDED_MACHINE_LAG_FACTOR,
+  UNRECORDED_MACHINE_SLACK_S,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
 import { machineKey } from '../kv-store/keys.js';
@@ -87,8 +87,8 @@
     this.listedAt = now;
     const listed = yield* this.readList;
     if (listed === null) return;
-    const lagS = this.input.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
-    this.input.scaleIn.forgetReleasesOlderThan(lagS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
+    const lagS = this.input.listLagS * UNRECORDED_MACHINE_LAG_FACTOR + UNRECORDED_MACHINE_SLACK_S;
+    this.input.scaleIn.forgetReleasesOlderThan(lagS * RELEASED_MACHINE_LISTING_FACTOR * 1_000);
     for (const { id, type, zone, spot, ageS } of listed) {
       if (ageS >= lagS) this.adopt(id, { type, zone, spot }, this.input.wall() - ageS * 1_000);
     }
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -68,27 +68,27 @@
     this.transfers = new TransferOrders({
       cache,
       now,
-      duty: duties.leader('move'),
+      duty: duties.leaderDuty('move'),
       machines,
       send: input.orderTransfers,
     });
     this.scaleOut = new ScaleOut({
       ...input,
-      duty: duties.leader('rent'),
+      duty: duties.leaderDuty('rent'),
       recorder,
       adoptionQueue,
       refusals,
     });
-    this.scaleIn = new ScaleIn({ ...input, duty: duties.leader('release'), machines, refusals });
+    this.scaleIn = new ScaleIn({ ...input, duty: duties.leaderDuty('release'), machines, refusals });
     this.adopter = new Adopter({
       ...input,
-      duty: duties.leader('adopt'),
+      duty: duties.leaderDuty('adopt'),
       queue: adoptionQueue,
       machines,
       recorder,
       scaleIn: this.scaleIn,
     });
-    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leader('catalog') });
+    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leaderDuty('catalog') });
     cache.onEvent((event) => machines.onEvent(event));
   }
 
--- a/src/fleet/machine-offers.ts
+++ b/src/fleet/machine-offers.ts
@@ -3,7 +3,7 @@
  * plan, which creates one `MachineOffers` a round.
  */
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed, type MachineType } from '../jobs/model.js';
 import type { ScalingPlanInput } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
 
@@ -42,9 +42,9 @@
   type: MachineType,
   { isRefused }: OfferInput,
 ): readonly MachineOffer[] => {
-  const usedTasks = howMany(demand, type, demand.tasks);
+  const usedTasks = fittingTaskCount(demand, type, demand.tasks);
   if (usedTasks === 0) return [];
-  const taskCapacity = howMany(demand, type, MAX_TASKS_PER_JOB);
+  const taskCapacity = fittingTaskCount(demand, type, MAX_TASKS_PER_JOB);
   const offers: MachineOffer[] = [];
   for (const zone of type.zones) {
     if (demand.zone !== null && demand.zone !== zone) continue;
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -61,7 +61,7 @@
   const now = (): number => performance.now();
   const limits = { requestsPerSecond: 1e6, changesPerSecond: 1e6, maxTransactionWrites: 16, nodes: 1 };
   const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, createHttpClient);
-  const duty = leaderDuties(token, wall).leader('rent');
+  const duty = leaderDuties(token, wall).leaderDuty('rent');
   const adoptionQueue = new AdoptionQueue();
   const refusals = new CapacityRefusals(now);
   const scaleOut = new ScaleOut({
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -6,7 +6,7 @@
 import { MAX_MACHINES_PER_PROVISIONING_REQUEST } from '../constants/fleet.js';
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { howMany, typeAllowed } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed } from '../jobs/model.js';
 import { queueDemand, type JobDemand, type QueuedDemand, type TasksDemand } from './demand-queue.js';
 import { MachineOffers, type MachineOffer } from './machine-offers.js';
 import { kindKey } from './machine-record.js';
@@ -194,7 +194,7 @@
     let capacity = 0;
     for (const type of this.input.catalog.values()) {
       if (!typeAllowed(demand, type.name)) continue;
-      const tasksOnType = howMany(demand, type, MAX_TASKS_PER_JOB);
+      const tasksOnType = fittingTaskCount(demand, type, MAX_TASKS_PER_JOB);
       for (const spot of demand.spot ? [true, false] : [false])
         capacity += tasksOnType * this.input.machineCount(type.name, zone, spot);
     }
--- a/src/fleet/spare-pools.ts
+++ b/src/fleet/spare-pools.ts
@@ -2,7 +2,7 @@
  * The spare machines of all shards during one round of the scaling plan. `SparePools` owns them: what is
  * gathered for one demand is no longer there for the next.
  */
-import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed, type MachineType } from '../jobs/model.js';
 import { kindKey, type MachineKind } from './machine-record.js';
 import type { ScalingPlanInput, TransferStep } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
@@ -37,7 +37,7 @@
 ): number => {
   if ((machine.spot && !demand.spot) || (demand.zone !== null && demand.zone !== machine.zone)) return 0;
   if (!typeAllowed(demand, machine.type.name)) return 0;
-  return howMany(demand, machine.type, demand.tasks);
+  return fittingTaskCount(demand, machine.type, demand.tasks);
 };
 
 type PoolInput = Pick<ScalingPlanInput, 'summaries' | 'catalog' | 'pendingTransfers'>;
--- a/src/fleet/transfer-orders.ts
+++ b/src/fleet/transfer-orders.ts
@@ -4,7 +4,7 @@
  */
 import type { Duty, Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { MOVE_CONFIRMATION_TIMEOUT_MS } from '../constants/fleet.js';
+import { TRANSFER_CONFIRMATION_TIMEOUT_MS } from '../constants/fleet.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { FleetDependencies } from './dependencies.js';
 import type { MachineIndex } from './machine-index.js';
@@ -50,7 +50,7 @@
   removeCompleted(summaries: readonly ShardSummary[]): void {
     const now = this.input.now();
     for (const [machine, { transfer, orderedAt }] of this.ordered) {
-      const expired = now - orderedAt > MOVE_CONFIRMATION_TIMEOUT_MS;
+      const expired = now - orderedAt > TRANSFER_CONFIRMATION_TIMEOUT_MS;
       if (expired || this.hasArrived(transfer, summaries)) this.ordered.delete(machine);
     }
   }
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -14,7 +14,7 @@
 import { checkNetworks } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
 import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
-import { writeOrders } from '../workers/codec.js';
+import { writeCommands } from '../workers/codec.js';
 import { toRecordedMessage, type RecordedMessage } from './fixtures.js';
 
 /** ms since the epoch: the time at which each recording begins. */
@@ -164,7 +164,7 @@
         send: (
           ...[addr, token, agentEpoch, commands]: SendArguments
         ): Promise<{ _tag: 'refused'; heartbeat: null }> => {
-          const body = { ...writeOrders(token, commands), stint: agentEpoch };
+          const body = { ...writeCommands(token, commands), stint: agentEpoch };
           this.commands.push({ address: addr, body: toRecordedMessage(body) });
           return Promise.resolve({ _tag: 'refused', heartbeat: null });
         },
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -97,7 +97,7 @@
   await releaseWithoutIntent(
     {
       shardId: 1,
-      duty: leaderDuties(TOKEN, () => 0).leader('release'),
+      duty: leaderDuties(TOKEN, () => 0).leaderDuty('release'),
       ownNode: 'n1',
       leaderNode: () => 'n0',
       msSinceStoreAnswered: () => LARGE_LIMIT,
--- a/src/recorded-formats/users.ts
+++ b/src/recorded-formats/users.ts
@@ -161,7 +161,7 @@
   controller.storeUnresponsive = true;
   recording['question that takes too long: answer'] = await controller.request('GET', '/v2/runs/job-000413');
   controller.storeUnresponsive = false;
-  controller.state.outage(true);
+  controller.state.setOutage(true);
   await controller.advance(OUTAGE_DETECTION_MS);
   recording['question in an outage: answer'] = await controller.request('GET', '/v2/runs/job-000413');
   recording['submission in an outage: answer'] = await controller.request(
