--- a/src/pipelines/codec.ts
+++ b/src/pipelines/codec.ts
@@ -16,7 +16,7 @@
 
 const compareNumbers = (a: bigint, b: bigint): number => (a < b ? -1 : a > b ? 1 : 0);
 
-/** The numbers of ids, by the number of digits that the id is written with. */
+/** The numbers of ids, grouped by the number of digits in the id. */
 const numbersByLength = (ids: readonly string[]): ReadonlyMap<number, bigint[]> => {
   const byLength = new Map<number, bigint[]>();
   for (const id of new Set(ids)) {
@@ -66,7 +66,9 @@
       });
   });
 
-/** Splits ids into lists whose packed texts take at most `bytes` bytes each, without enclosing brackets. */
+/**
+ * Splits ids into lists whose packed texts each take at most `bytes` bytes, without the enclosing brackets.
+ */
 export const splitIds = (ids: readonly string[], bytes: number): readonly (readonly string[])[] => {
   const sorted = [...new Set(ids)].sort((a, b) => a.length - b.length || (a < b ? -1 : 1));
   const parts: string[][] = [];
--- a/src/pipelines/final-record-cache.ts
+++ b/src/pipelines/final-record-cache.ts
@@ -21,7 +21,7 @@
 
   constructor(private readonly store: KeyValueStore) {}
 
-  /** The record if it is cached; undefined does not mean that the job has none. */
+  /** The record, if it is cached; undefined does not mean that the job has no final record. */
   get(id: string): FinalRecord | undefined {
     return this.records.get(id);
   }
--- a/src/pipelines/graph.test.ts
+++ b/src/pipelines/graph.test.ts
@@ -42,7 +42,8 @@
 const rows: readonly { name: string; events: readonly Event[]; of: string; expected: string }[] = [
   { name: 'without dependencies', events: [put('a')], of: 'a', expected: 'ready 0' },
   { name: 'a dependency is not done', events: [put('a'), put('b', ['a'])], of: 'b', expected: 'waiting' },
-  // The record of a job is deleted with the write of its final record, but only the latter has the outcome.
+  // The record of a job is deleted by the transaction that writes its final record, but only the final record
+  // has the outcome.
   {
     name: 'a dependency has ended with an unknown outcome',
     events: [put('a'), put('b', ['a']), { gone: 'a' }],
--- a/src/pipelines/graph.ts
+++ b/src/pipelines/graph.ts
@@ -1,8 +1,8 @@
 /**
  * An index of the dependencies between all jobs that have not ended, with the readiness and effective
- * priority of each. A job depends only on jobs that were accepted before it, and its dependencies never
- * change, so there are no cycles and every traversal ends. No I/O: `src/pipelines/pipelines.ts` feeds the
- * index.
+ * priority of each job. A job depends only on jobs that were accepted before it, and its dependencies never
+ * change, so there are no cycles and every traversal ends. No I/O: `src/pipelines/pipelines.ts` adds jobs and
+ * outcomes to the index.
  */
 import type { Priority } from '../jobs/model.js';
 
@@ -11,7 +11,7 @@
   readonly id: string;
   readonly dependsOn: readonly string[];
   readonly priority: Priority;
-  /** When it should be done, ms since the epoch; null: no deadline. */
+  /** When the job should be done, in ms since the epoch; null: no deadline. */
   readonly dueAt: number | null;
   readonly estimateMs: number;
   readonly cancelled: boolean;
@@ -29,10 +29,16 @@
   /** A dependency, direct or through others, is cancelled: the job never runs. */
   | { readonly _tag: 'dependencyCancelled' };
 
-/** Priority and deadline of a job, raised to what the jobs that depend on it need. */
+/**
+ * Priority and deadline of a job: the highest priority and the earliest deadline among its own and those that
+ * the jobs that depend on it need.
+ */
 export interface EffectivePriority {
   readonly priority: Priority;
-  /** When it must be done so that all dependants can be in time, ms since the epoch; null: no deadline. */
+  /**
+   * When the job must be done so that all its dependants can meet their deadlines, in ms since the epoch;
+   * null: no deadline.
+   */
   readonly dueAt: number | null;
 }
 
@@ -44,7 +50,7 @@
   job: PipelineJob;
   /** Dependencies that are not known to be done. */
   readonly unresolved: Set<string>;
-  /** When the last dependency that is known to be done was done, ms since the epoch; 0: none is. */
+  /** ms since the epoch: the latest time at which a dependency was done; 0: none is known to be done. */
   lastDoneAt: number;
   /** Whether a dependency, direct or through others, is cancelled. */
   dependencyCancelled: boolean;
@@ -81,7 +87,10 @@
   private readonly dependants = new Map<string, Set<string>>();
   private readonly outcomes = new Map<string, DependencyOutcome>();
 
-  /** `stageTransitionMs`: ms between the end of one stage and the start of the next, with its images. */
+  /**
+   * `stageTransitionMs`: ms between the end of one stage and the start of the next, including the fetch of
+   * images.
+   */
   constructor(private readonly stageTransitionMs: number) {}
 
   has(id: string): boolean {
@@ -104,7 +113,7 @@
     return indexed.unresolved.size > 0 ? { _tag: 'waiting' } : { _tag: 'ready', since: indexed.lastDoneAt };
   }
 
-  /** Null: the job is not in the index. */
+  /** The effective priority of a job; null: the job is not in the index. */
   effectivePriority(id: string): EffectivePriority | null {
     return this.jobs.get(id)?.effectivePriority ?? null;
   }
@@ -152,7 +161,7 @@
     if (!indexed) return changed;
     this.jobs.delete(id);
     for (const dependency of indexed.job.dependsOn) this.removeDependant(dependency, id);
-    // Keeps the cancellation for jobs that are added later and depend on this one.
+    // Keeps the cancellation for jobs that are added later and depend on the removed job.
     if (this.dependants.has(id) && (indexed.dependencyCancelled || indexed.job.cancelled))
       this.outcomes.set(id, { _tag: 'cancelled' });
     this.updateEffectivePriorities(indexed.job.dependsOn, changed);
@@ -214,7 +223,10 @@
     return { priority, dueAt };
   }
 
-  /** Recomputes the effective priority of these jobs, and of the dependencies of each job that changes. */
+  /**
+   * Recomputes the effective priorities of these jobs, and those of the dependencies of each job whose
+   * priority or deadline changed.
+   */
   private updateEffectivePriorities(ids: Iterable<string>, changed: Set<string>): void {
     const queue = [...ids];
     for (let id = queue.shift(); id !== undefined; id = queue.shift()) {
--- a/src/pipelines/pipelines.ts
+++ b/src/pipelines/pipelines.ts
@@ -1,7 +1,7 @@
 /**
- * This controller's view of all pipelines, from the shared keys and from final records. A job counts as done
- * only by its durable final record, so a late message cannot start a dependent job too early. The change
- * dispatcher feeds the view; placement reads readiness and effective priority from it.
+ * This controller's view of all pipelines, built from the shared keys and from final records. A job counts as
+ * done only by its durable final record, so a late message cannot start a dependent job too early. The change
+ * dispatcher reports changes to the view; placement reads readiness and effective priority from it.
  */
 import * as Effect from 'effect/Effect';
 import {
@@ -32,7 +32,10 @@
 /** State: the index, and the final records that are still to be read. */
 export class Pipelines {
   private readonly index = new PipelineIndex(STAGE_TRANSITION_MS);
-  /** Ended jobs that jobs of this controller's shards depend on, with final records yet to be read. */
+  /**
+   * Ended jobs whose final records are yet to be read, because jobs of this controller's shards depend on
+   * them.
+   */
   private readonly unreadFinalRecords = new Set<string>();
   /** Resumes `run`; null: `run` is not waiting. */
   private wake: (() => void) | null = null;
@@ -45,12 +48,17 @@
     return this.index.readiness(id);
   }
 
-  /** Null: the job has ended, or parts of its dependency list have not been seen yet. */
+  /**
+   * The effective priority of a job; null: the job has ended, or parts of its dependency list are still
+   * missing.
+   */
   effectivePriority(id: string): EffectivePriority | null {
     return this.index.effectivePriority(id);
   }
 
-  /** A job's record is new or changed; `dependsOn` is null while parts of the list have not been seen yet. */
+  /**
+   * Handles a new or changed record of a job; `dependsOn` is null while parts of the list are still missing.
+   */
   onJob(id: string, { spec, at, cancelled }: JobRecord, dependsOn: readonly string[] | null): void {
     // Without its whole dependency list the job is not in the index and counts as waiting.
     if (dependsOn === null) return;
@@ -68,7 +76,7 @@
     this.resolveDependencies(id);
   }
 
-  /** A job's record was deleted: the job has ended. */
+  /** Handles the deletion of a job's record, which means that the job has ended. */
   onJobGone(id: string): void {
     this.teamsOfDependants.delete(id);
     const dependants = [...this.index.dependantsOf(id)];
@@ -76,19 +84,21 @@
     for (const dependant of dependants) this.resolveDependencies(dependant);
   }
 
-  /** Looks up how the dependencies of all jobs ended, after a shard was taken over. */
+  /** Looks up the outcomes of the dependencies of all jobs, after a shard was taken over. */
   resolveAllDependencies(): void {
     for (const id of this.teamsOfDependants.keys()) this.resolveDependencies(id);
   }
 
-  /** The final record of a job is durable. */
+  /** Handles the final record of a job, which is durable. */
   onFinalRecord(id: string, final: FinalRecord): void {
     this.dependencies.finalRecords.put(id, final);
     this.unreadFinalRecords.delete(id);
     this.notify(this.index.setOutcome(id, outcomeOf(final)));
   }
 
-  /** Reads how the dependencies of a job ended, for a request of a user; false: some could not be read. */
+  /**
+   * Reads the outcomes of the dependencies of a job for a request by a user; false: some could not be read.
+   */
   resolve(id: string): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
       const reads = yield* Effect.forEach(this.endedDependencies(id), (dependency) => this.read(dependency), {
@@ -124,7 +134,7 @@
     if (ids.size > 0) this.dependencies.onChange(ids);
   }
 
-  /** Looks up how the ended dependencies of this job ended: in the cache, or else by queueing a read. */
+  /** Looks up the outcomes of the ended dependencies of a job: in the cache, or else by queueing a read. */
   private resolveDependencies(id: string): void {
     const team = this.teamsOfDependants.get(id);
     if (team === undefined) return;
@@ -145,8 +155,8 @@
   }
 
   /**
-   * Ended jobs that the job depends on, directly or through jobs that wait themselves: the controllers that
-   * hold the shards of those jobs may not know yet how these ended.
+   * The ended jobs that the job depends on, directly or through other jobs that wait. Indirect ones are
+   * included because the controllers that hold the shards of the waiting jobs may not know the outcomes yet.
    */
   private endedDependencies(id: string): readonly string[] {
     // The loop adds to this set while iterating over it.
@@ -166,7 +176,8 @@
     return Effect.gen({ self: this }, function* () {
       const read = yield* this.dependencies.finalRecords.read(id);
       if (read._tag === 'found') this.onFinalRecord(id, read.final);
-      // Must exist: a job depends only on recorded jobs, and a final record replaces the record of its job.
+      // The final record must exist: a job depends only on recorded jobs, and the record of a job is deleted
+      // only when its final record is written.
       else if (read._tag === 'absent') log.error({ event: 'pipeline.final_record_missing', job: id });
       return read._tag !== 'failed';
     });
--- a/src/placement/attempt-phase.test.ts
+++ b/src/placement/attempt-phase.test.ts
@@ -1,4 +1,4 @@
-/** Every event at every phase of an attempt: nothing follows the evidence that it is gone. */
+/** Tests each event in each phase of an attempt. No phase follows `gone`. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskState } from '../workers/model.js';
--- a/src/placement/attempt-phase.ts
+++ b/src/placement/attempt-phase.ts
@@ -8,7 +8,10 @@
 export type Phase =
   /** Bound, but the binding is not yet known to be durable: no command may be sent. */
   | { readonly _tag: 'binding' }
-  /** The binding is durable; each answer to a heartbeat carries `run` until the worker reports the task. */
+  /**
+   * The binding is durable; each answer to a heartbeat carries `run` until the worker reports the task or the
+   * task is stopped.
+   */
   | { readonly _tag: 'bound' }
   | { readonly _tag: 'fetching' }
   | { readonly _tag: 'waiting' }
--- a/src/placement/bin-packing.test.ts
+++ b/src/placement/bin-packing.test.ts
@@ -115,7 +115,7 @@
     assignments: ['job-1/1@b'],
   },
   {
-    name: 'a job gets no spot machine if it does not allow them, and no machine on which it failed',
+    name: 'a job gets no spot machine if it does not allow spot, and no machine on which it failed',
     requests: [request({ tasks: 2 }, { failedOn: new Set(['b']) })],
     capacities: [capacity('a', 'x', 8, { spot: true }), capacity('b', 'x', 8), capacity('c', 'x', 1)],
     assignments: ['job-1/0@c'],
@@ -135,8 +135,8 @@
     ],
     assignments: ['job-1/0@b', 'job-1/1@b'],
   },
-  // Guards against CPU work that occupies GPU machines that gangs need whole, and against leftover capacity
-  // beside the gangs that stays unused.
+  // Guards against two faults: CPU work occupied GPU machines that gangs need whole, or the leftover capacity
+  // beside gangs stayed unused.
   {
     name: 'spot work uses the leftover capacity of withheld machines at once',
     requests: [request({ tasks: 3, spot: true }, { mayUseOnDemand: false })],
@@ -205,9 +205,10 @@
     ],
     assignments: ['job-1/0@c', 'job-1/1@a'],
   },
-  // Otherwise small work fills machines in use again and again, and no machine ever becomes empty for a gang.
+  // Guards against small work that fills machines in use again and again, so that no machine ever becomes
+  // empty for a gang.
   {
-    name: 'other work gets no reserved machine that is empty, and spot work none that is in use',
+    name: 'other work gets no reserved empty machine, and spot work no reserved machine in use',
     requests: [
       request({ id: 'job-1', kind: 'gang' }),
       request({ id: 'job-2', kind: 'gang', tasks: 2, gpus: 8, cpus: 64 }),
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -1,7 +1,7 @@
 /**
- * Assigns the tasks of requests to machines, in the order of the requests and within the teams' limits. Pure,
- * except that it subtracts from the given capacities and adds to the given usages. `Shard` calls it in each
- * round, `unmetDemand` for planning with machines that are expected soon.
+ * Assigns the tasks of requests to machines, in the order of the requests and within the limits of teams.
+ * Pure, except that it subtracts from the given capacities and adds to the given usages. `Shard` calls it in
+ * each round; `unmetDemand` calls it to count machines that are expected soon.
  */
 import { AMOUNT_TOLERANCE, SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { howMany } from '../jobs/model.js';
@@ -52,7 +52,9 @@
   return allocations;
 };
 
-/** Machines that a request may use together: by zone for a one-zone job, else all under ''. */
+/**
+ * The machines that a request may use together: by zone for a one-zone job, otherwise all under the key ''.
+ */
 const candidateZones = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
@@ -128,7 +130,7 @@
   return assignments;
 };
 
-/** Places one request: a gang whole or not at all, of other jobs as many tasks as fit. */
+/** Places one request: a gang as a whole or not at all; of any other job, as many tasks as fit. */
 const packRequest = (
   request: PlacementRequest,
   capacities: readonly AvailableCapacity[],
@@ -147,7 +149,7 @@
 /** The outcome of packing a list of requests. */
 export interface PackingResult {
   readonly assignments: readonly Assignment[];
-  /** Requests with waiting tasks that the team's limit allows and that found no capacity. */
+  /** Requests with waiting tasks that found no capacity, although the limit of the team allows them. */
   readonly unplaced: readonly UnplacedRequest[];
 }
 
@@ -174,8 +176,8 @@
   const unplaced: UnplacedRequest[] = [];
   const unplaceable = new UnplaceableRequests();
   /**
-   * By team: the usage if all waiting tasks that count as unplaced also ran. Machines must not be planned
-   * for more tasks than the limit allows.
+   * By team: the usage if all waiting tasks that count as unplaced ran too. It bounds the unplaced tasks,
+   * because machines must not be planned for more tasks than the limit allows.
    */
   const plannedUsages = new Map([...usages].map(([team, usage]) => [team, { ...usage }]));
   for (const request of requests) {
@@ -187,7 +189,8 @@
     const isGang = spec.kind === 'gang';
     const allowed = tasksWithinLimit(spec, limit, usage, waiting.length);
     if (allowed === 0 || (isGang && allowed < spec.tasks)) continue;
-    // A request with failed machines, tasks in zones or a reservation does not show what others can use.
+    // Whether the request can be compared with others: failed machines, tasks in zones and a reservation
+    // change which machines this request alone may use.
     const isComparable =
       request.failedOn.size === 0 && request.tasksByZone.size === 0 && !request.hasReservation;
     const placed =
--- a/src/placement/binder.ts
+++ b/src/placement/binder.ts
@@ -27,13 +27,13 @@
 export class Binder {
   constructor(private readonly dependencies: BinderDependencies) {}
 
-  /** Binds the tasks; resolves once each bind is durable or undone. */
+  /** Binds the tasks. Resolves when each new binding is durable or has been removed. */
   bindAll(assignments: readonly Assignment[]): Promise<unknown> {
     const commits: Promise<void>[] = [];
     const batchableWrites: BindingWrite[] = [];
     for (const [job, bindings] of this.bindInMemory(assignments)) {
       const writes = this.writesOf(job, bindings);
-      // A gang's bind is one conditional write.
+      // A gang is bound as a whole or not at all, so its runs share no batch with those of other jobs.
       if (job.spec.kind === 'gang') commits.push(this.commitGang(job, writes));
       else batchableWrites.push(...writes);
     }
--- a/src/placement/capacity-selection.ts
+++ b/src/placement/capacity-selection.ts
@@ -42,8 +42,8 @@
 ): Demand => (isLimitedToLeftover(request, capacity, scope) ? capacity.leftover : capacity.free);
 
 /**
- * MostAllocated score of machines taken together: the mean of the fractions of CPUs, memory and GPUs in use,
- * without those of which the machines have none.
+ * MostAllocated score of machines taken together: the mean of the fractions of CPUs, memory and GPUs in use.
+ * A resource of which the machines have nothing does not count.
  */
 export const utilization = (capacities: readonly AvailableCapacity[]): number => {
   let sum = 0;
@@ -66,8 +66,8 @@
 const byId = (a: { id: string }, b: { id: string }): number => (a.id < b.id ? -1 : a.id > b.id ? 1 : 0);
 
 /**
- * Sorts machines, the best first: those not withheld from spot work, then spot machines, which are cheaper,
- * then those with the job's image, then the highest utilization, then by id.
+ * Sorts machines, the best first, by these criteria in turn: not withheld from spot work; spot, which is
+ * cheaper; has the image of the job; highest utilization; id.
  */
 export const bestFirst = (
   capacities: readonly AvailableCapacity[],
@@ -93,16 +93,17 @@
     case 'lastIdle':
       return !request.mayUseOnDemand || !request.urgency.place;
     case 'always':
-      // `capacityFor` leaves such work the leftover capacity: using it costs nothing, and the work that
-      // depends on the machine type cannot use it.
+      // `capacityFor` allows spot work only the leftover capacity of such a machine. That costs nothing, and
+      // the work that depends on the machine type cannot use it.
       return false;
   }
 };
 
 /**
- * Whether the machine is reserved for another job of the request's priority or above, so that the request may
- * not use it. An empty machine is kept from all such requests. An on-demand machine in use is kept only from
- * work that may use spot machines: that work would fill it again and again, and it would never become empty.
+ * Whether the machine is reserved for another job of the same or a higher priority, so that the request may
+ * not use it. An empty reserved machine is closed to all such requests. A reserved on-demand machine in use
+ * is closed only to work that may use spot machines: that work would fill the machine again and again, and
+ * the machine would never become empty.
  */
 const isReservedForAnother = (request: PlacementRequest, capacity: AvailableCapacity): boolean =>
   capacity.reservedFor !== null &&
--- a/src/placement/claim-transactions.ts
+++ b/src/placement/claim-transactions.ts
@@ -1,7 +1,7 @@
 /**
- * Executes the transactions of a shard: each is conditional on the shard's claim and retried until its
- * outcome is known, and a bounded number run concurrently. Owns the number of transactions in progress and
- * the queue of those that wait. The writers of records call it.
+ * Executes the transactions of a shard. Each is conditional on the shard's claim and is retried until its
+ * outcome is known or the claim is lost; a bounded number run concurrently. Owns the number of transactions
+ * in progress and the queue of those that wait. The writers of records call it.
  */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
@@ -54,17 +54,18 @@
   constructor(private readonly dependencies: ClaimTransactionsDependencies) {}
 
   /**
-   * Sends a transaction until its outcome is known. Without an answer it may still be applied later, so the
-   * same transaction is sent again until it is committed or can no longer be: every write is conditional on
-   * the revision of the outcome key, which distinguishes a late first copy from another client's change.
+   * Sends a transaction repeatedly until its outcome is known or the claim is lost. A transaction without an
+   * answer may still be applied later, so the same transaction is sent again until it is committed or can no
+   * longer be committed. Every copy is conditional on the revision of the outcome key, which distinguishes a
+   * late first copy from a change by another client.
    */
   commit(transaction: ClaimTransaction): Promise<TransactionResult> {
     return this.withSlot(() => Effect.runPromise(this.retryUntilDecided(transaction)));
   }
 
   /**
-   * Bounds the number of transactions in progress: each has a time limit, which waiting for a socket would
-   * use up.
+   * Bounds the number of transactions in progress: each has a time limit, and waiting for a socket would use
+   * it up.
    */
   private async withSlot<A>(work: () => Promise<A>): Promise<A> {
     if (this.running >= MAX_CONCURRENT_TRANSACTIONS)
@@ -120,8 +121,8 @@
   }
 
   /**
-   * Handles a conflict. After an unacknowledged copy, that copy itself may be the cause: the revision of the
-   * outcome key decides.
+   * Handles a conflict. If an earlier copy is unacknowledged, that copy may be the cause of the conflict: the
+   * revision of the outcome key shows whether it was applied.
    */
   private onConflict(
     { conditions, outcomeKey, priority }: ClaimTransaction,
--- a/src/placement/direct-commands.ts
+++ b/src/placement/direct-commands.ts
@@ -41,8 +41,8 @@
 
   /**
    * Sends pending stops directly: all members of a gang must receive an orderly stop within the time that its
-   * tasks wait for each other, and heartbeats alone may take that long. A late copy stops only tasks that are
-   * to stop anyway.
+   * tasks wait for each other, and stops in answers to heartbeats may take that long. A late copy of a stop
+   * affects only tasks that are to stop anyway.
    */
   sendStops(): void {
     const stops = this.dependencies.shardState.takeStopsToSend();
@@ -89,7 +89,10 @@
     }
   }
 
-  /** Sends the new token at once to the worker of a machine that came from another shard. */
+  /**
+   * Sends the new token at once to the worker of a machine that was added with a known address, usually after
+   * its transfer from another shard.
+   */
   announceToken(machine: ShardMachine, agentEpoch: number): void {
     const token = this.token(machine);
     void this.dependencies.sendCommands(machine.addr, token, agentEpoch, []).then((result) => {
@@ -108,7 +111,7 @@
     machine.everConfirmedToken = true;
     machine.reportedTasks = heartbeat.tasks;
     machine.free = null;
-    // This time is later than the last answer of any earlier holder that the worker can have accepted.
+    // The present time is later than the last answer of any earlier holder that the worker can have accepted.
     machine.answeredAt = now();
     requestRound();
   }
--- a/src/placement/failure-accounting.ts
+++ b/src/placement/failure-accounting.ts
@@ -1,7 +1,7 @@
 /**
- * Attributes the failure of a task to the machine until the same job fails elsewhere too, and then to the
- * job. Owns the health of machines and the failure counts and pauses of jobs; `ShardState` reports failures
- * to it.
+ * Attributes the failures of a job's tasks to the machines. Once tasks of the job have failed on
+ * `FAULTY_JOB_MACHINES` machines and none has completed, the job counts as at fault instead. Owns the health
+ * of machines and the failure counts and pauses of jobs; `ShardState` reports failures to it.
  */
 import { SUSPECT_MACHINE_PAUSE_MS } from '../constants/machines.js';
 import {
@@ -28,7 +28,7 @@
 export class FailureAccounting {
   constructor(private readonly machines: ReadonlyMap<string, ShardMachine>) {}
 
-  /** Records the failure of a task; `machine` is undefined if it has left the shard. */
+  /** Records the failure of a task; `machine` is undefined if the machine has left the shard. */
   onTaskFailed(binding: Binding, job: ShardJob, machine: ShardMachine | undefined, now: number): void {
     job.failures += 1;
     job.failedOn.add(binding.machine);
@@ -44,12 +44,12 @@
     else if (machine) this.recordMachineFailure(machine, job, now);
   }
 
-  /** Delays a job for a short time after a machine had no room for one of its tasks. */
+  /** Pauses a job for `NO_ROOM_BACKOFF_MS` after a worker had no capacity for one of its tasks. */
   onNoRoom(job: ShardJob, now: number): void {
     delayUntil(job, now + NO_ROOM_BACKOFF_MS);
   }
 
-  /** Ends the suspicion of the machines that were suspected because of this job alone. */
+  /** Marks the machines that were suspect only because of this job as healthy again. */
   private clearMachines(job: ShardJob): void {
     for (const id of job.failedOn) {
       const machine = this.machines.get(id);
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Suspects or quarantines a machine: failures of two jobs, or of a job that has completed a task elsewhere,
-   * are the machine's fault.
+   * Marks a machine as suspect or quarantines it. Failures of two jobs, or of a job that has completed a task
+   * before, are the fault of the machine.
    */
   private recordMachineFailure(machine: ShardMachine, job: ShardJob, now: number): void {
     const { health } = machine;
--- a/src/placement/final-record-writer.ts
+++ b/src/placement/final-record-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the final records of jobs that are over, and deletes everything else that is stored of the jobs. No
- * state of its own; of jobs it sets `finishing` and `finishSeparately`. `RecordFlusher` calls it.
+ * Writes the final records of jobs that have ended, and deletes all other stored keys of the jobs. No state
+ * of its own; it sets `finishing` and `finishSeparately` of jobs. `RecordFlusher` calls it.
  */
 import type { OrphanedKey } from '@dalegate/fencing';
 import { writeFinalRecord } from '../jobs/job-record-codec.js';
@@ -13,7 +13,7 @@
 import type { ShardIdentity, WallClock } from './ports.js';
 import type { ShardJob } from './shard-model.js';
 
-/** A job that is over, with how it ended. */
+/** A job that has ended, with its final state. */
 export interface FinishedJob {
   readonly job: ShardJob;
   readonly state: FinalState;
@@ -52,7 +52,7 @@
 
   /**
    * Writes the final records of jobs in one transaction. Returns the jobs whose records are durable, and the
-   * keys whose deletion did not fit.
+   * keys whose deletions did not fit in the transaction.
    */
   async finish(jobs: readonly FinishedJob[]): Promise<FinishResult> {
     const first = jobs[0];
@@ -90,7 +90,7 @@
     return { done: finals, orphanedKeys };
   }
 
-  /** The final records, and as many of the deletions as fit in one transaction. */
+  /** The writes of the final records, and as many of the deletions as fit in one transaction. */
   private changes(finals: readonly FinalWrite[]): {
     readonly writes: readonly Write[];
     readonly orphanedKeys: readonly OrphanedKey[];
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Resets jobs whose transaction failed. A job that caused a conflict is written alone from now on, since it
-   * would hold up the others.
+   * Resets jobs whose transaction failed. From now on, the final record of a job that caused a conflict is
+   * written in a transaction of its own, since the job would hold up the others.
    */
   private onNotCommitted(jobs: readonly FinishedJob[], failedKeys: readonly string[]): void {
     for (const { job } of jobs) {
--- a/src/placement/heartbeat-order.ts
+++ b/src/placement/heartbeat-order.ts
@@ -5,7 +5,10 @@
 import type { WorkerHeartbeat } from '../workers/model.js';
 import { bindingKey, type ShardMachine } from './shard-model.js';
 
-/** A worker's session, and the number of a message within it. */
+/**
+ * The position of a message of a worker: the number of the worker's session (`agentEpoch`), and the number of
+ * the message within the session.
+ */
 export interface MessagePosition {
   readonly agentEpoch: number;
   readonly sequenceNumber: number;
--- a/src/placement/leftover-capacity.test.ts
+++ b/src/placement/leftover-capacity.test.ts
@@ -1,4 +1,4 @@
-/** Tests of the leftover capacity of machines: what work without alternatives cannot use. */
+/** Tests of the leftover capacity of machines, which work without alternatives cannot use. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Catalog, JobSpec } from '../jobs/model.js';
@@ -18,17 +18,25 @@
 const small: Partial<JobSpec> = { kind: 'service', tasks: 1, cpus: 4, gpus: 0, memoryGb: 9 };
 
 /**
- * Guards against small work that blocks gangs that need a whole GPU machine: what is placed beside a gang
- * must leave enough capacity for the next gang.
+ * Guards against small work that blocks gangs that need a whole GPU machine: the work that is placed beside a
+ * gang must leave enough capacity for the next gang.
  */
 const cases: readonly {
   readonly name: string;
   readonly running: readonly Partial<JobSpec>[];
   readonly leftover: readonly [cpus: number, gpus: number, memoryGb: number];
 }[] = [
-  { name: 'none on an empty machine, which may move to another shard', running: [], leftover: [0, 0, 0] },
+  {
+    name: 'none on an empty machine, which may be transferred to another shard',
+    running: [],
+    leftover: [0, 0, 0],
+  },
   { name: 'what a gang does not use', running: [training], leftover: [10, 0, 158] },
-  { name: 'less what small work uses already', running: [training, small], leftover: [6, 0, 149] },
+  {
+    name: 'what a gang does not use, less what small work uses',
+    running: [training, small],
+    leftover: [6, 0, 149],
+  },
   { name: 'none once the gang has ended', running: [small], leftover: [0, 0, 0] },
 ];
 for (const row of cases) {
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -1,7 +1,7 @@
 /**
- * Handles expired leases of a shard's machines, releases to the cloud and transfers to other shards. Owns the
- * times of the last check and of the last urgent release request; `Shard` calls it once a round and on the
- * leader's transfer orders.
+ * Handles the expired leases of a shard's machines, their release to the cloud and their transfer to other
+ * shards. Owns the times of the last check and of the last urgent release request. `Shard` calls it once a
+ * round and when the leader orders a transfer.
  */
 import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
@@ -38,8 +38,8 @@
   constructor(private readonly dependencies: MachineLifecycleDependencies) {}
 
   /**
-   * Handles expired leases, overdue cancellations and due releases, at most once in
-   * `MACHINE_CHECK_INTERVAL_MS`.
+   * Handles expired leases, overdue cancellations, due releases and machines that need a higher token, at
+   * most once every `MACHINE_CHECK_INTERVAL_MS`.
    */
   check(): void {
     const { now, liveness, shardState } = this.dependencies;
@@ -68,7 +68,10 @@
     ];
   }
 
-  /** Returns the machines whose record is to be rewritten for a higher token, and clears their marks. */
+  /**
+   * Returns the machines whose record is to be rewritten in order to raise the token, and clears their
+   * `needsHigherToken`.
+   */
   private machinesNeedingHigherToken(): readonly ShardMachine[] {
     const machines = [...this.dependencies.shardState.machines.values()].filter(
       (machine) => machine.needsHigherToken && !machine.releasing,
@@ -101,8 +104,8 @@
     const askedAt = now();
     if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
     this.urgentReleaseAt = askedAt;
-    // The leader may carry out the request late, whatever its answer: nothing new is placed on the machines
-    // from now on.
+    // The leader may carry out the request late, even if it answers that it has not: from now on, nothing new
+    // is placed on the machines.
     for (const id of ids) {
       const machine = shardState.machines.get(id);
       if (machine) machine.cordoned = true;
@@ -122,8 +125,9 @@
   }
 
   /**
-   * Whether the machine is free for another shard: it holds nothing but exits that are durably unbound, which
-   * any holder may order its worker to forget.
+   * Whether the machine may be transferred to another shard: it is healthy and not to be released, no task is
+   * bound to it, no direct `run` command is of unknown outcome, and its worker reports only exited tasks that
+   * the stored runs no longer bind. Any holder may order the worker to forget such tasks.
    */
   isTransferable(machine: ShardMachine): boolean {
     return (
@@ -141,8 +145,8 @@
   }
 
   /**
-   * Transfers free machines to other shards; resolves to true if a record was written. The new assignment
-   * raises the token above every token that this holder sent.
+   * Transfers free machines to other shards; resolves to true if at least one record was written. The
+   * record's new revision raises the token above every token that this holder sent.
    */
   async transferMachines(transfers: readonly MachineTransfer[]): Promise<boolean> {
     const { isPlacing, shardId, shardState, records, store } = this.dependencies;
--- a/src/placement/machine-liveness.test.ts
+++ b/src/placement/machine-liveness.test.ts
@@ -1,4 +1,4 @@
-/** How long an idle machine is held before it is released. */
+/** Tests how long an idle machine is held before it is released. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
@@ -20,8 +20,8 @@
 };
 
 /**
- * An idle machine is held for as long as booting a new one would cost more than its release saves, so that it
- * is not provisioned again at once.
+ * Guards against releasing an idle machine that is then provisioned again at once: the machine is held for as
+ * long as booting a new one would cost more than the release saves.
  */
 const cases: readonly {
   readonly name: string;
@@ -52,7 +52,7 @@
     isKept: true,
   },
   {
-    name: 'a boot misses every target, but the hold time is over',
+    name: 'a boot misses every target, but the hold time has passed',
     bootBound: true,
     spot: false,
     idleBoots: 11,
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -1,7 +1,7 @@
 /**
- * Derives the state of machines from their workers' heartbeats and silence: live, booting, idle, to be
- * released. Owns the time when the shard was loaded; of machines it changes `total`, `health` once a
- * suspicion is over, and `idleSince`. Rounds and `MachineLifecycle` call it.
+ * Derives the state of machines from the heartbeats and the silence of their workers: live, booting, idle, to
+ * be released. Owns the time when the shard was loaded; of machines it sets `total`, `free`, `idleSince`, and
+ * `health` once a suspicion has expired. Rounds and `MachineLifecycle` call it.
  */
 import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
 import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
@@ -56,7 +56,7 @@
 export class MachineLiveness {
   /** ms on the steady clock: when this holder had read the shard's runs; null: not yet. */
   loadedAt: number | null = null;
-  /** ms: if no machine sends a heartbeat for this long, none reaches this controller. */
+  /** ms: if no heartbeat arrives for this long, no worker reaches this controller. */
   readonly unreachableAfterMs: number;
   /** ms after loading: placement then begins without the machines that have not reported. */
   readonly rebuildTimeoutMs: number;
@@ -104,8 +104,8 @@
    * Whether the machine is still within the usual boot time, so that its capacity counts as available soon.
    */
   isExpectedSoon(machine: ShardMachine, now: number, wall: number): boolean {
-    // The machine came from another shard, where it was running and free; this holder is just announcing the
-    // token to its worker.
+    // An earlier holder wrote the address into the record, usually in order to transfer the machine, which
+    // was running and free; this holder is just announcing the token to its worker.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
       return now - machine.addedAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Whether the worker's lease has expired: no heartbeat for `leaseMs` after this holder's last answer, or,
-   * if it has not answered yet, after the loading of the shard or the addition of the machine.
+   * Whether the worker's lease has expired: more than `leaseMs` have passed since `answeredAt`. If that is
+   * null, the time counts from the loading of the shard or the addition of the machine, whichever was later.
    */
   isSilent(machine: ShardMachine, now: number): boolean {
     const from = machine.answeredAt ?? Math.max(this.loadedAt ?? now, machine.addedAt);
@@ -144,8 +144,9 @@
   }
 
   /**
-   * The number of machines whose workers should send heartbeats, and of those whose last heartbeat arrived
-   * within `ms`. Until `ms` after the shard was loaded, `reporting` is one higher, so that it is not 0.
+   * The number of machines whose workers should send heartbeats (`machines`), and how many of them sent the
+   * last one within `ms` (`reporting`). Until `ms` after the shard was loaded, `reporting` is one higher, so
+   * that it is not 0.
    */
   heartbeatCoverage(ms: number): { readonly machines: number; readonly reporting: number } {
     const now = this.dependencies.now();
@@ -172,9 +173,9 @@
   }
 
   /**
-   * Machines on which a task of a cancelled job is still not proven gone, at a time when only the cloud can
-   * end it in time: a worker that hangs may resume within its lease, and each new holder would have to wait
-   * for that lease again.
+   * Machines on which a task of a cancelled job is still not proven gone, at a time when only a release to
+   * the cloud can end the task in time: a worker that hangs may resume within its lease, and each new holder
+   * of the shard would have to wait for that lease again.
    */
   machinesWithOverdueCancellations(jobs: Iterable<ShardJob>): readonly ShardMachine[] {
     const wall = this.dependencies.wall();
@@ -190,8 +191,8 @@
   }
 
   /**
-   * ms: how long an idle machine is held; `rank` is the number of machines of its kind that have been idle
-   * for a shorter time.
+   * ms: how long an idle machine is held; `rank` is the number of machines of the same type and price model
+   * (spot or on-demand) that have been idle for a shorter time.
    */
   private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
@@ -204,8 +205,8 @@
   }
 
   /**
-   * The machines to be released now, each with the reason; machines that are only idle are included if
-   * `placing`.
+   * The machines to be released now, each with the reason. Machines that are merely idle are included only if
+   * `placing` is true.
    */
   machinesToRelease(placing: boolean): readonly MachineToRelease[] {
     const now = this.dependencies.now();
@@ -274,9 +275,10 @@
   }
 
   /**
-   * Selects the idle machines that have exceeded their hold time. Holding an idle machine for about what a
-   * new one costs to boot bounds the regret of either choice. That is for the next gang or two: of many idle
-   * machines, those that have been idle longest are released sooner.
+   * Selects the idle machines that have exceeded their hold time. Holding an idle machine for about the time
+   * that a new one takes to boot bounds the cost of a wrong choice, whether to hold or to release. Apart from
+   * on-demand machines of boot-bound types, only machines for the next gang or two are held that long: of
+   * many idle machines, those that have been idle longest are released sooner.
    */
   private idleBeyondHold(group: readonly ShardMachine[], now: number): readonly MachineToRelease[] {
     return [...group]
--- a/src/placement/machine-record-writer.test.ts
+++ b/src/placement/machine-record-writer.test.ts
@@ -1,12 +1,12 @@
-/** Which images a machine record names. */
+/** Tests which images a machine record names. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { recentImages } from './machine-record-writer.js';
 
 /**
- * A machine's images must still be known after its transfer to another shard: otherwise gangs were placed on
- * machines without their image, and each fetch took longer than their start target. The names are bounded,
- * because a batch of records would otherwise be refused for its size for ever.
+ * Guards against machine records without image names: after a transfer to another shard, gangs were then
+ * placed on machines without their image, and each fetch took longer than their start target. The names are
+ * bounded, because otherwise a batch of records would be refused for its size for ever.
  */
 const cases: readonly {
   readonly name: string;
@@ -21,8 +21,13 @@
     maxBytes: 100,
     recorded: ['a', 'b', 'c'],
   },
-  { name: 'the last used where not all fit', images: ['a', 'b', 'c'], maxBytes: 8, recorded: ['b', 'c'] },
-  { name: 'one that does not fit at all', images: ['x'.repeat(256)], maxBytes: 100, recorded: [] },
+  {
+    name: 'the most recently used ones if not all fit',
+    images: ['a', 'b', 'c'],
+    maxBytes: 8,
+    recorded: ['b', 'c'],
+  },
+  { name: 'a single one that is too long', images: ['x'.repeat(256)], maxBytes: 100, recorded: [] },
 ];
 for (const row of cases) {
   test(`images of a machine record: ${row.name}`, () => {
--- a/src/placement/machine-record-writer.ts
+++ b/src/placement/machine-record-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the records of a shard's machines in order to transfer them to another shard, to request their
- * release, or to raise their token. No state of its own; of machines it sets `releasing`. `MachineLifecycle`
+ * Writes the records of a shard's machines in order to transfer machines to another shard, to request their
+ * release, or to raise their token. No state of its own; it sets `releasing` of machines. `MachineLifecycle`
  * calls it.
  */
 import {
@@ -51,12 +51,12 @@
   constructor(private readonly dependencies: MachineRecordWriterDependencies) {}
 
   /**
-   * Writes machine records in one transaction. Nothing is placed on the machines from its start, nor while
-   * its outcome is unknown. Resolves to true if the records are written, or if none had to be.
+   * Writes machine records in one transaction. From its start until its outcome is known, nothing is placed
+   * on the machines. Resolves to true if the records are written, or if none had to be.
    */
   async assign(assignments: readonly MachineAssignment[], priority: RequestPriority): Promise<boolean> {
-    // No holder withdraws a release intent: a late release request must not hit a machine that is in use
-    // again.
+    // A requested release is never withdrawn: a late copy of the request must not release a machine that is
+    // in use again.
     const pending = assignments
       .filter(({ machine, releaseReason }) => releaseReason !== undefined || !machine.releasing)
       .map((assignment): PendingAssignment => ({ ...assignment, version: assignment.machine.version }));
@@ -107,7 +107,7 @@
 
   private onNotCommitted(pending: readonly PendingAssignment[], failedKeys: readonly string[]): void {
     for (const { machine, version } of pending) {
-      // If the record of a machine has changed, the watch event of that change corrects `releasing`.
+      // If the record of a machine has changed, the watch event of that change sets `releasing`.
       const changed = failedKeys.includes(machineKey(machine.id)) || machine.version !== version;
       if (!changed) machine.releasing = false;
     }
--- a/src/placement/objectives-codec.ts
+++ b/src/placement/objectives-codec.ts
@@ -10,7 +10,7 @@
 }
 
 /**
- * The objectives in the settings, by job class; entries of an unknown kind or with malformed fields are left
+ * The objectives in the settings, by job class. Entries of an unknown kind or with malformed fields are left
  * out.
  */
 export const readObjectives = (raw: readonly unknown[] | undefined): ReadonlyMap<string, Objectives> => {
--- a/src/placement/orphaned-keys.ts
+++ b/src/placement/orphaned-keys.ts
@@ -1,7 +1,7 @@
 /**
- * Removes the orphaned keys of a shard, to which no job or run record refers any more. If fencing is off,
- * `ImmediateRemoval` owns the list of such keys, otherwise the garbage collector of `@dalegate/fencing`.
- * `RecordFlusher` and `ShardLoader` add keys.
+ * Removes the orphaned keys of a shard: keys to which no job or run record refers any more. If fencing is
+ * off, `ImmediateRemoval` owns the list of such keys; otherwise the garbage collector of `@dalegate/fencing`
+ * owns it. `RecordFlusher` and `ShardLoader` add keys.
  */
 import { GarbageCollector, type Duty, type OrphanedKey, type Tombstone } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -19,7 +19,10 @@
   discard(keys: readonly OrphanedKey[]): void;
   /** Whether `step` has anything to do now. */
   readonly hasWork: boolean;
-  /** Removes a batch of keys, or writes tombstones for a batch if the keys need them first. */
+  /**
+   * Removes a batch of keys, or writes tombstones for the batch if the keys need tombstones before their
+   * removal.
+   */
   step(): Promise<void>;
 }
 
@@ -51,7 +54,7 @@
   extends ShardIdentity, WallClock, Pick<ValueLimits, 'valueBytes'> {
   readonly store: KeyValueStore;
   readonly duty: Duty;
-  /** Whether the shard knows this job, or the shared records show it. */
+  /** Whether the shard knows this job, or the watch cache holds its record. */
   readonly isJobKnown: (job: string) => boolean;
 }
 
--- a/src/placement/placement-model.ts
+++ b/src/placement/placement-model.ts
@@ -14,8 +14,8 @@
   readonly total: Demand;
   readonly free: { cpus: number; gpus: number; memoryGb: number };
   /**
-   * The capacity that work depending on this machine type cannot use, so that work with alternatives may use
-   * it. Read only if `withheldFromSpotWork` is `always`.
+   * The capacity that the work that depends on this machine type cannot use, so that work with alternatives
+   * may use it. Read only if `withheldFromSpotWork` is `always`.
    */
   readonly leftover: { cpus: number; gpus: number; memoryGb: number };
   readonly images: ReadonlySet<string>;
@@ -25,9 +25,9 @@
    */
   readonly live: boolean;
   /**
-   * Whether the machine is withheld from work that may use spot machines. `lastIdle`: it is one of the last
-   * idle machines and withheld until such work is urgent. `always`: other work depends on its type, and such
-   * work may use only `leftover`.
+   * Whether the machine is withheld from work that may use spot machines. `lastIdle`: the machine is one of
+   * the last idle ones and is withheld until such work is urgent. `always`: other work depends on the
+   * machine's type, and work that may use spot machines may use only `leftover`.
    */
   readonly withheldFromSpotWork: 'never' | 'lastIdle' | 'always';
   /** The job that the machine is reserved for, against other jobs of its priority or below; null: none. */
@@ -48,10 +48,13 @@
   /** ms since the epoch from which the waiting time of the job counts. */
   readonly waitingSince: number;
   readonly withinGuarantee: boolean;
-  /** Number of start targets that the job has missed, 0 again once it starves; lower is placed first. */
+  /**
+   * Number of start targets that the job has missed; 0 again once the job has waited for so long that it
+   * would starve. Requests with a lower number are placed first.
+   */
   readonly missedStartTargets: number;
   readonly urgency: Urgency;
-  /** Read only for work that may use spot machines: whether it may use on-demand machines now. */
+  /** Whether the job may use on-demand machines now; read only for work that may use spot machines. */
   readonly mayUseOnDemand: boolean;
   /** Whether the job may use spot machines or fits more than one machine type. */
   readonly hasAlternatives: boolean;
--- a/src/placement/placement-view.test.ts
+++ b/src/placement/placement-view.test.ts
@@ -1,6 +1,6 @@
 /**
- * Tests of the placement requests of jobs that depend on others or that others depend on: which of them use
- * their team's guarantee, and from when their waiting times and deadlines count.
+ * Tests of the placement requests of jobs that have dependencies or dependants: which of the jobs count
+ * within their team's guarantee, and from when their waiting times and deadlines count.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -1,7 +1,7 @@
 /**
  * Builds the input of one placement round from the shard's state: the requests and the free capacity of
- * machines. Owns nothing; it updates the cached `free` of machines and `firstUnfinished` of jobs. `Shard`
- * calls it at the start of each round.
+ * machines. No state of its own; it updates the cached `free` of machines and `firstUnfinished` of jobs.
+ * `Shard` calls it at the start of each round.
  */
 import {
   ESTIMATED_IMAGE_FETCH_S,
@@ -37,7 +37,7 @@
 } from './shard-model.js';
 import { missedStartTargets, urgency } from './urgency.js';
 
-/** What one round reads. */
+/** The inputs from which one round computes its requests and capacities. */
 export interface PlacementView extends Pick<ShardContext, 'scarceDemand' | 'guarantees' | 'objectives'> {
   readonly shardState: ShardState;
   readonly liveness: MachineLiveness;
@@ -69,7 +69,7 @@
   let { cpus, gpus, memoryGb } = machine.total;
   const usedByFlexibleWork = { cpus: 0, gpus: 0, memoryGb: 0 };
   let hasDependentWork = false;
-  /** Subtracts one task of a job; false: the job is unknown, and so is the size of the task. */
+  /** Subtracts the demand of one task of a job; false: the job is unknown, so the size of the task is too. */
   const subtractTask = (jobId: string): boolean => {
     const spec = shardState.jobs.get(jobId)?.spec;
     if (!spec) return false;
@@ -97,9 +97,9 @@
 };
 
 /**
- * The capacity that work depending on this machine type cannot use: what stays free once the machine holds as
- * many of that work's largest tasks as fit. Zero unless such work already runs on the machine, so that an
- * empty machine stays free for another shard.
+ * The capacity that the work that depends on this machine type cannot use: the capacity that stays free once
+ * the machine holds as many of that work's largest tasks as fit. Zero unless such work already runs on the
+ * machine, so that an empty machine stays free for a transfer to another shard.
  */
 const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NO_CAPACITY;
@@ -113,8 +113,9 @@
 };
 
 /**
- * Withholds on-demand machines whose type some job depends on from work that may use spot machines: always
- * if the catalog has other types, otherwise while the machine is one of the last idle ones.
+ * Whether a machine is withheld from work that may use spot machines: an on-demand machine whose type some
+ * job depends on is withheld always if the catalog has several types, and otherwise while it is one of the
+ * last idle machines.
  */
 const withholdingOf = (
   machine: ShardMachine,
@@ -141,8 +142,8 @@
 };
 
 /**
- * Free capacity of each machine that accepts tasks now, or is expected to soon; without machines whose free
- * capacity is unclear.
+ * The free capacity of each machine that accepts tasks now or is expected to accept them soon, without
+ * machines whose free capacity is unclear.
  */
 export const availableCapacity = (view: PlacementView): AvailableCapacity[] => {
   const { shardState, liveness, now, wall } = view;
@@ -173,7 +174,7 @@
   return capacities;
 };
 
-/** s: the shortest nominal boot time of the types that the job may use; 0: it fits none. */
+/** s: the shortest nominal boot time of the types that the job may use; 0: the job fits no type. */
 const shortestBootS = (spec: JobSpec, catalog: Catalog): number => {
   let shortestS = Number.POSITIVE_INFINITY;
   for (const type of catalog.values()) {
@@ -253,8 +254,8 @@
   const { shardState, now, guarantees } = view;
   const requests: PlacementRequest[] = [];
   /**
-   * By team: the demand of all unfinished tasks of its ready jobs, up to and including the current job, in
-   * the order of their waiting times, the longest first.
+   * By team: the demand of all unfinished tasks of the team's ready jobs, up to and including the current
+   * job. The jobs are visited by waiting time, the longest first.
    */
   const usagesAhead = new Map<string, TeamUsage>();
   for (const job of [...shardState.jobs.values()].sort((a, b) => a.waitingSince - b.waitingSince)) {
--- a/src/placement/ports.ts
+++ b/src/placement/ports.ts
@@ -3,7 +3,7 @@
  * each other and of the controller. No state.
  */
 
-/** Time since some fixed moment, in ms: for leases, pauses and ages within this process. */
+/** ms since some fixed moment: for leases, pauses and ages within this process. */
 export interface SteadyClock {
   readonly now: () => number;
 }
@@ -23,7 +23,7 @@
 export interface StageQueries {
   /** Whether the shard's runs have been read, so that its bindings are known. */
   readonly isLoaded: () => boolean;
-  /** Whether the shard has been rebuilt, so that it may place work and give machines away. */
+  /** Whether the shard has been rebuilt, so that it may place work and transfer machines. */
   readonly isPlacing: () => boolean;
   /** Whether this process no longer holds the shard's claim. */
   readonly isLost: () => boolean;
--- a/src/placement/preemption.test.ts
+++ b/src/placement/preemption.test.ts
@@ -114,8 +114,8 @@
     machines: [machine('a', 'x', [group('j1', 0, 8)], true)],
     expect: [],
   },
-  // Guards against evictions in a zone that holds its part of a spread job already, so that the job could not
-  // start there.
+  // Guards against evictions in a zone that already holds as many tasks of a spread job as it may: the job
+  // could not start there.
   {
     name: 'for a spread job only groups in zones that may hold more of its tasks',
     spec: spec({ kind: 'service', oneZone: false, spread: true, tasks: 2 }),
@@ -149,8 +149,8 @@
 }
 
 test('evict: the next job sees the capacity that the first one freed and used', () => {
-  // Guards against one job per search, which is one per second: after the loss of a zone the last of thirty
-  // services waited half a minute.
+  // Guards against deciding for only one job per search, which is one job per second: after the loss of a
+  // zone, the last of thirty services waited half a minute.
   const half = spec({ kind: 'service', oneZone: false, gpus: 4 });
   const machines = [machine('a', 'x', [group('j1', 1, 8)]), machine('b', 'x', [group('j2', 1, 8)])];
   const evicted: string[][] = [];
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses groups of lower priority to stop so that a job finds capacity, as a last resort. Pure; `Preemptor`
- * calls it for each job of a search, with the machines as the decision for the previous job leaves them.
+ * Chooses groups of lower priority to stop so that a job finds capacity, as a last resort. Pure. `Preemptor`
+ * calls it for each job of a search, and passes the machines as they will be after the evictions for the
+ * previous jobs.
  */
 import { SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { CPUS_PER_GPU_IN_GROUP_SIZE } from '../constants/preemption.js';
@@ -14,7 +15,7 @@
   readonly job: string;
   readonly priority: number;
   readonly gang: boolean;
-  /** Number of its tasks on this machine; `demand` is their total. */
+  /** Number of the job's tasks on this machine; `demand` is their total demand. */
   readonly tasks: number;
   readonly demand: Demand;
 }
@@ -42,13 +43,14 @@
 interface MachinePlan {
   readonly machine: OccupiedMachine;
   readonly victims: readonly EvictableGroup[];
-  /** Number of tasks of the job that fit then. */
+  /** Number of tasks of the job that fit once the groups are stopped. */
   readonly tasksThatFit: number;
 }
 
 /**
- * Plans the evictions on one machine after which at least one task of the job fits: adds groups, the lowest
- * priority and the smallest first, then drops those that are not needed. Null: all groups are not enough.
+ * Plans the evictions on one machine that make at least one task of the job fit: adds groups, the lowest
+ * priority and the smallest first, then drops the groups that are not needed. Null: no task fits even if all
+ * groups of lower priority are stopped.
  */
 const planMachine = (
   spec: JobSpec,
@@ -124,8 +126,8 @@
 }
 
 /**
- * Caches the plan of each machine. A plan stays valid until the plan of another machine evicts a gang that
- * has tasks on its machine.
+ * Caches the plan of each machine. The plan stays valid until the plan of another machine evicts a gang that
+ * has tasks on both machines.
  */
 class PlanCache {
   private readonly plans = new Map<OccupiedMachine, PlanWithCost | null>();
@@ -152,7 +154,10 @@
     return best?.plan ?? null;
   }
 
-  /** Drops the plans of machines with tasks of an evicted gang: it is stopped whole, so it frees them too. */
+  /**
+   * Drops the plans of the given machines that hold tasks of an evicted gang: the whole gang is stopped,
+   * which frees capacity on them as well.
+   */
   invalidateGang(job: string, machines: readonly OccupiedMachine[]): void {
     for (const machine of machines)
       if (machine.groups.some((group) => group.job === job)) this.plans.delete(machine);
@@ -257,7 +262,7 @@
   return best ?? choiceWithoutEvictions;
 };
 
-/** The machine once the groups of a choice have stopped and the job's tasks run on it. */
+/** The machine as it will be once the groups of a choice have stopped and the job's tasks run on it. */
 const machineAfter = (spec: JobSpec, machine: OccupiedMachine, choice: EvictionChoice): OccupiedMachine => {
   const tasks = choice.tasks.get(machine.id) ?? 0;
   const free = {
@@ -278,7 +283,7 @@
   return { ...machine, free, groups };
 };
 
-/** The groups to stop for one job, and the machines as they are then for the next job. */
+/** The groups to stop for one job, and the machines as they will be for the next job. */
 export interface Preemption {
   readonly evictions: readonly Eviction[];
   readonly machines: readonly OccupiedMachine[];
--- a/src/placement/preemptor.ts
+++ b/src/placement/preemptor.ts
@@ -24,7 +24,7 @@
 
 /** Tasks of one job on one machine. */
 interface TasksOnMachine {
-  /** The binding of the last of them. */
+  /** The binding of the last of these tasks. */
   readonly binding: Binding;
   readonly job: ShardJob;
   readonly tasks: number;
@@ -50,10 +50,10 @@
   constructor(private readonly dependencies: PreemptorDependencies) {}
 
   /**
-   * Preempts whole groups of lower priority when nothing else helps: this shard has no capacity, no other
-   * shard has a suitable free machine, and no earlier eviction is in progress. One search decides for all
-   * jobs that need it, the most important first, and evicts only for jobs that can then start: after the loss
-   * of a zone, dozens of services wait for capacity at once.
+   * Preempts whole groups of lower priority if nothing else helps: this shard has no capacity, no other shard
+   * has a suitable free machine, and no earlier eviction is in progress. One search decides for all jobs that
+   * need it, in placement order, because dozens of services wait for capacity at once after the loss of a
+   * zone. It evicts only for jobs that can then start.
    */
   run(unplaced: readonly UnplacedRequest[], capacities: readonly AvailableCapacity[]): void {
     const now = this.dependencies.now();
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Whether stopping the tasks frees capacity earlier than their own end, by the job's estimate. Tasks that
+   * Whether stopping the tasks frees their capacity before they would end by the job's estimate. Tasks that
    * have run for more than twice the estimate are always worth stopping, since the estimate is then useless.
    */
   private isWorthStopping({ binding, job }: TasksOnMachine, now: number): boolean {
--- a/src/placement/record-flusher.test.ts
+++ b/src/placement/record-flusher.test.ts
@@ -1,4 +1,6 @@
-/** Each final record is written once, in whatever order the answers and the watch events arrive. */
+/**
+ * Tests that each final record is written once, in whatever order the answers and the watch events arrive.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallOutcome } from '../http/model.js';
--- a/src/placement/record-flusher.ts
+++ b/src/placement/record-flusher.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the changes of a shard's state to the key-value store in batches: finished tasks, final records,
- * orphaned keys. Owns whether a flush is in progress and when the last one began. `Shard` calls it in each
+ * Writes the changed runs and the final records of a shard to the key-value store in batches, and removes
+ * orphaned keys. Owns whether a flush is in progress and when the last flush began. `Shard` calls it in each
  * round.
  */
 import { FLUSH_DELAY_MS, FLUSH_INTERVAL_MS, IMMEDIATE_FLUSH_RATE_FRACTION } from '../constants/placement.js';
@@ -23,7 +23,7 @@
   readonly orphanedKeys: OrphanedKeys;
 }
 
-/** Whether the job is over: done or cancelled, with no task left on a machine. */
+/** Whether the job has ended: it is done or cancelled, and no task of it is bound to a machine. */
 const isOver = (job: ShardJob): boolean => job.bindings.size === 0 && (job.cancelled || isFinished(job));
 
 /** The flusher of one shard. */
@@ -35,8 +35,8 @@
   constructor(private readonly dependencies: RecordFlusherDependencies) {}
 
   /**
-   * Writes runs whose tasks finished or whose bindings are gone. Jobs that are over are not written:
-   * `finishJobs` writes their final records.
+   * Writes one batch of changed runs, whose tasks finished or whose bindings are gone, and removes orphaned
+   * keys. Runs of jobs that have ended are not written: `finishJobs` writes the final records of those jobs.
    */
   flush(): void {
     const { now, isLost, orphanedKeys, requestRound } = this.dependencies;
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Runs that have differed from their stored record for long enough, or for any time while the key-value
-   * store is idle.
+   * Runs that have differed from their stored record for `FLUSH_DELAY_MS`. The delay is 0 while the demand
+   * for changes (changes per second) is below `IMMEDIATE_FLUSH_RATE_FRACTION` of the key-value store's rate.
    */
   private dirtyRuns(now: number): readonly { readonly write: RunWrite }[] {
     const { store, shardState, runs } = this.dependencies;
@@ -82,7 +82,7 @@
     if (orphanedKeys.hasWork) await orphanedKeys.step();
   }
 
-  /** Writes the final records of jobs that are over. */
+  /** Writes the final records of jobs that have ended. */
   finishJobs(): void {
     const { shardState, finalRecords, store } = this.dependencies;
     let batch: FinishedJob[] = [];
--- a/src/placement/round-loop.ts
+++ b/src/placement/round-loop.ts
@@ -1,7 +1,7 @@
 /**
- * Runs placement rounds: soon after a request, though not before the pause that bounds the processor time of
- * rounds has ended, and without a request at a fixed interval. Owns the request for a round and the end of
- * the pause; `Shard` provides the round.
+ * Runs placement rounds: soon after a request, but not before the pause after the previous round has ended;
+ * without a request, at a fixed interval. The pause bounds the processor time that rounds use. Owns the
+ * request for a round and the end of the pause; `Shard` provides the round.
  */
 import * as Effect from 'effect/Effect';
 import { PLACEMENT_INTERVAL_MS } from '../constants/placement.js';
--- a/src/placement/round-pacer.test.ts
+++ b/src/placement/round-pacer.test.ts
@@ -21,7 +21,7 @@
   { name: 'several cores, of which one process uses one', roundMs: 200, coreFraction: 4, usedFraction: 0.12 },
 ];
 for (const row of cases) {
-  // Guards against rounds with hundreds of waiting gangs that use most of a core.
+  // Guards against rounds with hundreds of waiting gangs, which used most of a core.
   test(`rounds: ${row.name} leaves most of the core to heartbeats and users`, () => {
     const pause = pauseMs(row.roundMs, row.coreFraction);
     assert.ok(pause >= MIN_PLACEMENT_ROUND_PAUSE_MS);
--- a/src/placement/round-pacer.ts
+++ b/src/placement/round-pacer.ts
@@ -9,8 +9,8 @@
 } from '../constants/placement.js';
 
 /**
- * ms of pause after a round of this much processor time (ms): the process may use `coreFraction` of a core,
- * at most a whole one, and rounds may use `PLACEMENT_ROUND_CORE_FRACTION` of that.
+ * ms: the pause after a round that took `processorMs` (ms of processor time). The process may use
+ * `coreFraction` of a core, at most a whole one, and rounds may use `PLACEMENT_ROUND_CORE_FRACTION` of that.
  */
 export const pauseMs = (processorMs: number, coreFraction: number): number =>
   Math.max(
@@ -19,9 +19,9 @@
   );
 
 /**
- * Paces rounds by the moving average of their processor time. By the time of a single round, one during which
- * the engine collected garbage, or which stalled because the process had used up its part of a core, would
- * cause a pause of many seconds in which nothing is placed.
+ * Paces rounds by the moving average of their processor time. If the pause depended on the last round alone,
+ * a round during which the engine collected garbage, or a round that stalled because the process had used up
+ * its part of a core, would cause a pause of many seconds in which nothing is placed.
  */
 export class RoundPacer {
   /** Moving average, in ms; null: no round has run yet. */
@@ -31,8 +31,8 @@
 
   /** Records a round's processor time (ms); returns the pause before the next round (ms). */
   pauseAfter(processorMs: number): number {
-    // The first round counts in full: it costs as much as the next few together, since no code is compiled
-    // yet and every job waits.
+    // The first round counts in full: it takes as much processor time as the next few rounds together, since
+    // no code is compiled yet and every job waits.
     const before = this.averageMs ?? processorMs;
     this.averageMs = before + (processorMs - before) * ROUND_AVERAGE_WEIGHT;
     return pauseMs(this.averageMs, this.coreFraction);
--- a/src/placement/round-waiters.ts
+++ b/src/placement/round-waiters.ts
@@ -7,7 +7,7 @@
 export class RoundWaiters {
   private readonly waits = new Set<() => void>();
 
-  /** Resolves when a round that begins after this call ends the waits, or after `ms`. */
+  /** Resolves when a round that began after this call has ended, or after `ms`. */
   wait(ms: number): Promise<void> {
     return new Promise<void>((resolve) => {
       const end = (): void => {
@@ -20,7 +20,10 @@
     });
   }
 
-  /** The current waits, each as the function that ends it: a round that begins now calls them at its end. */
+  /**
+   * The current waits, each as the function that ends the wait. A round that begins now calls these functions
+   * when its bindings are durable.
+   */
   current(): readonly (() => void)[] {
     return [...this.waits];
   }
--- a/src/placement/run-codec.ts
+++ b/src/placement/run-codec.ts
@@ -106,7 +106,7 @@
   ...stored,
   record: { ...(stored.record as object), q: 1 },
 });
-/** Adds to the record of a first run that the runs prepared for this attempt are valid. */
+/** Names the attempt in the record of a job's first run, which makes the runs prepared for it valid. */
 export const withValidAttempt = (stored: StoredRun, attempt: number): StoredRun => ({
   ...stored,
   record: { ...(stored.record as object), v: attempt },
--- a/src/placement/run-loader.ts
+++ b/src/placement/run-loader.ts
@@ -1,5 +1,5 @@
 /**
- * Rebuilds a shard's bindings from the runs in the key-value store, after a takeover. Owns the list of
+ * Rebuilds a shard's bindings from the runs in the key-value store after a takeover. Owns the list of
  * orphaned keys of one load; `ShardLoader` creates an instance for each load.
  */
 import type { OrphanedKey } from '@dalegate/fencing';
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Discards a part that the record of its run does not name; the other parts are read together with their
-   * record.
+   * Discards a part whose run has no record, or whose number is beyond the part count in that record. The
+   * other parts are read together with the record.
    */
   private checkPart(item: StoredEntry, job: string, chunk: number, part: number, entries: Entries): void {
     const whole = entries.get(runKey(this.dependencies.shardId, job, chunk));
@@ -65,8 +65,8 @@
     for (const index of record.done) job.done.add(index);
     const first = entries.get(runKey(shardId, id, 0))?.value;
     if (chunkNumber === 0) job.validAttempt = validAttempt(first);
-    // The run was prepared for a bind that never took effect: its bindings are ignored, and it is
-    // overwritten.
+    // The bindings of an invalid run are ignored, and the run is overwritten: it was prepared for a bind that
+    // never took effect.
     const valid = isRunValid(item.value, first);
     const chunk: Chunk = {
       version: item.version,
@@ -84,7 +84,8 @@
     const { shardState } = this.dependencies;
     for (const { index, attempt, machine: machineId } of record.bindings) {
       const machine = shardState.machines.get(machineId);
-      // A machine without a record was released, and the cloud answered 200 to its release.
+      // A machine without a record was released: its record is deleted only after the cloud answered 200 to
+      // the release.
       if (!machine) {
         chunk.dirtySince = 0;
         continue;
--- a/src/placement/run-records.test.ts
+++ b/src/placement/run-records.test.ts
@@ -1,4 +1,6 @@
-/** Run records fit the smallest limits of the key-value store, and are read as they were written. */
+/**
+ * Tests that run records fit the smallest limits of the key-value store and are read as they were written.
+ */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/src/placement/run-records.ts
+++ b/src/placement/run-records.ts
@@ -6,7 +6,7 @@
 import { TASKS_PER_RUN_RECORD } from '../constants/key-value-store.js';
 import { bindingKey, type ShardJob } from './shard-model.js';
 
-/** A run: its done tasks, its bindings, and the highest attempt that the job has used. */
+/** One run: its done tasks, its bindings, and the highest attempt that the job has used. */
 export interface RunRecord {
   /** Task indexes, ascending. */
   readonly done: readonly number[];
--- a/src/placement/run-writer.ts
+++ b/src/placement/run-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the runs of a shard's jobs: which task is bound to which machine, and which are done. No state of
- * its own; of jobs it sets `writesInProgress`, `validAttempt` and `chunks`. `Binder` and `RecordFlusher` call
+ * Writes the runs of a shard's jobs: which tasks are bound to which machines, and which are done. No state of
+ * its own; it sets `writesInProgress`, `validAttempt` and `chunks` of jobs. `Binder` and `RecordFlusher` call
  * it.
  */
 import {
@@ -52,8 +52,8 @@
   );
 
 /**
- * Marks the known state of the stored run as clean, because the write contains all changes, and returns it;
- * creates it if there is none.
+ * Marks the known state of the stored run as clean, because the write contains all changes, and returns that
+ * state; creates the state if there is none.
  */
 const markChunkClean = ({ job, chunk: number }: RunWrite): Chunk => {
   const known = job.chunks.get(number);
@@ -98,7 +98,7 @@
     return 1 + Math.max(write.stored.parts.length, write.job.chunks.get(write.chunk)?.parts ?? 0);
   }
 
-  /** Groups runs for as few transactions as they fit in; each batch is written in one transaction. */
+  /** Groups runs, in their order, into batches that each fit in one transaction. */
   batches<T extends { readonly write: RunWrite }>(entries: readonly T[]): readonly (readonly T[])[] {
     const batches: T[][] = [];
     let batch: T[] = [];
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Writes runs in one transaction; while it is in progress, nothing else writes runs of these jobs. Resolves
-   * to true if it is committed.
+   * Writes runs in one transaction; meanwhile `writesInProgress` keeps others from writing runs of these
+   * jobs. Resolves to true if the transaction is committed.
    */
   async commitRuns(writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const first = writes[0];
@@ -167,14 +167,14 @@
   }
 
   /**
-   * Binds a gang in one transaction, or, if one can't hold it, by a transaction that makes the prepared runs
-   * valid.
+   * Binds a gang in one transaction. If the gang does not fit in one, other transactions first write prepared
+   * runs, and the last one makes them valid.
    */
   async commitGang(job: ShardJob, writes: readonly RunWrite[], priority: RequestPriority): Promise<boolean> {
     const [first, ...others] = writes;
     if (first?.chunk !== 0 || this.fitInOneTransaction(writes)) return this.commitRuns(writes, priority);
-    // No transaction can hold the gang, and a controller of an earlier version would read prepared runs as
-    // bound: the gang waits for the upgrade.
+    // The gang does not fit in one transaction, and a controller of an earlier version would read prepared
+    // runs as bound: the gang waits until all controllers are upgraded.
     if (!this.dependencies.maySplit()) return false;
     // Prevents other writes of the job's runs between the transactions.
     job.writesInProgress += 1;
@@ -213,8 +213,8 @@
   }
 
   /**
-   * The writes of a run's record and its parts, and the deletion of parts that only the stored run still has.
-   * All change together, so the record's revision guards them.
+   * Returns the writes of a run's record and parts, and the deletions of stored parts that the run no longer
+   * has; `before` is the number of stored parts. All change together, so the record's revision guards them.
    */
   private changes(write: RunWrite, before: number): readonly Write[] {
     const { job, chunk, stored } = write;
--- a/src/placement/shard-changes.ts
+++ b/src/placement/shard-changes.ts
@@ -1,7 +1,6 @@
 /**
- * Applies changes of the shared records to a shard's state: machines, jobs, and cancellations that other
- * controllers report directly. No state of its own; `Shard` passes on what the watch and other controllers
- * report.
+ * Applies changes of the shared records, and cancellations that other controllers report directly, to the
+ * machines and jobs of a shard's state. No state of its own; `Shard` passes the changes and reports on.
  */
 import type { MachineRecord } from '../fleet/machine-record.js';
 import { readJobRecord } from '../jobs/job-record-codec.js';
@@ -83,7 +82,7 @@
     requestRound();
   }
 
-  /** The readiness or effective priority of a job may have changed. */
+  /** Applies the readiness and effective priority of a job, either of which may have changed. */
   onEffectivePriority(id: string): void {
     const { shardState, effectivePriority, readiness } = this.dependencies;
     const job = shardState.jobs.get(id);
@@ -91,10 +90,7 @@
     if (job && priority) shardState.updateReadiness(id, readiness(id), priority);
   }
 
-  /**
-   * Applies a cancellation before another controller confirms it to a user. True: every answer to a worker
-   * from now on takes the cancellation into account; false: the claim is lost.
-   */
+  /** See `Shard.acknowledgeCancellation`. */
   acknowledgeCancellation(id: string, version: number): boolean {
     if (this.dependencies.isLost()) return false;
     this.dependencies.shardState.acknowledgeCancellation(id, version);
--- a/src/placement/shard-context.ts
+++ b/src/placement/shard-context.ts
@@ -69,9 +69,9 @@
 
 /** The shard's connection to the leader, the other shards and its duties. */
 export interface ControllerPorts {
-  /** Whether this controller may act for the shard now, under this very claim. */
+  /** Whether this controller may act for the shard now, under this claim. */
   readonly mayAct: () => boolean;
-  /** Whether another shard has a free machine that would do for this job. */
+  /** Whether another shard has a free machine that suits this job. */
   readonly spareElsewhere: (shardId: number, spec: JobSpec) => boolean;
   /** Machines that the leader keeps free for gangs. */
   readonly reservations: () => readonly Reservation[];
@@ -80,7 +80,7 @@
    * tombstones.
    */
   readonly cleanUpDuty: Duty | null;
-  /** Called when the shard's runs have been read: its duties begin. */
+  /** Called when the shard's state has been loaded, so that its duties begin. */
   readonly onLoaded: () => void;
   /** Notifies the leader of a change that it waits for. */
   readonly notifyLeader: () => void;
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -1,6 +1,6 @@
 /**
  * Loads a shard's state after its claim was acquired: jobs from the watch cache, runs from the key-value
- * store, and what machines reported in the meantime. No state of its own; `Shard` runs it once.
+ * store, and the tasks that workers reported in the meantime. No state of its own; `Shard` runs it once.
  */
 import * as Effect from 'effect/Effect';
 import { STORE_RETRY_DELAY_MS } from '../constants/key-value-store.js';
@@ -36,8 +36,8 @@
   constructor(private readonly dependencies: ShardLoaderDependencies) {}
 
   /**
-   * Reads and applies the shard's runs, unless the claim is lost meanwhile: the next holder then reads them
-   * itself. The watch cache already shows every change before the claim's own revision.
+   * Reads and applies the shard's runs. If the claim is lost meanwhile, nothing is applied: the next holder
+   * reads the runs itself. The watch cache already shows every change that precedes the claim's own revision.
    */
   readonly load: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const { store, shardId, isLost } = this.dependencies;
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Applies what a machine reported before its bindings were known. */
+  /** Applies the tasks that the worker of a machine reported before the machine's bindings were known. */
   private applyReports(machine: ShardMachine): void {
     machine.free = null;
     for (const task of machine.reportedTasks) {
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -1,6 +1,6 @@
 /**
- * Types for the jobs, machines and bindings of a shard. The module has no state: `ShardState` owns the
- * objects, and the comments below name the other classes that set a field.
+ * Types for the jobs, machines and bindings of a shard. No state: `ShardState` owns the objects, and the
+ * comments below name the other classes that set a field.
  */
 import type { Demand, JobSpec } from '../jobs/model.js';
 import type { ReportedTask } from '../workers/model.js';
@@ -8,9 +8,9 @@
 import type { Phase } from './attempt-phase.js';
 
 /**
- * Why a task is stopped: its job is cancelled; its gang is broken or answers don't reach its worker; it is
- * preempted; the cloud is about to reclaim its machine; or its gang has finished, in which case no stop is
- * sent directly.
+ * Why a task is stopped. `cancelled`: its job is cancelled. `broken`: its gang has lost a member, or answers
+ * do not reach its worker. `evicted`: it is preempted. `draining`: the cloud is about to reclaim its machine.
+ * `finished`: its gang has finished; such a stop is not sent directly.
  */
 export type StopReason = 'cancelled' | 'broken' | 'evicted' | 'draining' | 'finished';
 
@@ -38,8 +38,8 @@
   /** ms on the steady clock: when a worker message first showed the attempt running; null: none has. */
   runningAt: number | null;
   /**
-   * Number of answers to heartbeats that carried the `run` of this attempt. A worker that acts on the command
-   * reports the attempt, which ends the repetition.
+   * Number of answers to heartbeats that carried a `run` command for this attempt. The answers repeat the
+   * command until the worker reports the attempt.
    */
   runCommandsSent: number;
 }
@@ -134,7 +134,10 @@
   | 'cancelled and not gone'
   /** The machine is cordoned: an urgent release was requested, which may still be carried out. */
   | 'return was asked for'
-  /** This holder has received no heartbeat, for longer than a boot may take. */
+  /**
+   * This holder has never received a heartbeat from the machine, which has been silent for longer than a
+   * lease and is not booting.
+   */
   | 'never came up'
   /** The worker's lease has expired without a heartbeat. */
   | 'silent'
@@ -144,7 +147,7 @@
   | 'does not hear'
   /** The machine is quarantined, and nothing is bound to it. */
   | 'sick'
-  /** The machine has been idle for longer than such a machine is held. */
+  /** The machine has been idle for longer than its hold time. */
   | 'idle';
 
 /** A machine of the shard, with the last report of its worker. */
@@ -170,7 +173,10 @@
   addr: string;
   agentEpoch: number;
   sequenceNumber: number;
-  /** The current token, once a message of the worker's session named it; 0: not yet. */
+  /**
+   * The current token, if the last heartbeat or the response to an announced token named it; 0: not
+   * confirmed.
+   */
   confirmedToken: number;
   /**
    * Whether the worker has ever reported a token of this holder, so that no command of an earlier holder can
@@ -207,8 +213,8 @@
    */
   needsHigherToken: boolean;
   /**
-   * Number of heartbeats whose answer waits for a placement round and carries the commands, so that no direct
-   * ones are needed.
+   * Number of heartbeats whose answers wait for a placement round. These answers carry the commands of the
+   * round, so that no direct commands are needed.
    */
   pendingAnswers: number;
   reportedTasks: readonly ReportedTask[];
--- a/src/placement/shard-stage.test.ts
+++ b/src/placement/shard-stage.test.ts
@@ -1,4 +1,4 @@
-/** The stages of a shard: what each event leads to, and that nothing follows the loss of its claim. */
+/** Tests the stage that each event leads to, and that no stage follows the loss of the claim. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { nextStage, ShardStage, type Stage, type StageEvent } from './shard-stage.js';
--- a/src/placement/shard-stage.ts
+++ b/src/placement/shard-stage.ts
@@ -6,8 +6,8 @@
 import type { ShardIdentity, StageQueries } from './ports.js';
 
 /**
- * What a shard does: `loading` reads its runs, `rebuilding` waits for the reports of its machines, `placing`
- * places work; at `lost` its claim is lost.
+ * The activity of a shard. `loading`: it reads its runs. `rebuilding`: it waits for the reports of its
+ * machines. `placing`: it places work. `lost`: this process no longer holds its claim.
  */
 export type Stage = 'loading' | 'rebuilding' | 'placing' | 'lost';
 
@@ -15,7 +15,7 @@
 export type StageEvent =
   /** The shard's runs have been read. */
   | 'loaded'
-  /** The shard's machines have reported their tasks, or the time that they had to do so has passed. */
+  /** The shard's machines have reported their tasks, or the time for doing so has passed. */
   | 'rebuilt'
   /** Another process holds the shard's claim, or none does. */
   | 'lost';
--- a/src/placement/shard-state.test.ts
+++ b/src/placement/shard-state.test.ts
@@ -1,4 +1,4 @@
-/** Which stops are sent directly when the tasks of a gang end. */
+/** Tests which stops are sent directly when the tasks of a gang end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobSpec, machineRecord } from '../testing/bodies.js';
--- a/src/placement/shard-state.ts
+++ b/src/placement/shard-state.ts
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Stops the tasks that can save their work on a machine that is about to be reclaimed; the others may still
-   * finish in time.
+   * Stops the tasks on a machine that is about to be reclaimed, if they can save their work; the other tasks
+   * may still finish in time.
    */
   drain(machine: ShardMachine): void {
     for (const binding of machine.bound.values()) {
@@ -120,9 +120,10 @@
   }
 
   /**
-   * Removes a job whose record is deleted, unless it still has bindings or a final record in progress. A
-   * holder that receives a cancellation directly may finish the job before its watch shows the cancelled
-   * record. That older event then adds the job again, and its final record could never be written again.
+   * Removes a job whose record is deleted, unless it still has bindings or its final record is being written.
+   * Reason: a holder that receives a cancellation directly may finish the job before its watch shows the
+   * cancelled record. The late watch event then adds the job again, although its final record exists and can
+   * never be written a second time.
    */
   removeIfRecordDeleted(job: ShardJob): void {
     if (!job.recordDeleted || job.finishing || job.bindings.size > 0) return;
@@ -130,8 +131,8 @@
   }
 
   /**
-   * Applies a cancellation that is durable at this revision and that another controller reported: the shared
-   * records may show it much later.
+   * Applies a cancellation that is durable at this revision and that another controller reported. This
+   * controller's watch may show it much later.
    */
   acknowledgeCancellation(id: string, version: number): void {
     const job = this.jobs.get(id);
@@ -151,8 +152,8 @@
   }
 
   /**
-   * Updates how far the dependencies of a job are, and its priority and deadline with regard to the jobs that
-   * depend on it.
+   * Updates the readiness of a job, the start of its waiting time, and the priority and deadline that result
+   * from the jobs that depend on it.
    */
   updateReadiness(id: string, readiness: Readiness, effectivePriority: EffectivePriority): void {
     const job = this.jobs.get(id);
@@ -219,8 +220,8 @@
   }
 
   /**
-   * Returns and clears the bindings whose stop is to be sent directly and whose tasks are still on their
-   * machines.
+   * Returns the bindings whose stop is to be sent directly and whose tasks are still on their machines;
+   * clears the list of pending stops.
    */
   takeStopsToSend(): readonly Binding[] {
     if (this.pendingStops.size === 0) return [];
@@ -286,7 +287,7 @@
       job.done.add(binding.index);
       return;
     }
-    // A gang completes together: one task done means all are.
+    // A gang completes as a whole: if one task is done, all are.
     for (let index = 0; index < job.spec.tasks; index += 1) job.done.add(index);
     for (const other of job.bindings.values()) this.stop(other, 'finished', 0);
   }
--- a/src/placement/shard-summary-builder.ts
+++ b/src/placement/shard-summary-builder.ts
@@ -30,7 +30,7 @@
 
 /** Builds the summaries of one shard. */
 export class ShardSummaryBuilder {
-  /** Null: the shard has not run a placement round yet. */
+  /** The latest summary; null: the shard has not run a placement round yet. */
   latest: ShardSummary | null = null;
   /** ms on the steady clock: when the latest summary was built. */
   private updatedAt = 0;
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Notifies the leader at once if the demand changed or spare machines for it did; other changes reach the
-   * leader with the next heartbeat.
+   * Notifies the leader at once if the unmet demand has changed, or, while there is any, the number of spare
+   * machines. Other changes reach the leader with the next heartbeat between controllers.
    */
   private notifyOfChange({ needs, spares }: ShardSummary): void {
     const digest = [
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -83,7 +83,7 @@
     this.components.changes.onJobGone(id);
   }
 
-  /** The readiness or effective priority of a job may have changed. */
+  /** See `ShardChanges.onEffectivePriority`. */
   onEffectivePriority(id: string): void {
     this.components.changes.onEffectivePriority(id);
   }
@@ -98,23 +98,20 @@
 
   // ---- workers --------------------------------------------------------------------------------------------
 
-  /**
-   * Applies a heartbeat. Null: the machine is not in this shard, or the heartbeat is older than one already
-   * received or names a higher token than this shard's.
-   */
+  /** Applies a heartbeat; null: it is not accepted. See `WorkerSessions.onHeartbeat`. */
   onHeartbeat(heartbeat: WorkerHeartbeat): HeartbeatReceipt | null {
     return this.components.sessions.onHeartbeat(heartbeat);
   }
 
-  /**
-   * The answer to the heartbeat that was received last from this machine; null: this heartbeat is not the
-   * last one.
-   */
+  /** The answer to a heartbeat; null: none is sent. See `WorkerSessions.commandsFor`. */
   orders(heartbeat: WorkerHeartbeat): FencedCommands | null {
     return this.components.sessions.commandsFor(heartbeat);
   }
 
-  /** Resolves when the bindings of a whole round that begins after the call are durable, or after `ms`. */
+  /**
+   * Requests a round. Resolves when each binding of a round that began after the call is durable or has been
+   * removed, or after `ms`. Meanwhile the wait counts in the machine's `pendingAnswers`.
+   */
   nextRound(machineId: string, ms: number): Promise<void> {
     this.requestRound();
     const machine = this.components.shardState.machines.get(machineId);
@@ -125,8 +122,8 @@
   }
 
   /**
-   * The number of machines whose workers should send heartbeats, and of those whose heartbeat arrived
-   * recently. If there are machines and `reporting` is 0, no worker reaches this controller.
+   * The number of machines whose workers should send heartbeats (`machines`), and how many of them sent one
+   * recently (`reporting`). If there are machines and `reporting` is 0, no worker reaches this controller.
    */
   heartbeatCoverage(): { readonly machines: number; readonly reporting: number } {
     const { liveness } = this.components;
@@ -143,7 +140,7 @@
 
   // ---- task counts ----------------------------------------------------------------------------------------
 
-  /** Task counts of the jobs with tasks on machines or done, for a bounded number of jobs. */
+  /** Task counts of the jobs with bound or done tasks, for at most `MAX_JOBS_WITH_TASK_COUNTS` jobs. */
   allTaskCounts(): readonly NamedTaskCounts[] {
     return allTaskCounts(this.components.shardState.jobs.values());
   }
@@ -177,8 +174,8 @@
   // ---- one round ------------------------------------------------------------------------------------------
 
   /**
-   * Runs one round, which only makes decisions: their writes are sent independently of the rounds, in
-   * transactions of their own.
+   * Runs one round. The round only makes decisions: their writes are sent in transactions of their own, which
+   * the round does not await.
    */
   private round(): void {
     const { directCommands, lifecycle, flusher } = this.components;
--- a/src/placement/spare-machines.ts
+++ b/src/placement/spare-machines.ts
@@ -1,6 +1,6 @@
 /**
- * Describes the free machines that a shard can give to another, for the leader and other controllers. No
- * state; `ShardSummaryBuilder` and the heartbeat between controllers call it.
+ * Describes the free machines that a shard can transfer to other shards, for the leader and other
+ * controllers. No state; `ShardSummaryBuilder` and the heartbeat between controllers call it.
  */
 import { MAX_SPARES_PER_KIND } from '../constants/peers.js';
 import type { ShardSummary, SpareMachine, UnlistedSpares } from '../fleet/shard-summary.js';
@@ -10,11 +10,13 @@
 export interface Spares {
   /** At most `MAX_SPARES_PER_KIND` of each kind, those that have been idle the longest. */
   readonly listed: readonly SpareMachine[];
-  /** The number of further machines of each kind; they are listed once listed ones have left. */
+  /**
+   * The number of further machines of each kind. They are listed once listed machines have been transferred.
+   */
   readonly unlisted: readonly UnlistedSpares[];
 }
 
-/** Lists the machines given, a few of each kind by id and the others by number; `now`: ms, steady clock. */
+/** Lists a few of the given machines of each kind and counts the others; `now`: ms on the steady clock. */
 export const spareMachines = (machines: Iterable<ShardMachine>, now: number): Spares => {
   const kinds = new Map<string, SpareMachine[]>();
   for (const machine of machines) {
--- a/src/placement/task-counts.ts
+++ b/src/placement/task-counts.ts
@@ -3,7 +3,9 @@
 import { isOnMachine } from './attempt-phase.js';
 import type { ShardJob } from './shard-model.js';
 
-/** Numbers of tasks of a job that are done, and that workers report on their machines now. */
+/**
+ * Number of tasks of a job that are done, and number of its tasks that workers report on their machines now.
+ */
 export interface TaskCounts {
   readonly done: number;
   readonly running: number;
--- a/src/placement/team-limits.ts
+++ b/src/placement/team-limits.ts
@@ -15,7 +15,7 @@
 
 /**
  * Number of tasks of this size that the team may still start, at most `maxTasks`. A GPU limit of 0 allows no
- * tasks with GPUs; a CPU limit of 0 means that the team has none, and CPUs are not counted.
+ * tasks with GPUs; a CPU limit of 0 means that the CPUs of the team are not limited.
  */
 export const tasksWithinLimit = (
   spec: Pick<JobSpec, 'cpus' | 'gpus'>,
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -1,7 +1,8 @@
 /**
- * Computes the demand of a shard that remains once the machines that are expected soon are counted, for the
- * leader. No state; it packs the unplaced requests into the capacity that the round left free, and so
- * subtracts from the given capacities and adds to the given usages. `ShardSummaryBuilder` calls it.
+ * Computes the demand of a shard that remains once the machines that are expected soon are counted. The
+ * leader provisions machines for it. No state; it packs the unplaced requests into the capacity that the
+ * round left free, and so subtracts from the given capacities and adds to the given usages.
+ * `ShardSummaryBuilder` calls it.
  */
 import { MAX_DEMAND_CLASSES } from '../constants/peers.js';
 import { MAX_TASKS_PER_PLACEMENT_REQUEST } from '../constants/placement.js';
@@ -33,9 +34,9 @@
 }
 
 /**
- * Requests belong to one class if they have the same constraints and every machine type holds equally many of
- * their tasks: jobs whose amounts differ slightly would otherwise be separate demands to the planner, each
- * with machines of its own.
+ * The key of the demand class of a request. Requests belong to one class if they have the same constraints
+ * and each machine type holds equally many of their tasks. Otherwise jobs whose amounts differ slightly would
+ * be separate demands to the planner, each with machines of its own.
  */
 const demandClassKey = (spec: JobSpec, urgent: boolean, catalog: Catalog): string =>
   [
@@ -50,8 +51,8 @@
   ].join('|');
 
 /**
- * ms that a job waits before machines are reserved for it. A gang that no zone has capacity for waits half of
- * its class's loosest start target; an array or service waits longer, since any machine that becomes free is
+ * ms that a job waits before machines are reserved for it. A gang that finds no capacity waits half of its
+ * class's loosest start target; an array or service waits longer, since any machine that becomes free is
  * enough for it to start.
  */
 const reserveDelayMs = (spec: JobSpec, objectives: ReadonlyMap<string, Objectives>): number => {
@@ -74,9 +75,9 @@
 /** Requests that find no capacity even on the machines that are expected soon. */
 const unplacedOnExpectedMachines = (inputs: DemandInputs): readonly UnplacedRequest[] =>
   packRequests(
-    // Machines that were provisioned for this work must count for it before it may use them, or they are
-    // provisioned again. Machines that were provisioned for work that may not use spot machines must not be
-    // planned for work that may.
+    // A machine that was provisioned for work that may use spot machines must count for that work before the
+    // work may use it; otherwise the machine is provisioned again. Machines that were provisioned for other
+    // work must not be planned for work that may use spot machines.
     inputs.unplaced.map(({ request, count }) => ({
       ...request,
       waiting: request.waiting.slice(-count),
@@ -91,7 +92,10 @@
     inputs.usages,
   ).unplaced;
 
-/** The jobs for which machines may be reserved: gangs, and other jobs none of whose tasks has begun. */
+/**
+ * The job of the request, if machines may be reserved for it: a gang, or another job all of whose tasks wait,
+ * as far as one request of at most `MAX_TASKS_PER_PLACEMENT_REQUEST` tasks shows.
+ */
 const reservationCandidates = (
   { request, count }: UnplacedRequest,
   waitedMs: number,
@@ -103,7 +107,10 @@
   return [{ job: spec.id, tasks: count, waitedMs, reserveAfterMs: reserveDelayMs(spec, objectives) }];
 };
 
-/** By zone: tasks of a one-zone job that it has capacity for, at most `count` per machine; else empty. */
+/**
+ * For a one-zone job, by zone: the number of its tasks that the zone has capacity for, at most `count` on
+ * each machine. Empty for other jobs.
+ */
 const zoneCapacityFor = (
   request: PlacementRequest,
   count: number,
--- a/src/placement/unplaceable-requests.ts
+++ b/src/placement/unplaceable-requests.ts
@@ -1,11 +1,11 @@
 /**
- * Finds requests that need not be tried, since a similar one found no capacity in the same round. Owns the
- * requests of one round that could not be placed; `packRequests` creates one instance per call.
+ * Finds requests that need not be tried, since a similar request found no capacity in the same round. Owns
+ * the requests of one round that could not be placed; `packRequests` creates one instance per call.
  */
 import { fitsIn, type Demand, type JobSpec } from '../jobs/model.js';
 import type { PlacementRequest } from './placement-model.js';
 
-/** What two requests must have in common to be compared, apart from their amounts. */
+/** The constraints that two requests must share to be compared. */
 const constraintsKeyOf = (spec: JobSpec): string =>
   [
     spec.kind,
@@ -17,9 +17,9 @@
   ].join('|');
 
 /**
- * The requests that could not be placed in this round. A request with the same constraints that needs as much
- * or more cannot be placed either, since capacities only shrink within a round. Without this check, many jobs
- * whose amounts differ slightly would all be tried.
+ * The requests that could not be placed in this round. A request with the same constraints, priority and
+ * urgency that needs as much or more cannot be placed either, since capacities only shrink within a round.
+ * Without this check, a round would try each of many jobs whose amounts differ slightly.
  */
 export class UnplaceableRequests {
   private readonly failed = new Map<string, { need: Demand; tasks: number }[]>();
@@ -35,7 +35,7 @@
     list.push({ need: request.spec, tasks: request.spec.kind === 'gang' ? request.spec.tasks : 1 });
   }
 
-  /** Whether a request that needs as much or less, with the same constraints, could not be placed. */
+  /** Whether a comparable request that needs as much or less could not be placed. */
   covers(request: PlacementRequest): boolean {
     const tasks = request.spec.kind === 'gang' ? request.spec.tasks : 1;
     return (this.failed.get(this.key(request)) ?? []).some(
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a waiting job justifies an on-demand machine, and counts the start targets of its class
- * that it has missed. Pure; the placement view calls it for each waiting job.
+ * Decides whether a waiting job justifies an on-demand machine, and counts the start targets of the job's
+ * class that the job has missed. Pure; the placement view calls it for each waiting job.
  */
 import {
   ON_DEMAND_PROVISIONING_PATIENCE_S,
@@ -10,7 +10,7 @@
 } from '../constants/placement.js';
 import type { JobSpec } from '../jobs/model.js';
 
-/** Targets of a job class from the settings, ascending, in s from when the waiting time of a job counts. */
+/** Targets of a job class from the settings, ascending, in s from the start of a job's waiting time. */
 export interface Objectives {
   /** Within how many seconds a job should start. */
   readonly wait: readonly number[];
@@ -27,7 +27,7 @@
 
 /** Whether an on-demand machine is worth its price for a job that may use spot machines. */
 export interface Urgency {
-  /** Whether using an on-demand machine that is up now meets a target that waiting would miss. */
+  /** Whether using an on-demand machine that runs now meets a target that waiting would miss. */
   readonly place: boolean;
   /**
    * Whether provisioning an on-demand machine now meets a target that provisioning it later would miss, or
@@ -37,11 +37,11 @@
 }
 
 /**
- * Decides about on-demand machines for work that may use spot machines. An on-demand machine costs a multiple
- * and is worth it only if that meets a target: neither while there is slack to wait for a spot machine, nor
- * once the target is missed anyway. A job without targets is urgent once it has waited for
- * `ON_DEMAND_PROVISIONING_PATIENCE_S`. `waitedS`: s that the job has waited; `bootS`: s to boot a machine;
- * `fetchS`: s to fetch an image.
+ * Decides whether work that may use spot machines is urgent enough for on-demand machines. An on-demand
+ * machine costs a multiple of a spot machine, so it is worth its price only if it meets a target that would
+ * otherwise be missed: not while there is slack to wait for a spot machine, and not once the target is missed
+ * anyway. A job without targets is urgent once it has waited for `ON_DEMAND_PROVISIONING_PATIENCE_S`.
+ * `waitedS`: s that the job has waited; `bootS`: s to boot a machine; `fetchS`: s to fetch an image.
  */
 export const urgency = (
   spec: JobSpec,
@@ -51,7 +51,7 @@
   fetchS: number,
 ): Urgency => {
   const waitedLong = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
-  /** For each target: s left before the work must begin to meet it. */
+  /** For each target: s that are left until the work must begin in order to meet the target. */
   const slacks = [
     ...finishTargets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
     ...(objectives?.wait ?? []).map((target) => target - waitedS - fetchS),
@@ -65,9 +65,9 @@
 };
 
 /**
- * Number of start targets that a waiting job has missed: 0 none, 1 the tightest, and so on. Jobs that have
- * missed fewer are placed first. A job that has waited `STARVATION_FACTOR` times the loosest target counts as
- * 0 again, so that it does not starve.
+ * Number of start targets that a waiting job has missed, from 0 up to all of its class. Jobs that have missed
+ * fewer are placed first. A job that has waited for longer than `STARVATION_FACTOR` times the loosest target
+ * counts as having missed none, so that it does not starve.
  */
 export const missedStartTargets = (objectives: Objectives | undefined, waitedS: number): number => {
   const list = objectives?.wait ?? [];
--- a/src/placement/worker-sessions.test.ts
+++ b/src/placement/worker-sessions.test.ts
@@ -1,4 +1,7 @@
-/** How heartbeats are interpreted, in which order they are accepted, and what is concluded from silence. */
+/**
+ * Tests how heartbeats are interpreted, in which order they are accepted, and what follows from the silence
+ * of a worker.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -1,7 +1,8 @@
 /**
  * Handles the heartbeats of a shard's workers and builds the commands that answer them. Owns the session
- * fields of each machine (epoch, sequence number, confirmed token, last report), which only `DirectCommands`
- * sets as well, for a machine that has not reported yet. `Shard` passes on each heartbeat.
+ * fields of each machine (`agentEpoch`, sequence number, confirmed token, reported tasks). Apart from this
+ * class, only `DirectCommands` sets these fields, when a worker confirms an announced token, and
+ * `ShardChanges` resets the confirmed token. `Shard` passes on each heartbeat.
  */
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
@@ -25,19 +26,23 @@
    * ms: a worker that was answered within this time still has its lease, provided that the answer arrived.
    */
   readonly leaseMs: number;
-  /** Whether the job is cancelled, as known from the jobs' records without the shard's runs. */
+  /**
+   * Whether the job is cancelled, according to its shared record or to an acknowledged cancellation. Needs no
+   * runs, so it works before the shard is loaded.
+   */
   readonly isCancelled: (job: string) => boolean;
 }
 
 /** The result of an accepted heartbeat. */
 export interface HeartbeatReceipt {
   /**
-   * Whether the next round may place work on the machine, which the answer to this heartbeat can then carry.
+   * Whether the next round may place work on the machine. If so, the answer to this heartbeat waits for the
+   * round in order to carry the commands.
    */
   readonly awaitRound: boolean;
 }
 
-/** Commands for a worker, with the fencing token that it must know or learn. */
+/** Commands for a worker, with the fencing token under which the holder of the shard sends them. */
 export interface FencedCommands {
   readonly token: number;
   readonly commands: readonly Command[];
@@ -47,7 +52,7 @@
 export class WorkerSessions {
   constructor(private readonly dependencies: WorkerSessionsDependencies) {}
 
-  // ---- what is reported -----------------------------------------------------------------------------------
+  // ---- heartbeats -----------------------------------------------------------------------------------------
 
   /**
    * Applies a heartbeat. Null: the machine is not in this shard, or the heartbeat is older than one already
@@ -84,7 +89,8 @@
   }
 
   /**
-   * Whether the worker began a new session although its last answer is recent: the worker did not receive it.
+   * Whether the worker began a new session although this holder answered it within `leaseMs`: the worker did
+   * not receive the answers.
    */
   private restartedWithinLease(machine: ShardMachine, heartbeat: WorkerHeartbeat, now: number): boolean {
     const { agentEpoch, answeredAt } = machine;
@@ -126,8 +132,8 @@
   }
 
   /**
-   * Marks the machine as unreachable if several answers carried a `run` and no later heartbeat shows its
-   * task: the answers did not arrive.
+   * Marks the machine as unreachable if `MAX_RUN_COMMAND_ATTEMPTS` answers carried the same `run` command and
+   * no heartbeat has shown its task: the answers did not arrive.
    */
   private detectIgnoredRuns(machine: ShardMachine): void {
     for (const { phase, stop, runCommandsSent } of machine.bound.values()) {
@@ -138,9 +144,9 @@
   }
 
   /**
-   * Handles a machine whose heartbeats arrive while its answers are lost. Nothing is placed on it until its
-   * worker confirms a new token, which shows that answers arrive; what was bound there and never reported is
-   * placed elsewhere, once it is proven absent.
+   * Handles a machine whose heartbeats arrive while the answers to them are lost. Nothing is placed on the
+   * machine until its worker confirms a new token, which shows that answers arrive again. Tasks that were
+   * bound to the machine but never reported are placed elsewhere once they are proven absent.
    */
   private markUnreachable(machine: ShardMachine, why: string): void {
     const { shardState, requestRound } = this.dependencies;
@@ -164,9 +170,11 @@
     return false;
   }
 
-  // ---- what is answered -----------------------------------------------------------------------------------
+  // ---- answers --------------------------------------------------------------------------------------------
 
-  /** The commands that answer a machine's last heartbeat; null: this heartbeat is not the last one. */
+  /**
+   * The commands that answer a heartbeat; null: the machine has sent a later one, or is not in this shard.
+   */
   commandsFor(heartbeat: WorkerHeartbeat): FencedCommands | null {
     const machine = this.dependencies.shardState.machines.get(heartbeat.machine);
     if (machine?.sequenceNumber !== heartbeat.sequenceNumber || machine.agentEpoch !== heartbeat.agentEpoch)
@@ -201,8 +209,8 @@
   }
 
   /**
-   * Stops for the tasks of cancelled jobs while the runs are not loaded: a cancelled task must not continue
-   * because the key-value store is unavailable.
+   * The `stop` commands for the tasks of cancelled jobs while the shard's runs are not loaded: a cancelled
+   * task must not continue because the key-value store is unavailable.
    */
   private stopsOfCancelled(heartbeat: WorkerHeartbeat): readonly Command[] {
     return heartbeat.tasks
