--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -63,7 +63,7 @@
   const occupiedZones = [...request.tasksByZone].filter(([, count]) => count > 0).map(([zone]) => zone);
   for (const capacity of capacities) {
     const zone = request.spec.oneZone ? capacity.zone : '';
-    // Once tasks of a one-zone job are on machines, only the zone that holds them counts.
+    // Once tasks of a one-zone job are on machines, only machines in the same zone are candidates.
     if (
       request.spec.oneZone &&
       occupiedZones.length > 0 &&
--- a/src/placement/capacity-selection.ts
+++ b/src/placement/capacity-selection.ts
@@ -101,9 +101,9 @@
 
 /**
  * Whether the machine is reserved for another job of the same or a higher priority, so that the request may
- * not use it. An empty reserved machine is closed to all such requests. A reserved on-demand machine in use
- * is closed only to work that may use spot machines: that work would fill the machine again and again, and
- * the machine would never become empty.
+ * not use it. An empty reserved machine is unavailable to all such requests. A reserved on-demand machine in
+ * use is unavailable only to work that may use spot machines: that work would fill the machine again and
+ * again, and the machine would never become empty.
  */
 const isReservedForAnother = (request: PlacementRequest, capacity: AvailableCapacity): boolean =>
   capacity.reservedFor !== null &&
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -58,7 +58,9 @@
   loadedAt: number | null = null;
   /** ms: if no heartbeat arrives for this long, no worker reaches this controller. */
   readonly unreachableAfterMs: number;
-  /** ms after loading: placement then begins without the machines that have not reported. */
+  /**
+   * ms after loading: placement then begins without the machines whose workers have not confirmed the token.
+   */
   readonly rebuildTimeoutMs: number;
   /** ms: a spot machine that is silent for this long was most likely reclaimed by the cloud. */
   private readonly spotSilenceMs: number;
@@ -161,8 +163,9 @@
   }
 
   /**
-   * Whether the machines of a shard that was taken over have reported their tasks, or the time to do so has
-   * passed.
+   * Whether a shard that was taken over is rebuilt. The catalog must be known, and either the worker of each
+   * machine has confirmed the token, apart from machines that are being released or may be booting, or more
+   * than `rebuildTimeoutMs` have passed since the loading of the shard.
    */
   isRebuilt(): boolean {
     if (this.dependencies.catalog() === null || this.loadedAt === null) return false;
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -169,7 +169,7 @@
   readonly spec: JobSpec;
   /** Number of its waiting tasks. */
   readonly count: number;
-  /** Number of its tasks that are, or may be, on machines, by zone; empty unless it is one-zone or spread. */
+  /** As `PlacementRequest.tasksByZone`. */
   readonly tasksByZone: ReadonlyMap<string, number>;
   /** Machines on which its tasks failed. */
   readonly failedOn: ReadonlySet<string>;
@@ -241,7 +241,7 @@
     (machine) =>
       placeAllowed(spec, machine) &&
       !failedOn.has(machine.id) &&
-      // Once tasks of a one-zone job are on machines, only the zone that holds them counts.
+      // Once tasks of a one-zone job are on machines, only machines in the same zone are candidates.
       occupiedZones.every(([zone]) => zone === machine.zone),
   );
   const zones = spec.oneZone ? [...new Set(usable.map((machine) => machine.zone))].sort() : [null];
--- a/src/placement/shard-changes.ts
+++ b/src/placement/shard-changes.ts
@@ -1,6 +1,7 @@
 /**
  * Applies changes of the shared records, and cancellations that other controllers report directly, to the
- * machines and jobs of a shard's state. No state of its own; `Shard` passes the changes and reports on.
+ * machines and jobs of a shard's state. No state of its own; `Shard` forwards the changes and the
+ * cancellations.
  */
 import type { MachineRecord } from '../fleet/machine-record.js';
 import { readJobRecord } from '../jobs/job-record-codec.js';
--- a/src/placement/shard-model.ts
+++ b/src/placement/shard-model.ts
@@ -150,7 +150,7 @@
   /** The machine has been idle for longer than its hold time. */
   | 'idle';
 
-/** A machine of the shard, with the last report of its worker. */
+/** A machine of the shard, with the contents of its worker's last heartbeat. */
 export interface ShardMachine {
   readonly id: string;
   readonly type: string;
--- a/src/placement/shard-stage.ts
+++ b/src/placement/shard-stage.ts
@@ -6,8 +6,9 @@
 import type { ShardIdentity, StageQueries } from './ports.js';
 
 /**
- * The activity of a shard. `loading`: it reads its runs. `rebuilding`: it waits for the reports of its
- * machines. `placing`: it places work. `lost`: this process no longer holds its claim.
+ * The activity of a shard. `loading`: it reads its runs. `rebuilding`: it waits until the workers of its
+ * machines have reported their tasks. `placing`: it places work. `lost`: this process no longer holds its
+ * claim.
  */
 export type Stage = 'loading' | 'rebuilding' | 'placing' | 'lost';
 
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -174,8 +174,8 @@
   // ---- one round ------------------------------------------------------------------------------------------
 
   /**
-   * Runs one round. The round only makes decisions: their writes are sent in transactions of their own, which
-   * the round does not await.
+   * Runs one round. The round only makes decisions. The resulting writes are sent in transactions of their
+   * own, which the round does not await.
    */
   private round(): void {
     const { directCommands, lifecycle, flusher } = this.components;
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -1,8 +1,8 @@
 /**
- * Computes the demand of a shard that remains once the machines that are expected soon are counted. The
- * leader provisions machines for it. No state; it packs the unplaced requests into the capacity that the
- * round left free, and so subtracts from the given capacities and adds to the given usages.
- * `ShardSummaryBuilder` calls it.
+ * Computes the demand of a shard that remains once the machines that are expected soon are counted, as input
+ * for the leader's planning. No state; it packs the unplaced requests into the capacity that the round left
+ * free, and so subtracts from the given capacities and adds to the given usages. `ShardSummaryBuilder` calls
+ * it.
  */
 import { MAX_DEMAND_CLASSES } from '../constants/peers.js';
 import { MAX_TASKS_PER_PLACEMENT_REQUEST } from '../constants/placement.js';
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -65,9 +65,9 @@
 };
 
 /**
- * Number of start targets that a waiting job has missed, from 0 up to all of its class. Jobs that have missed
- * fewer are placed first. A job that has waited for longer than `STARVATION_FACTOR` times the loosest target
- * counts as having missed none, so that it does not starve.
+ * Number of start targets that a waiting job has missed: 0 none, 1 only the tightest, and so on. Jobs that
+ * have missed fewer are placed first. A job that has waited for longer than `STARVATION_FACTOR` times the
+ * loosest target counts as 0 again, so that it does not starve.
  */
 export const missedStartTargets = (objectives: Objectives | undefined, waitedS: number): number => {
   const list = objectives?.wait ?? [];
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -2,7 +2,7 @@
  * Handles the heartbeats of a shard's workers and builds the commands that answer them. Owns the session
  * fields of each machine (`agentEpoch`, sequence number, confirmed token, reported tasks). Apart from this
  * class, only `DirectCommands` sets these fields, when a worker confirms an announced token, and
- * `ShardChanges` resets the confirmed token. `Shard` passes on each heartbeat.
+ * `ShardChanges` resets the confirmed token. `Shard` forwards each heartbeat.
  */
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
