--- a/src/claims/claim-decisions.test.ts
+++ b/src/claims/claim-decisions.test.ts
@@ -39,7 +39,7 @@
     expect: ['take 0', 'take L'],
   },
   {
-    name: 'another controller takes a shard that has been free too long',
+    name: 'another controller takes a shard that its preferred holder has left free too long',
     snapshot: snapshot({
       claims: claimsOf({ '0': claim('n0'), '2': claim('n2'), L: claim('n2') }),
       freeSince: new Map([['1', 0]]),
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -31,7 +31,10 @@
 export interface PeerStatus extends ClaimHolder {
   /** The id of the peer's lease, to which its claims are attached; null: the peer has no lease. */
   readonly lease: number | null;
-  /** ms for which the peer has sent heartbeats without a gap; negative: there is no recent heartbeat. */
+  /**
+   * ms for which the peer has sent heartbeats without a gap longer than `MAX_STEADY_HEARTBEAT_GAP_MS`;
+   * negative: no recent heartbeat was received.
+   */
   readonly steadyMs: number;
   /** Whether the peer reports that it can reach the key-value store. */
   readonly storeReachable: boolean;
@@ -43,23 +46,32 @@
 export interface ClaimsSnapshot {
   /** This process. */
   readonly self: ClaimHolder;
-  /** The names of all controllers, this one included, in the order of their rank. */
+  /**
+   * The names of all controllers, this one included, in alphabetical order. The index of a name is the rank
+   * of that controller.
+   */
   readonly controllers: readonly string[];
   readonly claimNames: readonly string[];
   /** The claims that have a holder, by name. */
   readonly claims: ReadonlyMap<string, ObservedClaim>;
-  /** When each claim without a holder was first seen free, by name (ms, lease clock). */
+  /**
+   * Maps the name of each claim without a holder to the time at which this controller first saw the claim
+   * free (ms, lease clock).
+   */
   readonly freeSince: ReadonlyMap<string, number>;
   readonly peers: readonly PeerStatus[];
-  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
+  /**
+   * Maps the claim name of each shard held here whose workers reach only another controller to the name of
+   * that controller.
+   */
   readonly unreachableShards: ReadonlyMap<string, string>;
   /** The time of the snapshot (ms, lease clock). */
   readonly now: number;
 }
 
 /**
- * A claim to take or to hand over to a peer. The action applies only if the claim still has the observed
- * revision; 0: the claim was free.
+ * The action of taking a claim or of handing a claim over to a peer. The action is carried out only if the
+ * claim still has the observed revision, which is 0 if the claim was free.
  */
 export type ClaimAction =
   | { readonly _tag: 'take'; readonly claimName: string; readonly observedRevision: number }
@@ -123,7 +135,10 @@
 const canHoldClaims = (peer: PeerStatus): boolean =>
   peer.storeReachable && peer.lease !== null && peer.steadyMs >= 0;
 
-/** Hands each shard whose workers reach only another controller over to that controller. */
+/**
+ * Returns a handover for each shard held here whose workers reach only another controller, if that controller
+ * can hold claims.
+ */
 const unreachableShardHandovers = (snapshot: ClaimsSnapshot): readonly ClaimAction[] =>
   [...snapshot.unreachableShards].flatMap(([claimName, controller]): readonly ClaimAction[] => {
     const claim = snapshot.claims.get(claimName);
@@ -133,8 +148,9 @@
   });
 
 /**
- * The preferred holder of a shard, if it is another controller that holds no shard and has been stable long
- * enough to receive this one; else undefined.
+ * Returns the preferred holder of a shard, if that is another controller that holds no shard, can hold
+ * claims, does not report that workers could not reach it, and has sent heartbeats without a gap for at least
+ * `HANDBACK_STABILITY_MS`; else undefined.
  */
 const handbackTarget = (snapshot: ClaimsSnapshot, claimName: string): PeerStatus | undefined => {
   const preferred = preferredHolder(snapshot, claimName);
@@ -147,8 +163,8 @@
 };
 
 /**
- * The handback of one shard to its preferred holder, if this controller holds several shards. This spreads
- * the teams over the controllers again, one shard at a time.
+ * Returns the handback of one shard to its preferred holder, if this controller holds several shards. Handing
+ * back one shard at each check gradually spreads the teams over the controllers again.
  */
 const preferredHolderHandback = (snapshot: ClaimsSnapshot): readonly ClaimAction[] => {
   if (heldShardCount(snapshot, snapshot.self.node) <= 1) return [];
@@ -161,7 +177,7 @@
   return [];
 };
 
-/** Returns the claims that this controller takes or hands over to another controller now. */
+/** Returns the actions for the claims that this controller takes or hands over to another controller now. */
 export const decideClaims = (snapshot: ClaimsSnapshot): readonly ClaimAction[] => [
   ...claimsToTake(snapshot),
   ...unreachableShardHandovers(snapshot),
--- a/src/claims/claim-reconciler.ts
+++ b/src/claims/claim-reconciler.ts
@@ -24,15 +24,15 @@
 export interface ClaimReconcilerDependencies {
   /** This process. */
   readonly self: ClaimHolder;
-  /** The names of all controllers, this one included, in the order of their rank. */
+  /** The names of all controllers, this one included, in alphabetical order. */
   readonly controllers: readonly string[];
   readonly peers: () => readonly PeerStatus[];
   /**
-   * The time until which this controller may answer workers without renewing its lease, during an outage of
-   * the key-value store (ms, lease clock); null: there is no outage.
+   * Returns the time until which this controller may answer workers without renewing its lease during an
+   * outage of the key-value store (ms, lease clock); null: there is no outage.
    */
   readonly outageGraceUntil: () => number | null;
-  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
+  /** Returns the current value of `ClaimsSnapshot.unreachableShards`. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
   /** The current time (ms, lease clock). */
   readonly now: () => number;
@@ -100,8 +100,8 @@
 
   /**
    * Writes the claim, on the condition that the claim has not changed since it was observed. The new holder
-   * acts on the claim only once the holder's watch cache shows it, and with it every earlier change: a holder
-   * that acted sooner could miss some of them.
+   * acts on the claim only once its own watch cache shows the claim. The watch cache then also shows every
+   * earlier change; a holder that acted sooner could miss some of these changes.
    */
   private carryOut(action: ClaimAction, ownLease: number): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
--- a/src/claims/lease-manager.ts
+++ b/src/claims/lease-manager.ts
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Returns the revision of a claim that this process holds, if the lease permits this process to act on the
-   * claim now, that is to answer workers and to decide under it; else null. Only the lease to which the claim
-   * is attached permits this; a later lease of the same process does not.
+   * Returns the revision of a claim if this process holds the claim and its lease permits it to act on the
+   * claim now; else null. Acting on a claim means answering workers and making decisions as its holder. Only
+   * the lease to which the claim is attached permits this; a later lease of the same process does not.
    */
   actingClaimRevision(claimName: string): number | null {
     if (!this.renewal.mayAct(this.dependencies.now())) return null;
--- a/src/claims/lease-renewal.ts
+++ b/src/claims/lease-renewal.ts
@@ -17,9 +17,9 @@
 export class LeaseRenewal {
   private state: LeaseState = { _tag: 'detached' };
   /**
-   * The revision up to which this process's claims were attached to an earlier lease of the process and ended
-   * with that lease; null: the earlier lease has ended, and no revision of the key-value store after its end
-   * is known yet.
+   * Claims of this process with at most this revision were attached to an earlier lease of the process and
+   * ended with that lease. Null: a lease has ended, and this process has not yet read the revision of the
+   * key-value store after that end.
    */
   private endedClaimsUpTo: number | null = 0;
 
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Reads the revision up to which claims belong to an earlier lease; false: the key-value store did not
-   * answer. The current revision of the store is such a bound: the earlier lease has ended, so no more claims
-   * are attached to it, and no claim is attached to the next lease yet.
+   * Sets `endedClaimsUpTo` to the current revision of the key-value store if `endedClaimsUpTo` is null;
+   * false: the read failed. The current revision is a valid bound: the earlier lease has ended, so no more
+   * claims are attached to it, and no claim is attached to the next lease yet.
    */
   private readonly loadEndedClaimsUpTo: Effect.Effect<boolean> = Effect.gen({ self: this }, function* () {
     if (this.endedClaimsUpTo !== null) return true;
--- a/src/claims/lease-state.test.ts
+++ b/src/claims/lease-state.test.ts
@@ -20,7 +20,7 @@
   acts?: boolean;
 }[] = [
   {
-    name: 'a grant starts holding',
+    name: 'a grant leads to the state holding',
     from: { _tag: 'detached' },
     event: { _tag: 'granted', lease: 7, sentAt: 0 },
     to: 'holding',
@@ -97,7 +97,12 @@
     event: { _tag: 'renewed', lease: 7, sentAt: 10 },
     to: 'detached',
   },
-  { name: 'an ended lease detaches', from: holding(0), event: { _tag: 'ended', lease: 7 }, to: 'detached' },
+  {
+    name: 'the end of the current lease leads to the state detached',
+    from: holding(0),
+    event: { _tag: 'ended', lease: 7 },
+    to: 'detached',
+  },
   {
     name: 'the end of an earlier lease changes nothing',
     from: holding(0),
--- a/src/claims/lease-state.ts
+++ b/src/claims/lease-state.ts
@@ -37,8 +37,8 @@
     };
 
 /**
- * Returns the time until which a lease certainly lasts whose last successful renewal was sent at `sentAt`
- * (both in ms, lease clock).
+ * Returns the time until which a lease certainly lasts, if the request that last granted or renewed the lease
+ * was sent at `sentAt` (both in ms, lease clock).
  */
 export const leaseDeadline = (sentAt: number, ttlMs: number): number =>
   sentAt + ttlMs * (1 - CLOCK_DRIFT_FRACTION) - LEASE_EXPIRY_MARGIN_MS;
@@ -55,8 +55,9 @@
   ttlMs: number,
 ): LeaseState => {
   if (state._tag === 'holding' && now < state.until) return state;
-  // Once an outage ends, every lease lasts for its full TTL again. The peers' reports of the outage are at
-  // most HEARTBEAT_FRESHNESS_MS old, so the lease lasts as if it had been renewed that long ago.
+  // Once an outage ends, every lease lasts for its full TTL again. The heartbeats in which peers report the
+  // outage are at most HEARTBEAT_FRESHNESS_MS old, so the lease lasts at least as long as if it had been
+  // renewed that long ago.
   const confirmedUntil = Math.max(state.until, leaseDeadline(now - HEARTBEAT_FRESHNESS_MS, ttlMs));
   const until = Math.min(confirmedUntil, outageGraceUntil);
   return now < until ? { _tag: 'outageGrace', lease: state.lease, until } : suspend(state);
--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -113,7 +113,7 @@
       assert.equal(leases.heldClaimRevision(claimName), 5, 'the watch cache still shows the old claim');
       assert.equal(leases.actingClaimRevision(claimName), null, 'another process holds the claim by now');
 
-      // A claim of the earlier lease that the watch cache shows only late.
+      // The watch cache shows a claim of the earlier lease only after the new lease was granted.
       controller.showClaim(claimName, 6);
       assert.equal(leases.actingClaimRevision(claimName), null);
       controller.removeClaim(claimName, 7);
@@ -129,7 +129,7 @@
   });
 }
 
-test('lease: no new lease is requested before the end revision of the old claims is known', async () => {
+test('lease: no new lease is requested while the revision at which the old claims ended is unknown', async () => {
   const controller = startController();
   const { leaseStore, leases } = controller;
   try {
