--- a/src/cancellation/acknowledgement-client.ts
+++ b/src/cancellation/acknowledgement-client.ts
@@ -1,6 +1,7 @@
 /**
  * Requests the acknowledgement of cancellations from the controllers that hold the shards of the jobs. Owns
- * the cancellations that wait to be sent to each controller in one request. `acknowledgement.ts` calls it.
+ * one batcher for each of these controllers, which collects cancellations and sends them in one request.
+ * `acknowledgement.ts` calls it.
  */
 import { Batcher } from '../concurrency/batcher.js';
 import {
@@ -14,7 +15,7 @@
 /** Sends a request to another controller. Resolves to the body of the response; null: no usable response. */
 export type PeerRequest = (node: string, path: string, body: unknown) => Promise<unknown>;
 
-/** Sends requests to the holders of shards, in batches for each holder. */
+/** Requests acknowledgements from the holders of shards, for several cancellations in one request. */
 export class AcknowledgementClient {
   private readonly batchers = new Map<string, Batcher<Cancellation, boolean>>();
 
--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -1,8 +1,8 @@
 /**
  * Determines whether a cancellation may be confirmed to users: reads the claim of the job's shard once the
- * cancellation is durable, collects the evidence that is known about the holder of the shard, and requests an
- * acknowledgement from the holder if that evidence is not sufficient. No state of its own; the users' API
- * calls it for each cancellation and for each poll of a cancelled job.
+ * cancellation is durable, collects the evidence that this controller already has about the holder of the
+ * shard, and requests an acknowledgement from the holder if that evidence is not sufficient. No state of its
+ * own; the users' API calls it for each cancellation and for each poll of a cancelled job.
  */
 import * as Effect from 'effect/Effect';
 import { readClaim } from '../claims/codec.js';
@@ -58,7 +58,7 @@
 
   /**
    * Determines whether the cancellation that became durable at this revision may be confirmed to users. Must
-   * be called after the cancellation is durable, so that the claim is read later than that.
+   * be called after the cancellation became durable, since the claim must be read after that.
    */
   mayConfirmCancellation(shardId: number, job: string, revision: number): Effect.Effect<boolean> {
     return Effect.gen({ self: this }, function* () {
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Reads the shard's claim as of some time after the call. */
+  /** Reads the shard's claim with a linearizable read: the result is not older than the call. */
   private readClaim(shardId: number): Effect.Effect<ConfirmedClaim> {
     return Effect.gen({ self: this }, function* () {
       const { cache, linearizableReads, store } = this.dependencies;
--- a/src/cancellation/codec.test.ts
+++ b/src/cancellation/codec.test.ts
@@ -30,7 +30,7 @@
   assert.deepEqual(codec.readDurableAcknowledgement({ c: 50, r: 7, later: 1 }), { claim: 50, revision: 7 });
 });
 
-test('cancellation codec: an answer', () =>
+test('cancellation codec: a response', () =>
   assert.equal(JSON.stringify(codec.writeAcknowledgeReply([true, false])), '{"heeded":[true,false]}'));
 
 interface ReplyCase {
@@ -43,10 +43,10 @@
   { name: 'one acknowledgement', body: { heeded: [false, true] }, expected: [false, true] },
   { name: 'fewer values than cancellations', body: { heeded: [true] }, expected: [true, false] },
   { name: 'values that are not booleans', body: { heeded: [1, 'true'] }, expected: [false, false] },
-  { name: 'no list', body: { heeded: true }, expected: [false, false] },
-  { name: 'no answer', body: null, expected: [false, false] },
+  { name: 'a value in place of the list', body: { heeded: true }, expected: [false, false] },
+  { name: 'no body', body: null, expected: [false, false] },
 ];
 for (const row of replies) {
-  test(`cancellation codec: an answer with ${row.name}`, () =>
+  test(`cancellation codec: a response with ${row.name}`, () =>
     assert.deepEqual(codec.readAcknowledgeReply(row.body, 2), row.expected));
 }
--- a/src/cancellation/codec.ts
+++ b/src/cancellation/codec.ts
@@ -8,11 +8,14 @@
 type WireCancellation = readonly [shardId: number, claim: number, job: string, revision: number];
 
 interface WireAcknowledgeReply {
+  /** For each cancellation, in the order of the request, whether the holder acknowledges the cancellation. */
   readonly heeded: readonly boolean[];
 }
 
 interface StoredAcknowledgement {
+  /** The revision of the claim. */
   readonly c: number;
+  /** The revision up to which the holder has seen all changes of the shared keys. */
   readonly r: number;
 }
 
@@ -35,7 +38,10 @@
       : [];
   });
 
-/** Writes the response to such a request: for each cancellation, whether the holder acknowledges it. */
+/**
+ * Writes the response to a request to acknowledge cancellations: for each cancellation of the request, in the
+ * same order, whether the holder acknowledges the cancellation.
+ */
 export const writeAcknowledgeReply = (acknowledged: readonly boolean[]): WireAcknowledgeReply => ({
   heeded: acknowledged,
 });
--- a/src/cancellation/durable-acknowledgement.ts
+++ b/src/cancellation/durable-acknowledgement.ts
@@ -1,7 +1,7 @@
 /**
  * Records in the key-value store which cancellations the holder of a shard has seen, for deployments in which
- * controllers cannot connect to each other. Owns the revision of the last cancellation of each shard that is
- * not recorded yet. The change dispatcher reports cancellations to it.
+ * controllers cannot connect to each other. Owns, for each shard, the revision of the last cancellation that
+ * is not recorded yet. The change dispatcher reports cancellations to it.
  */
 import * as Effect from 'effect/Effect';
 import { DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS } from '../constants/cancellation.js';
@@ -28,7 +28,7 @@
 
 /** Records in the key-value store which cancellations this controller has seen as the holder of shards. */
 export class DurableAcknowledgements {
-  /** By shard: the revision of the last cancellation seen, until it is recorded. */
+  /** Maps the id of each shard to the revision of its last cancellation that is not recorded yet. */
   private readonly pending = new Map<number, number>();
 
   constructor(private readonly dependencies: DurableAcknowledgementsDependencies) {}
@@ -38,7 +38,10 @@
     this.pending.set(shardId, Math.max(revision, this.pending.get(shardId) ?? 0));
   }
 
-  /** Records pending acknowledgements, without end, while some peer cannot request them directly. */
+  /**
+   * Records pending acknowledgements at a fixed interval, but only while some peer cannot request them
+   * directly. Runs without end.
+   */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
       yield* Effect.sleep(DURABLE_ACKNOWLEDGEMENT_INTERVAL_MS);
--- a/src/cancellation/evidence.test.ts
+++ b/src/cancellation/evidence.test.ts
@@ -19,8 +19,8 @@
   { name: 'the claim could not be read', claim: { _tag: 'unknown' }, evidence: none, by: null },
   { name: 'the shard has no holder', claim: { _tag: 'unclaimed' }, evidence: none, by: 'unclaimed' },
   { name: 'the claim is later than the cancellation', claim: held(101), evidence: none, by: 'later claim' },
-  // A holder of an earlier version answers workers with no commands before it has read the shard's runs, and
-  // continues to do so in an outage.
+  // A holder that runs an earlier version answers workers without commands until it has read the shard's
+  // runs. In an outage it cannot read them, and so continues to answer without commands.
   {
     name: 'the claim is later than the cancellation, and the holder runs an earlier version',
     claim: held(101),
@@ -64,7 +64,7 @@
     by: null,
   },
   {
-    name: 'a durable acknowledgement of the holder, where connections are refused',
+    name: 'a durable acknowledgement of the holder, where controllers cannot connect to each other',
     claim: held(50),
     evidence: { ...none, durableAcknowledgement: { claim: 50, revision: 120 } },
     by: 'durable acknowledgement',
--- a/src/cancellation/evidence.ts
+++ b/src/cancellation/evidence.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether the cancellation of a job may be confirmed to its user. It may be only if it is certain
- * that the holder of the job's shard acts on the cancellation in time. Pure functions without state;
- * `docs/design.md` has the proof. `acknowledgement.ts` calls them.
+ * Decides whether the cancellation of a job may be confirmed to its user. A cancellation may be confirmed
+ * only if the holder of the job's shard certainly acts on the cancellation in time. Pure functions without
+ * state; `docs/design.md` has the proof. `acknowledgement.ts` calls them.
  */
 
 /** The claim of the job's shard, read after the cancellation became durable. */
@@ -12,7 +12,7 @@
   /** The claim could not be read. */
   | { readonly _tag: 'unknown' };
 
-/** The revision up to which a holder has seen all changes of the shared keys, under this claim. */
+/** The revision up to which the holder of this claim has seen all changes of the shared keys. */
 interface ObservedRevision {
   readonly claim: number;
   readonly revision: number;
@@ -23,11 +23,11 @@
   /** The holder's response that its shard acts on this cancellation; null: there is no such response. */
   readonly acknowledged: { readonly claim: number } | null;
   /**
-   * The summary of the shard, which the holder creates only once the shard is loaded; null: there is no
-   * recent one.
+   * The claim and the revision in the summary of the shard, which the holder creates only once the shard is
+   * loaded; null: there is no recent summary.
    */
   readonly summary: ObservedRevision | null;
-  /** The acknowledgement that the holder recorded in the key-value store; null: there is none. */
+  /** The acknowledgement that a holder of the shard recorded in the key-value store; null: there is none. */
   readonly durableAcknowledgement: ObservedRevision | null;
   /** Whether the holder is known to stop cancelled tasks even before its shard is loaded. */
   readonly stopsTasksBeforeLoading: boolean;
@@ -72,7 +72,8 @@
     case 'unknown':
       return UNCONFIRMED;
     case 'unclaimed':
-      // The next holder of the claim sees every change before the claim, and so the cancellation.
+      // The next claim on the shard is written after the cancellation, and its holder sees every change made
+      // before the claim.
       return { _tag: 'confirmed', by: 'unclaimed' };
     case 'held':
       return assessHolder(cancelledRevision, claim.revision, evidence);
--- a/src/cancellation/outage-grace.ts
+++ b/src/cancellation/outage-grace.ts
@@ -1,10 +1,11 @@
 /**
- * Decides how long the holder of a shard may answer its workers without renewing its lease, while controllers
- * cannot reach the key-value store, without missing a cancellation that was confirmed to a user. A pure
- * function without state; `docs/design.md` has the proof. `claims/outage-grace.ts` calls it.
+ * Decides how long the holder of a shard may answer its workers without renewing its lease during an outage
+ * of the key-value store. The limit ensures that the tasks of every cancellation that was confirmed to a user
+ * stop in time, even if the holder does not know of the cancellation. A pure function without state;
+ * `docs/design.md` has the proof. `claims/outage-grace.ts` calls it.
  */
 
-/** What this controller knows of an outage of the key-value store. Times are in ms on one steady clock. */
+/** What this controller knows of an outage of the key-value store. Times are in ms on the lease clock. */
 export interface OutageStatus {
   /** Whether most controllers, this one included, cannot reach the key-value store. */
   readonly confirmed: boolean;
@@ -24,8 +25,9 @@
 }
 
 /**
- * Returns the time until which the holder of a shard may answer its workers (ms on the same clock); null:
- * there is no outage. The holder knows every cancellation that was confirmed before `confirmedAt`. Any other
+ * Returns the time until which the holder of a shard may answer its workers (ms, lease clock); null: there is
+ * no outage. The time is infinite if controllers confirm only cancellations that the holder has acknowledged.
+ * Otherwise, the holder knows every cancellation that was confirmed before `confirmedAt`, and any other
  * cancellation was confirmed later. A worker that the holder answers no later than the returned time stops
  * its tasks at most one worker lease after that, which is within the limit for that cancellation.
  */
