--- a/src/cancellation/acknowledgement.ts
+++ b/src/cancellation/acknowledgement.ts
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Reads the shard's claim with a linearizable read: the result is not older than the call. */
+  /** Reads the shard's claim. The result is the claim as it was at some time after the call. */
   private readClaim(shardId: number): Effect.Effect<ConfirmedClaim> {
     return Effect.gen({ self: this }, function* () {
       const { cache, linearizableReads, store } = this.dependencies;
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -1,7 +1,7 @@
 /**
  * Creates the request handlers of this controller's two addresses: the API address for users, operators,
- * workers and health checks, and the peer address for orders of other controllers. The composition root calls
- * these functions after it has built all other subsystems.
+ * workers and health checks, and the peer address for requests of other controllers, except heartbeats. The
+ * composition root calls these functions.
  */
 import { PIPELINES_PROTOCOL_VERSION } from '../constants/protocol.js';
 import { DutiesApi } from '../duties/admin-api.js';
--- a/src/controller/cancellations.ts
+++ b/src/controller/cancellations.ts
@@ -1,8 +1,8 @@
 /**
- * Connects the cancellation subsystem to the rest of the controller. The controller learns from the holder of
- * the job's shard that a cancellation takes effect: by a direct request, or by a durable acknowledgement in
- * the key-value store where controllers cannot connect to each other. Created by the composition root for the
- * users' API.
+ * Connects the cancellation subsystem to the rest of the controller. A controller finds out whether the
+ * holder of the job's shard acts on a cancellation through a direct request to the holder, or, where
+ * controllers cannot connect to each other, through a durable acknowledgement in the key-value store. Created
+ * by the composition root for the users' API.
  */
 import { CancellationAcknowledgement } from '../cancellation/acknowledgement.js';
 import { DurableAcknowledgements } from '../cancellation/durable-acknowledgement.js';
--- a/src/controller/change-dispatcher.test.ts
+++ b/src/controller/change-dispatcher.test.ts
@@ -94,7 +94,7 @@
     notified: ['order verifier: 1 at 7', 'duty registry: 1', 'shards: 1'],
   },
   {
-    name: 'the end of a claim: no notification of the order verifier',
+    name: 'the end of a claim: no notification to the order verifier',
     change: { _tag: 'claimChanged', claimName: 'L', revision: null },
     notified: ['duty registry: L', 'shards: L'],
   },
--- a/src/controller/change-dispatcher.ts
+++ b/src/controller/change-dispatcher.ts
@@ -76,7 +76,10 @@
     }
   }
 
-  /** Updates the duties before the shard, since a shard that is taken requires the duties of its claim. */
+  /**
+   * Updates the duties before the shards, since a shard that this process takes requires the duties of its
+   * claim.
+   */
   private onClaim({ claimName, revision }: ChangeOf<'claimChanged'>): void {
     const { orderVerifier, dutyRegistry, shards } = this.subscribers;
     if (revision !== null) orderVerifier.noteClaim(claimName, revision);
@@ -104,7 +107,10 @@
     pipelines.onJobGone(job);
   }
 
-  /** Handles a part of a dependency list, which the watch may show after the record of its job. */
+  /**
+   * Handles a part of a dependency list. The watch may show this part before or after the record of its job;
+   * without the record, nothing is done until the record arrives.
+   */
   private onDependencyList({ job }: ChangeOf<'dependencyListChanged'>): void {
     const { cache, pipelines } = this.subscribers;
     const entry = cache.get(jobKey(job));
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -88,7 +88,7 @@
   });
 };
 
-/** Composes one controller, which does nothing by itself until its `run` is started. */
+/** Composes one controller. The controller starts no work of its own before its `run` is started. */
 export const compose = (
   settings: Settings,
   ports: Ports,
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -17,14 +17,15 @@
 import type { ControllerContext } from './context.js';
 
 /**
- * What coordination needs from subsystems that are created after it; called only once the controller runs.
+ * The functions that coordination needs from subsystems that are created after it. Coordination calls them
+ * only once the controller runs.
  */
 export interface CoordinationDependencies {
   /** Returns the heartbeat that this controller sends to a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
   /** Answers a peer's request that is not a heartbeat; null: the path is unknown. */
   readonly answer: (path: string, body: unknown) => Promise<ServerResponse | null>;
-  /** By claim name, for each shard held here whose workers reach only another controller: that controller. */
+  /** Returns the current value of `ClaimsSnapshot.unreachableShards`. */
   readonly unreachableShards: () => ReadonlyMap<string, string>;
 }
 
@@ -36,7 +37,10 @@
   readonly protocolVersion: ProtocolVersion;
   readonly leases: LeaseManager;
   readonly duties: Duties;
-  /** Returns the name of the leader, as far as this controller knows; undefined: there is none. */
+  /**
+   * Returns the name of the controller that holds the leadership according to the watch cache; undefined: no
+   * controller holds it.
+   */
   readonly leaderNode: () => string | undefined;
   /** Whether this controller may act as the leader now. */
   readonly mayLead: () => boolean;
--- a/src/controller/dependency-list.ts
+++ b/src/controller/dependency-list.ts
@@ -7,7 +7,9 @@
 import { dependencyListKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
 
-/** Returns the jobs that must be done before this one; null: the watch cache does not show all parts yet. */
+/**
+ * Returns the ids of the jobs that this job depends on; null: the watch cache does not show all parts yet.
+ */
 export const readDependencyList = (
   cache: Pick<WatchCache, 'get'>,
   record: JobRecord,
--- a/src/controller/heartbeat.ts
+++ b/src/controller/heartbeat.ts
@@ -27,7 +27,10 @@
   readonly reservations: () => readonly Reservation[];
 }
 
-/** Creates the heartbeat to a peer, with its fields in the order in which they are sent. */
+/**
+ * Creates the heartbeat to the peer `to`, with the fields in the order in which they are sent. Only the
+ * leader receives the complete summaries of the shards.
+ */
 export const createHeartbeat = (sources: HeartbeatSources, to: string): PeerHeartbeat => {
   const { self, leases, shards, store } = sources;
   return {
--- a/src/controller/held-shards.ts
+++ b/src/controller/held-shards.ts
@@ -1,7 +1,7 @@
 /**
- * The lifecycle of the shards that this process holds. Owns the map of running shards, one for each claim
- * revision of this process. The change dispatcher reports changes of claims; the other subsystems look up
- * shards here.
+ * The lifecycle of the shards that this process holds. Owns the map of running shards, with one `Shard` for
+ * each shard claim that this process holds. The change dispatcher reports changes of claims; the other
+ * subsystems look up shards here.
  */
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
@@ -20,7 +20,7 @@
   readonly leases: Pick<LeaseManager, 'heldClaimRevision' | 'actingClaimRevision'>;
   /** Creates the shard for the claim with this revision. */
   readonly create: (shardId: number, claim: number) => Shard;
-  /** Called when a shard is taken, so that the dependencies of its jobs are evaluated again. */
+  /** Called when this process takes a shard; evaluates the dependencies of the shard's jobs again. */
   readonly onTaken: () => void;
 }
 
@@ -42,8 +42,8 @@
   constructor(private readonly dependencies: HeldShardsDependencies) {}
 
   /**
-   * Starts and stops the shard of a claim that changed. A `Shard` exists as long as this process holds the
-   * claim with exactly the same revision.
+   * Starts and stops the shard of a claim that changed. A `Shard` runs only while this process holds the
+   * claim at the revision for which the `Shard` was created.
    */
   onClaimChanged(claimName: string): void {
     const shardId = parseShardId(claimName);
@@ -100,7 +100,8 @@
   }
 
   /**
-   * Returns the task counts of the jobs in the shards that this process holds, in the form of a heartbeat.
+   * Returns the task counts of the jobs in the shards that this process holds, in the form in which
+   * heartbeats contain them.
    */
   taskCounts(): PeerHeartbeat['counts'] {
     return [...this.running].map(([shardId, { shard }]) => ({ shardId, jobs: shard.allTaskCounts() }));
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -25,14 +25,14 @@
   readonly transfers: Transfers;
   readonly reservations: Reservations;
   /**
-   * Passes a machine without a record, from a worker heartbeat, to the leader for adoption; false: this
-   * controller is not the leader.
+   * Passes the machine that sent this worker heartbeat, and for which there is no record, to the leader for
+   * adoption; false: this controller is not the leader.
    */
   readonly adopt: (heartbeat: WorkerHeartbeat) => boolean;
 }
 
 /**
- * Returns the summaries of the shards held here while the leader is another controller from which no recent
+ * Returns the summaries of the shards held here if the leader is another controller from which no recent
  * heartbeat was received; else none.
  */
 const summariesToRelay = (
--- a/src/controller/misrouting.ts
+++ b/src/controller/misrouting.ts
@@ -1,6 +1,6 @@
 /**
  * Determines which shards held here have workers that reach another controller instead of this one. Pure
- * functions; the claim reconciler calls them at each check of the claims and hands such shards over.
+ * functions; the claim reconciler calls them at each check of the claims, to hand such shards over.
  */
 import { MISROUTED_HANDOVER_FRACTION } from '../constants/peers.js';
 import type { PeerView } from '../peers/peer-view.js';
@@ -13,7 +13,10 @@
   readonly peers: Pick<PeerView, 'misroutedHeartbeats'>;
 }
 
-/** Returns the controller that the shard's workers reach while none of them reaches this one; else null. */
+/**
+ * Returns the name of another controller that at least `MISROUTED_HANDOVER_FRACTION` of the shard's workers
+ * reach, if no worker of the shard has reached this controller recently; else null.
+ */
 const nodeReachedInstead = (shard: Shard, peers: MisroutingSources['peers']): string | null => {
   const { machines, reporting: heard } = shard.heartbeatCoverage();
   if (machines === 0 || heard > 0) return null;
@@ -22,8 +25,8 @@
 };
 
 /**
- * Returns, for each shard held here whose workers reach only another controller, that controller by claim
- * name.
+ * Returns a map from the claim name of each shard held here whose workers reach only another controller to
+ * the name of that controller.
  */
 export const findUnreachableShards = ({ shards, peers }: MisroutingSources): ReadonlyMap<string, string> => {
   const unreachable = new Map<string, string>();
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -1,4 +1,7 @@
-/** The interface between the controller and its process: what each provides to the other. No state. */
+/**
+ * The interface between the controller and its process: `Ports` is what the process provides to the
+ * controller, `Controller` what the controller provides to the process. No state.
+ */
 import type * as Effect from 'effect/Effect';
 import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http/model.js';
 import type { DirectCommands } from '../workers/worker-client.js';
@@ -19,9 +22,9 @@
 
 /** A composed controller. */
 export interface Controller {
-  /** Answers requests on the API address: of users, operators, workers and health checks. */
+  /** Answers the requests of users, operators, workers and health checks on the API address. */
   readonly route: (call: ServerRequest) => Promise<ServerResponse>;
-  /** Answers requests on the peer address: of the other controllers. */
+  /** Answers the requests of other controllers on the peer address. */
   readonly peerRoute: (call: ServerRequest) => Promise<ServerResponse>;
   readonly run: Effect.Effect<unknown>;
   /** Stops the shards, which have fibers of their own. */
--- a/src/controller/readiness.ts
+++ b/src/controller/readiness.ts
@@ -12,7 +12,11 @@
   readonly peers: Pick<PeerView, 'storeReachability'>;
 }
 
-/** Whether this controller can answer users' requests at least as well as the other controllers. */
+/**
+ * Whether this controller can answer users' requests at least as well as the other controllers: the watch
+ * cache and the catalog are loaded, and either the key-value store answered this controller recently or no
+ * peer reports that it can reach the store.
+ */
 export const isReady = ({ storeAccess, peers }: ReadinessSources): boolean => {
   if (!storeAccess.cache.ready || storeAccess.catalog() === null) return false;
   return storeAccess.msSinceAnswered() < HEARTBEAT_FRESHNESS_MS || peers.storeReachability().up === 0;
--- a/src/controller/reservations.ts
+++ b/src/controller/reservations.ts
@@ -1,6 +1,6 @@
 /**
- * Looks up the reservations of the leader. No state; heartbeats announce the reservations, and shards keep
- * reserved machines free.
+ * Looks up the reservations of the leader. No state; the leader's heartbeats contain the reservations, and
+ * shards keep the reserved machines free.
  */
 import type { Leader } from '../fleet/leader.js';
 import type { Reservation } from '../fleet/reservation.js';
@@ -26,8 +26,9 @@
   }
 
   /**
-   * Returns the reservations that a shard held here must keep free: from the leader's heartbeat, or from the
-   * relay through the key-value store while there is no recent heartbeat.
+   * Returns the reservations whose machines a shard held here must keep free. They come from the leader if
+   * this controller is the leader, else from the leader's last heartbeat, or from the relay through the
+   * key-value store if no recent heartbeat was received.
    */
   forShard(shardId: number): readonly Reservation[] {
     const { coordination, leader, peers, relay } = this.sources;
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -9,7 +9,7 @@
 
 /** The subsystems to which requests on the API address are routed. */
 export interface RouterDependencies {
-  /** Whether this controller can answer users' requests at least as well as the other controllers. */
+  /** Whether this controller is ready for users' requests. */
   readonly ready: () => boolean;
   readonly workerHeartbeats: Pick<WorkerHeartbeatHandler, 'handle'>;
   readonly users: Pick<UsersApi, 'handle'>;
--- a/src/controller/store-access.ts
+++ b/src/controller/store-access.ts
@@ -32,7 +32,8 @@
 }
 
 /**
- * Creates the client and the watch cache; the watch cache loads the shared keys once its `run` is started.
+ * Creates the client, the watch cache and the readers. The watch cache loads the shared keys once its `run`
+ * is started.
  */
 export const createStoreAccess = (options: StoreAccessOptions): StoreAccess => {
   const { deployment, leaseClock } = options;
--- a/src/controller/summaries.ts
+++ b/src/controller/summaries.ts
@@ -26,7 +26,10 @@
   ...peers.summaries(),
 ];
 
-/** Returns the summary of each shard that has one; a relayed summary only where there is no direct one. */
+/**
+ * Returns at most one summary for each shard: the direct summary, or the relayed one if there is no direct
+ * summary.
+ */
 export const collectSummaries = (sources: SummarySources): readonly ShardSummary[] => {
   const { leases, relay } = sources;
   const direct = directSummaries(sources);
--- a/src/controller/transfers.ts
+++ b/src/controller/transfers.ts
@@ -32,7 +32,11 @@
 export class Transfers {
   constructor(private readonly dependencies: TransfersDependencies) {}
 
-  /** Orders the holder of a shard to carry out the leader's transfers from that shard. */
+  /**
+   * Orders the holder of a shard to carry out the leader's transfers from that shard. If this process may act
+   * for the shard, this process carries out the transfers itself. The order is relayed through the key-value
+   * store if no recent heartbeat of the holder was received.
+   */
   order(from: number, transfers: readonly MachineTransfer[], permit: Permit): Effect.Effect<unknown> {
     const { node, leases, peers, peerNetwork, relay } = this.dependencies;
     const shard = this.dependencies.shards.actingShard(from);
