--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -129,7 +129,7 @@
   });
 }
 
-test('lease: no lease is requested until the revision at which the old claims ended is known', async () => {
+test('lease: no new lease is requested until the revision at which old claims ended is known', async () => {
   const controller = startController();
   const { leaseStore, leases } = controller;
   try {
--- a/src/controller/clocks.ts
+++ b/src/controller/clocks.ts
@@ -9,8 +9,8 @@
 /** The clocks of one controller. */
 export interface Clocks {
   /**
-   * The steady clock (ms). It never runs ahead of real time, so a period that has ended by this clock, such
-   * as the lease of a worker, has certainly ended elsewhere too.
+   * The steady clock (ms). It never runs ahead of real time, so the controller uses it to conclude that a
+   * period elsewhere, such as the lease of a worker, has ended.
    */
   readonly steady: () => number;
   /**
