--- a/packages/fencing/src/audit.test.ts
+++ b/packages/fencing/src/audit.test.ts
@@ -12,7 +12,7 @@
   now = 50;
   audit.recordHolder('L', tokenOf(2), 'b', 'b1');
   now = 70;
-  audit.recordEnd('L', 'lease ended');
+  audit.recordHolderEnd('L', 'lease ended');
   assert.deepEqual(
     audit.listPeriods('L').map(({ node, from, to, ended }) => ({ node, from, to, ended })),
     [
--- a/packages/fencing/src/audit.ts
+++ b/packages/fencing/src/audit.ts
@@ -82,14 +82,14 @@
   recordHolder(claim: string, token: FencingToken, node: string, process: string): void {
     const known = this.currentPeriods.get(claim);
     if (known?.token === token) return;
-    if (known) this.recordEnd(claim, 'taken over');
+    if (known) this.recordHolderEnd(claim, 'taken over');
     const period = { claim, token, node, process, from: this.timeOfDay(), to: null, ended: null };
     this.currentPeriods.set(claim, period);
     this.onEvent({ _tag: 'holderChanged', period });
   }
 
   /** The claim has no holder any more, or another one. */
-  recordEnd(claim: string, reason: string): void {
+  recordHolderEnd(claim: string, reason: string): void {
     const known = this.currentPeriods.get(claim);
     if (!known) return;
     this.currentPeriods.delete(claim);
--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -14,14 +14,14 @@
  * ms: the anchor is renewed this often, so that drift between the two clocks never adds up to a difference
  * that counts.
  */
-const ANCHOR_MS = 5_000;
+const ANCHOR_RENEWAL_INTERVAL_MS = 5_000;
 /** ms: two clocks are read one after the other, and a timer's turn may end in between. */
-const READING_SLACK_MS = 20;
+const READING_DELAY_TOLERANCE_MS = 20;
 /**
  * Clocks read as bounded by their error on both sides: an error of either sign may begin and end the
  * interval.
  */
-const ERROR_SIDES = 2;
+const READINGS_PER_INTERVAL = 2;
 
 /** What the clock reads. */
 export interface ClockSources {
@@ -47,7 +47,7 @@
     /** Told of each suspension or jump forward that was found (ms). */
     private readonly onGap: (gapMs: number) => void = () => undefined,
   ) {
-    this.toleranceMs = ERROR_SIDES * sources.timeOfDayErrorMs + READING_SLACK_MS;
+    this.toleranceMs = READINGS_PER_INTERVAL * sources.timeOfDayErrorMs + READING_DELAY_TOLERANCE_MS;
     this.anchorSteady = sources.steady();
     this.anchorTimeOfDay = sources.timeOfDay();
   }
@@ -61,7 +61,7 @@
       this.addedMs += gapMs;
       this.setAnchor(steady, timeOfDay);
       this.onGap(gapMs);
-    } else if (gapMs < -this.toleranceMs || steady - this.anchorSteady >= ANCHOR_MS) {
+    } else if (gapMs < -this.toleranceMs || steady - this.anchorSteady >= ANCHOR_RENEWAL_INTERVAL_MS) {
       this.setAnchor(steady, timeOfDay);
     }
     return steady + this.addedMs;
--- a/packages/fencing/src/duty-state.ts
+++ b/packages/fencing/src/duty-state.ts
@@ -45,14 +45,14 @@
 export const tokenOfState = (state: DutyState): FencingToken | null =>
   state._tag === 'idle' ? null : state.token;
 
-const countOpen = (state: DutyState, token: FencingToken, change: 1 | -1): DutyState => {
+const adjustOpenEffects = (state: DutyState, token: FencingToken, change: 1 | -1): DutyState => {
   // Effects under an earlier token of this same process no longer belong to the present tenure.
   if (state._tag === 'idle' || state.token !== token) return state;
   const open = Math.max(0, state.open + change);
   return state._tag === 'lost' && open === 0 ? { _tag: 'idle' } : { ...state, open };
 };
 
-const claimed = (state: DutyState, token: FencingToken): DutyState => {
+const stateAfterClaim = (state: DutyState, token: FencingToken): DutyState => {
   // Tokens only rise: a claim that is shown late is older than what is known.
   if (state._tag !== 'idle' && token <= state.token) return state;
   return { _tag: 'acquiring', token, open: 0 };
@@ -62,7 +62,7 @@
 export const nextDutyState = (state: DutyState, event: DutyEvent): DutyState => {
   switch (event._tag) {
     case 'claimed':
-      return claimed(state, event.token);
+      return stateAfterClaim(state, event.token);
     case 'settled':
       return state._tag === 'acquiring' && state.token === event.token ? { ...state, _tag: 'held' } : state;
     case 'suspended':
@@ -78,8 +78,8 @@
       if (state._tag === 'idle') return state;
       return state.open === 0 ? { _tag: 'idle' } : { _tag: 'lost', token: state.token, open: state.open };
     case 'effectBegun':
-      return countOpen(state, event.token, 1);
+      return adjustOpenEffects(state, event.token, 1);
     case 'effectEnded':
-      return countOpen(state, event.token, -1);
+      return adjustOpenEffects(state, event.token, -1);
   }
 };
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -14,7 +14,7 @@
   COLLECTION_DELAY_MS,
   dueTombstones,
   EMPTY_TOMBSTONE_RECORD,
-  withCollected,
+  withCollectedKeys,
   withoutTombstones,
   withTombstones,
   type OrphanReason,
@@ -148,7 +148,7 @@
     const due = this.collectableTombstones();
     const inUse = new Set(due.map(({ key }) => key).filter((key) => this.dependencies.inUse(key)));
     const collected = due.filter(({ key }) => !inUse.has(key));
-    const next = withCollected(withoutTombstones(this.record, inUse), collected, token, now);
+    const next = withCollectedKeys(withoutTombstones(this.record, inUse), collected, token, now);
     if (await this.write(next, collected, token)) this.dependencies.onCollected(collected);
   }
 
--- a/packages/fencing/src/provisioning-journal.test.ts
+++ b/packages/fencing/src/provisioning-journal.test.ts
@@ -48,7 +48,7 @@
     assert.equal(await journal.announce(provisioningIntent('r-5-1')), row.outcome);
     assert.deepEqual(stored(value), row.durable);
     assert.deepEqual(
-      value.deliverLate().map(({ _tag }) => _tag),
+      value.applyDelayedWrites().map(({ _tag }) => _tag),
       row.next === 'late' ? ['changed'] : [],
       'a late copy changes nothing',
     );
@@ -92,7 +92,7 @@
     },
   });
   assert.equal(await journal.announce(provisioningIntent('r-5-1')), 'unavailable');
-  assert.equal(value.deliverLate()[0]?._tag, 'written');
+  assert.equal(value.applyDelayedWrites()[0]?._tag, 'written');
   assert.equal(
     await journal.announce(provisioningIntent('r-5-2')),
     'unavailable',
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -13,8 +13,8 @@
 } from './provisioning-record-codec.js';
 import {
   EMPTY_PROVISIONING_RECORD,
-  withOpened,
-  withSettled,
+  withOpenRequests,
+  withSettledRequests,
   type ProvisioningIntent,
   type ProvisioningOutcome,
   type ProvisioningRecord,
@@ -26,11 +26,11 @@
  * ms: outcomes wait this long for a write that is made anyway; until then a successor repeats the request in
  * vain.
  */
-const OUTCOME_DELAY_MS = 3_000;
+const OUTCOME_WRITE_DELAY_MS = 3_000;
 /** Attempts of a write that gets no answer. */
 const WRITE_ATTEMPTS = 4;
 /** ms: pause before the next attempt of a write without an answer. */
-const RETRY_MS = 300;
+const RETRY_DELAY_MS = 300;
 
 /** What the journal needs of its process. */
 export interface ProvisioningJournalDependencies {
@@ -53,7 +53,7 @@
 
 interface Announcement {
   readonly intent: ProvisioningIntent;
-  readonly settle: (outcome: AnnouncementOutcome) => void;
+  readonly complete: (outcome: AnnouncementOutcome) => void;
 }
 
 /**
@@ -68,9 +68,9 @@
   private readonly pendingAnnouncements: Announcement[] = [];
   private pendingOutcomes: SettledProvisioning[] = [];
   /** Names of requests of this tenure that are not over. */
-  private readonly liveNames = new Set<string>();
+  private readonly openRequestNames = new Set<string>();
   private writing = false;
-  private delayedWriteSet = false;
+  private delayedWriteScheduled = false;
 
   constructor(private readonly dependencies: ProvisioningJournalDependencies) {}
 
@@ -87,19 +87,19 @@
     this.revision = outcome.entry.revision;
     this.token = token;
     this.pendingOutcomes = [];
-    this.liveNames.clear();
-    for (const intent of this.record.open) this.liveNames.add(intent.name);
+    this.openRequestNames.clear();
+    for (const intent of this.record.open) this.openRequestNames.add(intent.name);
     return this.record;
   }
 
   /** Makes a request durable before it is sent. */
   announce(intent: ProvisioningIntent): Promise<AnnouncementOutcome> {
     return new Promise((resolve) => {
-      this.liveNames.add(intent.name);
+      this.openRequestNames.add(intent.name);
       this.pendingAnnouncements.push({
         intent,
-        settle: (outcome) => {
-          if (outcome !== 'announced') this.liveNames.delete(intent.name);
+        complete: (outcome) => {
+          if (outcome !== 'announced') this.openRequestNames.delete(intent.name);
           resolve(outcome);
         },
       });
@@ -109,16 +109,16 @@
 
   /** A request is over; the outcome is written with the next announcement, or after a delay. */
   recordOutcome(name: string, outcome: ProvisioningOutcome, machines = 0): void {
-    this.liveNames.delete(name);
+    this.openRequestNames.delete(name);
     this.pendingOutcomes.push({ name, outcome, machines, at: this.dependencies.timeOfDay() });
-    this.writePendingLater();
+    this.scheduleDelayedWrite();
   }
 
-  private writePendingLater(): void {
-    if (this.delayedWriteSet) return;
-    this.delayedWriteSet = true;
-    void this.dependencies.sleep(OUTCOME_DELAY_MS).then(() => {
-      this.delayedWriteSet = false;
+  private scheduleDelayedWrite(): void {
+    if (this.delayedWriteScheduled) return;
+    this.delayedWriteScheduled = true;
+    void this.dependencies.sleep(OUTCOME_WRITE_DELAY_MS).then(() => {
+      this.delayedWriteScheduled = false;
       void this.writePending();
     });
   }
@@ -133,13 +133,13 @@
       const announcements = this.pendingAnnouncements.splice(0);
       const outcomes = this.pendingOutcomes.splice(0);
       const result = await this.writeBatch(announcements, outcomes);
-      for (const { settle } of announcements) settle(result);
+      for (const { complete: settle } of announcements) settle(result);
       // After a lost claim the outcomes are the successor's to settle; else they wait for the next write.
       if (result === 'unavailable') this.pendingOutcomes.unshift(...outcomes);
       // Whoever announced something meanwhile waits for its own write.
       if (result === 'unavailable' && this.pendingAnnouncements.length === 0) break;
     }
-    if (this.pendingOutcomes.length > 0) this.writePendingLater();
+    if (this.pendingOutcomes.length > 0) this.scheduleDelayedWrite();
     this.writing = false;
   }
 
@@ -149,8 +149,8 @@
   ): Promise<AnnouncementOutcome> {
     const token = this.token;
     if (token === null) return 'claim lost';
-    const next = withOpened(
-      withSettled(this.record, outcomes),
+    const next = withOpenRequests(
+      withSettledRequests(this.record, outcomes),
       announcements.map(({ intent }) => intent),
     );
     const stored = writeProvisioningRecord(next, token, this.dependencies.maxBytes);
@@ -165,7 +165,7 @@
     announcements: readonly Announcement[],
     outcomes: readonly SettledProvisioning[],
   ): Promise<AnnouncementOutcome> {
-    announcements.at(-1)?.settle('unavailable');
+    announcements.at(-1)?.complete('unavailable');
     return announcements.length === 0
       ? Promise.resolve('unavailable')
       : this.writeBatch(announcements.slice(0, -1), outcomes);
@@ -192,7 +192,7 @@
         case 'notCarriedOut':
           return 'unavailable';
         case 'unanswered':
-          await this.dependencies.sleep(RETRY_MS);
+          await this.dependencies.sleep(RETRY_DELAY_MS);
       }
     }
     return 'unavailable';
@@ -216,7 +216,7 @@
   private withdrawUnsent(): void {
     const at = this.dependencies.timeOfDay();
     for (const { name } of this.record.open) {
-      if (this.liveNames.has(name)) continue;
+      if (this.openRequestNames.has(name)) continue;
       this.pendingOutcomes.push({ name, outcome: 'withheld', machines: 0, at });
     }
   }
--- a/packages/fencing/src/provisioning-record-codec.ts
+++ b/packages/fencing/src/provisioning-record-codec.ts
@@ -54,14 +54,15 @@
   readonly q?: readonly unknown[];
 }
 
-const isText = (value: unknown): value is string => typeof value === 'string' && value !== '';
+const isNonEmptyString = (value: unknown): value is string => typeof value === 'string' && value !== '';
 const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 
 /** Null: the entry is malformed. */
 const readIntent = (raw: unknown): ProvisioningIntent | null => {
   if (typeof raw !== 'object' || raw === null) return null;
   const { n, b, z, p, s, a } = raw as Partial<StoredIntent>;
-  if (!isText(n) || !isText(b) || !isText(z) || typeof p !== 'boolean') return null;
+  if (!isNonEmptyString(n) || !isNonEmptyString(b) || !isNonEmptyString(z) || typeof p !== 'boolean')
+    return null;
   if (!Array.isArray(s) || s.length === 0 || !s.every(isCount)) return null;
   if (typeof a !== 'number' || !Number.isFinite(a)) return null;
   return { name: n, machineType: b, zone: z, spot: p, shardIds: s, at: a };
@@ -71,7 +72,7 @@
 const readSettled = (raw: unknown): SettledProvisioning[] => {
   if (typeof raw !== 'object' || raw === null) return [];
   const { n, o, m, a } = raw as Partial<StoredSettled>;
-  if (!isText(n) || o === undefined || !isCount(m) || typeof a !== 'number') return [];
+  if (!isNonEmptyString(n) || o === undefined || !isCount(m) || typeof a !== 'number') return [];
   return [{ name: n, outcome: o, machines: m, at: a }];
 };
 
@@ -109,7 +110,7 @@
   a: settled.at,
 });
 
-const boundMalformed = (malformed: readonly unknown[]): readonly unknown[] =>
+const malformedWithinLimit = (malformed: readonly unknown[]): readonly unknown[] =>
   JSON.stringify(malformed).length <= MALFORMED_MAX_LENGTH ? malformed : [];
 
 /**
@@ -121,7 +122,7 @@
   token: FencingToken,
   maxBytes: number,
 ): StoredProvisioningRecord | null => {
-  const malformed = boundMalformed(record.malformed);
+  const malformed = malformedWithinLimit(record.malformed);
   const open = record.open.map(writeIntent);
   const encode = (settled: readonly SettledProvisioning[]): StoredProvisioningRecord => ({
     t: token,
--- a/packages/fencing/src/provisioning-record.ts
+++ b/packages/fencing/src/provisioning-record.ts
@@ -84,7 +84,7 @@
   }));
 
 /** The record with these requests announced. */
-export const withOpened = (
+export const withOpenRequests = (
   record: ProvisioningRecord,
   intents: readonly ProvisioningIntent[],
 ): ProvisioningRecord => ({
@@ -93,7 +93,7 @@
 });
 
 /** The record with the outcomes of these requests, which are no longer open. */
-export const withSettled = (
+export const withSettledRequests = (
   record: ProvisioningRecord,
   settled: readonly SettledProvisioning[],
 ): ProvisioningRecord => {
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -16,9 +16,9 @@
 /** ms: the lease behind the claim, in the state service. */
 const LEASE_MS = 5_000;
 /** ms: by which a holder counts its lease shorter, for late timers. */
-const LEASE_MARGIN_MS = 300;
+const LEASE_SAFETY_MARGIN_MS = 300;
 /** Fraction: drift of two clocks against each other, as the protocol bounds it, doubled. */
-const DRIFT = 0.001;
+const CLOCK_DRIFT_FRACTION = 0.001;
 
 /** One step of a history. */
 export type HistoryStep =
@@ -51,7 +51,7 @@
 
 interface SentRequest {
   readonly intent: ProvisioningIntent;
-  readonly answered: () => void;
+  readonly onAnswer: () => void;
 }
 
 /** Runs one history and gathers what must never happen. */
@@ -63,7 +63,7 @@
   private lastToken = 0;
   private readonly value = new MemoryValue(tokenOf(1));
   private readonly processes: readonly SimulatedProcess[];
-  private readonly requestsUnderWay: SentRequest[] = [];
+  private readonly requestsInFlight: SentRequest[] = [];
   private readonly executed = new Set<string>();
   private readonly settledBySuccessor = new Set<string>();
   private readonly announced = new Set<string>();
@@ -78,12 +78,12 @@
   async run(steps: readonly HistoryStep[]): Promise<void> {
     for (const step of steps) {
       this.apply(step);
-      await this.settle();
+      await this.runPendingPromises();
     }
   }
 
   /** Lets promises of processes that run go on. */
-  private async settle(): Promise<void> {
+  private async runPendingPromises(): Promise<void> {
     for (let turn = 0; turn < 12; turn += 1) await Promise.resolve();
   }
 
@@ -113,7 +113,7 @@
         this.value.nextWrite = step.how;
         return;
       case 'deliverWrites':
-        this.value.deliverLate();
+        this.value.applyDelayedWrites();
     }
   }
 
@@ -137,23 +137,23 @@
     this.processes.forEach((process, index) => {
       process.timeOfDayMs += ms;
       // Clocks of different machines drift apart within the protocol's bound.
-      if (!process.suspended) process.steadyMs += ms * (1 + (index % 2 === 0 ? 0 : DRIFT / 2));
+      if (!process.suspended) process.steadyMs += ms * (1 + (index % 2 === 0 ? 0 : CLOCK_DRIFT_FRACTION / 2));
     });
-    this.renew();
-    this.expire();
-    this.showClaims();
-    for (const process of this.processes) process.releaseDelayed();
+    this.renewLease();
+    this.reassignExpiredClaim();
+    this.deliverClaimUpdates();
+    for (const process of this.processes) process.completeDelays();
   }
 
-  private renew(): void {
+  private renewLease(): void {
     const { claim } = this;
     const holder = claim ? this.processes[claim.process] : undefined;
     if (!claim || !holder?.running || this.now > claim.until) return;
     claim.until = this.now + LEASE_MS;
-    holder.leaseUntil = holder.clock.now() + LEASE_MS * (1 - DRIFT) - LEASE_MARGIN_MS;
+    holder.leaseUntil = holder.clock.now() + LEASE_MS * (1 - CLOCK_DRIFT_FRACTION) - LEASE_SAFETY_MARGIN_MS;
   }
 
-  private expire(): void {
+  private reassignExpiredClaim(): void {
     if (this.claim && this.now > this.claim.until) this.claim = null;
     if (this.claim) return;
     const index = this.processes.findIndex((process) => process.running);
@@ -165,11 +165,11 @@
     this.value.claim = token;
     this.claim = { token, process: index, until: this.now + LEASE_MS };
     process.token = token;
-    process.leaseUntil = process.clock.now() + LEASE_MS * (1 - DRIFT) - LEASE_MARGIN_MS;
+    process.leaseUntil = process.clock.now() + LEASE_MS * (1 - CLOCK_DRIFT_FRACTION) - LEASE_SAFETY_MARGIN_MS;
   }
 
   /** The watch: only processes that run learn of the claim. */
-  private showClaims(): void {
+  private deliverClaimUpdates(): void {
     this.processes.forEach((process, index) => {
       if (!process.running) return;
       process.clock.now();
@@ -200,7 +200,7 @@
         continue;
       }
       if (!permit.mayProceed()) return false;
-      this.noteSend(permit, intent.name);
+      this.checkSend(permit, intent.name);
       // The repeat is answered before anything else of it can arrive.
       this.execute(intent.name);
       this.settledBySuccessor.add(intent.name);
@@ -235,16 +235,16 @@
       process.journal.recordOutcome(intent.name, 'withheld');
       return;
     }
-    this.noteSend(permit, intent.name);
+    this.checkSend(permit, intent.name);
     const answered = new Promise<void>((resolve) =>
-      this.requestsUnderWay.push({ intent, answered: resolve }),
+      this.requestsInFlight.push({ intent, onAnswer: resolve }),
     );
     await answered;
     await process.whenRunning();
     process.journal.recordOutcome(intent.name, 'rented', 1);
   }
 
-  private noteSend(permit: Permit, name: string): void {
+  private checkSend(permit: Permit, name: string): void {
     // Whether the later holder is still there makes no difference: it has acted.
     if (this.lastToken <= permit.token) return;
     const detail = `${name} under ${permit.token}, held under ${this.lastToken} since`;
@@ -252,16 +252,16 @@
   }
 
   private deliver(position: number, again: boolean): void {
-    const index = this.requestsUnderWay.length === 0 ? -1 : position % this.requestsUnderWay.length;
-    const request = this.requestsUnderWay[index];
+    const index = this.requestsInFlight.length === 0 ? -1 : position % this.requestsInFlight.length;
+    const request = this.requestsInFlight[index];
     if (!request) return;
-    if (!again) this.requestsUnderWay.splice(index, 1);
+    if (!again) this.requestsInFlight.splice(index, 1);
     const { name } = request.intent;
     if (!this.announced.has(name)) this.violations.push({ rule: 'not announced', detail: name });
     if (!this.executed.has(name) && this.settledBySuccessor.has(name))
       this.violations.push({ rule: 'late rental', detail: name });
     this.execute(name);
-    request.answered();
+    request.onAnswer();
   }
 
   /** A repeated name gets the same answer, and provisions nothing. */
--- a/packages/fencing/src/testing/memory-value.ts
+++ b/packages/fencing/src/testing/memory-value.ts
@@ -28,7 +28,7 @@
   /** Writes that were applied. */
   writes = 0;
   private lastRevision = 100;
-  private readonly delayed: (() => WriteOutcome)[] = [];
+  private readonly delayedWrites: (() => WriteOutcome)[] = [];
 
   constructor(claim: FencingToken) {
     this.claim = claim;
@@ -54,7 +54,7 @@
         apply();
         return Promise.resolve({ _tag: 'unanswered', reason: 'timeout' });
       case 'late':
-        this.delayed.push(apply);
+        this.delayedWrites.push(apply);
         return Promise.resolve({ _tag: 'unanswered', reason: 'timeout' });
       case 'refused':
         return Promise.resolve({ _tag: 'notCarriedOut', reason: 'status 503' });
@@ -62,8 +62,8 @@
   };
 
   /** Applies delayed writes. */
-  deliverLate(): readonly WriteOutcome[] {
-    return this.delayed.splice(0).map((apply) => apply());
+  applyDelayedWrites(): readonly WriteOutcome[] {
+    return this.delayedWrites.splice(0).map((apply) => apply());
   }
 
   private apply(
--- a/packages/fencing/src/testing/simulated-process.ts
+++ b/packages/fencing/src/testing/simulated-process.ts
@@ -30,8 +30,8 @@
   leaseUntil = Number.NEGATIVE_INFINITY;
   /** Requests that it named so far. */
   requestCount = 0;
-  private readonly awakeWaiters: (() => void)[] = [];
-  private readonly delayed: (() => void)[] = [];
+  private readonly resumeWaiters: (() => void)[] = [];
+  private readonly pendingDelays: (() => void)[] = [];
   readonly clock: SuspensionAwareClock;
   readonly duty: Duty;
   readonly journal: ProvisioningJournal;
@@ -62,13 +62,13 @@
 
   /** Time on the network, or in a queue: over with the next step of time in which the process runs. */
   async delay(): Promise<void> {
-    await new Promise<void>((resolve) => this.delayed.push(resolve));
+    await new Promise<void>((resolve) => this.pendingDelays.push(resolve));
     await this.whenRunning();
   }
 
   /** Time passes: what was on its way arrives. */
-  releaseDelayed(): void {
-    for (const resolve of this.delayed.splice(0)) resolve();
+  completeDelays(): void {
+    for (const resolve of this.pendingDelays.splice(0)) resolve();
   }
 
   private actingToken(): FencingToken | null {
@@ -78,13 +78,13 @@
   /** Resolves once the process runs. */
   whenRunning(): Promise<void> {
     if (this.running) return Promise.resolve();
-    return new Promise((resolve) => this.awakeWaiters.push(resolve));
+    return new Promise((resolve) => this.resumeWaiters.push(resolve));
   }
 
   resume(): void {
     this.running = true;
     this.suspended = false;
-    for (const resolve of this.awakeWaiters.splice(0)) resolve();
+    for (const resolve of this.resumeWaiters.splice(0)) resolve();
   }
 
   /** An answer is on the network for a while, and is read once the process runs. */
--- a/packages/fencing/src/tombstones.ts
+++ b/packages/fencing/src/tombstones.ts
@@ -75,7 +75,7 @@
 });
 
 /** The record after these keys were removed under a token at `now` (ms since the epoch). */
-export const withCollected = (
+export const withCollectedKeys = (
   record: TombstoneRecord,
   collected: readonly Tombstone[],
   token: FencingToken,
--- a/src/cancellation/acknowledgement-client.ts
+++ b/src/cancellation/acknowledgement-client.ts
@@ -23,7 +23,7 @@
 
   /** Resolves to whether the controller acknowledges the cancellation; false also if it does not answer. */
   requestAcknowledgement(node: string, cancellation: Cancellation): Promise<boolean> {
-    return this.batcherFor(node).ask(cancellation);
+    return this.batcherFor(node).submit(cancellation);
   }
 
   private batcherFor(node: string): Batcher<Cancellation, boolean> {
--- a/src/claims/claim-decisions.ts
+++ b/src/claims/claim-decisions.ts
@@ -4,10 +4,10 @@
  */
 import {
   HANDBACK_STABILITY_MS,
-  HELD_SHARD_DELAY_MS,
-  LEADER_RANK_DELAY_MS,
+  TAKEOVER_DELAY_PER_HELD_SHARD_MS,
+  LEADER_TAKEOVER_RANK_DELAY_MS,
   PREFERRED_HOLDER_GRACE_MS,
-  SHARD_RANK_DELAY_MS,
+  SHARD_TAKEOVER_RANK_DELAY_MS,
 } from '../constants/leases.js';
 
 /** The name of the claim on the leadership. The name of every other claim is the id of its shard. */
@@ -101,10 +101,12 @@
 const takeoverDelayMs = (snapshot: ClaimsSnapshot, claimName: string): number => {
   const { self, controllers } = snapshot;
   const rank = Math.max(0, controllers.indexOf(self.node));
-  if (claimName === LEADER_CLAIM) return rank * LEADER_RANK_DELAY_MS;
+  if (claimName === LEADER_CLAIM) return rank * LEADER_TAKEOVER_RANK_DELAY_MS;
   const preferred = preferredHolder(snapshot, claimName);
   if (preferred === self.node) return 0;
-  const delay = heldShardCount(snapshot, self.node) * HELD_SHARD_DELAY_MS + rank * SHARD_RANK_DELAY_MS;
+  const delay =
+    heldShardCount(snapshot, self.node) * TAKEOVER_DELAY_PER_HELD_SHARD_MS +
+    rank * SHARD_TAKEOVER_RANK_DELAY_MS;
   // This controller does not wait for a preferred holder that sends no heartbeats: the leases of the shard's
   // workers would expire in the meantime.
   const preferredIsSilent = (findPeer(snapshot, preferred)?.steadyMs ?? 0) < 0;
--- a/src/claims/claim-reconciler.ts
+++ b/src/claims/claim-reconciler.ts
@@ -4,7 +4,7 @@
  * itself as unreachable for workers. `lease-manager.ts` runs it.
  */
 import * as Effect from 'effect/Effect';
-import { SHARD_CHECK_INTERVAL_MS, UNREACHABLE_HANDBACK_PAUSE_MS } from '../constants/leases.js';
+import { CLAIM_CHECK_INTERVAL_MS, UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS } from '../constants/leases.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
@@ -85,7 +85,8 @@
   private snapshot(now: number): ClaimsSnapshot {
     const claims = this.observeClaims(now);
     const unreachableShards = this.dependencies.unreachableShards();
-    if (unreachableShards.size > 0) this.workersUnreachableUntil = now + UNREACHABLE_HANDBACK_PAUSE_MS;
+    if (unreachableShards.size > 0)
+      this.workersUnreachableUntil = now + UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS;
     return {
       self: this.dependencies.self,
       controllers: this.dependencies.controllers,
@@ -133,7 +134,7 @@
   /** Checks the claims at a fixed interval, without end. */
   readonly run: Effect.Effect<never> = Effect.gen({ self: this }, function* () {
     for (;;) {
-      yield* Effect.sleep(SHARD_CHECK_INTERVAL_MS);
+      yield* Effect.sleep(CLAIM_CHECK_INTERVAL_MS);
       yield* this.check;
     }
   });
--- a/src/claims/lease-renewal.ts
+++ b/src/claims/lease-renewal.ts
@@ -5,9 +5,9 @@
  */
 import * as Effect from 'effect/Effect';
 import {
-  SHARD_CHECK_INTERVAL_MS,
-  SHARD_LEASE_RENEWAL_INTERVAL_MS,
-  SHARD_LEASE_TTL_MS,
+  CLAIM_CHECK_INTERVAL_MS,
+  CONTROLLER_LEASE_RENEWAL_INTERVAL_MS,
+  CONTROLLER_LEASE_TTL_MS,
 } from '../constants/leases.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import { log } from '../log.js';
@@ -57,7 +57,7 @@
 
   private transition(event: LeaseEvent): void {
     const before = this.state;
-    this.state = nextLeaseState(before, event, SHARD_LEASE_TTL_MS);
+    this.state = nextLeaseState(before, event, CONTROLLER_LEASE_TTL_MS);
     if (before._tag !== this.state._tag)
       log.info({ event: 'lease.state_changed', from: before._tag, to: this.state._tag, lease: this.lease });
     if (event._tag === 'granted' || event._tag === 'renewed')
@@ -80,9 +80,9 @@
   /** Requests a lease; returns the pause before the next request (ms). */
   private readonly grant: Effect.Effect<number> = Effect.gen({ self: this }, function* () {
     const loaded = yield* this.loadEndedClaimsUpTo;
-    if (!loaded) return SHARD_CHECK_INTERVAL_MS;
+    if (!loaded) return CLAIM_CHECK_INTERVAL_MS;
     const result = yield* this.store.grant();
-    if (result._tag !== 'held') return SHARD_CHECK_INTERVAL_MS;
+    if (result._tag !== 'held') return CLAIM_CHECK_INTERVAL_MS;
     this.transition({ _tag: 'granted', lease: result.lease, sentAt: result.sentAt });
     return 0;
   });
@@ -94,13 +94,13 @@
       switch (result._tag) {
         case 'held':
           this.transition({ _tag: 'renewed', lease, sentAt: result.sentAt });
-          return SHARD_LEASE_RENEWAL_INTERVAL_MS;
+          return CONTROLLER_LEASE_RENEWAL_INTERVAL_MS;
         case 'gone':
           this.endedClaimsUpTo = null;
           this.transition({ _tag: 'ended', lease });
           return 0;
         case 'failed':
-          return SHARD_CHECK_INTERVAL_MS;
+          return CLAIM_CHECK_INTERVAL_MS;
       }
     });
   }
--- a/src/claims/lease-succession.test.ts
+++ b/src/claims/lease-succession.test.ts
@@ -6,7 +6,7 @@
 import { mock, test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
-import { SHARD_LEASE_RENEWAL_INTERVAL_MS } from '../constants/leases.js';
+import { CONTROLLER_LEASE_RENEWAL_INTERVAL_MS } from '../constants/leases.js';
 import type { CallOutcome } from '../http/model.js';
 import { KeyValueStore } from '../kv-store/client.js';
 import { claimKey } from '../kv-store/keys.js';
@@ -83,7 +83,7 @@
       cache.apply({ _tag: 'delete', key: claimKey(claimName), version }),
     /** Advances the time until the lease is renewed, or is found to have ended and a new one is requested. */
     renew: async (): Promise<void> => {
-      mock.timers.tick(SHARD_LEASE_RENEWAL_INTERVAL_MS);
+      mock.timers.tick(CONTROLLER_LEASE_RENEWAL_INTERVAL_MS);
       await runEventLoopTurns();
     },
     stop: async (): Promise<void> => {
--- a/src/cli/arguments.ts
+++ b/src/cli/arguments.ts
@@ -55,7 +55,7 @@
 
 type ParsedOptions = ReturnType<typeof parseOptions>;
 
-const commandOf = ({ values, positionals }: ParsedOptions): Command => {
+const toCommand = ({ values, positionals }: ParsedOptions): Command => {
   if (values.help) return { _tag: 'help' };
   const [command, duty] = positionals;
   if (command === 'duties') {
@@ -76,5 +76,5 @@
   } catch (error) {
     return { _tag: 'usageError', message: `${(error as Error).message}\n\n${USAGE}` };
   }
-  return commandOf(options);
+  return toCommand(options);
 };
--- a/src/cli/configuration.ts
+++ b/src/cli/configuration.ts
@@ -1,7 +1,7 @@
 /** Reads and checks the files that a controller is configured with. Without state. */
 import { existsSync, readFileSync } from 'node:fs';
 import { checkFeatures, NO_FEATURES, type Features } from '../settings/features.js';
-import { ANYONE, checkNetworks, type AdminAccess } from '../settings/networks.js';
+import { ALLOW_ANY_ADDRESS, checkNetworks, type AdminAccess } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
 import type { ConfigurationFiles } from './arguments.js';
 
@@ -10,7 +10,7 @@
 const INSTALLED_NETWORKS = new URL('../../deploy/networks.toml', import.meta.url);
 
 /** Something that is read from a file; the message of a failure names the file's kind and the reason. */
-type Loaded<T> =
+type LoadResult<T> =
   { readonly _tag: 'loaded'; readonly value: T } | { readonly _tag: 'failed'; readonly message: string };
 
 /** What a controller is configured with. */
@@ -20,7 +20,7 @@
   readonly admin: AdminAccess;
 }
 
-const readText = (kind: string, file: string | URL): Loaded<string> => {
+const readText = (kind: string, file: string | URL): LoadResult<string> => {
   try {
     return { _tag: 'loaded', value: readFileSync(file, 'utf8') };
   } catch (error) {
@@ -29,12 +29,16 @@
 };
 
 /** The text of the file that is named, or else of the installation's; null: there is neither. */
-const readOptionalText = (kind: string, named: string | undefined, installed: URL): Loaded<string | null> => {
+const readOptionalText = (
+  kind: string,
+  named: string | undefined,
+  installed: URL,
+): LoadResult<string | null> => {
   if (named === undefined && !existsSync(installed)) return { _tag: 'loaded', value: null };
   return readText(kind, named ?? installed);
 };
 
-const loadSettings = (file: string): Loaded<Settings> => {
+const loadSettings = (file: string): LoadResult<Settings> => {
   const text = readText('settings', file);
   if (text._tag === 'failed') return text;
   const checked = checkSettings(text.value);
@@ -43,7 +47,7 @@
     : { _tag: 'failed', message: checked.message };
 };
 
-const loadFeatures = (file: string | undefined): Loaded<Features> => {
+const loadFeatures = (file: string | undefined): LoadResult<Features> => {
   const text = readOptionalText('features', file, INSTALLED_FEATURES);
   if (text._tag === 'failed') return text;
   if (text.value === null) return { _tag: 'loaded', value: NO_FEATURES };
@@ -53,10 +57,10 @@
     : { _tag: 'failed', message: checked.message };
 };
 
-const loadAdminAccess = (file: string | undefined): Loaded<AdminAccess> => {
+const loadAdminAccess = (file: string | undefined): LoadResult<AdminAccess> => {
   const text = readOptionalText('networks', file, INSTALLED_NETWORKS);
   if (text._tag === 'failed') return text;
-  if (text.value === null) return { _tag: 'loaded', value: ANYONE };
+  if (text.value === null) return { _tag: 'loaded', value: ALLOW_ANY_ADDRESS };
   const checked = checkNetworks(text.value);
   return checked._tag === 'ok'
     ? { _tag: 'loaded', value: checked.admin }
@@ -64,7 +68,7 @@
 };
 
 /** Loads all files; the first one that is bad is the failure. */
-export const loadConfiguration = (files: ConfigurationFiles): Loaded<Configuration> => {
+export const loadConfiguration = (files: ConfigurationFiles): LoadResult<Configuration> => {
   const settings = loadSettings(files.settings);
   if (settings._tag === 'failed') return settings;
   const features = loadFeatures(files.features);
--- a/src/cli/duties-text.ts
+++ b/src/cli/duties-text.ts
@@ -25,7 +25,7 @@
 };
 
 /** A table, or a sentence in its place where it has only a head. */
-const formatTableOr = (rows: readonly Row[], empty: string): string =>
+const formatTableOrText = (rows: readonly Row[], empty: string): string =>
   rows.length > 1 ? formatTable(rows) : empty;
 
 const formatTime = (ms: number | null): string => (ms === null ? '' : new Date(ms).toISOString());
@@ -107,8 +107,8 @@
 export const formatDuties = (answer: WireDuties & Partial<WireDutiesOverview>): string => {
   const parts = [
     formatTable(dutyRows(answer.duties)),
-    formatTableOr(historyRows(answer.duties), 'no earlier holders seen'),
-    formatTableOr(refusalRows(answer.duties), 'nothing refused'),
+    formatTableOrText(historyRows(answer.duties), 'no earlier holders seen'),
+    formatTableOrText(refusalRows(answer.duties), 'nothing refused'),
     ...intentLines(answer),
   ];
   return `${parts.join('\n\n')}\n`;
--- a/src/cluster-tests/clock-jumps.test.ts
+++ b/src/cluster-tests/clock-jumps.test.ts
@@ -40,9 +40,9 @@
     seed: 303,
     jobs: 10,
     faults: [
-      [30, (day) => day.world.state.outage(true)],
+      [30, (day) => day.environment.state.setOutage(true)],
       [33, setTime('0', HOUR_MS)],
-      [45, (day) => day.world.state.outage(false)],
+      [45, (day) => day.environment.state.setOutage(false)],
       [60, mend],
     ],
   },
--- a/src/cluster-tests/concurrent-faults.test.ts
+++ b/src/cluster-tests/concurrent-faults.test.ts
@@ -22,18 +22,18 @@
     name: `refusal, cancellations, outage, crash and takeover at drawn times (seed ${seed})`,
     seed,
     jobs: 9,
-    runS: [90, 140],
+    taskDurationRangeS: [90, 140],
     faults: [
-      [refused, (day) => day.world.state.refused.add(day.busiest())],
+      [refused, (day) => day.environment.state.refused.add(day.busiestNode())],
       ...[0, 1, 2].map(
         () =>
           [refused - 1 + tenths(4), (day: ScenarioRun) => day.cancelRunning(1 + random.below(3))] as const,
       ),
-      [outage, (day) => day.world.state.outage(true)],
-      [refused + 1 + tenths(30), (day) => day.world.state.refused.clear()],
-      [crash, (day) => day.cluster.down(NODES[seed % 3] ?? 'n0')],
-      [crash + (random.chance(0.5) ? 0.1 : 4), (day) => day.cluster.up(NODES[seed % 3] ?? 'n0')],
-      [over, (day) => day.world.state.outage(false)],
+      [outage, (day) => day.environment.state.setOutage(true)],
+      [refused + 1 + tenths(30), (day) => day.environment.state.refused.clear()],
+      [crash, (day) => day.cluster.stop(NODES[seed % 3] ?? 'n0')],
+      [crash + (random.chance(0.5) ? 0.1 : 4), (day) => day.cluster.start(NODES[seed % 3] ?? 'n0')],
+      [over, (day) => day.environment.state.setOutage(false)],
     ],
   };
 };
@@ -47,11 +47,11 @@
     jobs: 9,
     runS: [90, 140] as const,
     faults: [
-      [40, (day) => day.world.state.refused.add(day.busiest())],
+      [40, (day) => day.environment.state.refused.add(day.busiestNode())],
       [40.1, (day) => day.cancelRunning(8)],
-      [41, (day) => day.world.state.outage(true)],
-      [55, (day) => day.world.state.refused.clear()],
-      [98, (day) => day.world.state.outage(false)],
+      [41, (day) => day.environment.state.setOutage(true)],
+      [55, (day) => day.environment.state.refused.clear()],
+      [98, (day) => day.environment.state.setOutage(false)],
     ] satisfies Scenario['faults'],
   })),
   ...[71, 72, 73, 74].map(drawnGap),
@@ -62,15 +62,15 @@
     name: 'a slow state, then the holder refused, then an outage, while users cancel and ask',
     seed: 31,
     jobs: 10,
-    runS: [60, 120],
+    taskDurationRangeS: [60, 120],
     faults: [
       ...at(35, 'slowState', 1),
       [40, (day) => day.cancelRunning(3)],
-      [44, (day) => day.world.state.refused.add(day.busiest())],
+      [44, (day) => day.environment.state.refused.add(day.busiestNode())],
       [44.3, (day) => day.cancelRunning(3)],
-      [45.5, (day) => day.world.state.outage(true)],
-      [97, (day) => day.world.state.outage(false)],
-      [98, (day) => day.world.state.refused.clear()],
+      [45.5, (day) => day.environment.state.setOutage(true)],
+      [97, (day) => day.environment.state.setOutage(false)],
+      [98, (day) => day.environment.state.refused.clear()],
     ],
   },
   // 2. A report that a former holder never got arrives at the new one, which has acted: it proves nothing by
@@ -78,27 +78,27 @@
   {
     name: 'reports held back until a new holder has acted, then delivered there',
     seed: 32,
-    runS: [20, 60],
+    taskDurationRangeS: [20, 60],
     faults: [
-      [35, (day) => day.world.hold('n0', day.working())],
-      [36, (day) => day.cluster.down('n0')],
-      [36.1, (day) => day.cluster.up('n0')],
-      [52, (day) => day.world.hold('n0', [])],
-      [60, (day) => day.world.hold(day.busiest(), day.working().slice(0, 3))],
-      [85, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.world.hold(node, []))],
+      [35, (day) => day.environment.holdMessages('n0', day.machinesWithTasks())],
+      [36, (day) => day.cluster.stop('n0')],
+      [36.1, (day) => day.cluster.start('n0')],
+      [52, (day) => day.environment.holdMessages('n0', [])],
+      [60, (day) => day.environment.holdMessages(day.busiestNode(), day.machinesWithTasks().slice(0, 3))],
+      [85, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.environment.holdMessages(node, []))],
     ],
   },
   // 3. Each write is conditional on what it changes, so an older one that comes late fails.
   {
     name: 'transactions without an answer, carried out after newer ones of the same controller',
     seed: 33,
-    runS: [10, 40],
+    taskDurationRangeS: [10, 40],
     faults: [
-      [15, (day) => (day.world.lateWrites = 0.25)],
+      [15, (day) => (day.environment.lateWriteProbability = 0.25)],
       [45, (day) => day.cancelRunning(3)],
-      [60, (day) => day.cluster.down(day.busiest())],
-      [60.1, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
-      [100, (day) => (day.world.lateWrites = 0)],
+      [60, (day) => day.cluster.stop(day.busiestNode())],
+      [60.1, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.start(node))],
+      [100, (day) => (day.environment.lateWriteProbability = 0)],
     ],
   },
   // 4. A direct command that hung with its machine is carried out when that resumes, under the same token and
@@ -106,7 +106,7 @@
   {
     name: 'commands held up with their machines, which then go on',
     seed: 34,
-    runS: [15, 50],
+    taskDurationRangeS: [15, 50],
     faults: [10, 20, 30, 42, 54].flatMap((start, k) => [
       ...at(start, 'hang', k),
       [start + 1, (day: ScenarioRun) => day.cancelRunning(1)] as const,
@@ -117,14 +117,14 @@
     name: 'teams at their limits, the holder ends, machines can not be asked, and jobs are cancelled',
     seed: 36,
     jobs: 18,
-    everyS: 1,
+    submissionIntervalS: 1,
     tasks: 16,
-    runS: [25, 60],
+    taskDurationRangeS: [25, 60],
     faults: [
       ...at(40, 'cut', 3),
-      [40.5, (day) => day.cluster.down(day.busiest())],
+      [40.5, (day) => day.cluster.stop(day.busiestNode())],
       [41, (day) => day.cancelRunning(3)],
-      [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
+      [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.start(node))],
       [47, (day) => day.cancelRunning(2)],
     ],
   },
@@ -132,10 +132,10 @@
   {
     name: 'all controllers away for longer than a lease',
     seed: 37,
-    runS: [15, 60],
+    taskDurationRangeS: [15, 60],
     faults: [
-      [40, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [59, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
+      [40, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.stop(node))],
+      [59, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.start(node))],
     ],
   },
   // 8. Cut from state and peers a holder is silent when its lease may be over, so its workers let go in time.
@@ -143,7 +143,7 @@
     name: 'the holder loses the state and its siblings, not its workers; jobs are cancelled through the new one',
     seed: 38,
     jobs: 10,
-    runS: [80, 120],
+    taskDurationRangeS: [80, 120],
     faults: [
       ...at(40, 'isolated', 2),
       [41, (day) => day.cancelRunning(4)],
@@ -154,7 +154,7 @@
   {
     name: 'workers that reach no controller while direct commands reach them',
     seed: 39,
-    runS: [15, 60],
+    taskDurationRangeS: [15, 60],
     faults: [...at(30, 'mute', 1), ...at(45, 'mute', 7), [50, (day) => day.cancelRunning(2)]],
   },
   // 10. The final record and the cancellation are conditional on the same key: one of them comes first, for
@@ -163,19 +163,19 @@
     name: 'each job is cancelled at the very end of its last task, or asked about',
     seed: 40,
     jobs: 16,
-    runS: [6, 14],
-    cancelAtEnd: 0.6,
+    taskDurationRangeS: [6, 14],
+    cancelAtEndProbability: 0.6,
     faults: [],
   },
   // 11. Whatever lives in a holder's memory only (sick, deaf, waited) is lost ten times.
   {
     name: 'ten changes of holder in two minutes, an outage among them',
     seed: 41,
-    runS: [15, 60],
+    taskDurationRangeS: [15, 60],
     faults: [
       ...at(20, 'changes', 1),
-      [70, (day) => day.world.state.outage(true)],
-      [88, (day) => day.world.state.outage(false)],
+      [70, (day) => day.environment.state.setOutage(true)],
+      [88, (day) => day.environment.state.setOutage(false)],
       [92, (day) => day.cancelRunning(3)],
     ],
   },
@@ -185,12 +185,12 @@
     name: 'a holder ends while machines with long tasks are cut off or do not hear',
     seed: 42,
     jobs: 8,
-    runS: [70, 110],
+    taskDurationRangeS: [70, 110],
     faults: [
       ...at(35, 'deaf', 5),
       ...at(36, 'cut', 6),
-      [38, (day) => day.cluster.down(day.busiest())],
-      [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
+      [38, (day) => day.cluster.stop(day.busiestNode())],
+      [44, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.start(node))],
     ],
   },
   // 13. A copy from before is acknowledged neither by the holder that saw newer ones nor by one that saw
@@ -198,14 +198,14 @@
   {
     name: 'old reports after newer ones, from earlier sessions and attempts, across takeovers',
     seed: 43,
-    runS: [10, 40],
+    taskDurationRangeS: [10, 40],
     faults: [
-      [10, (day) => (day.world.lateReports = 0.5)],
+      [10, (day) => (day.environment.lateHeartbeatProbability = 0.5)],
       ...at(30, 'cut', 2),
-      [45, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [45.2, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.up(node))],
+      [45, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.stop(node))],
+      [45.2, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.start(node))],
       ...at(55, 'roll', 3),
-      [110, (day) => (day.world.lateReports = 0)],
+      [110, (day) => (day.environment.lateHeartbeatProbability = 0)],
     ],
   },
   // 14. An exit is forgotten on its machine only once its record says so, so a new holder finds one or the
@@ -214,8 +214,8 @@
     name: 'tasks of one job end far apart, with changes of holder between',
     seed: 44,
     jobs: 12,
-    runS: [5, 25],
-    apart: true,
+    taskDurationRangeS: [5, 25],
+    staggeredTaskEnds: true,
     faults: [20, 34, 48, 62].flatMap((start, k) => at(start, 'crashBusiest', k)),
   },
   // 15. More than there is room for, over links that lose much: nothing is bound twice or waits for ever.
@@ -223,29 +223,29 @@
     name: 'more work than room over poor links',
     seed: 45,
     jobs: 22,
-    everyS: 1,
-    runS: [15, 40],
-    loss: 0.02,
+    submissionIntervalS: 1,
+    taskDurationRangeS: [15, 40],
+    lossProbability: 0.02,
     faults: [
-      [10, (day) => (day.world.stateSlowMs = 600)],
-      [90, (day) => (day.world.stateSlowMs = 0)],
-      [91, (day) => (day.world.loss = 0)],
+      [10, (day) => (day.environment.maxStoreDelayMs = 600)],
+      [90, (day) => (day.environment.maxStoreDelayMs = 0)],
+      [91, (day) => (day.environment.lossProbability = 0)],
     ],
   },
   // 16. Handed over, handed back, all ended, one back within a second.
   {
     name: 'controllers hand over and back, all end, and one returns within a second',
     seed: 46,
-    runS: [15, 50],
+    taskDurationRangeS: [15, 50],
     faults: [
       ...at(25, 'roll', 4),
-      [60, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [60.4, (day) => day.cluster.up('n1')],
-      [70, (day) => day.cluster.up('n0')],
-      [71, (day) => day.cluster.up('n2')],
-      [90, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.down(node))],
-      [90.1, (day) => day.cluster.up('n2')],
-      [108, (day) => ['n0', 'n1'].forEach((node) => day.cluster.up(node))],
+      [60, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.stop(node))],
+      [60.4, (day) => day.cluster.start('n1')],
+      [70, (day) => day.cluster.start('n0')],
+      [71, (day) => day.cluster.start('n2')],
+      [90, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.cluster.stop(node))],
+      [90.1, (day) => day.cluster.start('n2')],
+      [108, (day) => ['n0', 'n1'].forEach((node) => day.cluster.start(node))],
     ],
   },
   // 17. Tasks of the old attempt keep their zone until they are proven gone.
@@ -253,8 +253,8 @@
     name: 'one-zone gangs and arrays lose machines, some for good',
     seed: 47,
     jobs: 16,
-    everyS: 2,
-    runS: [20, 50],
+    submissionIntervalS: 2,
+    taskDurationRangeS: [20, 50],
     faults: [
       ...at(25, 'cut', 8),
       ...at(28, 'dies', 1),
@@ -269,21 +269,21 @@
   {
     name: 'a zone with workers and a controller is cut off for longer than a lease, its messages come late',
     seed: 48,
-    runS: [20, 70],
+    taskDurationRangeS: [20, 70],
     faults: [
       [
         35,
         (day) => {
-          day.world.hold('n1', ['state', 'cloud', 'n0', 'n2', 'user']);
+          day.environment.holdMessages('n1', ['state', 'cloud', 'n0', 'n2', 'user']);
           for (const node of ['n0', 'n2'])
-            day.world.hold(
+            day.environment.holdMessages(
               node,
-              [...day.world.machines.values()].filter((m) => m.zone === 'y').map((m) => m.id),
+              [...day.environment.machines.values()].filter((m) => m.zone === 'y').map((m) => m.id),
             );
         },
       ],
       [42, (day) => day.cancelRunning(4)],
-      [65, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.world.hold(node, []))],
+      [65, (day) => ['n0', 'n1', 'n2'].forEach((node) => day.environment.holdMessages(node, []))],
     ],
   },
 
@@ -301,16 +301,16 @@
     seed: 82,
     jobs: 5,
     pipelines: 7,
-    everyS: 2,
+    submissionIntervalS: 2,
     faults: [
       [18, (day) => day.cancelPipelines(1)],
       ...at(24, 'isolated', 3),
       [25, (day) => day.cancelPipelines(2)],
-      [40, (day) => day.world.state.refused.add(day.busiest())],
+      [40, (day) => day.environment.state.refused.add(day.busiestNode())],
       [40.2, (day) => day.cancelPipelines(2)],
-      [41, (day) => day.world.state.outage(true)],
-      [66, (day) => day.world.state.outage(false)],
-      [67, (day) => day.world.state.refused.clear()],
+      [41, (day) => day.environment.state.setOutage(true)],
+      [66, (day) => day.environment.state.setOutage(false)],
+      [67, (day) => day.environment.state.refused.clear()],
     ],
   },
   {
--- a/src/cluster-tests/controllers.test.ts
+++ b/src/cluster-tests/controllers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
 import type { CallOutcome } from '../http/model.js';
-import { CANCEL_MS, Cluster, jobOf, NODES, STEP_MS, tick } from '../testing/cluster.js';
+import { CANCEL_MS, Cluster, createStandInJob, NODES, STEP_MS, runDueCallbacks } from '../testing/cluster.js';
 import { SeededRandom } from '../testing/seeded-random.js';
 import { SimulatedEnvironment } from '../testing/simulated-environment.js';
 import type { StandInJob } from '../testing/worker-stand-in.js';
@@ -31,10 +31,10 @@
     seed: 3,
     loss: 0.002,
     faults: [
-      [15, (_, cluster) => cluster.down('n0')],
-      [15.3, (_, cluster) => cluster.up('n0')],
-      [30, (_, cluster) => NODES.forEach((node) => cluster.down(node))],
-      [33, (_, cluster) => NODES.forEach((node) => cluster.up(node))],
+      [15, (_, cluster) => cluster.stop('n0')],
+      [15.3, (_, cluster) => cluster.start('n0')],
+      [30, (_, cluster) => NODES.forEach((node) => cluster.stop(node))],
+      [33, (_, cluster) => NODES.forEach((node) => cluster.start(node))],
     ],
   },
   {
@@ -42,8 +42,8 @@
     seed: 4,
     loss: 0.002,
     faults: [
-      [20, (world) => world.state.outage(true)],
-      [40, (world) => world.state.outage(false)],
+      [20, (world) => world.state.setOutage(true)],
+      [40, (world) => world.state.setOutage(false)],
       [50, (world) => world.state.refused.add('n1')],
       [
         55,
@@ -51,7 +51,7 @@
           [...world.machines.values()]
             .filter((machine) => machine.tasks.size > 0)
             .slice(0, 1)
-            .forEach((machine) => world.kill(machine.id)),
+            .forEach((machine) => world.terminateMachine(machine.id)),
       ],
       [65, (world) => world.state.refused.delete('n1')],
     ],
@@ -61,10 +61,10 @@
     seed: 5,
     loss: 0.001,
     faults: [
-      [24, (world) => world.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
-      [36, (world) => world.machines.forEach((machine) => (machine.cut = false))],
-      [48, (world) => world.machines.forEach((machine) => (machine.cut = machine.tasks.size > 0))],
-      [70, (world) => world.machines.forEach((machine) => (machine.cut = false))],
+      [24, (world) => world.machines.forEach((machine) => (machine.isPartitioned = machine.tasks.size > 0))],
+      [36, (world) => world.machines.forEach((machine) => (machine.isPartitioned = false))],
+      [48, (world) => world.machines.forEach((machine) => (machine.isPartitioned = machine.tasks.size > 0))],
+      [70, (world) => world.machines.forEach((machine) => (machine.isPartitioned = false))],
     ],
   },
   // Its session rises as its lease ends, which is the proof; a gang must not be bound there time and again.
@@ -93,12 +93,12 @@
     loss: 0.001,
     copies: 0.15,
     faults: [
-      [22, (_, cluster) => cluster.down('n1')],
-      [22.1, (_, cluster) => cluster.up('n1')],
-      [40, (_, cluster) => cluster.down('n0')],
-      [52, (_, cluster) => cluster.up('n0')],
-      [60, (_, cluster) => NODES.forEach((node) => cluster.down(node))],
-      [60.1, (_, cluster) => NODES.forEach((node) => cluster.up(node))],
+      [22, (_, cluster) => cluster.stop('n1')],
+      [22.1, (_, cluster) => cluster.start('n1')],
+      [40, (_, cluster) => cluster.stop('n0')],
+      [52, (_, cluster) => cluster.start('n0')],
+      [60, (_, cluster) => NODES.forEach((node) => cluster.stop(node))],
+      [60.1, (_, cluster) => NODES.forEach((node) => cluster.start(node))],
     ],
   },
   // It hears no word of a new holder, so it must fall silent by itself before one commands its workers.
@@ -107,10 +107,10 @@
     seed: 9,
     loss: 0,
     faults: [
-      [20, (world) => world.sever('n0', ['state', 'mesh-n1', 'mesh-n2'])],
-      [50, (world) => world.sever('n0', [])],
-      [62, (world) => world.sever('n1', ['state', 'mesh-n0', 'mesh-n2'])],
-      [85, (world) => world.sever('n1', [])],
+      [20, (world) => world.partition('n0', ['state', 'mesh-n1', 'mesh-n2'])],
+      [50, (world) => world.partition('n0', [])],
+      [62, (world) => world.partition('n1', ['state', 'mesh-n0', 'mesh-n2'])],
+      [85, (world) => world.partition('n1', [])],
     ],
   },
   {
@@ -120,8 +120,8 @@
     faults: [20, 20.4, 21, 25, 25.3, 26, 30.2, 30.4].flatMap((at, k) => {
       const node = NODES[k % 2] ?? 'n0';
       return [
-        [at, (_: SimulatedEnvironment, cluster: Cluster) => cluster.down(node)],
-        [at + 0.1, (_: SimulatedEnvironment, cluster: Cluster) => cluster.up(node)],
+        [at, (_: SimulatedEnvironment, cluster: Cluster) => cluster.stop(node)],
+        [at + 0.1, (_: SimulatedEnvironment, cluster: Cluster) => cluster.start(node)],
       ] as const;
     }),
   },
@@ -134,13 +134,13 @@
         18,
         (world) =>
           NODES.forEach((node) =>
-            world.sever(
+            world.partition(
               node,
               NODES.map((other) => `mesh-${other}`),
             ),
           ),
       ],
-      [80, (world) => NODES.forEach((node) => world.sever(node, []))],
+      [80, (world) => NODES.forEach((node) => world.partition(node, []))],
     ],
   },
 ];
@@ -159,24 +159,25 @@
     const cluster = new Cluster(world);
     try {
       const begin = Date.now();
-      NODES.forEach((node) => cluster.up(node));
-      for (let k = 0; k < 4; k += 1) world.boot(k % 2 === 0 ? 'x' : 'y', false, 100);
-      world.loss = day.loss;
-      world.copies = day.copies ?? 0;
-      world.copyAfter = [1_000, 15_000, 45_000];
+      NODES.forEach((node) => cluster.start(node));
+      for (let k = 0; k < 4; k += 1) world.bootMachine(k % 2 === 0 ? 'x' : 'y', false, 100);
+      world.lossProbability = day.loss;
+      world.duplicateProbability = day.copies ?? 0;
+      world.duplicateDelaysMs = [1_000, 15_000, 45_000];
 
       const jobs: StandInJob[] = [];
       for (let n = 0; n < 16; n += 1) {
         if (n % 4 === 1)
           jobs.push(
-            jobOf(
+            createStandInJob(
               n,
               { shape: 'group', heads: 2, accelerators: 8, vcpus: 60, together: true, owner: 'red' },
               8_000,
             ),
           );
-        else if (n % 4 === 3) jobs.push(jobOf(n, { owner: 'blue', heads: 7, agistment: true }, 12_000));
-        else jobs.push(jobOf(n, { heads: 1 + (n % 5) }, 8_000 + 1_500 * n));
+        else if (n % 4 === 3)
+          jobs.push(createStandInJob(n, { owner: 'blue', heads: 7, agistment: true }, 12_000));
+        else jobs.push(createStandInJob(n, { heads: 1 + (n % 5) }, 8_000 + 1_500 * n));
       }
       /** Users: submit until accepted, poll until done; one cancels. */
       const user = async (job: StandInJob, order: number): Promise<void> => {
@@ -188,7 +189,7 @@
           const answer = await ask('POST', '/v2/runs', job.body);
           if (answer._tag === 'response' && (answer.status === 201 || answer.status === 200)) break;
           if (answer._tag === 'response' && answer.status < 500)
-            world.broken.push(`refused ${job.id} ${answer.status}`);
+            world.violations.push(`refused ${job.id} ${answer.status}`);
           await new Promise((resolve) => setTimeout(resolve, 1_000));
         }
         job.accepted = true;
@@ -205,16 +206,17 @@
         }
         for (;;) {
           const answer = await ask('GET', `/v2/runs/${job.id}`);
-          if (answer._tag === 'response' && answer.status === 404) world.broken.push(`forgotten ${job.id}`);
+          if (answer._tag === 'response' && answer.status === 404)
+            world.violations.push(`forgotten ${job.id}`);
           if (answer._tag === 'response' && answer.status === 200) {
             const { status } = answer.body as { status: string };
-            if (status === 'done' && !world.allDone(job)) world.broken.push(`not_done ${job.id}`);
+            if (status === 'done' && !world.areAllTasksDone(job)) world.violations.push(`not_done ${job.id}`);
             if (job.cancelledAt !== null && status !== 'withdrawn')
-              world.broken.push(`went_back ${job.id} ${status}`);
+              world.violations.push(`went_back ${job.id} ${status}`);
             if (job.cancelledAt === null && status === 'withdrawn')
-              world.broken.push(`went_back ${job.id} ${status}`);
+              world.violations.push(`went_back ${job.id} ${status}`);
             if (status === 'done' || status === 'withdrawn') {
-              job.doneTold = true;
+              job.isFinalStatusReported = true;
               return;
             }
           }
@@ -234,7 +236,7 @@
               const answer = await world.call('user', node, 'GET', `/v2/runs/${job.id}`, undefined, 2_000);
               known = answer._tag === 'response' && answer.status === 200;
             }
-            if (!known) world.broken.push(`forgotten ${job.id} at ${node}`);
+            if (!known) world.violations.push(`forgotten ${job.id} at ${node}`);
           }
         }
       };
@@ -242,19 +244,19 @@
       const end = begin + 400_000;
       const lastFault = begin + (faults.at(-1)?.[0] ?? 0) * 1000;
       let asked = false;
-      while (Date.now() < end && !(asked && jobs.every((job) => job.doneTold))) {
+      while (Date.now() < end && !(asked && jobs.every((job) => job.isFinalStatusReported))) {
         if (!asked && Date.now() > lastFault + 60_000) {
           asked = true;
           void askAll();
         }
         mock.timers.tick(STEP_MS);
-        await tick();
+        await runDueCallbacks();
         world.step();
         while (faults[0] && Date.now() - begin >= faults[0][0] * 1000) faults.shift()?.[1](world, cluster);
       }
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(world.violations, []);
       assert.deepEqual(
-        jobs.filter((job) => !job.doneTold).map((job) => job.id),
+        jobs.filter((job) => !job.isFinalStatusReported).map((job) => job.id),
         [],
         'every job is over and its user told',
       );
@@ -270,19 +272,19 @@
       if (day.most !== undefined)
         assert.ok(Math.max(...starts.values()) <= day.most, 'nothing is started again and again');
       // No record of a machine that is gone stays: late reports must not bring it back for good.
-      world.copies = 0;
+      world.duplicateProbability = 0;
       for (const until = Date.now() + 70_000; Date.now() < until;) {
         mock.timers.tick(STEP_MS);
-        await tick();
+        await runDueCallbacks();
         world.step();
       }
       assert.deepEqual(
-        world.state.keys('w/m/').filter((key) => world.machines.get(key.slice(4))?.dead !== false),
+        world.state.keys('w/m/').filter((key) => world.machines.get(key.slice(4))?.isTerminated !== false),
         [],
       );
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(world.violations, []);
     } finally {
-      NODES.forEach((node) => cluster.down(node));
+      NODES.forEach((node) => cluster.stop(node));
       mock.timers.reset();
     }
   });
@@ -306,13 +308,13 @@
   const begun = new Map<string, number>();
   const submitted = new Map<string, { job: StandInJob; at: number; kind: string }>();
   try {
-    NODES.forEach((node) => cluster.up(node));
+    NODES.forEach((node) => cluster.start(node));
     const gang = { shape: 'group', accelerators: 8, vcpus: 60, together: true };
     const begin = Date.now();
     let n = 0;
     const submit = (kind: string, over: Partial<Record<string, unknown>>, runMs: number): void => {
       n += 1;
-      const job = jobOf(n, { herd: kind, owner: n % 2 === 0 ? 'red' : 'blue', ...over }, runMs);
+      const job = createStandInJob(n, { herd: kind, owner: n % 2 === 0 ? 'red' : 'blue', ...over }, runMs);
       world.jobs.set(job.id, job);
       submitted.set(job.id, { job, at: Date.now(), kind });
       const send = async (): Promise<void> => {
@@ -329,7 +331,7 @@
     const larges = [40, 60, 80, 100, 120].map((at) => begin + at * 1000);
     while (Date.now() < begin + 380_000) {
       mock.timers.tick(STEP_MS);
-      await tick();
+      await runDueCallbacks();
       world.step();
       for (const start of world.starts.splice(0)) {
         const id = start.slice(0, start.indexOf('/'));
@@ -350,7 +352,7 @@
         submit('large', { ...gang, heads: 5 }, 12_000);
       }
     }
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
     const groups = new Map<string, { all: number; served: number }>();
     for (const [id, { job, at, kind }] of submitted) {
       const start = begun.get(id);
@@ -369,7 +371,7 @@
     for (const [group, { all, served }] of groups)
       assert.ok(served * 2 >= all, `${group}: ${served} of ${all} served`);
   } finally {
-    NODES.forEach((node) => cluster.down(node));
+    NODES.forEach((node) => cluster.stop(node));
     mock.timers.reset();
   }
 });
@@ -381,19 +383,19 @@
   const pass = async (ms: number): Promise<void> => {
     for (const end = Date.now() + ms; Date.now() < end;) {
       mock.timers.tick(STEP_MS);
-      await tick();
+      await runDueCallbacks();
       world.step();
     }
   };
   try {
-    NODES.forEach((node) => cluster.up(node));
-    const id = world.boot('x', false, 100);
+    NODES.forEach((node) => cluster.start(node));
+    const id = world.bootMachine('x', false, 100);
     await pass(8_000);
     assert.deepEqual(world.state.keys('w/m/'), [`w/m/${id}`], 'adopted');
-    const report = world.machines.get(id)?.report();
+    const report = world.machines.get(id)?.nextHeartbeat();
     await pass(40_000);
     assert.deepEqual(world.state.keys('w/m/'), [], 'idle, and returned');
-    NODES.forEach((node) => cluster.up(node)); // No node remembers that it was released.
+    NODES.forEach((node) => cluster.start(node)); // No node remembers that it was released.
     await pass(10_000);
     for (const node of NODES) void world.call(id, node, 'POST', '/hello', report, 4_000);
     await pass(4_000);
@@ -401,7 +403,7 @@
     await pass(20_000);
     assert.deepEqual(world.state.keys('w/m/'), [], 'but it is not heard from');
   } finally {
-    NODES.forEach((node) => cluster.down(node));
+    NODES.forEach((node) => cluster.stop(node));
     mock.timers.reset();
   }
 });
@@ -416,7 +418,7 @@
     const pass = async (ms: number): Promise<void> => {
       for (const end = Date.now() + ms; Date.now() < end;) {
         mock.timers.tick(STEP_MS);
-        await tick();
+        await runDueCallbacks();
         world.step();
       }
     };
@@ -427,10 +429,10 @@
       return answer;
     };
     try {
-      NODES.forEach((node) => cluster.up(node));
-      for (let k = 0; k < 2; k += 1) world.boot('x', false, 100);
+      NODES.forEach((node) => cluster.start(node));
+      for (let k = 0; k < 2; k += 1) world.bootMachine('x', false, 100);
       await pass(5_000);
-      const job = jobOf(1, { heads: 100_000, owner: 'blue' }, 1_500);
+      const job = createStandInJob(1, { heads: 100_000, owner: 'blue' }, 1_500);
       world.jobs.set(job.id, job);
       const accepted = await ask('POST', '/v2/runs', job.body);
       assert.ok(accepted._tag === 'response' && accepted.status === 201);
@@ -445,9 +447,9 @@
       assert.deepEqual(world.state.keys('r/'), []);
       assert.deepEqual(world.state.keys('w/j/'), []);
       assert.deepEqual(world.state.keys('f/'), [`f/${job.id}`]);
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(world.violations, []);
     } finally {
-      NODES.forEach((node) => cluster.down(node));
+      NODES.forEach((node) => cluster.stop(node));
       mock.timers.reset();
     }
   },
--- a/src/cluster-tests/frozen-leader-queue.test.ts
+++ b/src/cluster-tests/frozen-leader-queue.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { LateAction } from '../testing/late-actions.js';
 import { LeaderScenario } from '../testing/leader-scenario.js';
-import type { SeenRequest } from '../testing/loopback.js';
+import type { ReceivedRequest } from '../testing/loopback.js';
 
 const TIMEOUT_MS = 150_000;
 /** Freezes until one has to let a late action land where fencing is off. */
@@ -17,23 +17,23 @@
   // Calls per second, at which each call makes the next one wait for about four seconds.
   const options = { features, cloudRps: 0.25 };
   let found: readonly LateAction[] = [];
-  await LeaderScenario.play(options, async (scenario) => {
+  await LeaderScenario.run(options, async (scenario) => {
     const { deployment } = scenario;
-    const old = await deployment.ready();
-    await scenario.held(old.node);
+    const old = await deployment.waitUntilReady();
+    await scenario.waitUntilDutyHeld(old.node);
     const callsBefore = deployment.cloud.requests.length;
-    await deployment.until('a call, after which the next one waits', () =>
+    await deployment.waitUntil('a call, after which the next one waits', () =>
       deployment.cloud.requests.slice(callsBefore).some(({ node }) => node === old.node),
     );
-    const isRenewal = ({ call }: SeenRequest): boolean => /^\/holds\/\d+\/renew$/.test(call.path);
+    const isRenewal = ({ call }: ReceivedRequest): boolean => /^\/holds\/\d+\/renew$/.test(call.path);
     const lift = deployment.refuse((seen) => seen.node === old.node && isRenewal(seen));
     await scenario.submit(1);
-    await scenario.decided(old.node);
-    deployment.freeze(old.node);
-    await scenario.successor(old.node);
+    await scenario.waitUntilProvisioningDecided(old.node);
+    deployment.suspend(old.node);
+    await scenario.waitForSuccessor(old.node);
     deployment.resume(old.node);
     lift();
-    await scenario.aftermath();
+    await scenario.waitForLateEffects();
     found = scenario.lateActions();
   });
   return found;
--- a/src/cluster-tests/frozen-leader.test.ts
+++ b/src/cluster-tests/frozen-leader.test.ts
@@ -3,7 +3,7 @@
 import { writeMachineRecord } from '../fleet/machine-record-codec.js';
 import { machineRecord } from '../testing/bodies.js';
 import { LeaderScenario } from '../testing/leader-scenario.js';
-import type { LoopbackOptions, SeenRequest } from '../testing/loopback.js';
+import type { LoopbackOptions, ReceivedRequest } from '../testing/loopback.js';
 
 /**
  * Three real controllers on loopback. The leader is stopped by SIGSTOP in each window of renting and
@@ -11,17 +11,17 @@
  */
 const ON: LoopbackOptions = { features: 'fencing = true\n', cloudRps: 4 };
 const TIMEOUT_MS = 150_000;
-const isIntent = ({ service, call }: SeenRequest): boolean =>
+const isIntent = ({ service, call }: ReceivedRequest): boolean =>
   service === 'state' && call.path === '/txn' && JSON.stringify(call.body).includes('"i/rent"');
-const isRental = ({ service, call }: SeenRequest): boolean =>
+const isRental = ({ service, call }: ReceivedRequest): boolean =>
   service === 'cloud' && call.path === '/machines' && call.method === 'POST';
-const isRelease = ({ service, call }: SeenRequest): boolean =>
+const isRelease = ({ service, call }: ReceivedRequest): boolean =>
   service === 'cloud' && call.path === '/machines/release';
 
 const windows: readonly {
   name: string;
   at: 'request' | 'answer';
-  matches: (request: SeenRequest) => boolean;
+  matches: (request: ReceivedRequest) => boolean;
   /** Who ends up having rented under the old leader's name. */
   rentedUnderOldName: number;
 }[] = [
@@ -32,19 +32,19 @@
 ];
 for (const window of windows) {
   test(`fencing: the leader is frozen ${window.name} of a rental`, { timeout: TIMEOUT_MS }, async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+    await LeaderScenario.run(ON, async (scenario) => {
       const { deployment } = scenario;
-      const old = await deployment.ready();
-      await scenario.held(old.node);
+      const old = await deployment.waitUntilReady();
+      await scenario.waitUntilDutyHeld(old.node);
       const held = deployment.hold(window.at, (seen) => seen.node === old.node && window.matches(seen));
       await scenario.submit(1);
-      await deployment.until('the leader to be in the window', () => held.count() > 0);
-      deployment.freeze(old.node);
-      const next = await scenario.successor(old.node);
-      await scenario.held(next.node);
+      await deployment.waitUntil('the leader to be in the window', () => held.count() > 0);
+      deployment.suspend(old.node);
+      const next = await scenario.waitForSuccessor(old.node);
+      await scenario.waitUntilDutyHeld(next.node);
       deployment.resume(old.node);
       held.release();
-      await scenario.aftermath();
+      await scenario.waitForLateEffects();
       assert.ok(next.token > old.token, 'tokens rise');
       assert.deepEqual(scenario.lateActions(), []);
       const underOldName = deployment.cloud.actions.filter(
@@ -53,7 +53,7 @@
       );
       assert.equal(underOldName.length, window.rentedUnderOldName, 'carried out once, or never');
       // One job needs one machine: nothing was rented twice.
-      await deployment.until('one machine', () => deployment.cloud.machines.size === 1);
+      await deployment.waitUntil('one machine', () => deployment.cloud.machines.size === 1);
     });
   });
 }
@@ -62,23 +62,26 @@
   'fencing: the leader is frozen while its release request is under way',
   { timeout: TIMEOUT_MS },
   async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+    await LeaderScenario.run(ON, async (scenario) => {
       const { deployment } = scenario;
-      const old = await deployment.ready();
+      const old = await deployment.waitUntilReady();
       const held = deployment.hold('request', (seen) => seen.node === old.node && isRelease(seen));
-      deployment.cloud.add('i-900001');
+      deployment.cloud.addMachine('i-900001');
       await deployment.state.handle('test', 'POST', '/txn', {
         when: [],
         writes: [{ write: 'w/m/i-900001', data: writeMachineRecord(machineRecord({ releasing: true })) }],
       });
-      await deployment.until('the release to be under way', () => held.count() > 0);
-      deployment.freeze(old.node);
-      const next = await scenario.successor(old.node);
-      await deployment.until('the successor to release it', () => !deployment.cloud.machines.has('i-900001'));
-      await deployment.until('its record to go', () => deployment.state.version('w/m/i-900001') === 0);
+      await deployment.waitUntil('the release to be under way', () => held.count() > 0);
+      deployment.suspend(old.node);
+      const next = await scenario.waitForSuccessor(old.node);
+      await deployment.waitUntil(
+        'the successor to release it',
+        () => !deployment.cloud.machines.has('i-900001'),
+      );
+      await deployment.waitUntil('its record to go', () => deployment.state.version('w/m/i-900001') === 0);
       deployment.resume(old.node);
       held.release();
-      await scenario.aftermath();
+      await scenario.waitForLateEffects();
       assert.ok(next.token > old.token);
       assert.deepEqual(scenario.lateActions(), []);
     });
@@ -86,23 +89,23 @@
 );
 
 test('fencing: the state service is out while the leader is frozen', { timeout: TIMEOUT_MS }, async () => {
-  await LeaderScenario.play(ON, async (scenario) => {
+  await LeaderScenario.run(ON, async (scenario) => {
     const { deployment } = scenario;
-    const old = await deployment.ready();
-    await scenario.held(old.node);
+    const old = await deployment.waitUntilReady();
+    await scenario.waitUntilDutyHeld(old.node);
     const held = deployment.hold('answer', (seen) => seen.node === old.node && isIntent(seen));
     await scenario.submit(1);
-    await deployment.until('the intent to be durable', () => held.count() > 0);
-    deployment.freeze(old.node);
-    deployment.state.outage(true);
-    await scenario.aftermath();
+    await deployment.waitUntil('the intent to be durable', () => held.count() > 0);
+    deployment.suspend(old.node);
+    deployment.state.setOutage(true);
+    await scenario.waitForLateEffects();
     // Its lease has its full time again, so only then does a successor take the duty.
-    deployment.state.outage(false);
-    const next = await scenario.successor(old.node);
-    await scenario.held(next.node);
+    deployment.state.setOutage(false);
+    const next = await scenario.waitForSuccessor(old.node);
+    await scenario.waitUntilDutyHeld(next.node);
     deployment.resume(old.node);
     held.release();
-    await scenario.aftermath();
+    await scenario.waitForLateEffects();
     assert.deepEqual(scenario.lateActions(), []);
     assert.equal(deployment.cloud.machines.size, 1);
   });
@@ -112,23 +115,23 @@
   'fencing: a leader killed with an open intent and back at once settles it itself',
   { timeout: TIMEOUT_MS },
   async () => {
-    await LeaderScenario.play(ON, async (scenario) => {
+    await LeaderScenario.run(ON, async (scenario) => {
       const { deployment } = scenario;
-      const old = await deployment.ready();
-      await scenario.held(old.node);
+      const old = await deployment.waitUntilReady();
+      await scenario.waitUntilDutyHeld(old.node);
       const held = deployment.hold('request', (seen) => seen.node === old.node && isRental(seen));
       await scenario.submit(1);
-      await deployment.until('the call to be under way', () => held.count() > 0);
+      await deployment.waitUntil('the call to be under way', () => held.count() > 0);
       await deployment.kill(old.node);
       deployment.spawn(old.node);
-      const next = await deployment.until('a later token', () => {
-        const last = scenario.tenures.at(-1);
+      const next = await deployment.waitUntil('a later token', () => {
+        const last = scenario.leadershipTerms.at(-1);
         return last && last.token > old.token ? last : null;
       });
       // The late request of the process that ended arrives after the new one has begun.
       held.release();
-      await scenario.held(next.node);
-      await scenario.aftermath();
+      await scenario.waitUntilDutyHeld(next.node);
+      await scenario.waitForLateEffects();
       const made = deployment.cloud.actions.filter(
         ({ kind, machines }) => kind === 'rent' && machines.length > 0,
       );
--- a/src/cluster-tests/invalid-input.test.ts
+++ b/src/cluster-tests/invalid-input.test.ts
@@ -49,7 +49,7 @@
   const askAll = (day: ScenarioRun, when: string): void => {
     for (const node of NODES) {
       for (const row of rows) {
-        day.askNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
+        day.requestFromNode(node, row.method, row.path, row.body, (status, _, tookMs) => {
           const allowed = status === row.status || (status === 503 && row.always !== true);
           if (!allowed) wrong.push(`${when}, ${node}, ${row.name}: ${status}`);
           if (tookMs > 2_500) wrong.push(`${when}, ${node}, ${row.name}: held back ${tookMs} ms`);
@@ -58,32 +58,32 @@
         });
       }
       // A job that is done stays so for whoever cancels it or sends it again.
-      const done = day.jobs.find((job) => job.doneTold && job.cancelledAt === null);
+      const done = day.jobs.find((job) => job.isFinalStatusReported && job.cancelledAt === null);
       if (!done) continue;
       const check = (status: number, said: unknown): void => {
         if (status !== 200 && status !== 503) wrong.push(`${when}, ${node}, done: ${status}`);
         if (status === 200 && (said as { status: string }).status !== 'done')
           wrong.push(`${when}, ${node}, done: ${JSON.stringify(said)}`);
       };
-      day.askNode(node, 'POST', `/v2/runs/${done.id}/abort`, undefined, check);
-      day.askNode(node, 'POST', '/v2/runs', done.body, check);
-      day.askNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
+      day.requestFromNode(node, 'POST', `/v2/runs/${done.id}/abort`, undefined, check);
+      day.requestFromNode(node, 'POST', '/v2/runs', done.body, check);
+      day.requestFromNode(node, 'POST', '/v2/runs', { ...(done.body as object), owner: 'nobody' }, check);
     }
   };
   const day: Scenario = {
     seed: 91,
     jobs: 18,
-    everyS: 1,
-    runS: [8, 20],
+    submissionIntervalS: 1,
+    taskDurationRangeS: [8, 20],
     faults: [
       [12, (play) => askAll(play, 'under load')],
-      [30, (play) => play.cluster.down(play.busiest())],
+      [30, (play) => play.cluster.stop(play.busiestNode())],
       [36, (play) => askAll(play, 'right after a takeover')],
-      [40, (play) => NODES.forEach((node) => play.cluster.up(node))],
+      [40, (play) => NODES.forEach((node) => play.cluster.start(node))],
       [40.3, (play) => askAll(play, 'right after a start')],
-      [55, (play) => play.world.state.outage(true)],
+      [55, (play) => play.environment.state.setOutage(true)],
       [58, (play) => askAll(play, 'in an outage')],
-      [66, (play) => play.world.state.outage(false)],
+      [66, (play) => play.environment.state.setOutage(false)],
       [75, (play) => askAll(play, 'afterwards')],
     ],
   };
--- a/src/concurrency/batcher.ts
+++ b/src/concurrency/batcher.ts
@@ -23,7 +23,7 @@
   ) {}
 
   /** Asks a question together with those that come close to it. */
-  ask(question: Question): Promise<Answer> {
+  submit(question: Question): Promise<Answer> {
     return new Promise((resolve) => {
       this.waiting.push({ question, resolve });
       if (this.waiting.length >= this.maxBatchSize) this.send();
--- a/src/constants/cancellation.ts
+++ b/src/constants/cancellation.ts
@@ -9,6 +9,6 @@
 /** Taken off the time for which a holder may answer workers without having read the keys. */
 export const OUTAGE_GRACE_MARGIN_MS = 5_000;
 /** Time before the end of `cancel_s` at which a machine goes back whose cancelled task isn't proven gone. */
-export const CANCELLED_MACHINE_RETURN_MARGIN_MS = 10_000;
+export const CANCELLED_MACHINE_RELEASE_MARGIN_MS = 10_000;
 /** Least time between two direct requests to return machines while the store can't be written. */
-export const URGENT_RETURN_INTERVAL_MS = 2_000;
+export const URGENT_RELEASE_INTERVAL_MS = 2_000;
--- a/src/constants/command-line.ts
+++ b/src/constants/command-line.ts
@@ -8,4 +8,4 @@
 export const EXIT_USAGE = 2;
 
 /** ms: wait for a controller's answer; it reads one value of the state service for it. */
-export const ADMIN_ANSWER_TIMEOUT_MS = 5_000;
+export const ADMIN_REQUEST_TIMEOUT_MS = 5_000;
--- a/src/constants/http.ts
+++ b/src/constants/http.ts
@@ -7,12 +7,12 @@
 /** Size up to which a body is written together with its head; larger ones are not worth the copy. */
 export const MAX_SINGLE_WRITE_BYTES = 4 * 1024;
 /** A packed body whose size times this is within the limit is not measured as JSON. */
-export const JSON_EXPANSION_FACTOR = 4;
+export const MAX_JSON_EXPANSION_FACTOR = 4;
 
 /** Part of the file descriptors that incoming connections on the API address may use. */
 export const INCOMING_SOCKET_FRACTION = 0.76;
 /** Part of those above which workers' connections are closed after each report, so that others find room. */
-export const CROWDED_SOCKET_FRACTION = 0.85;
+export const WORKER_KEEP_ALIVE_SOCKET_FRACTION = 0.85;
 /** Part of the file descriptors that connections to workers may use, idle ones included. */
 export const WORKER_CLIENT_SOCKET_FRACTION = 0.12;
 /** Idle sockets that a client keeps open to one address. */
--- a/src/constants/key-value-store.ts
+++ b/src/constants/key-value-store.ts
@@ -41,7 +41,7 @@
 /** How often such a call is sent again. */
 export const MAX_RATE_LIMITED_RETRIES = 6;
 /** Part of the common rate that is divided evenly, so that an idle controller can act at once. */
-export const EVEN_RATE_FRACTION = 0.5;
+export const EVENLY_DIVIDED_RATE_FRACTION = 0.5;
 /** Window over which a controller's demand for rate is measured. */
 export const RATE_DEMAND_WINDOW_MS = 2_000;
 /** Part of a controller's rate that only lease requests and users' calls may use. */
@@ -89,4 +89,4 @@
 /** Part of the largest value that the names of images may take. */
 export const IMAGE_NAMES_VALUE_FRACTION = 0.25;
 /** A part of a dependency list without the ids. */
-export const FOLLOWED_IDS_OVERHEAD_BYTES = 64;
+export const DEPENDENCY_LIST_OVERHEAD_BYTES = 64;
--- a/src/constants/machines.ts
+++ b/src/constants/machines.ts
@@ -11,11 +11,11 @@
 /** Report intervals of silence after which a spot machine counts as taken back by the cloud. */
 export const SPOT_SILENCE_REPORT_INTERVALS = 3.3;
 /** Such silences that must have passed since the shard was read, before silence counts against a machine. */
-export const SETTLING_SPOT_SILENCES = 2;
+export const SHARD_LOAD_GRACE_SPOT_SILENCES = 2;
 /** How long a machine under suspicion gets no new tasks. */
 export const SUSPECT_MACHINE_PAUSE_MS = 60_000;
 /** How long a machine moved here from another shard counts as room before its worker has answered. */
-export const MOVED_MACHINE_CONTACT_TIMEOUT_MS = 3_000;
+export const TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS = 3_000;
 
 /** Nominal boot times after which a machine that has not reported is given up. */
 export const BOOT_TIMEOUT_FACTOR = 2.5;
@@ -31,12 +31,12 @@
 /** Least time for which an idle machine is held: reports and moves take some seconds. */
 export const MIN_IDLE_HOLD_S = 15;
 /** Nominal boot times for which an idle machine is held: about what a new one costs, in time and money. */
-export const IDLE_HOLD_BOOT_TIMES = 1.5;
+export const IDLE_HOLD_BOOT_FACTOR = 1.5;
 /** Idle machines of one kind that each shard holds for that long. */
 export const LONG_IDLE_HOLD_MACHINES = 2;
 /** Nominal boot times for which the others are held. */
-export const SURPLUS_IDLE_HOLD_BOOT_TIMES = 0.5;
+export const SURPLUS_IDLE_HOLD_BOOT_FACTOR = 0.5;
 /** Multiple of a class's loosest start target above which a boot can't serve that class at all. */
 export const BOOT_BOUND_TARGET_FACTOR = 4;
 /** Nominal boot times for which an idle on-demand machine is held where a boot can't serve some class. */
-export const BOOT_BOUND_IDLE_HOLD_BOOT_TIMES = 10;
+export const BOOT_BOUND_IDLE_HOLD_BOOT_FACTOR = 10;
--- a/src/constants/placement.ts
+++ b/src/constants/placement.ts
@@ -22,11 +22,11 @@
 export const CPUS_PER_GPU_WEIGHT = 8;
 
 /** Waiting time after which on-demand machines are provisioned for work that may use spot machines. */
-export const ON_DEMAND_PROVISIONING_PATIENCE_S = 180;
+export const ON_DEMAND_PROVISIONING_WAIT_S = 180;
 /** Waiting time after which such work may use on-demand machines that are up. */
-export const ON_DEMAND_PATIENCE_S = 20;
+export const ON_DEMAND_PLACEMENT_WAIT_S = 20;
 /** The same within a team's guarantee, which promises a prompt start. */
-export const GUARANTEED_ON_DEMAND_PATIENCE_S = 5;
+export const GUARANTEED_ON_DEMAND_PLACEMENT_WAIT_S = 5;
 /** Slack to a target below which an on-demand machine that is up is used rather than waited for. */
 export const URGENT_PLACEMENT_SLACK_S = 20;
 /** Slack to a target, boot time taken off, below which an on-demand machine is provisioned. */
@@ -39,7 +39,7 @@
 export const RESERVED_IDLE_MACHINES = 1;
 
 /** Different machines on which a job's tasks fail before the job itself counts as faulty. */
-export const FAULTY_JOB_MACHINES = 3;
+export const JOB_FAULT_MACHINE_THRESHOLD = 3;
 /** First pause of a job that fails; each further failure doubles it. */
 export const JOB_BACKOFF_MS = 5_000;
 /** Longest pause of a job that fails. */
--- a/src/constants/users-api.ts
+++ b/src/constants/users-api.ts
@@ -11,6 +11,6 @@
 /** Value of `Retry-After` when the controller can't answer now. */
 export const RETRY_AFTER_S = 1;
 /** Timeout of a user's call here; users give up after 5 s, and poll every 2 s. */
-export const USER_CALL_TIMEOUT_MS = 1_800;
+export const USER_REQUEST_TIMEOUT_MS = 1_800;
 /** Attempts to record a cancellation while the job's record changes. */
 export const CANCELLATION_ATTEMPTS = 4;
--- a/src/constants/workers.ts
+++ b/src/constants/workers.ts
@@ -1,7 +1,7 @@
 /** Workers: answers to their reports, direct commands, and tasks that are stopped or over. */
 
 /** How long the answer to a report may wait for the placement that the report made possible. */
-export const MAX_REPORT_ANSWER_DELAY_MS = 400;
+export const MAX_HEARTBEAT_RESPONSE_DELAY_MS = 400;
 /** Timeout of a command sent directly to a worker. */
 export const DIRECT_COMMAND_TIMEOUT_MS = 1_500;
 /**
@@ -13,6 +13,6 @@
 /** Time past its grace after which a task that saves is ended without. */
 export const STOP_GRACE_OVERRUN_MS = 4_000;
 /** Recorded exits that a worker is told to forget together, since it reports anew after each time. */
-export const FORGET_BATCH_EXITS = 12;
+export const FORGET_COMMAND_BATCH_SIZE = 12;
 /** Longest time for which a recorded exit waits for others to be forgotten with it. */
-export const MAX_FORGET_DELAY_MS = 30_000;
+export const MAX_FORGET_COMMAND_DELAY_MS = 30_000;
--- a/src/controller/api.ts
+++ b/src/controller/api.ts
@@ -77,7 +77,7 @@
   leadership: Leadership,
 ): WorkerHeartbeatHandler =>
   new WorkerHeartbeatHandler({
-    me: deployment.self.node,
+    ownNode: deployment.self.node,
     cache: storeAccess.cache,
     now: clocks.steady,
     shard: (shardId) => shards.actingShard(shardId),
--- a/src/controller/compose.ts
+++ b/src/controller/compose.ts
@@ -4,7 +4,7 @@
 import type * as Effect from 'effect/Effect';
 import { divideStoreRates } from '../peers/rate-division.js';
 import { NO_FEATURES, type Features } from '../settings/features.js';
-import { ANYONE, type AdminAccess } from '../settings/networks.js';
+import { ALLOW_ANY_ADDRESS, type AdminAccess } from '../settings/networks.js';
 import type { Settings } from '../settings/schema.js';
 import { decodeChange } from '../kv-store/change-feed.js';
 import { createApi, createPeerRequests, createWorkerHeartbeatHandler } from './api.js';
@@ -93,7 +93,7 @@
   settings: Settings,
   ports: Ports,
   features: Features = NO_FEATURES,
-  adminAccess: AdminAccess = ANYONE,
+  adminAccess: AdminAccess = ALLOW_ANY_ADDRESS,
 ): Controller => {
   const subsystems = createSubsystems(settings, ports, features);
   const { coordination, sharding } = subsystems;
--- a/src/controller/coordination.ts
+++ b/src/controller/coordination.ts
@@ -52,7 +52,7 @@
   leaderNode: () => string | undefined,
 ): PeerNetwork =>
   new PeerNetwork({
-    me: deployment.self.node,
+    ownNode: deployment.self.node,
     peers: readPeerAddresses(settings),
     now: clocks.lease,
     createHttpClient: ports.createHttpClient,
@@ -74,7 +74,7 @@
     store: storeAccess.store,
     cache: storeAccess.cache,
     announcedVersions: () => peers.announcedVersions(),
-    beginAgreement: () => duties.registry.leader('protocol-level').begin('agreed protocol level'),
+    beginAgreement: () => duties.registry.leaderDuty('protocol-level').begin('agreed protocol level'),
   });
   const leases: LeaseManager = new LeaseManager(storeAccess.store, storeAccess.cache, {
     self: deployment.self,
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -4,7 +4,7 @@
  */
 import type * as Effect from 'effect/Effect';
 import type { ServerRequest, HttpClientFactory, ServerResponse } from '../http/model.js';
-import type { DirectCommands } from '../workers/worker-client.js';
+import type { DirectCommandSender } from '../workers/worker-client.js';
 
 /** What a controller needs from its process; tests pass stand-ins. */
 export interface Ports {
@@ -17,7 +17,7 @@
   /** An id that is different for every process that ever runs as this controller. */
   readonly incarnation: string;
   readonly createHttpClient: HttpClientFactory;
-  readonly workerClient: DirectCommands;
+  readonly workerClient: DirectCommandSender;
 }
 
 /** A composed controller. */
--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -1,6 +1,6 @@
 /** Routes requests on the API address to the subsystem that answers them. No state; `start.ts` serves it. */
 import * as Effect from 'effect/Effect';
-import { RETRY_AFTER_S, USER_CALL_TIMEOUT_MS } from '../constants/users-api.js';
+import { RETRY_AFTER_S, USER_REQUEST_TIMEOUT_MS } from '../constants/users-api.js';
 import type { DutiesApi } from '../duties/admin-api.js';
 import type { ServerRequest, ServerResponse } from '../http/model.js';
 import type { UsersApi } from '../jobs/api.js';
@@ -28,7 +28,7 @@
         body: { error: 'took too long' },
         headers: { 'retry-after': String(RETRY_AFTER_S) },
       });
-    }, USER_CALL_TIMEOUT_MS);
+    }, USER_REQUEST_TIMEOUT_MS);
     Effect.runPromise(reply)
       .then(resolve, reject)
       .finally(() => clearTimeout(timer));
--- a/src/controller/shard-context.ts
+++ b/src/controller/shard-context.ts
@@ -47,7 +47,7 @@
       releaseWithoutIntent(
         {
           shardId,
-          duty: duties.registry.shard(shardId, 'reclaim'),
+          duty: duties.registry.shardDuty(shardId, 'reclaim'),
           ownNode: context.deployment.self.node,
           leaderNode,
           msSinceStoreAnswered: context.storeAccess.msSinceAnswered,
@@ -56,7 +56,7 @@
         },
         machines,
       ),
-    cleanUpDuty: context.features.fencing ? duties.registry.shard(shardId, 'clean-up') : null,
+    cleanUpDuty: context.features.fencing ? duties.registry.shardDuty(shardId, 'clean-up') : null,
     onLoaded: () => duties.registry.shardLoaded(shardId, claim),
   };
 };
--- a/src/controller/start.ts
+++ b/src/controller/start.ts
@@ -61,7 +61,7 @@
   const controller = compose(settings, processPorts(settings), features, adminAccess);
   await serve(
     parseTarget(addresses.api),
-    { connections: apiConnections(settings), crowd: (path) => path === WORKER_HEARTBEAT_PATH },
+    { connections: apiConnections(settings), closesWhenCrowded: (path) => path === WORKER_HEARTBEAT_PATH },
     MAX_BODY_BYTES,
     controller.route,
     logFailedRequest,
--- a/src/duties/duty-registry.ts
+++ b/src/duties/duty-registry.ts
@@ -84,12 +84,12 @@
   }
 
   /** A duty of the leader. */
-  leader(name: LeaderDutyName): Duty {
+  leaderDuty(name: LeaderDutyName): Duty {
     return this.leaderDuties[name];
   }
 
   /** A duty of the holder of a shard. Throws a RangeError if the deployment has no such shard. */
-  shard(shardId: number, name: ShardDutyName): Duty {
+  shardDuty(shardId: number, name: ShardDutyName): Duty {
     const duties = this.shardDuties.get(String(shardId));
     if (duties === undefined) throw new RangeError(`no duty ${name} on claim ${shardId}`);
     return duties[name];
@@ -118,7 +118,7 @@
   private auditHolder(claimName: string): void {
     const claim = this.dependencies.leases.claim(claimName);
     if (claim) this.audit.recordHolder(claimName, tokenOf(claim.revision), claim.node, claim.incarnation);
-    else this.audit.recordEnd(claimName, 'lease ended');
+    else this.audit.recordHolderEnd(claimName, 'lease ended');
   }
 
   private applyClaim(duty: Duty, token: FencingToken): void {
@@ -130,6 +130,6 @@
   /** The shard's state has been rebuilt under the claim of this revision: its duties begin. */
   shardLoaded(shardId: number, claimRevision: number): void {
     const token = tokenOf(claimRevision);
-    for (const name of SHARD_DUTIES) this.shard(shardId, name).apply({ _tag: 'settled', token });
+    for (const name of SHARD_DUTIES) this.shardDuty(shardId, name).apply({ _tag: 'settled', token });
   }
 }
--- a/src/duties/release-without-intent.test.ts
+++ b/src/duties/release-without-intent.test.ts
@@ -32,7 +32,7 @@
     const returned = await releaseWithoutIntent(
       {
         shardId: 2,
-        duty: leaderDuties(HELD_UNDER, () => 0).leader('release'),
+        duty: leaderDuties(HELD_UNDER, () => 0).leaderDuty('release'),
         ownNode: 'n0',
         leaderNode: () => (row.leader === '' ? undefined : (row.leader ?? 'n1')),
         msSinceStoreAnswered: () => row.msSinceStoreAnswered ?? 60_000,
--- a/src/fleet/active-reservations.ts
+++ b/src/fleet/active-reservations.ts
@@ -21,7 +21,7 @@
   }
 
   /** The same, as old as they are now. */
-  aged(): readonly Reservation[] {
+  withCurrentAges(): readonly Reservation[] {
     const elapsedMs = this.now() - this.updatedAt;
     return this.current.map((reservation) => ({ ...reservation, ageMs: reservation.ageMs + elapsedMs }));
   }
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -6,9 +6,9 @@
 import * as Effect from 'effect/Effect';
 import {
   MACHINE_LIST_INTERVAL_MS,
-  RETURNED_MACHINE_LISTING_FACTOR,
-  UNKNOWN_MACHINE_LAG_FACTOR,
-  UNKNOWN_MACHINE_SLACK_S,
+  RELEASED_MACHINE_LISTING_FACTOR,
+  UNRECORDED_MACHINE_LAG_FACTOR,
+  UNRECORDED_MACHINE_SLACK_S,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
 import { machineKey } from '../kv-store/keys.js';
@@ -47,7 +47,7 @@
    */
   adopt(id: string, kind: MachineKind, at = 0): void {
     const { cache, queue, scaleIn } = this.input;
-    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.wasReleased(id)) return;
+    if (cache.get(machineKey(id)) !== undefined || queue.has(id) || scaleIn.wasRecentlyReleased(id)) return;
     queue.add(id, newMachineRecord(this.smallestShard(kind), kind, at));
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Writes the records of machines that wait for them. */
-  readonly recordWaiting: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly recordQueuedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const permit = this.input.duty.begin('machine record');
     if (permit === null) return;
     // Each unknown worker reports to all controllers once a second until it is recorded, so all that fit go
@@ -81,14 +81,14 @@
   });
 
   /** Adopts listed machines that have had no record for longer than the list may be late. */
-  readonly adoptFromList: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly adoptListedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const now = this.input.now();
     if (now - this.listedAt < MACHINE_LIST_INTERVAL_MS) return;
     this.listedAt = now;
     const listed = yield* this.readList;
     if (listed === null) return;
-    const lagS = this.input.listLagS * UNKNOWN_MACHINE_LAG_FACTOR + UNKNOWN_MACHINE_SLACK_S;
-    this.input.scaleIn.forgetReleasesOlderThan(lagS * RETURNED_MACHINE_LISTING_FACTOR * 1_000);
+    const lagS = this.input.listLagS * UNRECORDED_MACHINE_LAG_FACTOR + UNRECORDED_MACHINE_SLACK_S;
+    this.input.scaleIn.forgetReleasesOlderThan(lagS * RELEASED_MACHINE_LISTING_FACTOR * 1_000);
     for (const { id, type, zone, spot, ageS } of listed) {
       if (ageS >= lagS) this.adopt(id, { type, zone, spot }, this.input.wall() - ageS * 1_000);
     }
@@ -101,7 +101,7 @@
       const listed: ListedMachine[] = [];
       let after: string | null = null;
       for (;;) {
-        const page: MachinePageResult = yield* this.input.cloud.page(after);
+        const page: MachinePageResult = yield* this.input.cloud.listMachines(after);
         if (page._tag === 'failed') return null;
         listed.push(...page.machines);
         const last = page.machines.at(-1);
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -2,7 +2,11 @@
  * Kinds of machines that are not asked for at the moment because the cloud refused them. Scale-out and
  * scale-in record what they learn; the scaling plan leaves refused kinds out.
  */
-import { CLOUD_RETRY_DELAY_MS, MAX_NO_CAPACITY_PAUSE_MS, NO_CAPACITY_PAUSE_MS } from '../constants/fleet.js';
+import {
+  CLOUD_RETRY_DELAY_MS,
+  MAX_NO_CAPACITY_BACKOFF_MS,
+  NO_CAPACITY_BACKOFF_MS,
+} from '../constants/fleet.js';
 
 /** A pause, in ms; `at` is its end by the steady clock. */
 interface Pause {
@@ -19,13 +23,13 @@
   /** There was no capacity, or less than asked for: repeated refusals double the pause. */
   recordRefusal(kind: string): void {
     const before = this.until.get(kind);
-    const spanMs = Math.min(MAX_NO_CAPACITY_PAUSE_MS, before ? before.spanMs * 2 : NO_CAPACITY_PAUSE_MS);
+    const spanMs = Math.min(MAX_NO_CAPACITY_BACKOFF_MS, before ? before.spanMs * 2 : NO_CAPACITY_BACKOFF_MS);
     this.until.set(kind, { at: this.now() + spanMs, spanMs });
   }
 
   /** The call failed, which says nothing about capacity. */
   recordFailure(kind: string): void {
-    this.until.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, spanMs: NO_CAPACITY_PAUSE_MS / 2 });
+    this.until.set(kind, { at: this.now() + CLOUD_RETRY_DELAY_MS, spanMs: NO_CAPACITY_BACKOFF_MS / 2 });
   }
 
   /** There is capacity, or some was released. */
--- a/src/fleet/catalog-codec.test.ts
+++ b/src/fleet/catalog-codec.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { MachineType } from '../jobs/model.js';
 import type { StoredEntry } from '../kv-store/model.js';
-import { isStored, readStored, storeCatalog } from './catalog.js';
+import { areTypesStored, readStoredTypes, catalogWrites } from './catalog.js';
 import { readMachineType, writeMachineType, type StoredMachineType } from './catalog-codec.js';
 
 const type: MachineType = {
@@ -32,12 +32,12 @@
 });
 
 test('catalog codec: the whole catalog is stored as a list of its types', () => {
-  const writes = storeCatalog([type], LARGE, 32, true);
+  const writes = catalogWrites([type], LARGE, 32, true);
   assert.equal(JSON.stringify(writes), `[{"_tag":"put","key":"w/catalog","value":[${TYPE}]}]`);
 });
 
 test('catalog codec: a catalog in parts names their number', () => {
-  const writes = storeCatalog([type, type], TYPE.length + 5, 32, true);
+  const writes = catalogWrites([type, type], TYPE.length + 5, 32, true);
   assert.equal(
     JSON.stringify(writes),
     `[{"_tag":"put","key":"w/catalog/0","value":[${TYPE}]},` +
@@ -54,10 +54,10 @@
 ];
 for (const row of stored) {
   test(`catalog codec: what is stored is compared as it is: ${row.name}`, () =>
-    assert.equal(isStored([type], itemOf(JSON.parse(row.text)), none), row.same));
+    assert.equal(areTypesStored([type], itemOf(JSON.parse(row.text)), none), row.same));
 }
 
 test('catalog codec: fields of another version are not read', () => {
   const item = itemOf(JSON.parse(`[${LATER_TYPE}]`));
-  assert.deepEqual(readStored(item, none), [type]);
+  assert.deepEqual(readStoredTypes(item, none), [type]);
 });
--- a/src/fleet/catalog-keeper.ts
+++ b/src/fleet/catalog-keeper.ts
@@ -11,7 +11,7 @@
 import { log } from '../log.js';
 import type { Write } from '../kv-store/model.js';
 import { CATALOG_KEY } from '../kv-store/keys.js';
-import { isStored, storeCatalog } from './catalog.js';
+import { areTypesStored, catalogWrites } from './catalog.js';
 import type { FleetDependencies } from './dependencies.js';
 
 /** What the keeper needs of the leader. */
@@ -51,8 +51,8 @@
       return;
     }
     const known = this.input.cache.get(CATALOG_KEY);
-    if (known && isStored(result.types, known, (key) => this.input.cache.get(key))) return;
-    const writes = storeCatalog(
+    if (known && areTypesStored(result.types, known, (key) => this.input.cache.get(key))) return;
+    const writes = catalogWrites(
       result.types,
       this.input.valueBytes * VALUE_FILL_FRACTION,
       this.input.store.maxTransactionWrites,
--- a/src/fleet/catalog-view.ts
+++ b/src/fleet/catalog-view.ts
@@ -2,7 +2,7 @@
 import type { Catalog } from '../jobs/model.js';
 import { CATALOG_KEY } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import { readStored, toCatalog } from './catalog.js';
+import { readStoredTypes, toCatalog } from './catalog.js';
 
 /** State: the catalog last read, and its version. */
 export class CatalogView {
@@ -15,7 +15,7 @@
   readonly current = (): Catalog | null => {
     const entry = this.cache.get(CATALOG_KEY);
     if (entry && entry.version !== this.version) {
-      const types = readStored(entry, (key) => this.cache.get(key));
+      const types = readStoredTypes(entry, (key) => this.cache.get(key));
       // The earlier catalog stays in force until all parts are there.
       if (types === null) return this.value;
       this.version = entry.version;
--- a/src/fleet/catalog.test.ts
+++ b/src/fleet/catalog.test.ts
@@ -10,11 +10,11 @@
   SMALLEST_TRANSACTION,
   SMALLEST_VALUE_BYTES,
 } from '../testing/smallest-limits.js';
-import { readStored, storeCatalog } from './catalog.js';
+import { readStoredTypes, catalogWrites } from './catalog.js';
 
 for (const count of [1, 40]) {
   test(`catalog limits: ${count} types`, () => {
-    const writes = storeCatalog(
+    const writes = catalogWrites(
       longMachineTypes(count),
       SMALLEST_VALUE_BYTES * VALUE_FILL_FRACTION,
       SMALLEST_TRANSACTION,
@@ -29,7 +29,7 @@
     const whole = items.get('w/catalog');
     assert.ok(whole);
     assert.deepEqual(
-      readStored(whole, (key) => items.get(key)),
+      readStoredTypes(whole, (key) => items.get(key)),
       longMachineTypes(count),
     );
     // A part of another version is not read.
@@ -37,6 +37,6 @@
       const item = items.get(key);
       return item && { ...item, version: 6 };
     };
-    assert.equal(readStored(whole, earlierPart) === null, count > 1);
+    assert.equal(readStoredTypes(whole, earlierPart) === null, count > 1);
   });
 }
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -20,7 +20,7 @@
  * without `maySplit` the catalog is one value all the same, since controllers of an earlier version may have
  * to read it.
  */
-export const storeCatalog = (
+export const catalogWrites = (
   types: readonly MachineType[],
   bytes: number,
   maxTransactionWrites: number,
@@ -63,13 +63,13 @@
 };
 
 /** The stored types, or null while a part is not there yet. */
-export const readStored = (
+export const readStoredTypes = (
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
 ): readonly MachineType[] | null => storedTypes(entry, get)?.map(readMachineType) ?? null;
 
 /** Are exactly these types stored? What another version stored with other fields differs. */
-export const isStored = (
+export const areTypesStored = (
   types: readonly MachineType[],
   entry: StoredEntry,
   get: (key: string) => StoredEntry | undefined,
--- a/src/fleet/cloud.test.ts
+++ b/src/fleet/cloud.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import { WITHHELD, type CallOutcome, type HttpClientFactory } from '../http/model.js';
-import { answering, status, TIMED_OUT } from '../testing/answering-client.js';
+import { alwaysAnswering, status, TIMED_OUT } from '../testing/answering-client.js';
 import { permitWhile } from '../testing/duties.js';
 import { Cloud } from './cloud.js';
 
@@ -26,7 +26,7 @@
 ];
 for (const row of provisionings) {
   test(`provision: ${row.name}`, async () => {
-    const cloud = new Cloud(at, 10, 1, () => 0, answering(row.answer));
+    const cloud = new Cloud(at, 10, 1, () => 0, alwaysAnswering(row.answer));
     const result = await Effect.runPromise(
       cloud.provision(
         { name: 'r', type: 'g', zone: 'a', spot: false, count: 2 },
--- a/src/fleet/cloud.ts
+++ b/src/fleet/cloud.ts
@@ -53,7 +53,7 @@
   );
 
   /** Reads the page of the machine list after this machine; null: the first page. */
-  page(after: string | null): Effect.Effect<MachinePageResult> {
+  listMachines(after: string | null): Effect.Effect<MachinePageResult> {
     return Effect.promise(async () => readMachinePage(await this.read(machinePagePath(after))));
   }
 
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -51,9 +51,9 @@
       ...known.map((id) => ({ write: `w/m/${id}`, data: writeMachineRecord(RECORD) })),
     ];
     // All records are put at once; from then on what the settings say holds.
-    state.limits = { valueBytes: 16 * 1024, ops: assignments.length };
+    state.limits = { maxValueBytes: 16 * 1024, maxTransactionWrites: assignments.length };
     await state.handle('n0', 'POST', '/txn', { when: [], writes: assignments });
-    state.limits.ops = 48;
+    state.limits.maxTransactionWrites = 48;
     const now = (): number => Date.now();
     const limits = {
       requestsPerSecond: 150,
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -22,7 +22,7 @@
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 import type { ScalingStep } from './scaling-model.js';
-import { planSteps } from './scaling-plan.js';
+import { planScaling } from './scaling-plan.js';
 import type { ShardSummary } from './shard-summary.js';
 import { TransferOrders, type SendTransferOrder } from './transfer-orders.js';
 
@@ -68,27 +68,27 @@
     this.transfers = new TransferOrders({
       cache,
       now,
-      duty: duties.leader('move'),
+      duty: duties.leaderDuty('move'),
       machines,
       send: input.orderTransfers,
     });
     this.scaleOut = new ScaleOut({
       ...input,
-      duty: duties.leader('rent'),
+      duty: duties.leaderDuty('rent'),
       recorder,
       adoptionQueue,
       refusals,
     });
-    this.scaleIn = new ScaleIn({ ...input, duty: duties.leader('release'), machines, refusals });
+    this.scaleIn = new ScaleIn({ ...input, duty: duties.leaderDuty('release'), machines, refusals });
     this.adopter = new Adopter({
       ...input,
-      duty: duties.leader('adopt'),
+      duty: duties.leaderDuty('adopt'),
       queue: adoptionQueue,
       machines,
       recorder,
       scaleIn: this.scaleIn,
     });
-    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leader('catalog') });
+    this.catalogKeeper = new CatalogKeeper({ ...input, duty: duties.leaderDuty('catalog') });
     cache.onEvent((event) => machines.onEvent(event));
   }
 
@@ -126,10 +126,10 @@
   readonly run: Effect.Effect<unknown> = Effect.suspend(() =>
     Effect.all(
       [
-        this.whileLeading(Effect.andThen(this.adopter.recordWaiting, this.carryOutPlan)),
+        this.whileLeading(Effect.andThen(this.adopter.recordQueuedMachines, this.carryOutPlan)),
         this.whileLeading(this.scaleOut.settle),
-        this.whileLeading(this.scaleIn.releaseRequested),
-        this.whileLeading(this.adopter.adoptFromList),
+        this.whileLeading(this.scaleIn.releaseRequestedMachines),
+        this.whileLeading(this.adopter.adoptListedMachines),
         this.refreshCatalog,
       ],
       { concurrency: 'unbounded' },
@@ -168,17 +168,17 @@
     if (!catalog) return;
     const steps = this.plan(catalog, this.input.summaries());
     yield* this.transfers.order(steps.filter((step) => step._tag === 'transfer'));
-    for (const step of steps) if (step._tag === 'provision') this.scaleOut.begin(step);
+    for (const step of steps) if (step._tag === 'provision') this.scaleOut.startProvisioning(step);
   });
 
   private plan(catalog: Catalog, summaries: readonly ShardSummary[]): readonly ScalingStep[] {
-    this.transfers.forgetArrived(summaries);
-    const previous = this.activeReservations.aged();
-    const { steps, reservations } = planSteps({
+    this.transfers.removeCompleted(summaries);
+    const previous = this.activeReservations.withCurrentAges();
+    const { steps, reservations } = planScaling({
       summaries,
       catalog,
       isRefused: (type, zone, spot) => this.refusals.isRefused(kindKey(type, zone, spot)),
-      machineCount: (type, zone, spot) => this.machines.ofKind(type, zone, spot),
+      machineCount: (type, zone, spot) => this.machines.countOfKind(type, zone, spot),
       reservations: previous,
       outdatedShards: this.outdatedShards(summaries),
       pendingTransfers: this.transfers.pending(),
--- a/src/fleet/machine-index.test.ts
+++ b/src/fleet/machine-index.test.ts
@@ -57,7 +57,7 @@
   test(`machine index: ${row.name}`, () => {
     const index = new MachineIndex();
     for (const event of row.events) index.onEvent(event);
-    assert.equal(index.ofKind('g', 'x', false), row.ofKind);
+    assert.equal(index.countOfKind('g', 'x', false), row.ofKind);
     assert.deepEqual([...index.releasing], row.releasing);
   });
 }
--- a/src/fleet/machine-index.ts
+++ b/src/fleet/machine-index.ts
@@ -66,7 +66,7 @@
   }
 
   /** Machines of this kind, in any shard, that are not being released. */
-  ofKind(type: string, zone: string, spot: boolean): number {
+  countOfKind(type: string, zone: string, spot: boolean): number {
     return this.byKind.get(kindKey(type, zone, spot)) ?? 0;
   }
 }
--- a/src/fleet/machine-offers.ts
+++ b/src/fleet/machine-offers.ts
@@ -3,7 +3,7 @@
  * plan, which creates one `MachineOffers` a round.
  */
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed, type MachineType } from '../jobs/model.js';
 import type { ScalingPlanInput } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
 
@@ -13,11 +13,11 @@
   readonly zone: string;
   readonly spot: boolean;
   /** Tasks of the demand that one such machine takes. */
-  readonly usedTasks: number;
+  readonly tasksServed: number;
   /** Tasks of this size that it has room for. */
   readonly taskCapacity: number;
   /** Price a task. */
-  readonly cost: number;
+  readonly pricePerTask: number;
 }
 
 type OfferInput = Pick<ScalingPlanInput, 'catalog' | 'isRefused'>;
@@ -26,7 +26,7 @@
 
 /** By cost, then type and zone; spot before on-demand where all are equal. */
 const compareOffers = (a: MachineOffer, b: MachineOffer): number =>
-  a.cost - b.cost || compareText(a.type.name, b.type.name) || (a.zone < b.zone ? -1 : 1);
+  a.pricePerTask - b.pricePerTask || compareText(a.type.name, b.type.name) || (a.zone < b.zone ? -1 : 1);
 
 /**
  * Is spot asked for, in the order of preference? Urgent work may go to on-demand machines though spot would
@@ -42,16 +42,16 @@
   type: MachineType,
   { isRefused }: OfferInput,
 ): readonly MachineOffer[] => {
-  const usedTasks = howMany(demand, type, demand.tasks);
+  const usedTasks = fittingTaskCount(demand, type, demand.tasks);
   if (usedTasks === 0) return [];
-  const taskCapacity = howMany(demand, type, MAX_TASKS_PER_JOB);
+  const taskCapacity = fittingTaskCount(demand, type, MAX_TASKS_PER_JOB);
   const offers: MachineOffer[] = [];
   for (const zone of type.zones) {
     if (demand.zone !== null && demand.zone !== zone) continue;
     for (const spot of spotChoices(demand)) {
       if (isRefused(type.name, zone, spot)) continue;
       const cost = (spot ? type.spotPrice : type.price) / usedTasks;
-      offers.push({ type, zone, spot, usedTasks, taskCapacity, cost });
+      offers.push({ type, zone, spot, tasksServed: usedTasks, taskCapacity, pricePerTask: cost });
     }
   }
   return offers;
--- a/src/fleet/reservation.ts
+++ b/src/fleet/reservation.ts
@@ -2,7 +2,7 @@
  * A reservation: free machines of one zone that are kept for one waiting job. Plain data; the leader decides
  * on reservations, the shards leave reserved machines to the job.
  */
-import { howMany, typeAllowed, type Demand } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed, type Demand } from '../jobs/model.js';
 import type { MachineKind } from './machine-record.js';
 
 /**
@@ -31,7 +31,8 @@
 ): Reservation | null => {
   for (const reservation of reservations) {
     if (reservation.zone !== machine.zone || (machine.spot && !reservation.spot)) continue;
-    if (!typeAllowed(reservation, machine.type) || howMany(reservation, machine.total, 1) === 0) continue;
+    if (!typeAllowed(reservation, machine.type) || fittingTaskCount(reservation, machine.total, 1) === 0)
+      continue;
     return reservation;
   }
   return null;
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -34,7 +34,7 @@
   constructor(private readonly input: ScaleInDependencies) {}
 
   /** Was the machine released lately by this process? */
-  wasReleased(machine: string): boolean {
+  wasRecentlyReleased(machine: string): boolean {
     return this.releasedAt.has(machine);
   }
 
@@ -67,7 +67,7 @@
    * Releases the machines whose records ask for it: that record is the durable intent, which no holder of the
    * shard takes back.
    */
-  readonly releaseRequested: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
+  readonly releaseRequestedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     // As many as one call takes: the cloud's request rate is scarce, and provisioning needs it too.
     const ids = [...this.input.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
--- a/src/fleet/scale-out.test.ts
+++ b/src/fleet/scale-out.test.ts
@@ -61,7 +61,7 @@
   const now = (): number => performance.now();
   const limits = { requestsPerSecond: 1e6, changesPerSecond: 1e6, maxTransactionWrites: 16, nodes: 1 };
   const store = new KeyValueStore({ host: 'state', port: 1 }, limits, now, createHttpClient);
-  const duty = leaderDuties(token, wall).leader('rent');
+  const duty = leaderDuties(token, wall).leaderDuty('rent');
   const adoptionQueue = new AdoptionQueue();
   const refusals = new CapacityRefusals(now);
   const scaleOut = new ScaleOut({
@@ -131,7 +131,7 @@
   test(`scale-out: a provisioning request is ${row.name}`, async () => {
     const { scaleOut, state, cloud, refusals, book } = await setUp([...row.fates]);
     await Effect.runPromise(scaleOut.settle);
-    scaleOut.begin(step);
+    scaleOut.startProvisioning(step);
     await settle();
     assert.equal(cloud.machines.size, row.machines);
     assert.equal(state.keys('w/m/').length, row.recorded);
@@ -182,7 +182,7 @@
         },
       ],
     });
-    scaleOut.begin(step);
+    scaleOut.startProvisioning(step);
     assert.equal(cloud.actions.length, 0, 'nothing is provisioned before that is settled');
     await Effect.runPromise(scaleOut.settle);
     assert.equal(duty.state._tag, 'held');
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -15,7 +15,7 @@
 import {
   MAX_CONCURRENT_PROVISIONING_REQUESTS,
   PROVISIONING_RECOVERY_RETRY_DELAY_MS,
-  PROVISIONING_RETRIES,
+  MAX_PROVISIONING_RETRIES,
 } from '../constants/fleet.js';
 import { log } from '../log.js';
 import type { AdoptionQueue } from './adoption-queue.js';
@@ -97,7 +97,7 @@
   constructor(private readonly input: ScaleOutDependencies) {}
 
   /** Asks for what the plan wants, unless the same kind or too much is under way already. */
-  begin(step: ProvisioningStep): void {
+  startProvisioning(step: ProvisioningStep): void {
     const kind = kindKey(step.type, step.zone, step.spot);
     // What is under way shows in later summaries.
     if (this.requestedKinds.has(kind)) return;
@@ -150,7 +150,7 @@
    */
   private request(permit: Permit, intent: ProvisioningIntent): Effect.Effect<ProvisioningResult> {
     return Effect.gen({ self: this }, function* () {
-      const repeats = this.input.journal ? PROVISIONING_RETRIES : 0;
+      const repeats = this.input.journal ? MAX_PROVISIONING_RETRIES : 0;
       for (let attempt = 0; ; attempt += 1) {
         const result = yield* this.input.cloud.provision(requestOf(intent), permit);
         logAnswer(intent, result);
--- a/src/fleet/scaling-plan.test.ts
+++ b/src/fleet/scaling-plan.test.ts
@@ -5,7 +5,7 @@
 import { RateLimiter } from '../kv-store/rate-limiter.js';
 import type { PendingTransfer } from './machine-transfer.js';
 import type { Reservation } from './reservation.js';
-import { planSteps } from './scaling-plan.js';
+import { planScaling } from './scaling-plan.js';
 import type { ShardSummary, SpareMachine, UnmetDemand, WaitingGang } from './shard-summary.js';
 
 const catalog: Catalog = new Map([
@@ -294,7 +294,7 @@
 ];
 for (const row of rows) {
   test(`plan: ${row.name}`, () => {
-    const { steps, reservations } = planSteps({
+    const { steps, reservations } = planScaling({
       summaries: row.summaries,
       catalog,
       isRefused: (type, zone, spot) => row.refused?.includes(`${type} ${zone} ${spot}`) ?? false,
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -6,7 +6,7 @@
 import { MAX_MACHINES_PER_PROVISIONING_REQUEST } from '../constants/fleet.js';
 import { MAX_RESERVATION_AGE_MS } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
-import { howMany, typeAllowed } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed } from '../jobs/model.js';
 import { queueDemand, type JobDemand, type QueuedDemand, type TasksDemand } from './demand-queue.js';
 import { MachineOffers, type MachineOffer } from './machine-offers.js';
 import { kindKey } from './machine-record.js';
@@ -51,7 +51,9 @@
 const machinesToProvision = (demand: UnmetDemand, offer: MachineOffer, missing: number): number => {
   // An on-demand machine for work that could use spot is worth its price only when it is filled.
   const onlyFilled = demand.spot && !offer.spot;
-  const count = onlyFilled ? Math.floor(missing / offer.taskCapacity) : Math.ceil(missing / offer.usedTasks);
+  const count = onlyFilled
+    ? Math.floor(missing / offer.taskCapacity)
+    : Math.ceil(missing / offer.tasksServed);
   return Math.min(MAX_MACHINES_PER_PROVISIONING_REQUEST, count);
 };
 
@@ -192,7 +194,7 @@
     let capacity = 0;
     for (const type of this.input.catalog.values()) {
       if (!typeAllowed(demand, type.name)) continue;
-      const tasksOnType = howMany(demand, type, MAX_TASKS_PER_JOB);
+      const tasksOnType = fittingTaskCount(demand, type, MAX_TASKS_PER_JOB);
       for (const spot of demand.spot ? [true, false] : [false])
         capacity += tasksOnType * this.input.machineCount(type.name, zone, spot);
     }
@@ -236,4 +238,4 @@
 }
 
 /** Plans one round. */
-export const planSteps = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
+export const planScaling = (input: ScalingPlanInput): ScalingPlan => new ScalingPlanner(input).run();
--- a/src/fleet/spare-pools.ts
+++ b/src/fleet/spare-pools.ts
@@ -2,7 +2,7 @@
  * The spare machines of all shards during one round of the scaling plan. `SparePools` owns them: what is
  * gathered for one demand is no longer there for the next.
  */
-import { howMany, typeAllowed, type MachineType } from '../jobs/model.js';
+import { fittingTaskCount, typeAllowed, type MachineType } from '../jobs/model.js';
 import { kindKey, type MachineKind } from './machine-record.js';
 import type { ScalingPlanInput, TransferStep } from './scaling-model.js';
 import type { UnmetDemand } from './shard-summary.js';
@@ -24,7 +24,7 @@
 }
 
 /** What became of gathering machines for a demand. */
-export interface Gathered {
+export interface GatherResult {
   readonly transfers: readonly TransferStep[];
   /** Tasks that still lack a machine. */
   readonly missing: number;
@@ -37,7 +37,7 @@
 ): number => {
   if ((machine.spot && !demand.spot) || (demand.zone !== null && demand.zone !== machine.zone)) return 0;
   if (!typeAllowed(demand, machine.type.name)) return 0;
-  return howMany(demand, machine.type, demand.tasks);
+  return fittingTaskCount(demand, machine.type, demand.tasks);
 };
 
 type PoolInput = Pick<ScalingPlanInput, 'summaries' | 'catalog' | 'pendingTransfers'>;
@@ -112,7 +112,7 @@
    * Takes spare machines of other shards, in the zone or (null) anywhere, until `missing` tasks have one or
    * none is left.
    */
-  gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): Gathered {
+  gather(demand: UnmetDemand, shardId: number, zone: string | null, missing: number): GatherResult {
     const transfers: TransferStep[] = [];
     let left = missing;
     for (const pool of this.pools) {
--- a/src/fleet/transfer-orders.ts
+++ b/src/fleet/transfer-orders.ts
@@ -4,7 +4,7 @@
  */
 import type { Duty, Permit } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
-import { MOVE_CONFIRMATION_TIMEOUT_MS } from '../constants/fleet.js';
+import { TRANSFER_CONFIRMATION_TIMEOUT_MS } from '../constants/fleet.js';
 import { machineKey } from '../kv-store/keys.js';
 import type { FleetDependencies } from './dependencies.js';
 import type { MachineIndex } from './machine-index.js';
@@ -47,10 +47,10 @@
   }
 
   /** Forgets transfers that the new shard's summary shows, and those that took too long. */
-  forgetArrived(summaries: readonly ShardSummary[]): void {
+  removeCompleted(summaries: readonly ShardSummary[]): void {
     const now = this.input.now();
     for (const [machine, { transfer, orderedAt }] of this.ordered) {
-      const expired = now - orderedAt > MOVE_CONFIRMATION_TIMEOUT_MS;
+      const expired = now - orderedAt > TRANSFER_CONFIRMATION_TIMEOUT_MS;
       if (expired || this.hasArrived(transfer, summaries)) this.ordered.delete(machine);
     }
   }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -6,7 +6,7 @@
 import type { Socket } from 'node:net';
 import { MAX_IDLE_SOCKETS_PER_ADDRESS, MAX_RESPONSE_BYTES } from '../constants/http.js';
 import { WITHHELD, type CallOutcome, type HttpClient, type Target } from './model.js';
-import { decodeParts, encode, oneWrite } from './msgpack.js';
+import { decodeParts, encode, singleWriteArguments } from './msgpack.js';
 
 type End = (outcome: CallOutcome) => void;
 
@@ -73,7 +73,7 @@
   }, timeoutMs);
   request.on('error', (error) => end({ _tag: 'noResponse', why: error.message }));
   const send = (): void => {
-    if (payload) request.end(...oneWrite(payload));
+    if (payload) request.end(...singleWriteArguments(payload));
     else request.end();
   };
   if (!maySend) {
--- a/src/http/connections.ts
+++ b/src/http/connections.ts
@@ -12,11 +12,11 @@
 
   /** Counts a new connection until it closes. */
   add(socket: Socket): void {
-    this.use(socket);
+    this.markUsed(socket);
     socket.once('close', () => this.lastUsedAt.delete(socket));
   }
 
-  use(socket: Socket): void {
+  markUsed(socket: Socket): void {
     this.lastUsedAt.set(socket, performance.now());
   }
 
--- a/src/http/http.test.ts
+++ b/src/http/http.test.ts
@@ -32,7 +32,7 @@
   // refused.
   const server = await serve(
     parseTarget('127.0.0.1:0'),
-    { connections: 20, crowd: (path) => path === '/hello' },
+    { connections: 20, closesWhenCrowded: (path) => path === '/hello' },
     1_000,
     () => Promise.resolve({ status: 200 }),
     failed,
--- a/src/http/msgpack.ts
+++ b/src/http/msgpack.ts
@@ -23,5 +23,5 @@
  * character. Given as bytes, head and body are corked and gathered, which costs more than the copy of a small
  * body.
  */
-export const oneWrite = (payload: Buffer): [string | Buffer, BufferEncoding] =>
+export const singleWriteArguments = (payload: Buffer): [string | Buffer, BufferEncoding] =>
   payload.length <= MAX_SINGLE_WRITE_BYTES ? [payload.toString('latin1'), 'latin1'] : [payload, 'latin1'];
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -5,16 +5,16 @@
 import * as http from 'node:http';
 import {
   CONNECTION_IDLE_TIMEOUT_MS,
-  CROWDED_SOCKET_FRACTION,
+  WORKER_KEEP_ALIVE_SOCKET_FRACTION,
   IDLE_CHECKS_PER_TIMEOUT,
-  JSON_EXPANSION_FACTOR,
+  MAX_JSON_EXPANSION_FACTOR,
   LISTEN_BACKLOG_CONNECTIONS,
   MAX_BODY_BYTES,
   REQUEST_HEAD_TIMEOUT_MS,
 } from '../constants/http.js';
 import { Connections } from './connections.js';
 import type { RequestBody, ServerRequest, ServerResponse, Target } from './model.js';
-import { decodeParts, encode, oneWrite } from './msgpack.js';
+import { decodeParts, encode, singleWriteArguments } from './msgpack.js';
 
 /** What one listening address may hold open. */
 export interface ConnectionLimits {
@@ -23,7 +23,7 @@
    * Paths whose callers are so many that they must not keep connections once most are in use: the next call
    * makes a new one, while all others find room.
    */
-  readonly crowd?: (path: string) => boolean;
+  readonly closesWhenCrowded?: (path: string) => boolean;
   /** Time after which an unused connection is closed, in ms; `CONNECTION_IDLE_TIMEOUT_MS` unless given. */
   readonly idleMs?: number;
 }
@@ -31,7 +31,7 @@
 /** The protocol measures sizes in the JSON form; MessagePack is never longer than that for our data. */
 const isTooLargeAsJson = (value: unknown, size: number, maxBytes: number): boolean =>
   maxBytes === MAX_BODY_BYTES &&
-  size > maxBytes / JSON_EXPANSION_FACTOR &&
+  size > maxBytes / MAX_JSON_EXPANSION_FACTOR &&
   JSON.stringify(value).length > maxBytes;
 
 const readBody = (parts: readonly Buffer[], size: number, maxBytes: number): RequestBody => {
@@ -89,7 +89,7 @@
     'content-length': payload.length,
     ...headers,
   });
-  response.end(...oneWrite(payload));
+  response.end(...singleWriteArguments(payload));
 };
 
 /** The far end of a machine that died, or is cut off, never closes: such connections would add up. */
@@ -120,11 +120,11 @@
   onFailure: (error: unknown) => void,
 ): Promise<http.Server> => {
   const connections = new Connections();
-  const crowdedCount = limits.connections * CROWDED_SOCKET_FRACTION;
+  const crowdedCount = limits.connections * WORKER_KEEP_ALIVE_SOCKET_FRACTION;
   const server = http.createServer((request, response) => {
-    connections.use(request.socket);
+    connections.markUsed(request.socket);
     const closeAfterwards = (): boolean =>
-      connections.count > crowdedCount && limits.crowd?.(request.url ?? '') === true;
+      connections.count > crowdedCount && limits.closesWhenCrowded?.(request.url ?? '') === true;
     receiveBody(request, maxBodyBytes, (body) => {
       handle(toServerRequest(request, body)).then(
         (answer) => send(response, answer, closeAfterwards),
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -7,8 +7,8 @@
 import type { ServerRequest, ServerResponse } from '../http/model.js';
 import { isJobId } from './submission-codec.js';
 import { JobLookup } from './job-lookup.js';
-import { JobStatusAnswers } from './job-status.js';
-import { JobSubmission } from './job-submission.js';
+import { JobStatusHandler } from './job-status.js';
+import { JobSubmissionHandler } from './job-submission.js';
 import type { UsersApiDependencies } from './ports.js';
 import { noSuchJob } from './responses.js';
 
@@ -16,13 +16,13 @@
 
 /** Answers users. */
 export class UsersApi {
-  private readonly status: JobStatusAnswers;
-  private readonly submission: JobSubmission;
+  private readonly status: JobStatusHandler;
+  private readonly submission: JobSubmissionHandler;
 
   constructor(dependencies: UsersApiDependencies) {
     const lookup = new JobLookup(dependencies);
-    this.status = new JobStatusAnswers(dependencies, lookup);
-    this.submission = new JobSubmission(dependencies, lookup, this.status);
+    this.status = new JobStatusHandler(dependencies, lookup);
+    this.submission = new JobSubmissionHandler(dependencies, lookup, this.status);
   }
 
   /** Answers a call whose path, below that of the jobs, has these segments: none, id, or id and `abort`. */
--- a/src/jobs/job-status.ts
+++ b/src/jobs/job-status.ts
@@ -20,7 +20,7 @@
 });
 
 /** Answers polls and cancellations. */
-export class JobStatusAnswers {
+export class JobStatusHandler {
   constructor(
     private readonly dependencies: JobStatusDependencies,
     private readonly lookup: JobLookup,
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -9,7 +9,7 @@
 import { rejectionReason, withKnownTypes } from './eligibility.js';
 import { readSubmission, writeStatus } from './submission-codec.js';
 import type { JobLookup } from './job-lookup.js';
-import type { JobStatusAnswers } from './job-status.js';
+import type { JobStatusHandler } from './job-status.js';
 import type { JobSpec } from './model.js';
 import { newJobRecords } from './new-job-records.js';
 import type { JobSubmissionDependencies } from './ports.js';
@@ -24,11 +24,11 @@
 const unprocessable = (error: string): ServerResponse => ({ status: 422, body: { error } });
 
 /** Takes submissions. */
-export class JobSubmission {
+export class JobSubmissionHandler {
   constructor(
     private readonly dependencies: JobSubmissionDependencies,
     private readonly lookup: JobLookup,
-    private readonly status: JobStatusAnswers,
+    private readonly status: JobStatusHandler,
   ) {}
 
   /** The answer to a submission with this body; 201 once the job is durable. */
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -100,7 +100,7 @@
   need.memoryGb <= room.memoryGb + AMOUNT_TOLERANCE;
 
 /** How many tasks of this size a room holds; bounded, since a task may ask for nothing at all. */
-export const howMany = (need: Demand, room: Demand, most: number): number => {
+export const fittingTaskCount = (need: Demand, room: Demand, most: number): number => {
   let count = most;
   if (need.cpus > 0) count = Math.min(count, Math.floor((room.cpus + AMOUNT_TOLERANCE) / need.cpus));
   if (need.gpus > 0) count = Math.min(count, Math.floor((room.gpus + AMOUNT_TOLERANCE) / need.gpus));
--- a/src/jobs/new-job-records.ts
+++ b/src/jobs/new-job-records.ts
@@ -1,5 +1,5 @@
 /** The records that a new job takes in the key-value store. Owns no state; called for each submission. */
-import { FOLLOWED_IDS_OVERHEAD_BYTES, VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
+import { DEPENDENCY_LIST_OVERHEAD_BYTES, VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import { dependencyListKey, jobKey } from '../kv-store/keys.js';
 import type { Write } from '../kv-store/model.js';
 import { packIds, splitIds } from '../pipelines/codec.js';
@@ -29,7 +29,7 @@
   const room = valueBytes * VALUE_FILL_FRACTION;
   const whole = writeJobRecord({ ...job, dependsOn });
   if (jsonBytes(whole) <= room) return [put(jobKey(spec.id), whole)];
-  const lists = splitIds(dependsOn, room - FOLLOWED_IDS_OVERHEAD_BYTES).map((ids, part) =>
+  const lists = splitIds(dependsOn, room - DEPENDENCY_LIST_OVERHEAD_BYTES).map((ids, part) =>
     put(dependencyListKey(spec.id, part), packIds(ids)),
   );
   const record = writeJobRecord({ ...job, parts: lists.length });
--- a/src/jobs/record-limits.test.ts
+++ b/src/jobs/record-limits.test.ts
@@ -13,10 +13,10 @@
 import {
   bytesOf,
   longMachineTypes,
-  notingStore,
+  recordingStore,
   SMALLEST_TRANSACTION,
   SMALLEST_VALUE_BYTES,
-  smallestStore,
+  storeWithSmallestLimits,
 } from '../testing/smallest-limits.js';
 import { UsersApi } from './api.js';
 import { readJobRecord, writeCancelledRecord, writeJobRecord } from './job-record-codec.js';
@@ -82,7 +82,7 @@
   });
   assert.ok(bytesOf(stored) > SMALLEST_VALUE_BYTES);
   const writes: { data: unknown }[] = [];
-  const store = smallestStore((path, body) => {
+  const store = storeWithSmallestLimits((path, body) => {
     const answer = (status: number, value: unknown): Promise<CallOutcome> =>
       Promise.resolve({ _tag: 'response', status, body: value });
     if (path === '/store/w/j/job-000001')
@@ -104,7 +104,7 @@
 });
 
 test('job record limits: the longest dependency list that a submission can hold fits', async () => {
-  const { store, writes } = notingStore();
+  const { store, writes } = recordingStore();
   const follows = Array.from({ length: 4_000 }, (_, k) => `job-${String(k * 211).padStart(6, '0')}`);
   const api = usersApi(store, (key) => ({ key, value: null, version: 1 }));
   const body = submission({
--- a/src/jobs/submission-codec.ts
+++ b/src/jobs/submission-codec.ts
@@ -45,12 +45,12 @@
 const PRIORITIES: Record<string, Priority> = { prod: 3, urgent: 2, standard: 1, best_effort: 0 };
 
 /** A submission after reading. */
-export type Submitted =
+export type SubmissionReadResult =
   | { readonly _tag: 'job'; readonly spec: JobSpec; readonly dependsOn: readonly string[] }
   | { readonly _tag: 'malformed'; readonly reason: string };
 
 /** Reads and checks a submission. */
-export const readSubmission = (value: unknown): Submitted => {
+export const readSubmission = (value: unknown): SubmissionReadResult => {
   const result = decodeSubmission(value);
   if (!Result.isSuccess(result)) {
     return {
--- a/src/kv-store/client.test.ts
+++ b/src/kv-store/client.test.ts
@@ -4,12 +4,12 @@
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
 import type { CallOutcome } from '../http/model.js';
-import { answering, status, TIMED_OUT } from '../testing/answering-client.js';
+import { alwaysAnswering, status, TIMED_OUT } from '../testing/answering-client.js';
 import { KeyValueStore } from './client.js';
 
 const LIMITS = { requestsPerSecond: 100, changesPerSecond: 100, maxTransactionWrites: 8, nodes: 1 };
 const store = (answer: CallOutcome): KeyValueStore =>
-  new KeyValueStore({ host: 'h', port: 1 }, LIMITS, () => 0, answering(answer));
+  new KeyValueStore({ host: 'h', port: 1 }, LIMITS, () => 0, alwaysAnswering(answer));
 
 const transactions: readonly { name: string; answer: CallOutcome; expect: string }[] = [
   { name: 'carried out', answer: status(200, { epoch: 7 }), expect: 'committed' },
--- a/src/kv-store/client.ts
+++ b/src/kv-store/client.ts
@@ -22,7 +22,7 @@
   WATCH_SOCKETS,
   WATCH_TIMEOUT_MS,
 } from '../constants/key-value-store.js';
-import { SHARD_LEASE_TTL_MS } from '../constants/leases.js';
+import { CONTROLLER_LEASE_TTL_MS } from '../constants/leases.js';
 import type { CallOutcome, HttpClient, HttpClientFactory, Target } from '../http/model.js';
 import type { StoreLimits } from '../settings/limits-codec.js';
 import {
@@ -244,7 +244,7 @@
 
   /** Asks for a lease. */
   grant(): Effect.Effect<LeaseResult> {
-    return this.leaseRequest(LEASES_PATH, writeLeaseRequest(SHARD_LEASE_TTL_MS));
+    return this.leaseRequest(LEASES_PATH, writeLeaseRequest(CONTROLLER_LEASE_TTL_MS));
   }
 
   /** Renews a lease. */
--- a/src/kv-store/linearizable-reads.ts
+++ b/src/kv-store/linearizable-reads.ts
@@ -37,7 +37,7 @@
 
   /** Does the key still have this version, at some moment after the call? */
   confirm(key: string, version: number): Effect.Effect<VersionCheck> {
-    return Effect.promise(() => this.batcher.ask({ key, version }));
+    return Effect.promise(() => this.batcher.submit({ key, version }));
   }
 
   /**
--- a/src/kv-store/watch-cache.test.ts
+++ b/src/kv-store/watch-cache.test.ts
@@ -5,7 +5,7 @@
 import * as Effect from 'effect/Effect';
 import * as Fiber from 'effect/Fiber';
 import { CACHE_FRESHNESS_MS } from '../constants/key-value-store.js';
-import { answering, TIMED_OUT } from '../testing/answering-client.js';
+import { alwaysAnswering, TIMED_OUT } from '../testing/answering-client.js';
 import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
 import { KeyValueStore } from './client.js';
 import { WatchCache } from './watch-cache.js';
@@ -51,7 +51,7 @@
 }
 
 test('cache: an older change never undoes a newer one', () => {
-  const cache = new WatchCache(new KeyValueStore(TARGET, LIMITS, () => 0, answering(TIMED_OUT)));
+  const cache = new WatchCache(new KeyValueStore(TARGET, LIMITS, () => 0, alwaysAnswering(TIMED_OUT)));
   const seen: string[] = [];
   cache.onEvent((event) => seen.push(event._tag));
   cache.apply({ _tag: 'put', entry: { key: 'w/c/0', value: 2, version: 20 } });
--- a/src/kv-store/watch-cache.ts
+++ b/src/kv-store/watch-cache.ts
@@ -54,7 +54,7 @@
   }
 
   /** All entries of one kind. */
-  under(kind: `w/${string}/`): Iterable<StoredEntry> {
+  entriesOfKind(kind: `w/${string}/`): Iterable<StoredEntry> {
     return this.entriesByKind.get(kind)?.values() ?? [];
   }
 
--- a/src/peers/heartbeat-exchange.ts
+++ b/src/peers/heartbeat-exchange.ts
@@ -14,9 +14,9 @@
 /** What the exchange of heartbeats needs of the peer network. */
 export interface HeartbeatExchangeDependencies {
   /** This controller's name. */
-  readonly me: string;
+  readonly ownNode: string;
   /** The other controllers. */
-  readonly nodes: readonly string[];
+  readonly peerNodes: readonly string[];
   /** ms, steady. */
   readonly now: () => number;
   /** ms since the last heartbeat of a peer; null: none came yet. */
@@ -30,7 +30,7 @@
   /** How to end the present pause before the next exchange with a peer. */
   private readonly endPause = new Map<string, () => void>();
   /** Peers that are to get a heartbeat whether or not one is due. */
-  private readonly notified = new Set<string>();
+  private readonly pendingNotifications = new Set<string>();
 
   constructor(private readonly dependencies: HeartbeatExchangeDependencies) {}
 
@@ -40,14 +40,14 @@
   }
 
   /** ms without a heartbeat of a peer after which this controller begins an exchange. */
-  private initiationMs(node: string): number {
-    return HEARTBEAT_INTERVAL_MS * (this.dependencies.me < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
+  private initiationDelayMs(node: string): number {
+    return HEARTBEAT_INTERVAL_MS * (this.dependencies.ownNode < node ? 1 : HEARTBEAT_RESPONDER_FACTOR);
   }
 
   /** ms until this controller would begin an exchange with a peer. */
-  private nextMs(node: string): number {
+  private nextExchangeDelayMs(node: string): number {
     const age = this.dependencies.heartbeatAgeMs(node) ?? 0;
-    const wait = this.initiationMs(node);
+    const wait = this.initiationDelayMs(node);
     // One that does not answer is tried every heartbeat.
     return age >= wait ? HEARTBEAT_INTERVAL_MS : Math.max(MIN_HEARTBEAT_PAUSE_MS, wait - age);
   }
@@ -55,11 +55,11 @@
   private pause(node: string): Promise<void> {
     const { now } = this.dependencies;
     return new Promise((resolve) => {
-      const timer = setTimeout(resolve, this.nextMs(node));
+      const timer = setTimeout(resolve, this.nextExchangeDelayMs(node));
       const begunAt = now();
       this.endPause.set(node, () => {
         this.endPause.delete(node);
-        this.notified.add(node);
+        this.pendingNotifications.add(node);
         clearTimeout(timer);
         setTimeout(resolve, Math.max(0, HEARTBEAT_NOTIFICATION_INTERVAL_MS - (now() - begunAt)));
       });
@@ -70,22 +70,22 @@
    * Each answers a heartbeat with its own, so of two controllers one need begin: the other does when no
    * heartbeat came in time.
    */
-  private due(node: string): boolean {
+  private isDue(node: string): boolean {
     const age = this.dependencies.heartbeatAgeMs(node);
-    if (age === null || this.notified.delete(node)) return true;
-    return age >= this.initiationMs(node) * HEARTBEAT_DUE_FRACTION;
+    if (age === null || this.pendingNotifications.delete(node)) return true;
+    return age >= this.initiationDelayMs(node) * HEARTBEAT_DUE_FRACTION;
   }
 
   private exchangeWith(node: string): Effect.Effect<never> {
     return Effect.promise(async () => {
-      if (this.due(node)) await this.dependencies.exchange(node);
+      if (this.isDue(node)) await this.dependencies.exchange(node);
     }).pipe(Effect.andThen(Effect.promise(() => this.pause(node))), Effect.forever);
   }
 
   /** All loops, one a peer. */
   get run(): Effect.Effect<unknown> {
     return Effect.all(
-      this.dependencies.nodes.map((node) => this.exchangeWith(node)),
+      this.dependencies.peerNodes.map((node) => this.exchangeWith(node)),
       { concurrency: 'unbounded' },
     );
   }
--- a/src/peers/network.test.ts
+++ b/src/peers/network.test.ts
@@ -51,7 +51,7 @@
       let exchanges = 0;
       const make = (me: string, other: string): PeerNetwork =>
         new PeerNetwork({
-          me,
+          ownNode: me,
           peers: [{ node: other, endpoint: `${other}:1` }],
           heartbeat: () => heartbeatFrom(me),
           leader: () => 'a',
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -15,7 +15,7 @@
 /** What the peer network needs of the rest of the controller. */
 export interface PeerNetworkDependencies {
   /** This controller's name. */
-  readonly me: string;
+  readonly ownNode: string;
   readonly peers: readonly PeerAddress[];
   /** What this controller tells a peer. */
   readonly heartbeat: (to: string) => PeerHeartbeat;
@@ -36,13 +36,13 @@
   private readonly exchange: HeartbeatExchange;
 
   constructor(private readonly dependencies: PeerNetworkDependencies) {
-    const { me, peers, now, createHttpClient } = dependencies;
+    const { ownNode: me, peers, now, createHttpClient } = dependencies;
     const nodes = peers.map(({ node }) => node);
     this.view = new PeerView(nodes, now);
     this.client = new PeerClient(peers, createHttpClient);
     this.exchange = new HeartbeatExchange({
-      me,
-      nodes,
+      ownNode: me,
+      peerNodes: nodes,
       now,
       heartbeatAgeMs: (node) => this.view.heartbeatAgeMs(node),
       exchange: (node) => this.exchangeHeartbeats(node),
--- a/src/peers/peer-view.ts
+++ b/src/peers/peer-view.ts
@@ -8,7 +8,7 @@
 import type { PeerHeartbeat, ShardTaskCounts, StoreDemand } from './heartbeat.js';
 
 /** The version of a controller whose heartbeat names none. */
-const UNNAMED_VERSION = 0;
+const UNANNOUNCED_VERSION = 0;
 /** `PeerStatus.steadyMs` of a peer that does not answer. */
 const NOT_STEADY = -1;
 const NO_DEMAND: StoreDemand = { requests: 0, changes: 0 };
@@ -62,13 +62,13 @@
 
   /** `now`: ms, steady. */
   constructor(
-    private readonly nodes: readonly string[],
+    private readonly peerNodes: readonly string[],
     private readonly now: () => number,
   ) {}
 
   /** Records a heartbeat; one of a controller that the settings don't name is left out. */
   record(heartbeat: PeerHeartbeat): void {
-    if (!this.nodes.includes(heartbeat.from)) return;
+    if (!this.peerNodes.includes(heartbeat.from)) return;
     const now = this.now();
     const before = this.received.get(heartbeat.from);
     this.received.set(heartbeat.from, {
@@ -108,42 +108,42 @@
    * How many peers say in a recent heartbeat that they can't reach the key-value store, and that they can.
    */
   storeReachability(): StoreReachability {
-    const recent = this.nodes.flatMap((node) => this.recentHeartbeat(node) ?? []);
+    const recent = this.peerNodes.flatMap((node) => this.recentHeartbeat(node) ?? []);
     const up = recent.filter((heartbeat) => heartbeat.storeSilenceMs < HEARTBEAT_FRESHNESS_MS).length;
     return { down: recent.length - up, up };
   }
 
   /** Does every peer say in a recent heartbeat that it can't reach the key-value store? */
   storeDownForAll(): boolean {
-    return this.storeReachability().down === this.nodes.length;
+    return this.storeReachability().down === this.peerNodes.length;
   }
 
   /** Has every peer sent a heartbeat recently? */
   allConnected(): boolean {
-    return this.nodes.every((node) => this.recentHeartbeat(node) !== null);
+    return this.peerNodes.every((node) => this.recentHeartbeat(node) !== null);
   }
 
   /** The protocol version that each peer last announced; null: it has never sent a heartbeat. */
   announcedVersions(): readonly (number | null)[] {
-    return this.nodes.map((node) => {
+    return this.peerNodes.map((node) => {
       const last = this.received.get(node);
-      return last ? (last.heartbeat.protocolVersion ?? UNNAMED_VERSION) : null;
+      return last ? (last.heartbeat.protocolVersion ?? UNANNOUNCED_VERSION) : null;
     });
   }
 
   /** Does a peer announce at least this protocol version in a recent heartbeat? */
   supportsVersion(node: string, version: number): boolean {
-    return (this.recentHeartbeat(node)?.protocolVersion ?? UNNAMED_VERSION) >= version;
+    return (this.recentHeartbeat(node)?.protocolVersion ?? UNANNOUNCED_VERSION) >= version;
   }
 
   /** The summaries of shards in the peers' recent heartbeats. */
   summaries(): readonly ShardSummary[] {
-    return this.nodes.flatMap((node) => this.recentHeartbeat(node)?.summaries ?? []);
+    return this.peerNodes.flatMap((node) => this.recentHeartbeat(node)?.summaries ?? []);
   }
 
   /** What each peer last said that it asks of the key-value store. */
   storeDemands(): readonly StoreDemand[] {
-    return this.nodes.map((node) => this.received.get(node)?.heartbeat.demand ?? NO_DEMAND);
+    return this.peerNodes.map((node) => this.received.get(node)?.heartbeat.demand ?? NO_DEMAND);
   }
 
   /** What the holder of a job's shard last said of its tasks; null: nothing, or not recently. */
@@ -161,7 +161,7 @@
   /** The peer that receives heartbeats of most machines of a shard that it does not hold; null: none does. */
   misroutedHeartbeats(claimName: string): MisroutedHeartbeats | null {
     let most: MisroutedHeartbeats | null = null;
-    for (const node of this.nodes) {
+    for (const node of this.peerNodes) {
       const count = this.recentHeartbeat(node)?.misroutedHeartbeats[claimName] ?? 0;
       if (count > (most?.count ?? 0)) most = { node, count };
     }
--- a/src/peers/protocol-version.ts
+++ b/src/peers/protocol-version.ts
@@ -15,9 +15,9 @@
 import { readProtocolVersion, writeProtocolVersion } from './protocol-version-codec.js';
 
 /** The agreed version as long as none is recorded. */
-const FIRST_VERSION = 0;
+const INITIAL_VERSION = 0;
 /** The version of a key that does not exist yet. */
-const ABSENT = 0;
+const ABSENT_KEY_VERSION = 0;
 
 /** What the agreement needs of the rest of the controller. */
 export interface ProtocolVersionDependencies {
@@ -36,7 +36,7 @@
   /** Every controller of the deployment understands at least this version, now and from now on. */
   get agreed(): number {
     const entry = this.dependencies.cache.get(PROTOCOL_VERSION_KEY);
-    return entry ? readProtocolVersion(entry.value) : FIRST_VERSION;
+    return entry ? readProtocolVersion(entry.value) : INITIAL_VERSION;
   }
 
   /** Records this controller's version once every controller has announced it. */
@@ -61,7 +61,12 @@
       const result = yield* fencedTransaction(
         store,
         permit,
-        [{ key: PROTOCOL_VERSION_KEY, version: cache.get(PROTOCOL_VERSION_KEY)?.version ?? ABSENT }],
+        [
+          {
+            key: PROTOCOL_VERSION_KEY,
+            version: cache.get(PROTOCOL_VERSION_KEY)?.version ?? ABSENT_KEY_VERSION,
+          },
+        ],
         [{ _tag: 'put', key: PROTOCOL_VERSION_KEY, value: writeProtocolVersion(PROTOCOL_VERSION) }],
         'user',
       );
--- a/src/peers/rate-division.ts
+++ b/src/peers/rate-division.ts
@@ -3,7 +3,7 @@
  * rates of the store's client; the composition root runs it.
  */
 import * as Effect from 'effect/Effect';
-import { EVEN_RATE_FRACTION } from '../constants/key-value-store.js';
+import { EVENLY_DIVIDED_RATE_FRACTION } from '../constants/key-value-store.js';
 import { HEARTBEAT_INTERVAL_MS } from '../constants/peers.js';
 import type { KeyValueStore } from '../kv-store/client.js';
 import type { StoreDemand } from './heartbeat.js';
@@ -17,7 +17,7 @@
   const nodes = others.length + 1;
   const all = others.reduce((sum, demand) => sum + demand, own);
   const byDemand = all > 0 ? own / all : 1 / nodes;
-  return total * (EVEN_RATE_FRACTION / nodes + (1 - EVEN_RATE_FRACTION) * byDemand);
+  return total * (EVENLY_DIVIDED_RATE_FRACTION / nodes + (1 - EVENLY_DIVIDED_RATE_FRACTION) * byDemand);
 };
 
 /** Keeps this controller's part of the store's rates in step with what the controllers ask for. */
--- a/src/peers/relay-size-bounds.test.ts
+++ b/src/peers/relay-size-bounds.test.ts
@@ -8,7 +8,7 @@
 import { VALUE_FILL_FRACTION } from '../constants/key-value-store.js';
 import type { Reservation } from '../fleet/reservation.js';
 import type { ShardSummary, UnlistedSpares, UnmetDemand, WaitingGang } from '../fleet/shard-summary.js';
-import { endsWithin } from '../testing/bounded-run.js';
+import { runWithTimeout } from '../testing/bounded-run.js';
 import type { RelayedOrders } from './orders.js';
 import { fitOrders, fitSummary, shortenOrders, shortenSummary } from './relay-size.js';
 
@@ -168,7 +168,7 @@
 ];
 for (const row of rows) {
   test(`relay size: ${row.name}`, () => {
-    const short = endsWithin(TIMEOUT_MS, () => shortenSummary(row.summary, row.valueBytes));
+    const short = runWithTimeout(TIMEOUT_MS, () => shortenSummary(row.summary, row.valueBytes));
     const fit = fitSummary(row.summary, row.valueBytes);
     assert.equal(fit._tag, row.left === null ? 'tooLarge' : 'fits');
     if (row.left === null) return;
@@ -183,7 +183,7 @@
 
 test('relay size: what a summary lost is told by list', () => {
   const summary = summaryOf({ needs: [demandOf({ gangs })], unlisted: kinds });
-  const fit = endsWithin(TIMEOUT_MS, () => fitSummary(summary, 2 * KIB));
+  const fit = runWithTimeout(TIMEOUT_MS, () => fitSummary(summary, 2 * KIB));
   assert.deepEqual(fit._tag === 'fits' && fit.omitted, { unlisted: 18 });
   const whole = fitSummary(summary, 16 * KIB);
   assert.deepEqual(whole._tag === 'fits' && whole.omitted, {});
@@ -192,7 +192,7 @@
 test('relay size: any summary and any value: shortening ends, and the result fits or is said not to', () => {
   fc.assert(
     fc.property(anySummary, anyValueBytes, (summary, valueBytes) => {
-      const short = endsWithin(TIMEOUT_MS, () => shortenSummary(summary, valueBytes));
+      const short = runWithTimeout(TIMEOUT_MS, () => shortenSummary(summary, valueBytes));
       const fit = fitSummary(summary, valueBytes);
       const isEmpty = short.needs.length + short.spares.length + (short.unlisted?.length ?? 0) === 0;
       if (fit._tag === 'fits') assert.ok(bytesOf(fit.stored) <= valueBytes * VALUE_FILL_FRACTION);
@@ -205,7 +205,7 @@
 test('relay size: any orders and any value: shortening ends, and the result fits or is said not to', () => {
   fc.assert(
     fc.property(anyOrders, anyValueBytes, (orders, valueBytes) => {
-      const short = endsWithin(TIMEOUT_MS, () => shortenOrders(orders, valueBytes));
+      const short = runWithTimeout(TIMEOUT_MS, () => shortenOrders(orders, valueBytes));
       const fit = fitOrders(orders, valueBytes);
       const isEmpty = short.transfers.length + short.reservations.length === 0;
       if (fit._tag === 'fits') assert.ok(bytesOf(fit.stored) <= valueBytes * VALUE_FILL_FRACTION);
--- a/src/peers/relay-size.ts
+++ b/src/peers/relay-size.ts
@@ -32,7 +32,7 @@
  *
  * @param smaller - The content without some of its entries; null: it has none left to leave out.
  */
-const firstThatFits = <Content>(
+const shortenUntilFits = <Content>(
   content: Content,
   write: (content: Content) => unknown,
   smaller: (content: Content) => Content | null,
@@ -58,7 +58,7 @@
       .filter(([, lost]) => lost > 0),
   );
 
-const fitted = <Stored>(
+const toFittedValue = <Stored>(
   stored: Stored,
   omitted: Readonly<Record<string, number>>,
   valueBytes: number,
@@ -91,7 +91,7 @@
  * next orders.
  */
 export const shortenOrders = (orders: RelayedOrders, valueBytes: number): RelayedOrders =>
-  firstThatFits(orders, writeRelayedOrders, smallerOrders, valueBytes);
+  shortenUntilFits(orders, writeRelayedOrders, smallerOrders, valueBytes);
 
 const countOrders = ({ transfers, reservations }: RelayedOrders): Readonly<Record<string, number>> => ({
   transfers: transfers.length,
@@ -102,7 +102,7 @@
 export const fitOrders = (orders: RelayedOrders, valueBytes: number): FittedValue<StoredOrders> => {
   const short = shortenOrders(orders, valueBytes);
   const omitted = countOmitted(countOrders(orders), countOrders(short));
-  return fitted(writeRelayedOrders(short), omitted, valueBytes);
+  return toFittedValue(writeRelayedOrders(short), omitted, valueBytes);
 };
 
 const limitGangs = (demand: UnmetDemand): UnmetDemand => ({
@@ -136,7 +136,7 @@
 
 /** A summary whose stored form fits a value of `valueBytes`, or one without any entry. */
 export const shortenSummary = (summary: ShardSummary, valueBytes: number): ShardSummary =>
-  firstThatFits(summary, writeSummary, smallerSummary, valueBytes);
+  shortenUntilFits(summary, writeSummary, smallerSummary, valueBytes);
 
 const countSummary = ({ needs, spares, unlisted }: ShardSummary): Readonly<Record<string, number>> => ({
   needs: needs.length,
@@ -149,5 +149,5 @@
 export const fitSummary = (summary: ShardSummary, valueBytes: number): FittedValue<WireSummary> => {
   const short = shortenSummary(summary, valueBytes);
   const omitted = countOmitted(countSummary(summary), countSummary(short));
-  return fitted(writeSummary(short), omitted, valueBytes);
+  return toFittedValue(writeSummary(short), omitted, valueBytes);
 };
--- a/src/peers/store-relay-size.test.ts
+++ b/src/peers/store-relay-size.test.ts
@@ -8,7 +8,7 @@
 import { RELAY_CHECK_INTERVAL_MS, RELAY_INTERVAL_MS } from '../constants/peers.js';
 import type { ShardSummary, UnmetDemand } from '../fleet/shard-summary.js';
 import { log } from '../log.js';
-import { notingStore, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
+import { recordingStore, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
 import { readRelayedSummary } from './relay-codec.js';
 import { KeyValueStoreRelay } from './store-relay.js';
 
@@ -47,7 +47,7 @@
   const spies = (['info', 'error'] as const).map((level) =>
     mock.method(log, level, (line: unknown) => logged.push(line)),
   );
-  const { store, writes } = notingStore();
+  const { store, writes } = recordingStore();
   const subject = new KeyValueStoreRelay({
     store,
     valueBytes,
--- a/src/peers/store-relay.test.ts
+++ b/src/peers/store-relay.test.ts
@@ -3,11 +3,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as Effect from 'effect/Effect';
-import { bytesOf, notingStore, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
+import { bytesOf, recordingStore, SMALLEST_VALUE_BYTES } from '../testing/smallest-limits.js';
 import { KeyValueStoreRelay } from './store-relay.js';
 
 test('relay limits: orders are cut to what one value holds, with something of each kind', async () => {
-  const { store, writes } = notingStore();
+  const { store, writes } = recordingStore();
   const relay = new KeyValueStoreRelay({
     store,
     valueBytes: SMALLEST_VALUE_BYTES,
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -77,13 +77,13 @@
 
   /** The last relayed summary of a shard, if it is recent and by this very claim. */
   summary(shardId: number, claim: number): ShardSummary | null {
-    const summary = this.recent(this.receivedSummaries.get(shardId));
+    const summary = this.contentIfRecent(this.receivedSummaries.get(shardId));
     return summary?.claim === claim ? summary : null;
   }
 
   /** The reservations in the last relayed orders for a shard, if they are recent. */
   reservations(shardId: number): readonly Reservation[] {
-    return this.recent(this.receivedOrders.get(shardId))?.reservations ?? [];
+    return this.contentIfRecent(this.receivedOrders.get(shardId))?.reservations ?? [];
   }
 
   /** Gives the leader's orders to the holder of a shard that can't be reached, at most once an interval. */
@@ -94,7 +94,7 @@
   ): Effect.Effect<unknown> {
     const leaderClaim = this.dependencies.leaderClaim();
     const key = ordersKey(shardId);
-    if (leaderClaim === null || !this.due(key)) return Effect.void;
+    if (leaderClaim === null || !this.isDue(key)) return Effect.void;
     const orders = fitOrders({ leaderClaim, transfers, reservations }, this.dependencies.valueBytes);
     return this.write(key, orders, LEADER_CLAIM, leaderClaim);
   }
@@ -110,7 +110,7 @@
   private relaySummary(summary: ShardSummary): Effect.Effect<unknown> {
     const { shardId, claim } = summary;
     const key = summaryKey(shardId);
-    if (!this.due(key)) return Effect.void;
+    if (!this.isDue(key)) return Effect.void;
     const short = fitSummary(summary, this.dependencies.valueBytes);
     if (short._tag === 'fits') {
       const digest = digestOf(short.stored);
@@ -121,13 +121,13 @@
     return this.write(key, short, String(shardId), claim);
   }
 
-  private recent<Content>(received: Received<Content> | undefined): Content | null {
+  private contentIfRecent<Content>(received: Received<Content> | undefined): Content | null {
     return received && this.dependencies.now() - received.receivedAt < RELAY_FRESHNESS_MS
       ? received.content
       : null;
   }
 
-  private due(key: string): boolean {
+  private isDue(key: string): boolean {
     const writtenAt = this.writtenAt.get(key) ?? Number.NEGATIVE_INFINITY;
     return this.dependencies.now() - writtenAt >= RELAY_INTERVAL_MS;
   }
--- a/src/placement/bin-packing.ts
+++ b/src/placement/bin-packing.ts
@@ -4,7 +4,7 @@
  * round, `unmetDemand` for planning with machines that are expected soon.
  */
 import { AMOUNT_TOLERANCE, SPREAD_ZONE_FRACTION } from '../constants/placement.js';
-import { howMany } from '../jobs/model.js';
+import { fittingTaskCount } from '../jobs/model.js';
 import {
   bestFirst,
   utilization,
@@ -41,7 +41,7 @@
     if (remaining <= 0) break;
     const used = tasksInZone.get(capacity.zone) ?? 0;
     const tasksHere = Math.min(
-      howMany(request.spec, capacityFor(request, capacity, scope), remaining),
+      fittingTaskCount(request.spec, capacityFor(request, capacity, scope), remaining),
       maxTasksPerZone - used,
     );
     if (tasksHere <= 0) continue;
--- a/src/placement/failure-accounting.ts
+++ b/src/placement/failure-accounting.ts
@@ -5,7 +5,7 @@
  */
 import { SUSPECT_MACHINE_PAUSE_MS } from '../constants/machines.js';
 import {
-  FAULTY_JOB_MACHINES,
+  JOB_FAULT_MACHINE_THRESHOLD,
   JOB_BACKOFF_MS,
   MAX_JOB_BACKOFF_DOUBLINGS,
   MAX_JOB_BACKOFF_MS,
@@ -16,7 +16,7 @@
 
 /** ms: how long a job at fault waits after failures on `machinesFailedOn` machines. */
 const jobPauseMs = (machinesFailedOn: number): number => {
-  const doublings = Math.min(MAX_JOB_BACKOFF_DOUBLINGS, machinesFailedOn - FAULTY_JOB_MACHINES);
+  const doublings = Math.min(MAX_JOB_BACKOFF_DOUBLINGS, machinesFailedOn - JOB_FAULT_MACHINE_THRESHOLD);
   return Math.min(MAX_JOB_BACKOFF_MS, JOB_BACKOFF_MS * 2 ** doublings);
 };
 
@@ -38,7 +38,7 @@
       machine: binding.machine,
       errors: job.failures,
     });
-    const jobAtFault = !job.hasCompletedTask && job.failedOn.size >= FAULTY_JOB_MACHINES;
+    const jobAtFault = !job.hasCompletedTask && job.failedOn.size >= JOB_FAULT_MACHINE_THRESHOLD;
     if (!job.hasCompletedTask) delayUntil(job, jobAtFault ? now + jobPauseMs(job.failedOn.size) : now);
     if (jobAtFault) this.clearMachines(job);
     else if (machine) this.recordMachineFailure(machine, job, now);
--- a/src/placement/machine-lifecycle.ts
+++ b/src/placement/machine-lifecycle.ts
@@ -3,7 +3,7 @@
  * times of the last check and of the last urgent release request; `Shard` calls it once a round and on the
  * leader's transfer orders.
  */
-import { URGENT_RETURN_INTERVAL_MS } from '../constants/cancellation.js';
+import { URGENT_RELEASE_INTERVAL_MS } from '../constants/cancellation.js';
 import { MACHINE_CHECK_INTERVAL_MS } from '../constants/machines.js';
 import type { MachineTransfer } from '../fleet/machine-transfer.js';
 import { log } from '../log.js';
@@ -99,7 +99,7 @@
   private releaseNow(ids: readonly string[]): void {
     const { now, shardState, releaseNow, isLost } = this.dependencies;
     const askedAt = now();
-    if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RETURN_INTERVAL_MS) return;
+    if (ids.length === 0 || askedAt - this.urgentReleaseAt < URGENT_RELEASE_INTERVAL_MS) return;
     this.urgentReleaseAt = askedAt;
     // The leader may carry out the request late, whatever its answer: nothing new is placed on the machines
     // from now on.
--- a/src/placement/machine-liveness.ts
+++ b/src/placement/machine-liveness.ts
@@ -3,20 +3,20 @@
  * released. Owns the time when the shard was loaded; of machines it changes `total`, `health` once a
  * suspicion is over, and `idleSince`. Rounds and `MachineLifecycle` call it.
  */
-import { CANCELLED_MACHINE_RETURN_MARGIN_MS } from '../constants/cancellation.js';
-import { CLOCK_DRIFT_FRACTION, UNREACHABLE_REPORT_INTERVALS } from '../constants/leases.js';
+import { CANCELLED_MACHINE_RELEASE_MARGIN_MS } from '../constants/cancellation.js';
+import { CLOCK_DRIFT_FRACTION, UNREACHABLE_WORKERS_REPORT_INTERVALS } from '../constants/leases.js';
 import {
-  BOOT_BOUND_IDLE_HOLD_BOOT_TIMES,
+  BOOT_BOUND_IDLE_HOLD_BOOT_FACTOR,
   BOOT_TIMEOUT_FACTOR,
   BOOT_TIMEOUT_SLACK_S,
-  IDLE_HOLD_BOOT_TIMES,
+  IDLE_HOLD_BOOT_FACTOR,
   LIVE_LEASE_FRACTION,
   LONG_IDLE_HOLD_MACHINES,
   MIN_IDLE_HOLD_S,
-  MOVED_MACHINE_CONTACT_TIMEOUT_MS,
-  SETTLING_SPOT_SILENCES,
+  TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS,
+  SHARD_LOAD_GRACE_SPOT_SILENCES,
   SPOT_SILENCE_REPORT_INTERVALS,
-  SURPLUS_IDLE_HOLD_BOOT_TIMES,
+  SURPLUS_IDLE_HOLD_BOOT_FACTOR,
   UNCONFIRMED_TOKEN_LEASES,
   UNKNOWN_TYPE_BOOT_S,
   USUAL_BOOT_FACTOR,
@@ -75,10 +75,10 @@
 
   constructor(private readonly dependencies: MachineLivenessDependencies) {
     const reportMs = dependencies.workers.report_s * 1000;
-    this.unreachableAfterMs = reportMs * UNREACHABLE_REPORT_INTERVALS;
+    this.unreachableAfterMs = reportMs * UNREACHABLE_WORKERS_REPORT_INTERVALS;
     this.rebuildTimeoutMs = reportMs * TAKEOVER_WAIT_REPORT_INTERVALS;
     this.spotSilenceMs = reportMs * SPOT_SILENCE_REPORT_INTERVALS;
-    this.cancelledReleaseMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RETURN_MARGIN_MS;
+    this.cancelledReleaseMs = dependencies.workers.cancel_s * 1000 - CANCELLED_MACHINE_RELEASE_MARGIN_MS;
     this.leaseMs = dependencies.workers.lease_s * 1000 * (1 + CLOCK_DRIFT_FRACTION) + WORKER_LEASE_MARGIN_MS;
   }
 
@@ -107,7 +107,7 @@
     // The machine came from another shard, where it was running and free; this holder is just announcing the
     // token to its worker.
     if (machine.addr !== '' && machine.answeredAt === null && machine.confirmedToken === 0)
-      return now - machine.addedAt < MOVED_MACHINE_CONTACT_TIMEOUT_MS;
+      return now - machine.addedAt < TRANSFERRED_MACHINE_CONTACT_TIMEOUT_MS;
     return (
       this.isBooting(machine, wall) &&
       wall - machine.recordedAt <
@@ -196,10 +196,10 @@
   private idleHoldMs(machine: ShardMachine, rank: number): number {
     const boots =
       !machine.spot && this.dependencies.isBootBound(machine.type)
-        ? BOOT_BOUND_IDLE_HOLD_BOOT_TIMES
+        ? BOOT_BOUND_IDLE_HOLD_BOOT_FACTOR
         : rank < LONG_IDLE_HOLD_MACHINES
-          ? IDLE_HOLD_BOOT_TIMES
-          : SURPLUS_IDLE_HOLD_BOOT_TIMES;
+          ? IDLE_HOLD_BOOT_FACTOR
+          : SURPLUS_IDLE_HOLD_BOOT_FACTOR;
     return Math.max(MIN_IDLE_HOLD_S, this.bootSecondsOf(machine, 0) * boots) * 1000;
   }
 
@@ -239,7 +239,8 @@
     return {
       receivesFromMost: reporting * 2 >= machines,
       reachesMost: unconfirmed * 2 <= withinLease,
-      hasSettled: this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SETTLING_SPOT_SILENCES,
+      hasSettled:
+        this.loadedAt !== null && now - this.loadedAt > this.spotSilenceMs * SHARD_LOAD_GRACE_SPOT_SILENCES,
     };
   }
 
--- a/src/placement/placement-view.ts
+++ b/src/placement/placement-view.ts
@@ -5,9 +5,9 @@
  */
 import {
   ESTIMATED_IMAGE_FETCH_S,
-  GUARANTEED_ON_DEMAND_PATIENCE_S,
+  GUARANTEED_ON_DEMAND_PLACEMENT_WAIT_S,
   MAX_TASKS_PER_PLACEMENT_REQUEST,
-  ON_DEMAND_PATIENCE_S,
+  ON_DEMAND_PLACEMENT_WAIT_S,
   RESERVED_IDLE_MACHINES,
 } from '../constants/placement.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
@@ -16,7 +16,7 @@
 import {
   fitsIn,
   hasAlternatives,
-  howMany,
+  fittingTaskCount,
   typeAllowed,
   type Catalog,
   type Demand,
@@ -103,7 +103,7 @@
  */
 const leftoverCapacityOf = (machine: ShardMachine, free: FreeCapacity, scarce: Demand | null): Demand => {
   if (free._tag === 'unclear' || scarce === null || !free.hasDependentWork) return NO_CAPACITY;
-  const tasks = howMany(scarce, machine.total, MAX_TASKS_PER_JOB);
+  const tasks = fittingTaskCount(scarce, machine.total, MAX_TASKS_PER_JOB);
   const leftover = (field: keyof Demand): number =>
     Math.max(
       0,
@@ -229,7 +229,7 @@
   const { spec } = job;
   const objectives = view.objectives.get(spec.jobClass);
   const waitedS = (wall - job.waitingSince) / 1000;
-  const onDemandPatienceS = withinGuarantee ? GUARANTEED_ON_DEMAND_PATIENCE_S : ON_DEMAND_PATIENCE_S;
+  const onDemandWaitS = withinGuarantee ? GUARANTEED_ON_DEMAND_PLACEMENT_WAIT_S : ON_DEMAND_PLACEMENT_WAIT_S;
   const bootS = shortestBootS(spec, catalog);
   const jobUrgency = urgency(spec, objectives, waitedS, bootS, ESTIMATED_IMAGE_FETCH_S);
   return {
@@ -241,7 +241,7 @@
     waitingSince: job.waitingSince,
     missedStartTargets: missedStartTargets(objectives, waitedS),
     urgency: jobUrgency,
-    mayUseOnDemand: jobUrgency.place || waitedS > onDemandPatienceS,
+    mayUseOnDemand: jobUrgency.place || waitedS > onDemandWaitS,
     withinGuarantee,
     hasAlternatives: hasAlternatives(spec, catalog),
     hasReservation: reservations.some((reservation) => reservation.job === spec.id),
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -4,7 +4,7 @@
  */
 import { SPREAD_ZONE_FRACTION } from '../constants/placement.js';
 import { CPUS_PER_GPU_IN_GROUP_SIZE } from '../constants/preemption.js';
-import { howMany, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
+import { fittingTaskCount, placeAllowed, type Demand, type JobSpec } from '../jobs/model.js';
 
 /**
  * Tasks on one machine that are stopped together. A group is part of a gang, which is stopped as a whole on
@@ -68,7 +68,7 @@
   }
   candidates.sort((a, b) => a.priority - b.priority || sizeOf(a) - sizeOf(b) || (a.job < b.job ? -1 : 1));
   let victims: EvictableGroup[] = [];
-  while (howMany(spec, free, spec.tasks) === 0) {
+  while (fittingTaskCount(spec, free, spec.tasks) === 0) {
     const next = candidates.shift();
     if (!next) return null;
     victims.push(next);
@@ -81,11 +81,11 @@
       gpus: free.gpus - victim.demand.gpus,
       memoryGb: free.memoryGb - victim.demand.memoryGb,
     };
-    if (howMany(spec, without, spec.tasks) === 0) continue;
+    if (fittingTaskCount(spec, without, spec.tasks) === 0) continue;
     victims = victims.filter((other) => other !== victim);
     Object.assign(free, without);
   }
-  return { machine, victims, tasksThatFit: howMany(spec, free, spec.tasks) };
+  return { machine, victims, tasksThatFit: fittingTaskCount(spec, free, spec.tasks) };
 };
 
 /**
--- a/src/placement/shard-loader.ts
+++ b/src/placement/shard-loader.ts
@@ -70,7 +70,7 @@
 
   private loadJobs(): void {
     const { cache, shardOfTeam, shardId, shardState, onEffectivePriority } = this.dependencies;
-    for (const item of cache.under(JOB_PREFIX)) {
+    for (const item of cache.entriesOfKind(JOB_PREFIX)) {
       const record = readJobRecord(item.value);
       if (shardOfTeam.get(record.spec.team) === shardId) shardState.applyJobRecord(record, item.version);
       onEffectivePriority(record.spec.id);
--- a/src/placement/shard.ts
+++ b/src/placement/shard.ts
@@ -52,7 +52,7 @@
       requestRound: this.roundLoop.requestRound,
       markLost: () => this.markLost(),
     });
-    for (const { key, value, version } of context.cache.under(MACHINE_PREFIX))
+    for (const { key, value, version } of context.cache.entriesOfKind(MACHINE_PREFIX))
       this.onMachineRecord(machineOfKey(key), readMachineRecord(value), version);
   }
 
--- a/src/placement/unmet-demand.ts
+++ b/src/placement/unmet-demand.ts
@@ -6,14 +6,14 @@
 import { MAX_DEMAND_CLASSES } from '../constants/peers.js';
 import { MAX_TASKS_PER_PLACEMENT_REQUEST } from '../constants/placement.js';
 import {
-  ARRAY_RESERVE_DELAY_MS,
-  DEFAULT_RESERVE_DELAY_MS,
-  MAX_RESERVE_DELAY_MS,
-  RESERVE_DELAY_TARGET_FRACTION,
+  ARRAY_RESERVATION_DELAY_MS,
+  DEFAULT_RESERVATION_DELAY_MS,
+  MAX_RESERVATION_DELAY_MS,
+  RESERVATION_DELAY_TARGET_FRACTION,
 } from '../constants/reservations.js';
 import { MAX_TASKS_PER_JOB } from '../constants/users-api.js';
 import type { UnmetDemand, WaitingGang } from '../fleet/shard-summary.js';
-import { howMany, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
+import { fittingTaskCount, placeAllowed, type Catalog, type JobSpec } from '../jobs/model.js';
 import { packRequests } from './bin-packing.js';
 import type { AvailableCapacity, PlacementRequest, UnplacedRequest } from './placement-model.js';
 import type { TeamLimit, TeamUsage } from './team-limits.js';
@@ -46,7 +46,7 @@
     spec.spot,
     spec.priority,
     urgent,
-    ...[...catalog.values()].map((type) => howMany(spec, type, MAX_TASKS_PER_JOB)),
+    ...[...catalog.values()].map((type) => fittingTaskCount(spec, type, MAX_TASKS_PER_JOB)),
   ].join('|');
 
 /**
@@ -55,11 +55,11 @@
  * enough for it to start.
  */
 const reserveDelayMs = (spec: JobSpec, objectives: ReadonlyMap<string, Objectives>): number => {
-  if (spec.kind !== 'gang') return ARRAY_RESERVE_DELAY_MS;
+  if (spec.kind !== 'gang') return ARRAY_RESERVATION_DELAY_MS;
   const target = objectives.get(spec.jobClass)?.wait.at(-1);
   return target === undefined
-    ? DEFAULT_RESERVE_DELAY_MS
-    : Math.min(MAX_RESERVE_DELAY_MS, target * 1000 * RESERVE_DELAY_TARGET_FRACTION);
+    ? DEFAULT_RESERVATION_DELAY_MS
+    : Math.min(MAX_RESERVATION_DELAY_MS, target * 1000 * RESERVATION_DELAY_TARGET_FRACTION);
 };
 
 /** The demand of one class: the sum of its tasks, and the largest amounts that one of them needs. */
@@ -116,7 +116,7 @@
     const { empty, reservedFor, zone } = capacity;
     const reservedForAnother = empty && reservedFor !== null && reservedFor.job !== request.job;
     if (!placeAllowed(spec, capacity) || reservedForAnother) continue;
-    tasksByZone[zone] = (tasksByZone[zone] ?? 0) + howMany(spec, capacity.free, count);
+    tasksByZone[zone] = (tasksByZone[zone] ?? 0) + fittingTaskCount(spec, capacity.free, count);
   }
   return tasksByZone;
 };
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -3,7 +3,7 @@
  * that it has missed. Pure; the placement view calls it for each waiting job.
  */
 import {
-  ON_DEMAND_PROVISIONING_PATIENCE_S,
+  ON_DEMAND_PROVISIONING_WAIT_S,
   STARVATION_FACTOR,
   URGENT_PLACEMENT_SLACK_S,
   URGENT_PROVISIONING_SLACK_S,
@@ -50,7 +50,7 @@
   bootS: number,
   fetchS: number,
 ): Urgency => {
-  const waitedLong = waitedS > ON_DEMAND_PROVISIONING_PATIENCE_S;
+  const waitedLong = waitedS > ON_DEMAND_PROVISIONING_WAIT_S;
   /** For each target: s left before the work must begin to meet it. */
   const slacks = [
     ...finishTargets(spec, objectives).map((target) => target - waitedS - spec.estimateS - fetchS),
--- a/src/placement/worker-sessions.ts
+++ b/src/placement/worker-sessions.ts
@@ -6,7 +6,7 @@
 import { MAX_RUN_COMMAND_ATTEMPTS } from '../constants/workers.js';
 import { log } from '../log.js';
 import type { Command, WorkerHeartbeat } from '../workers/model.js';
-import { answerCommands, readChanges } from '../workers/reconcile.js';
+import { answerCommands, detectPhaseChanges } from '../workers/reconcile.js';
 import { isNewer, recordLastSeen, tokenOf } from './heartbeat-order.js';
 import type { RoundTrigger, ShardIdentity, StageQueries, SteadyClock } from './ports.js';
 import { chunkOf } from './run-records.js';
@@ -96,9 +96,9 @@
     machine: ShardMachine,
     heartbeat: WorkerHeartbeat,
     underToken: boolean,
-  ): ReturnType<typeof readChanges> {
+  ): ReturnType<typeof detectPhaseChanges> {
     if (!this.dependencies.isLoaded()) return [];
-    return readChanges(machine, heartbeat, underToken, (key) =>
+    return detectPhaseChanges(machine, heartbeat, underToken, (key) =>
       this.mayStillRun(machine, key, heartbeat.token),
     );
   }
--- a/src/recorded-formats/catalog.ts
+++ b/src/recorded-formats/catalog.ts
@@ -1,5 +1,5 @@
 /** A catalog that one value cannot hold: as it is stored, and as another controller reads it. */
-import { peersOf, recordWith, SETTLED_MS } from './deployment.js';
+import { peerResponder, recordWith, STARTUP_MS } from './deployment.js';
 import { readFixture, type Recording } from './fixtures.js';
 import { HarnessedController, submissionOf, type SentRequest, type StubAnswer } from './harness.js';
 
@@ -25,12 +25,13 @@
   return recordWith(controller, async (recording) => {
     await controller.seed('w/level', '{"v":2}');
     await controller.seedClaims({ 1: 'n1', 2: 'n2' });
-    const peers = peersOf('n0');
+    const peers = peerResponder('n0');
     controller.respond = (request: SentRequest): StubAnswer | Promise<StubAnswer> =>
       request.path === '/catalog' ? { status: 200, body: { breeds: BREEDS } } : peers(request);
     controller.start();
-    await controller.advance(SETTLED_MS + STORED_MS);
-    for (const key of controller.state.keys('w/catalog')) recording[`stored ${key}`] = controller.stored(key);
+    await controller.advance(STARTUP_MS + STORED_MS);
+    for (const key of controller.state.keys('w/catalog'))
+      recording[`stored ${key}`] = controller.storedValue(key);
   });
 };
 
@@ -43,17 +44,17 @@
       .filter(([name]) => name.startsWith('stored '))
       .map(([name, data]) => ({ write: name.slice('stored '.length), data }));
     await controller.state.handle('seed', 'POST', '/txn', { when: [], writes: changes });
-    controller.respond = peersOf('n1');
+    controller.respond = peerResponder('n1');
     controller.start();
-    await controller.advance(SETTLED_MS);
-    recording['readiness with a catalog in parts: answer'] = await controller.ask('GET', '/ready');
+    await controller.advance(STARTUP_MS);
+    recording['readiness with a catalog in parts: answer'] = await controller.request('GET', '/ready');
     const large = { heads: 1, together: false, breeds: null, vcpus: 87 };
-    recording['a task that the last type holds: answer'] = await controller.ask(
+    recording['a task that the last type holds: answer'] = await controller.request(
       'POST',
       '/v2/runs',
       submissionOf({ ...large, uid: 'job-000420' }),
     );
-    recording['a task that no type holds: answer'] = await controller.ask(
+    recording['a task that no type holds: answer'] = await controller.request(
       'POST',
       '/v2/runs',
       submissionOf({ ...large, uid: 'job-000421', vcpus: 87.5 }),
--- a/src/recorded-formats/deployment.ts
+++ b/src/recorded-formats/deployment.ts
@@ -17,12 +17,12 @@
 };
 const NODES = ['n0', 'n1', 'n2'] as const;
 /** ms in which a controller reads the shared keys, gets its lease and takes its claims. */
-export const SETTLED_MS = 2_000;
+export const STARTUP_MS = 2_000;
 /** ms in which every peer is heard, and what a holder says of itself has followed its last change. */
 const HEARD_MS = 3_000;
 
 /** A controller that does not run yet, with the catalog, the level and the others' claims stored. */
-export const prepared = async (node: Node, { level = true } = {}): Promise<HarnessedController> => {
+export const prepareController = async (node: Node, { level = true } = {}): Promise<HarnessedController> => {
   const controller = new HarnessedController(node);
   await controller.seed('w/catalog', CATALOG_JSON);
   if (level) await controller.seed('w/level', '{"v":2}');
@@ -31,7 +31,7 @@
 };
 
 /** Peers answer heartbeats with what they said when they had just started. */
-export const peersOf =
+export const peerResponder =
   (node: Node): Responder =>
   ({ to, path }: SentRequest): StubAnswer =>
     path === '/beat' && to !== 'cloud'
@@ -56,14 +56,14 @@
 export const recordedJson = (fixture: string, entry: string): unknown => readFixture(fixture)[entry];
 
 /** What each controller says first, when nobody answers it yet. */
-export const recordFirstBeats = async (): Promise<Recording> => {
+export const recordFirstHeartbeats = async (): Promise<Recording> => {
   const beats: Record<string, unknown> = {};
   for (const node of NODES) {
-    const controller = await prepared(node);
+    const controller = await prepareController(node);
     const recorded = await recordWith(controller, async (recording) => {
       controller.start();
-      await controller.advance(SETTLED_MS + HEARD_MS);
-      for (const to of NODES) if (to !== node) recording[`${node} to ${to}`] = controller.lastBeat(to);
+      await controller.advance(STARTUP_MS + HEARD_MS);
+      for (const to of NODES) if (to !== node) recording[`${node} to ${to}`] = controller.lastHeartbeat(to);
     });
     Object.assign(beats, recorded);
   }
--- a/src/recorded-formats/first-beats.test.ts
+++ b/src/recorded-formats/first-beats.test.ts
@@ -1,4 +1,4 @@
 import { compareWithFixture } from './fixtures.js';
-import { recordFirstBeats } from './deployment.js';
+import { recordFirstHeartbeats } from './deployment.js';
 
-compareWithFixture('first-beats', recordFirstBeats);
+compareWithFixture('first-beats', recordFirstHeartbeats);
--- a/src/recorded-formats/fixtures.ts
+++ b/src/recorded-formats/fixtures.ts
@@ -35,7 +35,7 @@
   JSON.parse(readFileSync(fixtureFile(name), 'utf8')) as Recording;
 
 /** A value as it is sent. */
-export const messageOf = (value: unknown): RecordedMessage => {
+export const toRecordedMessage = (value: unknown): RecordedMessage => {
   const bytes = encode(value);
   return { bytes: bytes.toString('base64'), json: decode(bytes) };
 };
--- a/src/recorded-formats/harness.ts
+++ b/src/recorded-formats/harness.ts
@@ -14,8 +14,8 @@
 import { checkNetworks } from '../settings/networks.js';
 import { checkSettings, type Settings } from '../settings/schema.js';
 import { KeyValueStoreStandIn } from '../testing/key-value-store-stand-in.js';
-import { writeOrders } from '../workers/codec.js';
-import { messageOf, type RecordedMessage } from './fixtures.js';
+import { writeCommands } from '../workers/codec.js';
+import { toRecordedMessage, type RecordedMessage } from './fixtures.js';
 
 /** ms since the epoch at which recordings begin. */
 export const START_MS = 1_700_000_000_000;
@@ -95,7 +95,7 @@
 /** An address from which it may be used. */
 export const ADMIN_ADDRESS = '10.1.2.3';
 /** An address from which it may not be used. */
-export const FOREIGN_ADDRESS = '192.0.2.7';
+export const UNAUTHORIZED_ADDRESS = '192.0.2.7';
 
 const turns = async (): Promise<void> => {
   for (let turn = 0; turn < TURNS; turn += 1) await new Promise((resolve) => setImmediate(resolve));
@@ -104,7 +104,7 @@
 const recordReply = (reply: ServerResponse): RecordedReply => ({
   status: reply.status,
   ...(reply.headers === undefined ? {} : { headers: reply.headers }),
-  ...(reply.text === undefined ? { body: messageOf(reply.body ?? {}) } : { text: reply.text }),
+  ...(reply.text === undefined ? { body: toRecordedMessage(reply.body ?? {}) } : { text: reply.text }),
 });
 
 /** A controller between stand-ins. */
@@ -116,7 +116,7 @@
   /** How cloud and peers answer; the state service is a stand-in of its own. */
   respond: Responder = () => null;
   /** The state service does not answer at all. */
-  stateSilent = false;
+  storeUnresponsive = false;
   private wallMs = START_MS;
   private controller: Controller | null = null;
   private fiber: Fiber.Fiber<unknown> | null = null;
@@ -162,8 +162,8 @@
         send: (
           ...[addr, token, agentEpoch, commands]: SendArguments
         ): Promise<{ _tag: 'refused'; heartbeat: null }> => {
-          const body = { ...writeOrders(token, commands), stint: agentEpoch };
-          this.commands.push({ address: addr, body: messageOf(body) });
+          const body = { ...writeCommands(token, commands), stint: agentEpoch };
+          this.commands.push({ address: addr, body: toRecordedMessage(body) });
           return Promise.resolve({ _tag: 'refused', heartbeat: null });
         },
       },
@@ -192,7 +192,7 @@
     const request: SentRequest = { to, method, path, bytes };
     this.sent.push(request);
     if (to === 'state') {
-      if (this.stateSilent) return new Promise(() => undefined);
+      if (this.storeUnresponsive) return new Promise(() => undefined);
       return this.state.handle(this.node, method, path, bytes ? decode(bytes) : {});
     }
     const answer = await this.respond(request);
@@ -244,7 +244,12 @@
   }
 
   /** A request of a user, a worker or an operator. */
-  async ask(method: string, path: string, body?: unknown, remoteAddress?: string): Promise<RecordedReply> {
+  async request(
+    method: string,
+    path: string,
+    body?: unknown,
+    remoteAddress?: string,
+  ): Promise<RecordedReply> {
     if (!this.controller) throw new Error('not started');
     return recordReply(
       await this.settled(this.controller.route(this.call(method, path, body, remoteAddress))),
@@ -252,20 +257,20 @@
   }
 
   /** A request of another controller. */
-  async askPeer(path: string, body?: unknown): Promise<RecordedReply> {
+  async requestFromPeer(path: string, body?: unknown): Promise<RecordedReply> {
     if (!this.controller) throw new Error('not started');
     return recordReply(await this.settled(this.controller.peerRoute(this.call('POST', path, body))));
   }
 
   /** A peer's request with a body that was read already, and the answer's body as it is sent. */
-  async exchange(path: string, value: unknown): Promise<Buffer> {
+  async exchangeWithPeer(path: string, value: unknown): Promise<Buffer> {
     if (!this.controller) throw new Error('not started');
     const call = { method: 'POST', path, query: '', body: { _tag: 'value', value } } as const;
     return encode((await this.controller.peerRoute(call)).body);
   }
 
   /** What is stored under a key. */
-  stored(key: string): unknown {
+  storedValue(key: string): unknown {
     const value = this.state.value(key);
     if (value === undefined) throw new Error(`nothing stored under ${key}`);
     return value;
@@ -288,17 +293,17 @@
   }
 
   /** The last heartbeat to a peer, with fixed numbers for what follows the clock. */
-  lastBeat(to: Node): RecordedMessage {
+  lastHeartbeat(to: Node): RecordedMessage {
     const found = this.sent.findLast((request) => request.to === to && request.path === '/beat');
     if (!found) throw new Error(`${this.node} sent no heartbeat to ${to}`);
-    return messageOf(masked(valueOf(found)));
+    return toRecordedMessage(masked(valueOf(found)));
   }
 }
 
 type SendArguments = Parameters<Parameters<typeof compose>[1]['workerClient']['send']>;
 
 /** A request as it is recorded. */
-export const recordRequest = ({ to, method, path, bytes }: SentRequest): object => ({
+export const toRecordedRequest = ({ to, method, path, bytes }: SentRequest): object => ({
   to,
   method,
   path,
@@ -339,7 +344,7 @@
   ...reply,
   ...(reply.body === undefined
     ? {}
-    : { body: messageOf(masked(decode(Buffer.from(reply.body.bytes, 'base64')))) }),
+    : { body: toRecordedMessage(masked(decode(Buffer.from(reply.body.bytes, 'base64')))) }),
 });
 
 /** The machine types of all recordings, as they are stored. */
@@ -361,9 +366,9 @@
     private readonly paddock = 'x',
   ) {}
 
-  async report(over: object = {}): Promise<RecordedReply> {
+  async sendHeartbeat(over: object = {}): Promise<RecordedReply> {
     this.tally += 1;
-    const reply = await this.controller.ask('POST', '/hello', {
+    const reply = await this.controller.request('POST', '/hello', {
       drover: this.id,
       addr: `${this.id}:9000`,
       breed: 'g8',
@@ -387,7 +392,7 @@
 }
 
 /** Names of machines in order. */
-export const machineNames = (first: number, count: number): readonly string[] =>
+export const machineIds = (first: number, count: number): readonly string[] =>
   Array.from({ length: count }, (_, k) => `i-${String(first + k).padStart(6, '0')}`);
 
 /** A submission with every field, in the protocol's words; what a recording is about goes over it. */
--- a/src/recorded-formats/holder.ts
+++ b/src/recorded-formats/holder.ts
@@ -1,10 +1,10 @@
 /** The holder of share 1: its workers, its users, what it stores and what it says to the others. */
-import { peersOf, prepared, recordWith, SETTLED_MS } from './deployment.js';
-import { messageOf, recordedValue, type Recording } from './fixtures.js';
+import { peerResponder, prepareController, recordWith, STARTUP_MS } from './deployment.js';
+import { toRecordedMessage, recordedValue, type Recording } from './fixtures.js';
 import {
-  machineNames,
+  machineIds,
   masked,
-  recordRequest,
+  toRecordedRequest,
   ReportingWorker,
   submissionOf,
   valueOf,
@@ -75,30 +75,30 @@
 
 /** The holder while its peers answer. */
 const recordHeard = async (): Promise<Recording> => {
-  const controller = await prepared('n1');
+  const controller = await prepareController('n1');
   return recordWith(controller, async (recording) => {
     const workers = [
-      ...machineNames(1, 27).map((id) => new ReportingWorker(controller, id)),
+      ...machineIds(1, 27).map((id) => new ReportingWorker(controller, id)),
       new ReportingWorker(controller, PLACED_ON, 'y'),
     ];
     const reportAll = async (): Promise<void> => {
-      for (const worker of workers) await worker.report();
+      for (const worker of workers) await worker.sendHeartbeat();
     };
     for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
     const stray = new ReportingWorker(controller, 'i-000900');
     await controller.seed('w/m/i-000900', stray.recordJson(2));
-    controller.respond = peersOf('n1');
+    controller.respond = peerResponder('n1');
     controller.start();
-    await controller.advance(SETTLED_MS);
-    recording['claim w/c/1'] = controller.stored('w/c/1');
-    recording['first report: answer'] = await workers[0]?.report();
+    await controller.advance(STARTUP_MS);
+    recording['claim w/c/1'] = controller.storedValue('w/c/1');
+    recording['first report: answer'] = await workers[0]?.sendHeartbeat();
     await reportAll();
     await reportAll();
-    recording['report of a machine of another share: answer'] = await stray.report();
+    recording['report of a machine of another share: answer'] = await stray.sendHeartbeat();
     recording['report of an unknown machine: answer'] = await new ReportingWorker(
       controller,
       'i-000901',
-    ).report();
+    ).sendHeartbeat();
     await controller.advance(PLACED_MS);
 
     await recordSubmissions(controller, recording);
@@ -107,13 +107,13 @@
     await recordTasks(controller, worker, recording);
     await reportAll();
     await controller.advance(PLACED_MS);
-    recording['beat to the leader'] = controller.lastBeat('n0');
-    recording['beat to a peer'] = controller.lastBeat('n2');
+    recording['beat to the leader'] = controller.lastHeartbeat('n0');
+    recording['beat to a peer'] = controller.lastHeartbeat('n2');
     await recordExits(controller, worker, recording);
     await recordCancellation(controller, worker, recording);
 
     const claim = controller.state.version('w/c/1');
-    recording['question for cancellations: answer'] = await controller.askPeer('/heed', [
+    recording['question for cancellations: answer'] = await controller.requestFromPeer('/heed', [
       [1, claim, 'job-000998', 900],
       [1, claim + 1, 'job-000999', 901],
     ]);
@@ -121,9 +121,9 @@
       await reportAll();
       await controller.advance(REPORT_MS);
     }
-    const released = workers.find(({ id }) => (controller.stored(`w/m/${id}`) as { r: boolean }).r);
+    const released = workers.find(({ id }) => (controller.storedValue(`w/m/${id}`) as { r: boolean }).r);
     if (!released) throw new Error('no machine is returned');
-    recording['machine record with a release intent'] = controller.stored(`w/m/${released.id}`);
+    recording['machine record with a release intent'] = controller.storedValue(`w/m/${released.id}`);
     await recordDeaf(controller, recording);
   });
 };
@@ -134,8 +134,8 @@
 ): Promise<void> => {
   for (const submission of SUBMISSIONS) {
     const { uid } = submission as { uid: string };
-    recording[`submission of ${uid}: answer`] = await controller.ask('POST', '/v2/runs', submission);
-    recording[`record w/j/${uid}`] = controller.stored(`w/j/${uid}`);
+    recording[`submission of ${uid}: answer`] = await controller.request('POST', '/v2/runs', submission);
+    recording[`record w/j/${uid}`] = controller.storedValue(`w/j/${uid}`);
   }
 };
 
@@ -144,20 +144,20 @@
   worker: ReportingWorker,
   recording: Record<string, unknown>,
 ): Promise<void> => {
-  recording['run record r/1/job-000413/0'] = controller.stored('r/1/job-000413/0');
+  recording['run record r/1/job-000413/0'] = controller.storedValue('r/1/job-000413/0');
   recording['direct commands'] = controller.commands.find(
     ({ body }) => (body.json as { calls: unknown[] }).calls.length > 0,
   );
-  recording['report of an idle machine: answer with tasks to run'] = await worker.report();
+  recording['report of an idle machine: answer with tasks to run'] = await worker.sendHeartbeat();
   worker.heads = [
     ...Array.from({ length: ARRAY_TASKS }, (_, index) =>
       headOf('job-000413', index, { status: index % 2 === 0 ? 'running' : 'pulling' }),
     ),
     headOf('job-000416', 0, { status: 'running' }),
   ];
-  recording['report of tasks: answer'] = await worker.report();
-  recording['question for a running job: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
-  recording['question for a waiting job: answer'] = await controller.ask('GET', '/v2/runs/job-000415');
+  recording['report of tasks: answer'] = await worker.sendHeartbeat();
+  recording['question for a running job: answer'] = await controller.request('GET', '/v2/runs/job-000413');
+  recording['question for a waiting job: answer'] = await controller.request('GET', '/v2/runs/job-000415');
 };
 
 const recordExits = async (
@@ -172,14 +172,14 @@
     ),
     headOf('job-000416', 0, done),
   ];
-  await worker.report();
+  await worker.sendHeartbeat();
   await controller.advance(WRITTEN_MS);
-  recording['run record with finished tasks'] = controller.stored('r/1/job-000413/0');
-  recording['report of exits: answer that forgets them'] = await worker.report();
-  recording['final record f/job-000416'] = controller.stored('f/job-000416');
-  recording['question for a finished job: answer'] = await controller.ask('GET', '/v2/runs/job-000416');
+  recording['run record with finished tasks'] = controller.storedValue('r/1/job-000413/0');
+  recording['report of exits: answer that forgets them'] = await worker.sendHeartbeat();
+  recording['final record f/job-000416'] = controller.storedValue('f/job-000416');
+  recording['question for a finished job: answer'] = await controller.request('GET', '/v2/runs/job-000416');
   worker.heads = [headOf('job-000413', ARRAY_TASKS - 1, { status: 'running' })];
-  await worker.report();
+  await worker.sendHeartbeat();
 };
 
 const recordCancellation = async (
@@ -187,21 +187,21 @@
   worker: ReportingWorker,
   recording: Record<string, unknown>,
 ): Promise<void> => {
-  recording['cancellation: answer'] = await controller.ask('POST', '/v2/runs/job-000413/abort');
-  recording['record of a cancelled job'] = controller.stored('w/j/job-000413');
-  recording['report of a cancelled task: answer'] = await worker.report();
-  recording['cancellation of a finished job: answer'] = await controller.ask(
+  recording['cancellation: answer'] = await controller.request('POST', '/v2/runs/job-000413/abort');
+  recording['record of a cancelled job'] = controller.storedValue('w/j/job-000413');
+  recording['report of a cancelled task: answer'] = await worker.sendHeartbeat();
+  recording['cancellation of a finished job: answer'] = await controller.request(
     'POST',
     '/v2/runs/job-000416/abort',
   );
   worker.heads = [headOf('job-000413', ARRAY_TASKS - 1, { status: 'exited', cause: 'halted', saved: true })];
-  await worker.report({ warningS: 30.5 });
+  await worker.sendHeartbeat({ warningS: 30.5 });
   await controller.advance(WRITTEN_MS);
   worker.heads = [];
-  await worker.report();
-  recording['final record f/job-000413'] = controller.stored('f/job-000413');
-  recording['question for a cancelled job: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
-  recording['question for a job that followed it: answer'] = await controller.ask(
+  await worker.sendHeartbeat();
+  recording['final record f/job-000413'] = controller.storedValue('f/job-000413');
+  recording['question for a cancelled job: answer'] = await controller.request('GET', '/v2/runs/job-000413');
+  recording['question for a job that followed it: answer'] = await controller.request(
     'GET',
     '/v2/runs/job-000415',
   );
@@ -209,23 +209,23 @@
 
 /** Connections between controllers are refused from the beginning. */
 const recordUnheard = async (): Promise<Recording> => {
-  const controller = await prepared('n1');
+  const controller = await prepareController('n1');
   return recordWith(controller, async (recording) => {
-    const workers = machineNames(1, 27).map((id) => new ReportingWorker(controller, id));
+    const workers = machineIds(1, 27).map((id) => new ReportingWorker(controller, id));
     for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
     controller.start();
-    await controller.advance(SETTLED_MS);
-    for (const worker of [...workers, ...workers]) await worker.report();
-    for (const submission of SUBMISSIONS) await controller.ask('POST', '/v2/runs', submission);
+    await controller.advance(STARTUP_MS);
+    for (const worker of [...workers, ...workers]) await worker.sendHeartbeat();
+    for (const submission of SUBMISSIONS) await controller.request('POST', '/v2/runs', submission);
     await controller.advance(WAITED_MS, true);
-    for (const worker of workers) await worker.report();
-    recording['cancellation while no peer is heard: answer'] = await controller.ask(
+    for (const worker of workers) await worker.sendHeartbeat();
+    recording['cancellation while no peer is heard: answer'] = await controller.request(
       'POST',
       '/v2/runs/job-000413/abort',
     );
     await controller.advance(UNHEARD_MS);
-    recording['relayed summary w/s/1'] = masked(controller.stored('w/s/1'), RELAYED);
-    recording['mark w/k/1'] = masked(controller.stored('w/k/1'), MARKED);
+    recording['relayed summary w/s/1'] = masked(controller.storedValue('w/s/1'), RELAYED);
+    recording['mark w/k/1'] = masked(controller.storedValue('w/k/1'), MARKED);
   });
 };
 
@@ -234,7 +234,7 @@
   controller: HarnessedController,
   recording: Record<string, unknown>,
 ): Promise<void> => {
-  const others = peersOf('n1');
+  const others = peerResponder('n1');
   const hearing = recordedValue('other-holder', 'beat to a peer, with strays');
   controller.respond = (request) =>
     request.to === 'n2' && request.path === '/beat' ? { status: 200, body: hearing } : others(request);
@@ -244,9 +244,11 @@
     const { writes } = valueOf(request) as { writes: { write?: string; data?: { n?: string } }[] };
     return writes.some(({ write, data }) => write === 'w/c/1' && data?.n === 'n2');
   });
-  recording['claim handed over: changes'] = messageOf((valueOf(handed) as { writes: unknown }).writes);
-  recording['beat of a node that workers do not reach'] = controller.lastBeat('n0');
-  recording['claim taken'] = recordRequest(controller.firstTransaction('w/c/1'));
+  recording['claim handed over: changes'] = toRecordedMessage(
+    (valueOf(handed) as { writes: unknown }).writes,
+  );
+  recording['beat of a node that workers do not reach'] = controller.lastHeartbeat('n0');
+  recording['claim taken'] = toRecordedRequest(controller.firstTransaction('w/c/1'));
 };
 
 /** Records the holder of share 1. */
--- a/src/recorded-formats/in-memory-objects.ts
+++ b/src/recorded-formats/in-memory-objects.ts
@@ -160,7 +160,7 @@
 export const TOKEN = tokenOf(40);
 
 /** Books of rental requests by what is recorded of them. */
-export const RENTAL_BOOKS: Readonly<Record<string, ProvisioningRecord>> = {
+export const PROVISIONING_RECORDS: Readonly<Record<string, ProvisioningRecord>> = {
   'with open requests': { token: TOKEN, open: [intent(1), intent(2)], settled: [], malformed: [] },
   'with every outcome': {
     token: TOKEN,
@@ -172,7 +172,7 @@
 };
 
 /** A book of removals with every reason. */
-export const REMOVAL_BOOK: TombstoneRecord = {
+export const TOMBSTONE_RECORD: TombstoneRecord = {
   marked: [
     { key: 'r/1/job-000412/0', revision: 12, reason: 'job over', token: tokenOf(40), at: AT },
     { key: 'r/1/job-000413/0+1', revision: 13, reason: 'part not named', token: tokenOf(41), at: AT + 1 },
