--- a/src/recorded-formats/leader.ts
+++ b/src/recorded-formats/leader.ts
@@ -1,14 +1,14 @@
 /** The leader: what it rents, releases, adopts and orders, and what it tells operators. */
-import { prepared, recordedJson, recordWith, SETTLED_MS } from './deployment.js';
-import { messageOf, recordedValue, type Recording } from './fixtures.js';
+import { prepareController, recordedJson, recordWith, STARTUP_MS } from './deployment.js';
+import { toRecordedMessage, recordedValue, type Recording } from './fixtures.js';
 import {
   ADMIN_ADDRESS,
-  FOREIGN_ADDRESS,
+  UNAUTHORIZED_ADDRESS,
   HarnessedController,
-  machineNames,
+  machineIds,
   masked,
   maskedReply,
-  recordRequest,
+  toRecordedRequest,
   ReportingWorker,
   START_MS,
   valueOf,
@@ -93,7 +93,7 @@
     await this.rentable;
     if (this.rented) return { status: 503, body: { error: 'no capacity' } };
     this.rented = true;
-    return { status: 200, body: { drovers: machineNames(700, howMany) } };
+    return { status: 200, body: { drovers: machineIds(700, howMany) } };
   }
 
   private list(path: string): StubAnswer {
@@ -108,10 +108,10 @@
 }
 
 const preparedLeader = async (): Promise<HarnessedController> => {
-  const controller = await prepared('n0', { level: false });
-  for (const id of machineNames(1, 27))
+  const controller = await prepareController('n0', { level: false });
+  for (const id of machineIds(1, 27))
     await controller.seed(`w/m/${id}`, new ReportingWorker(controller, id).recordJson(1));
-  for (const id of machineNames(28, 30))
+  for (const id of machineIds(28, 30))
     await controller.seed(`w/m/${id}`, new ReportingWorker(controller, id).recordJson(2));
   await controller.seed('w/m/i-000800', RELEASED_JSON);
   await controller.seed('w/m/i-000801', RELEASED_EARLIER_JSON);
@@ -126,12 +126,12 @@
     const surroundings = new Surroundings();
     controller.respond = surroundings.respond;
     controller.start();
-    await controller.advance(SETTLED_MS + PLANNED_MS);
+    await controller.advance(STARTUP_MS + PLANNED_MS);
     await recordOrdersToLeader(controller, surroundings, recording);
     await controller.seed('w/c/2', '{"n":"n2","i":"n2.2"}');
     await controller.advance(SHOWN_MS);
     await recordDuties(controller, recording);
-    recording['book of rental requests i/rent, with an open one'] = controller.stored('i/rent');
+    recording['book of rental requests i/rent, with an open one'] = controller.storedValue('i/rent');
     surroundings.answerRentals();
     surroundings.releases = true;
     await controller.advance(OUTCOMES_MS);
@@ -141,22 +141,24 @@
 };
 
 const recordDecisions = (controller: HarnessedController, recording: Record<string, unknown>): void => {
-  recording['claim w/c/L'] = controller.stored('w/c/L');
-  recording['level w/level'] = controller.stored('w/level');
-  recording['book of rental requests i/rent, with outcomes'] = controller.stored('i/rent');
-  recording['record of a rented machine w/m/i-000700'] = controller.stored('w/m/i-000700');
-  recording['record of an adopted machine w/m/i-000777'] = controller.stored('w/m/i-000777');
+  recording['claim w/c/L'] = controller.storedValue('w/c/L');
+  recording['level w/level'] = controller.storedValue('w/level');
+  recording['book of rental requests i/rent, with outcomes'] = controller.storedValue('i/rent');
+  recording['record of a rented machine w/m/i-000700'] = controller.storedValue('w/m/i-000700');
+  recording['record of an adopted machine w/m/i-000777'] = controller.storedValue('w/m/i-000777');
   recording['record of a machine rented by an earlier leader w/m/i-000600'] =
-    controller.stored('w/m/i-000600');
-  recording['beat with reservations'] = controller.lastBeat('n1');
-  recording['order to a holder'] = recordRequest(
+    controller.storedValue('w/m/i-000600');
+  recording['beat with reservations'] = controller.lastHeartbeat('n1');
+  recording['order to a holder'] = toRecordedRequest(
     controller.firstSent('order to a holder', ({ path }) => path === '/move'),
   );
-  recording['transaction of a rental intent'] = recordRequest(controller.firstTransaction('i/rent'));
-  recording['transaction of the level'] = recordRequest(controller.firstTransaction('w/level'));
-  recording['transaction that removes records'] = recordRequest(controller.firstTransaction('w/m/i-000800'));
+  recording['transaction of a rental intent'] = toRecordedRequest(controller.firstTransaction('i/rent'));
+  recording['transaction of the level'] = toRecordedRequest(controller.firstTransaction('w/level'));
+  recording['transaction that removes records'] = toRecordedRequest(
+    controller.firstTransaction('w/m/i-000800'),
+  );
   const cloud = (what: string, matches: (request: SentRequest) => boolean): object =>
-    recordRequest(controller.firstSent(what, (request) => request.to === 'cloud' && matches(request)));
+    toRecordedRequest(controller.firstSent(what, (request) => request.to === 'cloud' && matches(request)));
   recording['cloud: catalog'] = cloud('question for the catalog', ({ path }) => path === '/catalog');
   recording['cloud: rental request that is repeated'] = cloud(
     'rental request',
@@ -184,7 +186,7 @@
   const holder = controller.state.version('w/c/1');
   const order = recordedValue('stored-values', 'order to return machines, as sent') as object;
   const ask = async (what: string, path: string, body?: unknown): Promise<void> => {
-    recording[`${path} ${what}: answer`] = await controller.askPeer(path, body);
+    recording[`${path} ${what}: answer`] = await controller.requestFromPeer(path, body);
   };
   await ask('that the cloud does not carry out', '/return', { ...order, token: holder });
   surroundings.releases = true;
@@ -209,7 +211,7 @@
 ): Promise<void> => {
   const path = '/admin/v1/duties';
   const ask = async (method: string, tail: string, from = ADMIN_ADDRESS): Promise<void> => {
-    recording[`${method} ${path}${tail} from ${from}: answer`] = await controller.ask(
+    recording[`${method} ${path}${tail} from ${from}: answer`] = await controller.request(
       method,
       `${path}${tail}`,
       undefined,
@@ -222,7 +224,7 @@
   await ask('GET', '/lease-out');
   await ask('GET', '/rent/x');
   await ask('POST', '/rent');
-  await ask('GET', '', FOREIGN_ADDRESS);
+  await ask('GET', '', UNAUTHORIZED_ADDRESS);
 };
 
 /** A holder that cannot be heard is ordered through the state service. */
@@ -237,11 +239,14 @@
   const claim = controller.state.version('w/c/2');
   await controller.seed('w/s/2', JSON.stringify({ ...summary, claim }));
   await controller.advance(RELAYED_MS);
-  recording['relayed orders w/o/2'] = masked(controller.stored('w/o/2'));
+  recording['relayed orders w/o/2'] = masked(controller.storedValue('w/o/2'));
   const { when } = valueOf(controller.firstTransaction('w/o/2')) as { when: unknown };
-  recording['relayed orders: conditions'] = messageOf(when);
+  recording['relayed orders: conditions'] = toRecordedMessage(when);
   for (const from of ['n1', 'n9'])
     recording[`/beat of ${from}: answer`] = maskedReply(
-      await controller.askPeer('/beat', { ...(recordedValue('first-beats', 'n1 to n0') as object), from }),
+      await controller.requestFromPeer('/beat', {
+        ...(recordedValue('first-beats', 'n1 to n0') as object),
+        from,
+      }),
     );
 };
--- a/src/recorded-formats/recorder.ts
+++ b/src/recorded-formats/recorder.ts
@@ -8,7 +8,7 @@
 import * as prettier from 'prettier';
 import { recordCatalog } from './catalog.js';
 import { recordCommandLine } from './command-line.js';
-import { recordFirstBeats } from './deployment.js';
+import { recordFirstHeartbeats } from './deployment.js';
 import { fixtureFile, type Recording } from './fixtures.js';
 import { recordHolder } from './holder.js';
 import { recordHttpBytes } from './http-bytes.js';
@@ -23,7 +23,7 @@
 const RECORDERS: readonly (readonly [name: string, record: () => Promise<Recording>])[] = [
   ['stored-values', recordStoredValues],
   ['http-bytes', recordHttpBytes],
-  ['first-beats', recordFirstBeats],
+  ['first-beats', recordFirstHeartbeats],
   ['other-holder', recordOtherHolder],
   ['holder', recordHolder],
   ['leader', recordLeader],
--- a/src/recorded-formats/stored-values.ts
+++ b/src/recorded-formats/stored-values.ts
@@ -7,7 +7,7 @@
 } from '@dalegate/fencing';
 import { readDurableAcknowledgement, writeDurableAcknowledgement } from '../cancellation/codec.js';
 import { releaseWithoutIntent } from '../duties/release-without-intent.js';
-import { readStored, storeCatalog } from '../fleet/catalog.js';
+import { readStoredTypes, catalogWrites } from '../fleet/catalog.js';
 import { readMachineRecord, writeMachineRecord } from '../fleet/machine-record-codec.js';
 import {
   readFinalRecord,
@@ -27,7 +27,7 @@
 } from '../placement/run-codec.js';
 import * as keys from '../kv-store/keys.js';
 import { leaderDuties } from '../testing/duties.js';
-import { messageOf, type Recording } from './fixtures.js';
+import { toRecordedMessage, type Recording } from './fixtures.js';
 import {
   ACKNOWLEDGEMENT,
   FINAL_RECORDS,
@@ -35,8 +35,8 @@
   LONG_RUN,
   MACHINE_RECORDS,
   MACHINE_TYPES,
-  REMOVAL_BOOK,
-  RENTAL_BOOKS,
+  TOMBSTONE_RECORD,
+  PROVISIONING_RECORDS,
   RUN,
   RUN_CHUNK,
   TOKEN,
@@ -93,7 +93,7 @@
   await releaseWithoutIntent(
     {
       shardId: 1,
-      duty: leaderDuties(TOKEN, () => 0).leader('release'),
+      duty: leaderDuties(TOKEN, () => 0).leaderDuty('release'),
       ownNode: 'n1',
       leaderNode: () => 'n0',
       msSinceStoreAnswered: () => ROOM,
@@ -109,7 +109,7 @@
   return {
     'path of the order to return machines': path,
     'order to return machines': body,
-    'order to return machines, as sent': messageOf(body),
+    'order to return machines, as sent': toRecordedMessage(body),
   };
 };
 
@@ -125,10 +125,12 @@
   ...written('run', runs(), (run) => run),
   'list of followed jobs': packIds(FOLLOWED),
   'list of followed jobs, in parts': splitIds(FOLLOWED, 12).map(packIds),
-  'catalog in one value': storeCatalog(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
-  'catalog in parts': storeCatalog(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
-  ...written('book of rental requests', RENTAL_BOOKS, (book) => writeProvisioningRecord(book, TOKEN, ROOM)),
-  'book of removals': writeTombstoneRecord(REMOVAL_BOOK, ROOM),
+  'catalog in one value': catalogWrites(MACHINE_TYPES, ROOM, TXN_OPS, true)?.map(storedChange),
+  'catalog in parts': catalogWrites(MACHINE_TYPES, 2 * LITTLE_ROOM, TXN_OPS, true)?.map(storedChange),
+  ...written('book of rental requests', PROVISIONING_RECORDS, (book) =>
+    writeProvisioningRecord(book, TOKEN, ROOM),
+  ),
+  'book of removals': writeTombstoneRecord(TOMBSTONE_RECORD, ROOM),
   'mark of a holder': writeDurableAcknowledgement(ACKNOWLEDGEMENT),
   keys: keysOfState(),
   ...(await orderToReturn()),
@@ -154,9 +156,9 @@
     value: rows[key],
     version: 7,
   });
-  const types = readStored(itemOf(keys.CATALOG_KEY), itemOf);
+  const types = readStoredTypes(itemOf(keys.CATALOG_KEY), itemOf);
   const room = keys.catalogPartKey(0) in rows ? 2 * LITTLE_ROOM : ROOM;
-  return types && storeCatalog(types, room, TXN_OPS, true)?.map(storedChange);
+  return types && catalogWrites(types, room, TXN_OPS, true)?.map(storedChange);
 };
 
 /** Reads stored values and writes them again, by the beginning of their names. */
@@ -175,7 +177,7 @@
 };
 
 /** Stored values after they were read and written again; those that no codec reads are left out. */
-export const reread = (stored: Recording): Recording =>
+export const reencode = (stored: Recording): Recording =>
   Object.fromEntries(
     Object.entries(stored).flatMap(([name, value]) => {
       const kind = Object.keys(REREAD).find((prefix) => name.startsWith(prefix));
--- a/src/recorded-formats/takeover.ts
+++ b/src/recorded-formats/takeover.ts
@@ -1,5 +1,5 @@
 /** A holder that takes over what earlier ones stored: runs in every form, machines, and marks for removal. */
-import { peersOf, prepared, recordedJson, recordWith, SETTLED_MS } from './deployment.js';
+import { peerResponder, prepareController, recordedJson, recordWith, STARTUP_MS } from './deployment.js';
 import type { Recording } from './fixtures.js';
 import { masked, ReportingWorker, START_MS, type HarnessedController } from './harness.js';
 
@@ -67,27 +67,30 @@
 
 /** Records the takeover. */
 export const recordTakeover = async (): Promise<Recording> => {
-  const controller = await prepared('n1');
+  const controller = await prepareController('n1');
   return recordWith(controller, async (recording) => {
     await seedRuns(controller);
     await seedMachines(controller);
     await seedLeftOver(controller);
-    controller.respond = peersOf('n1');
+    controller.respond = peerResponder('n1');
     controller.start();
-    await controller.advance(SETTLED_MS);
+    await controller.advance(STARTUP_MS);
     recording['greetings of machines'] = controller.commands;
     const worker = new ReportingWorker(controller, 'i-000001');
     worker.heads = Object.keys(RUNS).flatMap((id) =>
       BOUND_TASKS.map((index) => ({ head: `${id}/${index}`, try: BOUND_ATTEMPT, status: 'running' })),
     );
-    recording['first report of bound tasks: answer'] = await worker.report({ stint: 3 });
-    recording['report of bound tasks: answer'] = await worker.report({ stint: 3 });
+    recording['first report of bound tasks: answer'] = await worker.sendHeartbeat({ stint: 3 });
+    recording['report of bound tasks: answer'] = await worker.sendHeartbeat({ stint: 3 });
     for (const [id, entry] of Object.entries(RUNS))
-      recording[`question for a job with a ${entry}: answer`] = await controller.ask('GET', `/v2/runs/${id}`);
+      recording[`question for a job with a ${entry}: answer`] = await controller.request(
+        'GET',
+        `/v2/runs/${id}`,
+      );
     await controller.advance(MARKED_MS);
-    recording['book of removals x/1, with marks'] = controller.stored('x/1');
+    recording['book of removals x/1, with marks'] = controller.storedValue('x/1');
     await controller.advance(REMOVED_MS, true);
-    recording['book of removals x/1, with removals'] = masked(controller.stored('x/1'), { a: START_MS });
+    recording['book of removals x/1, with removals'] = masked(controller.storedValue('x/1'), { a: START_MS });
     recording['runs that are left'] = controller.state.keys('r/1/');
   });
 };
--- a/src/recorded-formats/users.ts
+++ b/src/recorded-formats/users.ts
@@ -2,11 +2,11 @@
  * What users are answered, what is stored of their jobs, and what a controller asks of the state service for
  * it.
  */
-import { peersOf, prepared, recordedJson, recordWith, SETTLED_MS } from './deployment.js';
+import { peerResponder, prepareController, recordedJson, recordWith, STARTUP_MS } from './deployment.js';
 import { type Recording } from './fixtures.js';
 import {
   ADMIN_ADDRESS,
-  recordRequest,
+  toRecordedRequest,
   START_MS,
   submissionOf,
   valueOf,
@@ -114,22 +114,22 @@
   recording: Record<string, unknown>,
 ): Promise<void> => {
   for (const { name, body } of SUBMISSIONS)
-    recording[`submission of ${name}: answer`] = await controller.ask(POST, '/v2/runs', body);
+    recording[`submission of ${name}: answer`] = await controller.request(POST, '/v2/runs', body);
   recordStored(controller, recording);
   for (const [k, { method, path, body }] of REQUESTS.entries())
-    recording[`${k + 1}. ${method} ${path}: answer`] = await controller.ask(method, path, body);
+    recording[`${k + 1}. ${method} ${path}: answer`] = await controller.request(method, path, body);
 };
 
 const recordStored = (controller: HarnessedController, recording: Record<string, unknown>): void => {
   const keys = ['w/j/', 'w/d/'].flatMap((prefix) => controller.state.keys(prefix));
   for (const key of keys.filter((name) => !OTHER_JOBS.includes(name.slice('w/j/'.length))))
-    recording[`stored ${key}`] = controller.stored(key);
+    recording[`stored ${key}`] = controller.storedValue(key);
 };
 
 const recordStateRequests = (controller: HarnessedController, recording: Record<string, unknown>): void => {
   const state = (what: string, matches: (request: SentRequest) => boolean): void => {
     const found = controller.firstSent(what, (request) => request.to === 'state' && matches(request));
-    recording[`state: ${what}`] = recordRequest(found);
+    recording[`state: ${what}`] = toRecordedRequest(found);
   };
   state('lease', ({ path }) => path === '/holds');
   state('renewal', ({ path }) => path.endsWith('/renew'));
@@ -155,57 +155,57 @@
   controller: HarnessedController,
   recording: Record<string, unknown>,
 ): Promise<void> => {
-  controller.stateSilent = true;
-  recording['question that takes too long: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
-  controller.stateSilent = false;
-  controller.state.outage(true);
+  controller.storeUnresponsive = true;
+  recording['question that takes too long: answer'] = await controller.request('GET', '/v2/runs/job-000413');
+  controller.storeUnresponsive = false;
+  controller.state.setOutage(true);
   await controller.advance(OUTAGE_MS);
-  recording['question in an outage: answer'] = await controller.ask('GET', '/v2/runs/job-000413');
-  recording['submission in an outage: answer'] = await controller.ask(
+  recording['question in an outage: answer'] = await controller.request('GET', '/v2/runs/job-000413');
+  recording['submission in an outage: answer'] = await controller.request(
     POST,
     '/v2/runs',
     submissionOf({ uid: 'job-000418' }),
   );
-  recording['duties in an outage: answer'] = await controller.ask(
+  recording['duties in an outage: answer'] = await controller.request(
     'GET',
     '/admin/v1/duties',
     undefined,
     ADMIN_ADDRESS,
   );
-  recording['readiness in an outage of this node alone: answer'] = await controller.ask('GET', '/ready');
+  recording['readiness in an outage of this node alone: answer'] = await controller.request('GET', '/ready');
 };
 
 /** Jobs that were stored before: the record in every form, and final records. */
 const recordReading = async (): Promise<Recording> => {
-  const controller = await prepared('n1');
+  const controller = await prepareController('n1');
   return recordWith(controller, async (recording) => {
     const stored = (entry: string): string => JSON.stringify(recordedJson('stored-values', entry));
     await controller.seed('w/j/job-000412', stored('job record, cancelled, with followed jobs'));
     await controller.seed('f/job-000413', stored('final record, done'));
     await controller.seed('f/job-000414', stored('final record, cancelled'));
-    controller.respond = peersOf('n1');
+    controller.respond = peerResponder('n1');
     controller.start();
     for (const path of ['/ready', '/admin/v1/duties', '/admin/v1/duties/rent'])
-      recording[`${path} before the shared keys are read: answer`] = await controller.ask(
+      recording[`${path} before the shared keys are read: answer`] = await controller.request(
         'GET',
         path,
         undefined,
         ADMIN_ADDRESS,
       );
-    await controller.advance(SETTLED_MS);
+    await controller.advance(STARTUP_MS);
     for (const id of ['job-000412', 'job-000413', 'job-000414'])
-      recording[`question for the stored ${id}: answer`] = await controller.ask('GET', `/v2/runs/${id}`);
+      recording[`question for the stored ${id}: answer`] = await controller.request('GET', `/v2/runs/${id}`);
   });
 };
 
 /** Records the users' interface. */
 export const recordUsers = async (): Promise<Recording> => {
-  const controller = await prepared('n1');
+  const controller = await prepareController('n1');
   const answers = await recordWith(controller, async (recording) => {
     for (const id of OTHER_JOBS) await controller.seed(`w/j/${id}`, otherJobJson(id));
-    controller.respond = peersOf('n1');
+    controller.respond = peerResponder('n1');
     controller.start();
-    await controller.advance(SETTLED_MS);
+    await controller.advance(STARTUP_MS);
     await recordRequests(controller, recording);
     recordStateRequests(controller, recording);
     await recordOutage(controller, recording);
--- a/src/repository-checks/docs.test.ts
+++ b/src/repository-checks/docs.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { codeSpans, columnOf, tablesOf } from './markdown.js';
-import { leadsToFile, looksLikePath, pathsInProse } from './paths.js';
+import { resolvesToFile, looksLikePath, pathsInProse } from './paths.js';
 import { isTestCode, pathExists, readText, repositoryFiles, sourceFiles } from './repository.js';
 import { commentsOf, declaredNames, lineOf, parseModule } from './syntax.js';
 
@@ -18,24 +18,24 @@
  * Lost paths in comments that are yet to be put right. The list only shrinks: what is right has to go from
  * here.
  */
-const YET_TO_BE_FIXED: readonly string[] = [];
+const KNOWN_BROKEN_PATHS: readonly string[] = [];
 
 /** A name, also of a member (`Store.watch`) or a call (`mayAct()`). */
 const SYMBOL = /^[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)*(?:\(\))?$/;
 
-const files = repositoryFiles();
+const repositoryPaths = repositoryFiles();
 const modules = sourceFiles().map((path) => parseModule(path, readText(path)));
 
 const wordsOf = (span: string): readonly string[] => span.split(/[\s,;]+/);
 
 /** Paths in the code spans of a page that lead nowhere. */
-const lostPaths = (page: string, text: string, known: readonly string[]): readonly string[] =>
+const findBrokenPaths = (page: string, text: string, known: readonly string[]): readonly string[] =>
   codeSpans(text)
     .flatMap(wordsOf)
-    .filter((word) => looksLikePath(word) && !leadsToFile(word, page, known));
+    .filter((word) => looksLikePath(word) && !resolvesToFile(word, page, known));
 
 /** Code spans that read as a symbol and whose parts are not all declared. */
-const unknownSymbols = (cells: readonly string[], known: ReadonlySet<string>): readonly string[] =>
+const findUndeclaredSymbols = (cells: readonly string[], known: ReadonlySet<string>): readonly string[] =>
   cells
     .flatMap(codeSpans)
     .filter((span) => SYMBOL.test(span) && !looksLikePath(span))
@@ -47,18 +47,22 @@
           .every((part) => known.has(part)),
     );
 
-interface LostPath {
+interface BrokenPath {
   readonly line: number;
   readonly word: string;
 }
 
 /** Paths in comments that lead nowhere. */
-const lostPathsInComments = (path: string, text: string, known: readonly string[]): readonly LostPath[] => {
+const findBrokenPathsInComments = (
+  path: string,
+  text: string,
+  known: readonly string[],
+): readonly BrokenPath[] => {
   const module = parseModule(path, text);
   return commentsOf(module).flatMap((comment) => {
     const spans = codeSpans(comment.text).flatMap(wordsOf).filter(looksLikePath);
     return [...new Set([...spans, ...pathsInProse(comment.text)])]
-      .filter((word) => !leadsToFile(word, path, known))
+      .filter((word) => !resolvesToFile(word, path, known))
       .map((word) => ({ line: lineOf(module, comment.start), word }));
   });
 };
@@ -69,11 +73,11 @@
     ? tablesOf(readText(LOG_EVENTS)).flatMap((table) => columnOf(table, 'event').flatMap(codeSpans))
     : [];
 
-const declared = new Set(modules.flatMap((module) => [...declaredNames(module)]));
+const declaredSymbols = new Set(modules.flatMap((module) => [...declaredNames(module)]));
 
-for (const page of files.filter((path) => CHECKED_PAGES.test(path))) {
+for (const page of repositoryPaths.filter((path) => CHECKED_PAGES.test(path))) {
   test(`docs: paths in ${page} exist`, () => {
-    assert.deepEqual(lostPaths(page, readText(page), files), []);
+    assert.deepEqual(findBrokenPaths(page, readText(page), repositoryPaths), []);
   });
 }
 
@@ -81,9 +85,9 @@
   const sources = sourceFiles().filter((path) => !path.startsWith('src/repository-checks/'));
   assert.deepEqual(
     sources.flatMap((path) =>
-      lostPathsInComments(path, readText(path), files).map(({ word }) => `${path} ${word}`),
+      findBrokenPathsInComments(path, readText(path), repositoryPaths).map(({ word }) => `${path} ${word}`),
     ),
-    YET_TO_BE_FIXED,
+    KNOWN_BROKEN_PATHS,
   );
 });
 
@@ -94,7 +98,7 @@
   }
   const cells = tablesOf(readText(GLOSSARY)).flatMap((table) => columnOf(table, NAME_COLUMN));
   assert.notEqual(cells.length, 0, `no table with a column "${NAME_COLUMN}"`);
-  assert.deepEqual(unknownSymbols(cells, declared), []);
+  assert.deepEqual(findUndeclaredSymbols(cells, declaredSymbols), []);
 });
 
 test('docs: symbols in the tables of the architecture page are declared', (context) => {
@@ -106,7 +110,7 @@
   assert.notEqual(cells.length, 0, 'no table');
   const events = new Set(eventNames());
   assert.deepEqual(
-    unknownSymbols(cells, declared).filter((symbol) => !events.has(symbol)),
+    findUndeclaredSymbols(cells, declaredSymbols).filter((symbol) => !events.has(symbol)),
     [],
   );
 });
@@ -120,7 +124,7 @@
     '```\n`gone/in/a/block.ts`\n```',
     'A key `w/c/<slot>`, a setting `cancel_s` and a name `Store.watch` are no paths.',
   ].join('\n');
-  assert.deepEqual(lostPaths('README.md', page, KNOWN_FILES), [
+  assert.deepEqual(findBrokenPaths('README.md', page, KNOWN_FILES), [
     'store/gone.ts',
     'gone.ts',
     'docs/gone.md',
@@ -135,7 +139,7 @@
     '',
     '// `keys.ts` is beside this file.',
   ].join('\n');
-  assert.deepEqual(lostPathsInComments('src/store/limits.ts', text, KNOWN_FILES), [
+  assert.deepEqual(findBrokenPathsInComments('src/store/limits.ts', text, KNOWN_FILES), [
     { line: 1, word: 'mesh/level.ts' },
     { line: 2, word: 'store/gone.ts' },
   ]);
@@ -155,7 +159,7 @@
       'export const mayAct = (lease: Lease): boolean => Claim.gone(lease);',
   );
   const cells = tablesOf(page).flatMap((table) => columnOf(table, NAME_COLUMN));
-  assert.deepEqual(unknownSymbols(cells, declaredNames(module)), ['Claim', 'Lease.gone']);
+  assert.deepEqual(findUndeclaredSymbols(cells, declaredNames(module)), ['Claim', 'Lease.gone']);
 });
 
 test('docs: test code is told from the rest', () => {
--- a/src/repository-checks/log-events.test.ts
+++ b/src/repository-checks/log-events.test.ts
@@ -8,34 +8,34 @@
 const PAGE = 'docs/log-events.md';
 const EVENT_NAME = /^[a-z][a-z0-9]*(?:_[a-z0-9]+)*\.[a-z][a-z0-9]*(?:_[a-z0-9]+)*$/;
 
-interface Call extends LoggedEvent {
+interface LogCall extends LoggedEvent {
   readonly path: string;
 }
 
-const calls = sourceFiles()
+const logCalls = sourceFiles()
   .filter((path) => !isTestCode(path))
-  .flatMap((path) => loggedEvents(path, readText(path)).map((event): Call => ({ ...event, path })));
+  .flatMap((path) => loggedEvents(path, readText(path)).map((event): LogCall => ({ ...event, path })));
 
 /** What the page must say of an event. */
-interface Entry {
+interface EventEntry {
   readonly levels: readonly string[];
   readonly modules: readonly string[];
   readonly fields: readonly string[];
 }
 
-const distinct = (texts: readonly string[]): readonly string[] => [...new Set(texts)].sort();
+const sortedUnique = (texts: readonly string[]): readonly string[] => [...new Set(texts)].sort();
 
-const entriesOf = (list: readonly Call[]): Record<string, Entry> => {
-  const names = distinct(list.flatMap(({ name }) => name ?? []));
+const loggedEntries = (list: readonly LogCall[]): Record<string, EventEntry> => {
+  const names = sortedUnique(list.flatMap(({ name }) => name ?? []));
   return Object.fromEntries(
-    names.map((name): [string, Entry] => {
+    names.map((name): [string, EventEntry] => {
       const same = list.filter((call) => call.name === name);
       return [
         name,
         {
-          levels: distinct(same.map(({ level }) => level)),
-          modules: distinct(same.map(({ path }) => path)),
-          fields: distinct(same.flatMap(({ fields }) => fields)),
+          levels: sortedUnique(same.map(({ level }) => level)),
+          modules: sortedUnique(same.map(({ path }) => path)),
+          fields: sortedUnique(same.flatMap(({ fields }) => fields)),
         },
       ];
     }),
@@ -46,19 +46,22 @@
  * The page's entries. Of fields only those that the code writes out: others come from objects that it
  * spreads.
  */
-const entriesOnPage = (table: Table, expected: Readonly<Record<string, Entry>>): Record<string, Entry> => {
+const entriesOnPage = (
+  table: Table,
+  expected: Readonly<Record<string, EventEntry>>,
+): Record<string, EventEntry> => {
   const column = (heading: string): readonly (readonly string[])[] => columnOf(table, heading).map(codeSpans);
   const [fields, modules] = [column('fields'), column('written by (module)')];
   const levels = columnOf(table, 'level').map((cell) => cell.split(', '));
   return Object.fromEntries(
-    column('event').map(([name = ''], row): [string, Entry] => {
+    column('event').map(([name = ''], row): [string, EventEntry] => {
       const writtenOut = new Set(expected[name]?.fields);
       return [
         name,
         {
-          levels: distinct(levels[row] ?? []),
-          modules: distinct(modules[row] ?? []),
-          fields: distinct((fields[row] ?? []).filter((field) => writtenOut.has(field))),
+          levels: sortedUnique(levels[row] ?? []),
+          modules: sortedUnique(modules[row] ?? []),
+          fields: sortedUnique((fields[row] ?? []).filter((field) => writtenOut.has(field))),
         },
       ];
     }),
@@ -66,12 +69,12 @@
 };
 
 /** Fields on the page that the code does not write, of events that spread no object. */
-const inventedFields = (table: Table, list: readonly Call[]): readonly string[] => {
+const fieldsNotLogged = (table: Table, list: readonly LogCall[]): readonly string[] => {
   const fields = columnOf(table, 'fields').map(codeSpans);
   return columnOf(table, 'event').flatMap((cell, row) => {
     const [name = ''] = codeSpans(cell);
     const same = list.filter((call) => call.name === name);
-    if (same.some(({ spreads }) => spreads)) return [];
+    if (same.some(({ hasSpread: spreads }) => spreads)) return [];
     const known = new Set(same.flatMap((call) => call.fields));
     return (fields[row] ?? []).filter((field) => !known.has(field)).map((field) => `${name}: ${field}`);
   });
@@ -84,7 +87,7 @@
 };
 
 test('log events: each is written out, as subsystem.what_happened', () => {
-  const wrong = calls.filter(({ name }) => name === null || !EVENT_NAME.test(name));
+  const wrong = logCalls.filter(({ name }) => name === null || !EVENT_NAME.test(name));
   assert.deepEqual(
     wrong.map(({ path, line, name }) => `${path}:${line} ${name ?? 'not written out'}`),
     [],
@@ -93,14 +96,14 @@
 
 test(`log events: ${PAGE} lists them all, with level, fields and modules, and no others`, () => {
   const table = eventTable(readText(PAGE));
-  const expected = entriesOf(calls);
+  const expected = loggedEntries(logCalls);
   assert.deepEqual(entriesOnPage(table, expected), expected);
-  assert.deepEqual(inventedFields(table, calls), []);
+  assert.deepEqual(fieldsNotLogged(table, logCalls), []);
 });
 
 test('log events: an event of the page stands in one row, rows are in order', () => {
   const names = columnOf(eventTable(readText(PAGE)), 'event').flatMap(codeSpans);
-  assert.deepEqual(names, distinct(names));
+  assert.deepEqual(names, sortedUnique(names));
 });
 
 test('log events: calls are read with level, name, fields and spreads', () => {
--- a/src/repository-checks/log-events.ts
+++ b/src/repository-checks/log-events.ts
@@ -14,7 +14,7 @@
   /** Names of the fields that are written out, the event aside. */
   readonly fields: readonly string[];
   /** More fields come from an object that is spread. */
-  readonly spreads: boolean;
+  readonly hasSpread: boolean;
 }
 
 const levelOf = (node: ts.CallExpression): string | null =>
@@ -26,19 +26,19 @@
     : null;
 
 /** The texts that an expression may have; null among them where that can't be read. */
-const textsOf = (expression: ts.Expression): readonly (string | null)[] => {
+const possibleTexts = (expression: ts.Expression): readonly (string | null)[] => {
   if (ts.isStringLiteral(expression)) return [expression.text];
   if (ts.isConditionalExpression(expression))
-    return [...textsOf(expression.whenTrue), ...textsOf(expression.whenFalse)];
+    return [...possibleTexts(expression.whenTrue), ...possibleTexts(expression.whenFalse)];
   return [null];
 };
 
-const nameOf = (property: ts.ObjectLiteralElementLike): string | null =>
+const propertyNameOf = (property: ts.ObjectLiteralElementLike): string | null =>
   property.name !== undefined && ts.isIdentifier(property.name) ? property.name.text : null;
 
 const eventNames = (properties: readonly ts.ObjectLiteralElementLike[]): readonly (string | null)[] => {
-  const event = properties.find((property) => nameOf(property) === EVENT_PROPERTY);
-  return event !== undefined && ts.isPropertyAssignment(event) ? textsOf(event.initializer) : [null];
+  const event = properties.find((property) => propertyNameOf(property) === EVENT_PROPERTY);
+  return event !== undefined && ts.isPropertyAssignment(event) ? possibleTexts(event.initializer) : [null];
 };
 
 /** All events that a module logs. */
@@ -50,7 +50,7 @@
     if (level === null) return [];
     const [entry] = node.arguments;
     const properties = entry !== undefined && ts.isObjectLiteralExpression(entry) ? entry.properties : [];
-    const fields = properties.map(nameOf).filter((name) => name !== null && name !== EVENT_PROPERTY);
+    const fields = properties.map(propertyNameOf).filter((name) => name !== null && name !== EVENT_PROPERTY);
     return eventNames([...properties]).map((name) => ({
       level,
       line: lineOf(module, node.getStart(module)),
--- a/src/repository-checks/paths.ts
+++ b/src/repository-checks/paths.ts
@@ -20,22 +20,22 @@
 export const pathsInProse = (text: string): readonly string[] => text.match(PATH_IN_PROSE) ?? [];
 
 /** Compiled files stand for their sources. */
-const sourceOf = (path: string): string =>
+const toSourcePath = (path: string): string =>
   path.startsWith('target/') ? path.replace(/^target\//, 'src/').replace(/\.js$/, '.ts') : path;
 
-const globSource = (path: string): string => path.replaceAll('.', '\\.').replaceAll('*', '[^/]*');
+const globToRegExpSource = (path: string): string => path.replaceAll('.', '\\.').replaceAll('*', '[^/]*');
 
 /** Is the path there, seen from the file that names it? A bare file name may be anywhere. */
-export const leadsToFile = (path: string, from: string, files: readonly string[]): boolean => {
-  const wanted = sourceOf(path).replace(/\/$/, '');
+export const resolvesToFile = (path: string, from: string, files: readonly string[]): boolean => {
+  const wanted = toSourcePath(path).replace(/\/$/, '');
   if (!path.includes('/')) {
-    const anywhere = new RegExp(`(?:^|/)${globSource(wanted)}$`);
+    const anywhere = new RegExp(`(?:^|/)${globToRegExpSource(wanted)}$`);
     return files.some((file) => anywhere.test(file));
   }
   const starts = ['', ...SOURCE_FOLDERS, posix.dirname(from)];
   return starts.some((start) => {
     const candidate = posix.join(start, wanted);
-    const exactly = new RegExp(`^${globSource(candidate)}$`);
+    const exactly = new RegExp(`^${globToRegExpSource(candidate)}$`);
     return files.some((file) => exactly.test(file) || file.startsWith(`${candidate}/`));
   });
 };
--- a/src/repository-checks/wire-words.test.ts
+++ b/src/repository-checks/wire-words.test.ts
@@ -10,7 +10,7 @@
  * `Permit` is also what a duty gives for an effect.
  */
 const VOCABULARY: WireVocabulary = {
-  distinct: [
+  unambiguous: [
     // users
     'herd',
     'brand',
@@ -54,8 +54,8 @@
     'siblings',
     'mesh',
   ],
-  ordinary: ['area', 'head', 'heads', 'scatter', 'sweep', 'together'],
-  terms: ['agent epoch'],
+  ambiguous: ['area', 'head', 'heads', 'scatter', 'sweep', 'together'],
+  allowedTerms: ['agent epoch'],
   paths: ['/follow', '/hello', '/holds'],
 };
 
@@ -67,7 +67,7 @@
  * Modules that are yet to be cleaned, with the words that they still use. The list only shrinks: a word that
  * is gone from its module has to go from here.
  */
-const YET_TO_BE_CLEANED: Readonly<Record<string, readonly string[]>> = {};
+const KNOWN_VIOLATIONS: Readonly<Record<string, readonly string[]>> = {};
 
 test('wire words: they stand in codecs and clients only, or are listed as yet to be cleaned', () => {
   const found: Record<string, readonly string[]> = {};
@@ -76,7 +76,7 @@
     const words = findWireWords(path, readText(path), VOCABULARY).map(({ word }) => word);
     if (words.length > 0) found[path] = [...new Set(words)].sort();
   }
-  assert.deepEqual(found, YET_TO_BE_CLEANED);
+  assert.deepEqual(found, KNOWN_VIOLATIONS);
 });
 
 const wordsOf = (text: string): readonly string[] =>
--- a/src/repository-checks/wire-words.ts
+++ b/src/repository-checks/wire-words.ts
@@ -13,26 +13,26 @@
  */
 export interface WireVocabulary {
   /** Words that have no other meaning in this project: found in any name and any literal. */
-  readonly distinct: readonly string[];
+  readonly unambiguous: readonly string[];
   /** Words of ordinary English too: found as the name of a property, or as a whole literal. */
-  readonly ordinary: readonly string[];
+  readonly ambiguous: readonly string[];
   /** The field's terms that contain a word of the wire; they are passed over. */
-  readonly terms: readonly string[];
+  readonly allowedTerms: readonly string[];
   /** Paths of requests, found at the beginning of a literal. */
   readonly paths: readonly string[];
 }
 
-const BETWEEN_PARTS = /[^A-Za-z0-9]+|(?<=[a-z0-9])(?=[A-Z])/;
+const PART_BOUNDARY = /[^A-Za-z0-9]+|(?<=[a-z0-9])(?=[A-Z])/;
 
-const partsOf = (name: string): string =>
+const normalizeName = (name: string): string =>
   name
-    .split(BETWEEN_PARTS)
+    .split(PART_BOUNDARY)
     .filter((part) => part !== '')
     .join(' ')
     .toLowerCase();
 
-const contains = (name: string, word: string, terms: readonly string[]): boolean => {
-  const parts = terms.reduce((rest, term) => rest.replaceAll(` ${term} `, ' '), ` ${partsOf(name)} `);
+const containsWord = (name: string, word: string, terms: readonly string[]): boolean => {
+  const parts = terms.reduce((rest, term) => rest.replaceAll(` ${term} `, ' '), ` ${normalizeName(name)} `);
   return parts.includes(` ${word} `);
 };
 
@@ -45,17 +45,20 @@
 const isModuleName = (node: ts.Node): boolean =>
   ts.isImportDeclaration(node.parent) || ts.isExportDeclaration(node.parent);
 
-const wordsIn = (node: ts.Node, { distinct, ordinary, terms, paths }: WireVocabulary): readonly string[] => {
+const matchWords = (
+  node: ts.Node,
+  { unambiguous: distinct, ambiguous: ordinary, allowedTerms: terms, paths }: WireVocabulary,
+): readonly string[] => {
   if (ts.isIdentifier(node) || ts.isPrivateIdentifier(node)) {
     const whole = ts.isIdentifier(node) && isPropertyName(node) ? ordinary : [];
     return [
-      ...distinct.filter((word) => contains(node.text, word, terms)),
-      ...whole.filter((word) => partsOf(node.text) === word),
+      ...distinct.filter((word) => containsWord(node.text, word, terms)),
+      ...whole.filter((word) => normalizeName(node.text) === word),
     ];
   }
   if (!isLiteral(node) || isModuleName(node)) return [];
   return [
-    ...distinct.filter((word) => contains(node.text, word, terms)),
+    ...distinct.filter((word) => containsWord(node.text, word, terms)),
     ...ordinary.filter((word) => node.text === word),
     ...paths.filter(
       (path) => node.text === path || node.text.startsWith(`${path}/`) || node.text.startsWith(`${path}?`),
@@ -71,6 +74,6 @@
 ): readonly WireWord[] => {
   const module = parseModule(path, text);
   return [...nodesBelow(module)].flatMap((node) =>
-    wordsIn(node, vocabulary).map((word) => ({ word, line: lineOf(module, node.getStart(module)) })),
+    matchWords(node, vocabulary).map((word) => ({ word, line: lineOf(module, node.getStart(module)) })),
   );
 };
--- a/src/settings/features.ts
+++ b/src/settings/features.ts
@@ -23,7 +23,7 @@
 
 const isFeature = (name: string): name is keyof Features => Object.hasOwn(NO_FEATURES, name);
 
-const bad = (reason: string): CheckedFeatures => ({ _tag: 'bad', message: `features: ${reason}` });
+const reject = (reason: string): CheckedFeatures => ({ _tag: 'bad', message: `features: ${reason}` });
 
 /** Reads a feature file: one `name = true` or `name = false` a line. */
 export const checkFeatures = (text: string): CheckedFeatures => {
@@ -31,13 +31,13 @@
   try {
     raw = parse(text);
   } catch (error) {
-    return bad(`not TOML: ${(error as Error).message.split('\n')[0] ?? ''}`);
+    return reject(`not TOML: ${(error as Error).message.split('\n')[0] ?? ''}`);
   }
   const chosen: Record<keyof Features, boolean> = { ...NO_FEATURES };
   for (const [name, value] of Object.entries(raw)) {
     if (!isFeature(name))
-      return bad(`no feature is called "${name}"; there is: ${Object.keys(NO_FEATURES).join(', ')}`);
-    if (typeof value !== 'boolean') return bad(`"${name}" must be true or false`);
+      return reject(`no feature is called "${name}"; there is: ${Object.keys(NO_FEATURES).join(', ')}`);
+    if (typeof value !== 'boolean') return reject(`"${name}" must be true or false`);
     chosen[name] = value;
   }
   return { _tag: 'ok', features: chosen };
--- a/src/settings/limits-codec.test.ts
+++ b/src/settings/limits-codec.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { effectiveLimits } from './limits-codec.js';
 
-const limits: readonly { name: string; next: object | undefined; kb: number; ops: number; rate: number }[] = [
+const cases: readonly { name: string; next: object | undefined; kb: number; ops: number; rate: number }[] = [
   { name: 'none to come', next: undefined, kb: 16, ops: 48, rate: 60 },
   {
     name: 'smaller ones to come',
@@ -22,7 +22,7 @@
     rate: 60,
   },
 ];
-for (const row of limits) {
+for (const row of cases) {
   test(`limits: ${row.name}`, () => {
     const state = { rps: 150, write_rps: 60, value_kb: 16, txn_ops: 48 };
     const found = effectiveLimits(row.next ? { ...state, next: row.next } : state);
--- a/src/settings/networks.ts
+++ b/src/settings/networks.ts
@@ -14,7 +14,7 @@
 }
 
 /** No network is named: whoever reaches the address may read. */
-export const ANYONE: AdminAccess = { allows: () => true };
+export const ALLOW_ANY_ADDRESS: AdminAccess = { allows: () => true };
 
 /** The outcome of reading a network file. */
 export type CheckedNetworks =
@@ -27,14 +27,14 @@
 const contains = ([network, prefix]: Network, address: ipaddr.IPv4 | ipaddr.IPv6): boolean =>
   network.kind() === address.kind() && address.match(network, prefix);
 
-const accessFrom = (networks: readonly Network[]): AdminAccess => ({
+const createAdminAccess = (networks: readonly Network[]): AdminAccess => ({
   allows: (remoteAddress) => {
     const address = remoteAddress === undefined ? null : readAddress(remoteAddress);
     return address !== null && networks.some((network) => contains(network, address));
   },
 });
 
-const bad = (text: string, value: unknown, reason: string): CheckedNetworks => {
+const rejectValue = (text: string, value: unknown, reason: string): CheckedNetworks => {
   const shown = JSON.stringify(value);
   const line = text.split('\n').findIndex((candidate) => candidate.includes(shown)) + 1;
   const where = line > 0 ? `line ${line}: ` : '';
@@ -70,14 +70,14 @@
     if (name !== 'admin')
       return { _tag: 'bad', message: `networks: unknown name "${name}"; there is: admin` };
   const { admin } = raw;
-  if (admin === undefined) return { _tag: 'ok', admin: ANYONE };
+  if (admin === undefined) return { _tag: 'ok', admin: ALLOW_ANY_ADDRESS };
   if (!Array.isArray(admin)) return { _tag: 'bad', message: 'networks: "admin" must be a list of networks' };
   const networks: Network[] = [];
   for (const value of admin as unknown[]) {
     const network = readNetwork(value);
-    if (network === null) return bad(text, value, 'is not a network in CIDR form');
-    if (hasHostBits(String(value), network)) return bad(text, value, 'has host bits set');
+    if (network === null) return rejectValue(text, value, 'is not a network in CIDR form');
+    if (hasHostBits(String(value), network)) return rejectValue(text, value, 'has host bits set');
     networks.push(network);
   }
-  return { _tag: 'ok', admin: accessFrom(networks) };
+  return { _tag: 'ok', admin: createAdminAccess(networks) };
 };
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -5,7 +5,7 @@
 import * as Schema from 'effect/Schema';
 import * as Result from 'effect/Result';
 
-const Amount = Schema.Number.check(Schema.isGreaterThanOrEqualTo(0));
+const NonNegative = Schema.Number.check(Schema.isGreaterThanOrEqualTo(0));
 const Positive = Schema.Number.check(Schema.isGreaterThan(0));
 const Count = Schema.Int.check(Schema.isGreaterThanOrEqualTo(1));
 const Name = Schema.String.check(Schema.isMinLength(1));
@@ -13,10 +13,10 @@
 
 const Team = Schema.Struct({
   name: Name,
-  cpus: Amount,
-  cpus_max: Amount,
-  gpus: Amount,
-  gpus_max: Amount,
+  cpus: NonNegative,
+  cpus_max: NonNegative,
+  gpus: NonNegative,
+  gpus_max: NonNegative,
 });
 
 const Settings = Schema.Struct({
@@ -55,9 +55,9 @@
         ),
       ),
     }),
-    cloud: Schema.Struct({ rps: Positive, list_lag_s: Amount }),
+    cloud: Schema.Struct({ rps: Positive, list_lag_s: NonNegative }),
     quota: Schema.Struct({ core_share: Positive, ram_mb: Positive, fd_limit: Count }),
-    clock_error_ms: Amount,
+    clock_error_ms: NonNegative,
   }),
 });
 
@@ -69,11 +69,11 @@
 const decode = Schema.decodeUnknownResult(Settings);
 
 /** The outcome of checking a settings file. */
-export type Checked =
+export type CheckedSettings =
   { readonly _tag: 'ok'; readonly settings: Settings } | { readonly _tag: 'bad'; readonly message: string };
 
 /** One line naming the first field that is missing or invalid. */
-export const checkSettings = (text: string): Checked => {
+export const checkSettings = (text: string): CheckedSettings => {
   let raw: unknown;
   try {
     raw = JSON.parse(text);
--- a/src/testing/answering-client.ts
+++ b/src/testing/answering-client.ts
@@ -2,7 +2,7 @@
 import type { CallOutcome, HttpClientFactory } from '../http/model.js';
 
 /** Answers every request with this outcome. */
-export const answering =
+export const alwaysAnswering =
   (outcome: CallOutcome): HttpClientFactory =>
   () => ({ request: () => Promise.resolve(outcome) });
 
--- a/src/testing/bounded-run.ts
+++ b/src/testing/bounded-run.ts
@@ -5,7 +5,7 @@
  * The result of `run`. Throws an Error if it takes longer than `timeoutMs`: the time limit of `node:vm` is the
  * one way to break off a loop without an end from inside its own thread.
  */
-export const endsWithin = <Result>(timeoutMs: number, run: () => Result): Result => {
+export const runWithTimeout = <Result>(timeoutMs: number, run: () => Result): Result => {
   const context = createContext({ run });
   return new Script('run()').runInContext(context, { timeout: timeoutMs }) as Result;
 };
--- a/src/testing/cloud-stand-in.ts
+++ b/src/testing/cloud-stand-in.ts
@@ -25,7 +25,7 @@
   readonly from: number;
 }
 
-interface RentBody {
+interface ProvisionRequestBody {
   readonly hire: string;
   readonly breed: string;
   readonly paddock: string;
@@ -57,7 +57,7 @@
   readonly machines = new Map<string, Machine>();
   /** Requests for anything, by node. */
   readonly requests: { readonly node: string; readonly path: string; readonly at: number }[] = [];
-  private readonly answered = new Map<string, CallOutcome>();
+  private readonly answersByRequestName = new Map<string, CallOutcome>();
   private sequence = 0;
 
   handle(node: string, method: string, path: string, body: unknown): CallOutcome {
@@ -66,13 +66,13 @@
     this.requests.push({ node, path: `${method} ${route}`, at });
     if (route === '/catalog') return reply(200, CATALOG);
     if (route === '/machines' && method === 'GET') return this.list();
-    if (route === '/machines') return this.rent(node, body as RentBody, at);
+    if (route === '/machines') return this.provision(node, body as ProvisionRequestBody, at);
     if (route === '/machines/release') return this.release(node, body as { drovers: string[] }, at);
     return reply(404);
   }
 
   /** Has a machine up that nobody asked for here. */
-  add(id: string): void {
+  addMachine(id: string): void {
     this.machines.set(id, { id, type: 'g', zone: 'x', spot: false, from: performance.now() });
   }
 
@@ -89,8 +89,8 @@
     return reply(200, { drovers, more: false });
   }
 
-  private rent(node: string, body: RentBody, at: number): CallOutcome {
-    const before = this.answered.get(body.hire);
+  private provision(node: string, body: ProvisionRequestBody, at: number): CallOutcome {
+    const before = this.answersByRequestName.get(body.hire);
     const made = before
       ? []
       : Array.from({ length: body.howMany }, () => {
@@ -101,7 +101,7 @@
       this.machines.set(id, { id, type: body.breed, zone: body.paddock, spot: body.agistment, from: at });
     this.actions.push({ kind: 'rent', node, name: body.hire, machines: made, at });
     const answer = before ?? reply(200, { drovers: made });
-    this.answered.set(body.hire, answer);
+    this.answersByRequestName.set(body.hire, answer);
     return answer;
   }
 
--- a/src/testing/cluster.ts
+++ b/src/testing/cluster.ts
@@ -18,7 +18,7 @@
 /** ms: the workers' lease of the stand-in deployment. */
 export const LEASE_MS = 15_000;
 /** ms: the workers' report interval of the stand-in deployment. */
-export const REPORT_MS = 3_000;
+export const HEARTBEAT_INTERVAL_MS = 3_000;
 
 /** The settings of one controller of the stand-in deployment. */
 export const settingsOf = (name: string, limits: ReadonlyMap<string, number>): Settings => ({
@@ -38,7 +38,7 @@
     teams: [...limits].map(([team, gpus]) => ({ name: team, cpus: 0, cpus_max: 0, gpus: 8, gpus_max: gpus })),
     objectives: [],
     workers: {
-      report_s: REPORT_MS / 1000,
+      report_s: HEARTBEAT_INTERVAL_MS / 1000,
       lease_s: LEASE_MS / 1000,
       gang_wait_s: 30,
       gang_peer_s: 4,
@@ -57,13 +57,13 @@
   },
 });
 
-const callOf = (method: string, path: string, body: unknown): ServerRequest => ({
+const toServerRequest = (method: string, path: string, body: unknown): ServerRequest => ({
   method,
   path,
   query: '',
   body: body === undefined ? { _tag: 'empty' } : { _tag: 'value', value: body },
 });
-const answerOf = (reply: ServerResponse): CallOutcome => ({
+const toCallOutcome = (reply: ServerResponse): CallOutcome => ({
   _tag: 'response',
   status: reply.status,
   body: reply.body ?? {},
@@ -80,10 +80,10 @@
   readonly versions = new Map<string, typeof compose>();
   /** ms by which somebody set a node's time of day. */
   readonly timeOfDayOffsets = new Map<string, number>();
-  constructor(private readonly world: SimulatedEnvironment) {}
+  constructor(private readonly environment: SimulatedEnvironment) {}
 
-  up(name: string): void {
-    this.down(name);
+  start(name: string): void {
+    this.stop(name);
     this.incarnation += 1;
     const alive = { yes: true };
     const never = new Promise<never>(() => undefined);
@@ -95,7 +95,7 @@
       createHttpClient: (target) => ({
         request: (method, path, body, timeoutMs) =>
           alive.yes
-            ? this.world
+            ? this.environment
                 .call(name, target.host, method, path, body, timeoutMs)
                 .then((answer) => (alive.yes ? answer : never))
             : never,
@@ -107,7 +107,7 @@
             head: `${command.job}/${command.index}`,
             try: command.attempt,
           }));
-          const answer = await this.world.call(
+          const answer = await this.environment.call(
             name,
             addr.slice(0, addr.lastIndexOf(':')),
             'POST',
@@ -123,37 +123,41 @@
         },
       },
     };
-    const settings = settingsOf(name, this.world.limits);
+    const settings = settingsOf(name, this.environment.limits);
     const controller = (this.versions.get(name) ?? compose)(settings, ports, ALL_FEATURES);
     const fiber = Effect.runFork(controller.run);
     this.running.set(name, { controller, fiber, alive });
-    this.world.attach(name, async (method, path, body) =>
-      answerOf(await controller.route(callOf(method, path, body))),
+    this.environment.attach(name, async (method, path, body) =>
+      toCallOutcome(await controller.route(toServerRequest(method, path, body))),
     );
-    this.world.attach(`mesh-${name}`, async (method, path, body) =>
-      answerOf(await controller.peerRoute(callOf(method, path, body))),
+    this.environment.attach(`mesh-${name}`, async (method, path, body) =>
+      toCallOutcome(await controller.peerRoute(toServerRequest(method, path, body))),
     );
   }
 
-  down(name: string): void {
+  stop(name: string): void {
     const held = this.running.get(name);
     if (!held) return;
     held.alive.yes = false;
     held.controller.stop();
     Effect.runFork(Fiber.interrupt(held.fiber));
     this.running.delete(name);
-    this.world.detach(name);
-    this.world.detach(`mesh-${name}`);
+    this.environment.detach(name);
+    this.environment.detach(`mesh-${name}`);
   }
 }
 
 /** Lets promises and callbacks that are due run. */
-export const tick = async (): Promise<void> => {
+export const runDueCallbacks = async (): Promise<void> => {
   for (let k = 0; k < 6; k += 1) await new Promise((resolve) => setImmediate(resolve));
 };
 
 /** A job of the stand-in deployment. */
-export const jobOf = (n: number, over: Partial<Record<string, unknown>>, runMs: number): StandInJob => {
+export const createStandInJob = (
+  n: number,
+  over: Partial<Record<string, unknown>>,
+  runMs: number,
+): StandInJob => {
   const body: Record<string, unknown> = {
     uid: `job-${String(n).padStart(6, '0')}`,
     herd: 'c',
@@ -190,6 +194,6 @@
     runMs,
     accepted: false,
     cancelledAt: null,
-    doneTold: false,
+    isFinalStatusReported: false,
   };
 };
--- a/src/testing/earlier-versions.ts
+++ b/src/testing/earlier-versions.ts
@@ -13,7 +13,7 @@
 import type { FinalRecord, JobRecord, JobSpec } from '../jobs/model.js';
 import type { RunRecord } from '../placement/run-records.js';
 import type { WorkerHeartbeat } from '../workers/model.js';
-import type { DirectCommands, DirectResult } from '../workers/worker-client.js';
+import type { DirectCommandSender, DirectResult } from '../workers/worker-client.js';
 
 /** What the tests use of the version that production runs, under the names of this version. */
 export interface Production {
@@ -69,7 +69,7 @@
 
 /** Sends commands to workers in that version. */
 interface EarlierCommands {
-  readonly send: (...commands: Parameters<DirectCommands['send']>) => Promise<EarlierDirectResult>;
+  readonly send: (...commands: Parameters<DirectCommandSender['send']>) => Promise<EarlierDirectResult>;
 }
 
 /** The ports of that version. */
@@ -142,7 +142,7 @@
     return { request: async (...call) => toEarlierOutcome(await client.request(...call)) };
   };
 
-const adaptCommands = (workerClient: DirectCommands): EarlierCommands => ({
+const adaptCommands = (workerClient: DirectCommandSender): EarlierCommands => ({
   send: async (...commands) => toEarlierResult(await workerClient.send(...commands)),
 });
 
--- a/src/testing/heartbeat-cost.ts
+++ b/src/testing/heartbeat-cost.ts
@@ -7,10 +7,10 @@
 import { decode } from '../http/msgpack.js';
 import { readHeartbeat } from '../peers/heartbeat-codec.js';
 import { PeerNetwork } from '../peers/network.js';
-import { peersOf, prepared, SETTLED_MS } from '../recorded-formats/deployment.js';
+import { peerResponder, prepareController, STARTUP_MS } from '../recorded-formats/deployment.js';
 import { recordedValue } from '../recorded-formats/fixtures.js';
 import {
-  machineNames,
+  machineIds,
   ReportingWorker,
   START_MS,
   type HarnessedController,
@@ -18,38 +18,38 @@
 
 const MACHINES = 4_000;
 const JOBS = 4_000;
-const JOBS_A_MACHINE = 2;
+const JOBS_PER_MACHINE = 2;
 /** Heartbeats in one run, and runs. */
 const HEARTBEATS = 20;
 const RUNS = 15;
 /** ms in which the share is placed and its summary made. */
-const PLACED_MS = 2_000;
+const PLACEMENT_MS = 2_000;
 const MICROSECONDS_PER_MS = 1_000;
 
 const jobId = (n: number): string => `job-${100_000 + n}`;
 
-const jobJson = (n: number): string =>
+const jobRecordJson = (n: number): string =>
   `{"s":["${jobId(n)}","train","blue","array",1,1,32,1,64,null,null,false,false,true,"img",1,8,0,0,null],` +
   `"t":${START_MS},"c":false}`;
 
 /** The holder of a share with all these machines and jobs, as a restart finds them. */
-const holder = async (): Promise<HarnessedController> => {
-  const controller = await prepared('n1');
-  const workers = machineNames(1, MACHINES).map((id) => new ReportingWorker(controller, id));
+const createHolder = async (): Promise<HarnessedController> => {
+  const controller = await prepareController('n1');
+  const workers = machineIds(1, MACHINES).map((id) => new ReportingWorker(controller, id));
   for (const worker of workers) await controller.seed(`w/m/${worker.id}`, worker.recordJson(1));
   for (let n = 0; n < JOBS; n += 1) {
-    const worker = workers[Math.floor(n / JOBS_A_MACHINE)];
+    const worker = workers[Math.floor(n / JOBS_PER_MACHINE)];
     if (!worker) throw new Error('more jobs than the machines hold');
-    await controller.seed(`w/j/${jobId(n)}`, jobJson(n));
+    await controller.seed(`w/j/${jobId(n)}`, jobRecordJson(n));
     await controller.seed(`r/1/${jobId(n)}/0`, `{"d":"0","b":[[0,"${worker.id}",1]],"n":1}`);
     worker.heads = [...worker.heads, { head: `${jobId(n)}/0`, try: 1, status: 'running' }];
   }
-  controller.respond = peersOf('n1');
+  controller.respond = peerResponder('n1');
   controller.start();
-  await controller.advance(SETTLED_MS);
-  for (const worker of workers) await worker.report();
-  for (const worker of workers) await worker.report();
-  await controller.advance(PLACED_MS);
+  await controller.advance(STARTUP_MS);
+  for (const worker of workers) await worker.sendHeartbeat();
+  for (const worker of workers) await worker.sendHeartbeat();
+  await controller.advance(PLACEMENT_MS);
   return controller;
 };
 
@@ -66,11 +66,11 @@
 };
 
 /** A peer that hears the heartbeats of `n1`, and has nothing to work out for its answers. */
-const listener = (): PeerNetwork => {
+const createReceivingPeer = (): PeerNetwork => {
   const answer = readHeartbeat(recordedValue('first-beats', 'n0 to n1'));
   if (answer === null) throw new Error('the recorded heartbeat names no sender');
   return new PeerNetwork({
-    me: 'n0',
+    ownNode: 'n0',
     peers: [{ node: 'n1', endpoint: 'n1:2' }],
     heartbeat: () => answer,
     leader: () => undefined,
@@ -82,9 +82,9 @@
 
 const measure = async (controller: HarnessedController, to: 'n0' | 'n2'): Promise<object> => {
   const question = recordedValue('first-beats', `${to} to n1`);
-  const bytes = await controller.exchange('/beat', question);
-  const network = listener();
-  const note = async (): Promise<void> => {
+  const bytes = await controller.exchangeWithPeer('/beat', question);
+  const network = createReceivingPeer();
+  const receiveHeartbeat = async (): Promise<void> => {
     await network.handle({
       method: 'POST',
       path: '/beat',
@@ -95,18 +95,20 @@
   return {
     to: to === 'n0' ? 'the leader' : 'a peer',
     bytes: bytes.length,
-    'build and encode ms': (await processorMs(() => controller.exchange('/beat', question))).toFixed(3),
-    'decode and note ms': (await processorMs(note)).toFixed(3),
+    'build and encode ms': (await processorMs(() => controller.exchangeWithPeer('/beat', question))).toFixed(
+      3,
+    ),
+    'decode and note ms': (await processorMs(receiveHeartbeat)).toFixed(3),
     'first task count ms': (
       await processorMs(async () => {
-        await note();
+        await receiveHeartbeat();
         network.view.taskCounts(1, jobId(JOBS - 1));
       })
     ).toFixed(3),
   };
 };
 
-const controller = await holder();
+const controller = await createHolder();
 const rows = [await measure(controller, 'n0'), await measure(controller, 'n2')];
 await controller.stop();
 console.table(rows);
--- a/src/testing/hunt.ts
+++ b/src/testing/hunt.ts
@@ -31,21 +31,21 @@
     seed,
     jobs: pipelines ? 5 : 10 + random.below(8),
     pipelines: pipelines ? 4 + random.below(4) : 0,
-    everyS: 2 + random.below(4),
-    runS: long ? [40, 110] : [6, 25],
+    submissionIntervalS: 2 + random.below(4),
+    taskDurationRangeS: long ? [40, 110] : [6, 25],
     faults,
   };
 };
 
 const [from, to, ...wanted] = process.argv.slice(2);
 if (process.argv[1]?.endsWith('hunt.js') && from !== undefined) {
-  let broken = 0;
+  let violatingScenarios = 0;
   for (let seed = Number(from); seed <= Number(to ?? from); seed += 1) {
     const day = drawScenario(seed, wanted);
     const found = await new ScenarioRun(day).run();
     if (found.length === 0) continue;
-    broken += 1;
+    violatingScenarios += 1;
     process.stdout.write(`${seed} [${day.names}] ${found.slice(0, 6).join('; ')}\n`);
   }
-  process.stdout.write(`${from} to ${to ?? from}: ${broken} days broke a rule\n`);
+  process.stdout.write(`${from} to ${to ?? from}: ${violatingScenarios} days broke a rule\n`);
 }
--- a/src/testing/key-value-store-stand-in.ts
+++ b/src/testing/key-value-store-stand-in.ts
@@ -24,8 +24,8 @@
   private lastLease = 0;
   down = false;
   /** bytes of one value and changes of one transaction, at most; what passed them. */
-  limits = { valueBytes: 16 * 1024, ops: 32 };
-  readonly tooLarge: string[] = [];
+  limits = { maxValueBytes: 16 * 1024, maxTransactionWrites: 32 };
+  readonly oversizedTransactions: string[] = [];
   /** Told of every put, with the revision that it got. */
   onPut: (key: string, value: unknown, version: number) => void = () => undefined;
   /** Told of every lease that ended, with the keys that went with it. */
@@ -33,7 +33,7 @@
   /** Nodes that alone are refused. */
   readonly refused = new Set<string>();
 
-  private expire(): void {
+  private expireLeases(): void {
     if (this.down) return;
     for (const [id, lease] of this.leases) {
       if (Date.now() <= lease.until) continue;
@@ -47,8 +47,8 @@
   private remove(key: string): void {
     if (this.data.delete(key)) this.news.push({ key, version: this.epoch });
   }
-  outage(on: boolean): void {
-    this.expire();
+  setOutage(on: boolean): void {
+    this.expireLeases();
     this.down = on;
     // Once an outage ends, every lease has its full time again.
     if (!on) for (const lease of this.leases.values()) lease.until = Date.now() + lease.ttl;
@@ -58,7 +58,7 @@
   }
   /** The revision of a key; 0: there is none. */
   version(key: string): number {
-    this.expire();
+    this.expireLeases();
     return this.data.get(key)?.version ?? 0;
   }
   keys(prefix: string): string[] {
@@ -66,10 +66,10 @@
   }
 
   async handle(from: string, method: string, path: string, body: unknown): Promise<CallOutcome> {
-    this.expire();
+    this.expireLeases();
     const [route, query] = path.split('?', 2);
     const params = new URLSearchParams(query ?? '');
-    if (route === '/follow') return this.follow(from, params);
+    if (route === '/follow') return this.watch(from, params);
     if (this.down || this.refused.has(from)) return reply(503);
     if (route === '/txn') return this.compareAndSwap(body as WireRecord);
     if (route === '/holds') {
@@ -108,10 +108,14 @@
     const sizes = writes.map((write) =>
       'write' in write ? Buffer.byteLength(JSON.stringify(write.data)) : 0,
     );
-    const large = sizes.findIndex((size) => size > this.limits.valueBytes);
-    if (large >= 0 || writes.length > this.limits.ops || when.length > 4 * this.limits.ops) {
+    const large = sizes.findIndex((size) => size > this.limits.maxValueBytes);
+    if (
+      large >= 0 ||
+      writes.length > this.limits.maxTransactionWrites ||
+      when.length > 4 * this.limits.maxTransactionWrites
+    ) {
       const key = large >= 0 ? JSON.stringify(writes[large]).slice(0, 60) : '';
-      this.tooLarge.push(
+      this.oversizedTransactions.push(
         `${key} ${sizes[large] ?? 0} B, ${writes.length} changes, ${when.length} conditions`,
       );
       return reply(400, { error: 'too large' });
@@ -141,13 +145,13 @@
     return reply(200, { epoch: this.epoch });
   }
 
-  private async follow(from: string, params: URLSearchParams): Promise<CallOutcome> {
+  private async watch(from: string, params: URLSearchParams): Promise<CallOutcome> {
     const since = Number(params.get('since'));
     const until = Date.now() + Number(params.get('waitMs') ?? 0);
     const prefix = params.get('under') ?? '';
     for (;;) {
       const blocked = this.down || this.refused.has(from);
-      this.expire();
+      this.expireLeases();
       const found = this.news.filter((event) => event.version > since && event.key.startsWith(prefix));
       if (!blocked && (found.length > 0 || Date.now() >= until)) {
         const news = found.map((event) =>
--- a/src/testing/late-actions.ts
+++ b/src/testing/late-actions.ts
@@ -1,7 +1,7 @@
 import type { CloudAction } from './cloud-stand-in.js';
 
 /** Who held the leadership from when on, by the state service. */
-export interface Tenure {
+export interface LeadershipTerm {
   readonly node: string;
   readonly token: number;
   /** ms, steady. */
@@ -11,7 +11,7 @@
 /** A request of a replaced leader that changed something at the cloud. */
 export interface LateAction {
   readonly action: CloudAction;
-  readonly holder: Tenure;
+  readonly holder: LeadershipTerm;
 }
 
 /**
@@ -21,13 +21,16 @@
  */
 export const findLateActions = (
   actions: readonly CloudAction[],
-  tenures: readonly Tenure[],
-  releaseAsked: (machine: string, at: number) => boolean,
+  tenures: readonly LeadershipTerm[],
+  isReleaseRequested: (machine: string, at: number) => boolean,
 ): readonly LateAction[] =>
   actions.flatMap((action) => {
     const holder = tenures.filter(({ from }) => from <= action.at).at(-1);
     if (!holder || holder.node === action.node || action.machines.length === 0) return [];
-    if (action.kind === 'release' && action.machines.every((machine) => releaseAsked(machine, action.at)))
+    if (
+      action.kind === 'release' &&
+      action.machines.every((machine) => isReleaseRequested(machine, action.at))
+    )
       return [];
     return [{ action, holder }];
   });
--- a/src/testing/leader-scenario.ts
+++ b/src/testing/leader-scenario.ts
@@ -1,11 +1,11 @@
 import type { WireDuty } from '../duties/admin-codec.js';
 import { PROVISIONING_KEY } from '../kv-store/keys.js';
 import { submission } from './bodies.js';
-import { findLateActions, type LateAction, type Tenure } from './late-actions.js';
+import { findLateActions, type LateAction, type LeadershipTerm } from './late-actions.js';
 import { Loopback, type LoopbackOptions } from './loopback.js';
 
-/** ms: see {@link LeaderScenario.aftermath}. */
-const AFTERMATH_MS = 2_500;
+/** ms: see {@link LeaderScenario.waitForLateEffects}. */
+const LATE_EFFECTS_WAIT_MS = 2_500;
 
 /** A gang of one task that takes a whole machine. */
 const wholeMachineJob = (n: number): object =>
@@ -23,10 +23,10 @@
 
 /** A deployment with the history of its leaders and of the machines whose release was asked for. */
 export class LeaderScenario {
-  readonly tenures: Tenure[] = [];
+  readonly leadershipTerms: LeadershipTerm[] = [];
   /** Writes of the book of rental requests. */
   intentWrites = 0;
-  private readonly releaseAskedAt = new Map<string, number>();
+  private readonly releaseRequestedAt = new Map<string, number>();
 
   private constructor(
     readonly deployment: Loopback,
@@ -36,14 +36,16 @@
     deployment.state.onPut = (key, value, version) => {
       const at = performance.now();
       if (key.startsWith('w/c/'))
-        deployment.timeline.note('store', `claim ${key} of ${(value as { n: string }).n} at ${version}`);
-      if (key === 'w/c/L') this.tenures.push({ node: (value as { n: string }).n, token: version, from: at });
+        deployment.timeline.record('store', `claim ${key} of ${(value as { n: string }).n} at ${version}`);
+      if (key === 'w/c/L')
+        this.leadershipTerms.push({ node: (value as { n: string }).n, token: version, from: at });
       if (key === PROVISIONING_KEY) this.intentWrites += 1;
-      if (key.startsWith('w/m/') && (value as { r: boolean }).r) this.releaseAskedAt.set(key.slice(4), at);
+      if (key.startsWith('w/m/') && (value as { r: boolean }).r)
+        this.releaseRequestedAt.set(key.slice(4), at);
     };
   }
 
-  static async play(
+  static async run(
     options: LoopbackOptions,
     scene: (scenario: LeaderScenario) => Promise<void>,
   ): Promise<void> {
@@ -61,9 +63,9 @@
 
   /** A job is accepted by the first node that takes it. */
   async submit(n: number): Promise<void> {
-    await this.deployment.until('a job to be accepted', async () => {
+    await this.deployment.waitUntil('a job to be accepted', async () => {
       for (const node of Loopback.nodes) {
-        const answer = await this.deployment.ask(node, 'POST', '/v2/runs', wholeMachineJob(n));
+        const answer = await this.deployment.request(node, 'POST', '/v2/runs', wholeMachineJob(n));
         if (answer._tag === 'response' && answer.status < 300) return true;
       }
       return false;
@@ -71,33 +73,33 @@
   }
 
   /** Another node leads now, and the duty of renting is settled there. */
-  async successor(old: string): Promise<Tenure> {
-    return this.deployment.until('a successor', () => {
-      const last = this.tenures.at(-1);
+  async waitForSuccessor(old: string): Promise<LeadershipTerm> {
+    return this.deployment.waitUntil('a successor', () => {
+      const last = this.leadershipTerms.at(-1);
       return last && last.node !== old ? last : null;
     });
   }
 
   /** The state of renting, as a controller tells it, and how many requests are under way there. */
-  private async renting(node: string): Promise<WireDuty | null> {
+  private async provisioningDuty(node: string): Promise<WireDuty | null> {
     const answer = await fetch(`http://${this.deployment.address(node)}/admin/v1/duties/rent`);
     const view = (await answer.json()) as { duties?: WireDuty[] };
     return view.duties?.[0] ?? null;
   }
 
   /** The node may rent: what an earlier leader left open is settled. */
-  async held(node: string): Promise<void> {
-    await this.deployment.until(
+  async waitUntilDutyHeld(node: string): Promise<void> {
+    await this.deployment.waitUntil(
       'the duty to be held',
-      async () => (await this.renting(node))?.state === 'held',
+      async () => (await this.provisioningDuty(node))?.state === 'held',
     );
   }
 
   /** The node has decided to rent, and its request is under way or waits. */
-  async decided(node: string): Promise<void> {
-    await this.deployment.until(
+  async waitUntilProvisioningDecided(node: string): Promise<void> {
+    await this.deployment.waitUntil(
       'a rental to be decided',
-      async () => ((await this.renting(node))?.open ?? 0) > 0,
+      async () => ((await this.provisioningDuty(node))?.open ?? 0) > 0,
     );
   }
 
@@ -115,13 +117,13 @@
   private findLateActions(): readonly LateAction[] {
     return findLateActions(
       this.deployment.cloud.actions,
-      this.tenures,
-      (machine, at) => (this.releaseAskedAt.get(machine) ?? Number.POSITIVE_INFINITY) <= at,
+      this.leadershipTerms,
+      (machine, at) => (this.releaseRequestedAt.get(machine) ?? Number.POSITIVE_INFINITY) <= at,
     );
   }
 
   /** Time in which a resumed process does whatever it is still going to do. */
-  async aftermath(): Promise<void> {
-    await new Promise((resolve) => setTimeout(resolve, AFTERMATH_MS));
+  async waitForLateEffects(): Promise<void> {
+    await new Promise((resolve) => setTimeout(resolve, LATE_EFFECTS_WAIT_MS));
   }
 }
--- a/src/testing/load.ts
+++ b/src/testing/load.ts
@@ -22,8 +22,8 @@
 const MACHINES = Number(machinesText ?? 300);
 const SECONDS = Number(secondsText ?? 30);
 const NODES = Number(nodesText ?? 1);
-const REPORT_MS = 3_000;
-const RUN_MS = 20_000;
+const HEARTBEAT_INTERVAL_MS = 3_000;
+const TASK_DURATION_MS = 20_000;
 const HOST = '127.0.0.1';
 /** Several may run side by side, each with ports of its own. */
 const PORT = Number(process.env['LOAD_PORT'] ?? 21_000);
@@ -34,7 +34,7 @@
   calls.set(name, (calls.get(name) ?? 0) + 1);
 };
 
-interface Head {
+interface LoadTask {
   head: string;
   try: number;
   status: string;
@@ -44,10 +44,10 @@
 
 /** A worker that does as it is told; its tasks run for a fixed time. */
 class LoadWorker {
-  readonly heads = new Map<string, Head>();
+  readonly heads = new Map<string, LoadTask>();
   token = 0;
   tally = 0;
-  private target = 0;
+  private targetNodeIndex = 0;
   private readonly agents = Array.from(
     { length: NODES },
     () => new http.Agent({ keepAlive: true, maxSockets: 1 }),
@@ -57,7 +57,7 @@
     readonly spot: boolean,
   ) {}
 
-  report(): unknown {
+  nextHeartbeat(): unknown {
     this.tally += 1;
     const now = Date.now();
     for (const head of this.heads.values()) {
@@ -94,7 +94,7 @@
           head: call.head,
           try: call.try,
           status: 'running',
-          endAt: Date.now() + RUN_MS,
+          endAt: Date.now() + TASK_DURATION_MS,
         });
       else if (call.call === 'stop') {
         const head = this.heads.get(call.head);
@@ -103,17 +103,17 @@
     }
   }
 
-  hello(): Promise<void> {
+  sendHeartbeat(): Promise<void> {
     count('report');
-    const payload = encode(this.report());
+    const payload = encode(this.nextHeartbeat());
     return new Promise((resolve) => {
       const req = http.request(
         {
           host: HOST,
-          port: apiPort(this.target),
+          port: apiPort(this.targetNodeIndex),
           path: '/hello',
           method: 'POST',
-          agent: this.agents[this.target],
+          agent: this.agents[this.targetNodeIndex],
           headers: { 'content-type': 'application/msgpack', 'content-length': payload.length },
         },
         (res) => {
@@ -126,9 +126,9 @@
               count(`report ${res.statusCode}`);
               const holderNode =
                 res.statusCode === 421 ? readRedirect(decode(Buffer.concat(parts))) : undefined;
-              this.agents[this.target]?.destroy();
-              this.target =
-                holderNode === undefined ? (this.target + 1) % NODES : Number(holderNode.slice(1));
+              this.agents[this.targetNodeIndex]?.destroy();
+              this.targetNodeIndex =
+                holderNode === undefined ? (this.targetNodeIndex + 1) % NODES : Number(holderNode.slice(1));
             }
             resolve();
           });
@@ -142,16 +142,16 @@
     });
   }
 
-  async live(): Promise<void> {
-    await new Promise((resolve) => setTimeout(resolve, Math.random() * REPORT_MS));
-    while (!gone.has(this.id)) {
-      await this.hello();
-      await new Promise((resolve) => setTimeout(resolve, REPORT_MS * (0.75 + Math.random() / 2)));
+  async runHeartbeatLoop(): Promise<void> {
+    await new Promise((resolve) => setTimeout(resolve, Math.random() * HEARTBEAT_INTERVAL_MS));
+    while (!releasedMachines.has(this.id)) {
+      await this.sendHeartbeat();
+      await new Promise((resolve) => setTimeout(resolve, HEARTBEAT_INTERVAL_MS * (0.75 + Math.random() / 2)));
     }
   }
 }
 
-const gone = new Set<string>();
+const releasedMachines = new Set<string>();
 const workers = Array.from({ length: MACHINES }, (_, n) => {
   return new LoadWorker(`i-${String(n).padStart(6, '0')}`, n % 2 === 0);
 });
@@ -164,7 +164,7 @@
       status: 200,
       body: {
         drovers: workers
-          .filter((worker) => !gone.has(worker.id))
+          .filter((worker) => !releasedMachines.has(worker.id))
           .map((worker) => ({
             uid: worker.id,
             breed: 'g',
@@ -177,13 +177,13 @@
       },
     };
   if (call.path === '/machines/release' && call.body._tag === 'value')
-    for (const id of (call.body.value as { drovers: string[] }).drovers) gone.add(id);
+    for (const id of (call.body.value as { drovers: string[] }).drovers) releasedMachines.add(id);
   return call.path === '/machines'
     ? { status: 503, body: { error: 'no capacity' } }
     : { status: 200, body: {} };
 };
 
-const submission = (n: number): unknown => ({
+const submissionBody = (n: number): unknown => ({
   uid: `job-${String(n).padStart(6, '0')}`,
   herd: 'c',
   owner: `t${n % 6}`,
@@ -200,7 +200,7 @@
   together: n % 3 === 0,
   scatter: false,
   agistment: n % 3 !== 0,
-  expectedS: RUN_MS / 1000,
+  expectedS: TASK_DURATION_MS / 1000,
   musterEveryS: 0,
   musterS: 0,
   dueS: null,
@@ -215,7 +215,7 @@
 
 const main = async (): Promise<void> => {
   const state = new KeyValueStoreStandIn();
-  state.limits.ops = 48;
+  state.limits.maxTransactionWrites = 48;
   const failed = (error: unknown): void => console.error(error);
   await serve(
     parseTarget(`${HOST}:${PORT + 1}`),
@@ -278,7 +278,13 @@
             gpus_max: MACHINES * 4,
           })),
           objectives: [],
-          workers: { report_s: REPORT_MS / 1000, lease_s: 18, gang_wait_s: 45, gang_peer_s: 4, cancel_s: 48 },
+          workers: {
+            report_s: HEARTBEAT_INTERVAL_MS / 1000,
+            lease_s: 18,
+            gang_wait_s: 45,
+            gang_peer_s: 4,
+            cancel_s: 48,
+          },
           state: { rps: 150, write_rps: 50, value_kb: 16, txn_ops: 48 },
           cloud: { rps: 2, list_lag_s: 10 },
           quota: { core_share: 1, ram_mb: 300, fd_limit: 4_000 },
@@ -295,34 +301,34 @@
   const children = Array.from({ length: NODES }, (_, node) => start(node));
   const pids = children.map((child) => child.pid ?? 0);
   await new Promise((resolve) => setTimeout(resolve, 4_000));
-  for (const worker of workers) void worker.live();
+  for (const worker of workers) void worker.runHeartbeatLoop();
   const users = Array.from(
     { length: NODES },
     (_, node) => new PooledHttpClient(parseTarget(`${HOST}:${apiPort(node)}`), 50),
   );
   let submitted = 0;
-  const live = new Set<number>();
+  const openJobs = new Set<number>();
   const submit = setInterval(
     () => {
       submitted += 1;
       const n = submitted;
       count('submit');
-      void users[n % NODES]?.request('POST', '/v2/runs', submission(n), 5_000).then((answer) => {
-        if (answer._tag === 'response' && answer.status < 300) live.add(n);
+      void users[n % NODES]?.request('POST', '/v2/runs', submissionBody(n), 5_000).then((answer) => {
+        if (answer._tag === 'response' && answer.status < 300) openJobs.add(n);
         else count('submit failed');
       });
     },
     60_000 / (MACHINES / 8),
   );
   const poll = setInterval(() => {
-    for (const n of live) {
+    for (const n of openJobs) {
       if (n % 5 !== Math.floor(Date.now() / 1000) % 5) continue;
       count('poll');
       void users[n % NODES]
         ?.request('GET', `/v2/runs/job-${String(n).padStart(6, '0')}`, undefined, 2_000)
         .then((answer) => {
           const body = answer._tag === 'response' ? (answer.body as { status?: string }) : {};
-          if (body.status === 'done') live.delete(n);
+          if (body.status === 'done') openJobs.delete(n);
         });
     }
   }, 1_000);
@@ -331,7 +337,7 @@
   const from = pids.map(cpuMs);
   await new Promise((resolve) => setTimeout(resolve, SECONDS * 1_000));
   const used = pids.map((pid, node) => cpuMs(pid) - (from[node] ?? 0));
-  console.log(`${MACHINES} machines, ${live.size} jobs open, ${submitted} submitted`);
+  console.log(`${MACHINES} machines, ${openJobs.size} jobs open, ${submitted} submitted`);
   pids.forEach((pid, node) => {
     console.log(
       `n${node}: processor ${((used[node] ?? 0) / SECONDS).toFixed(1)} ms a second; memory ${rssMb(pid).toFixed(0)} MB`,
--- a/src/testing/loopback.ts
+++ b/src/testing/loopback.ts
@@ -19,26 +19,26 @@
 import { Timeline } from './timeline.js';
 
 /** ms: between looks at a condition that is waited for. */
-const LOOK_MS = 20;
+const POLL_INTERVAL_MS = 20;
 /** ms: longest wait for a condition, also on a busy machine. */
-const WAIT_MS = 40_000;
+const MAX_WAIT_MS = 40_000;
 
 /** Which service a request goes to. */
 export type Service = 'state' | 'cloud';
 
 /** A request of a controller to a stand-in. */
-export interface SeenRequest {
+export interface ReceivedRequest {
   readonly node: string;
   readonly service: Service;
   readonly call: ServerRequest;
 }
 
 /** Where a request stops: before the stand-in carries it out, or with its answer. */
-export type HoldAt = 'request' | 'answer';
+export type HoldStage = 'request' | 'answer';
 
 interface Hold {
-  readonly matches: (request: SeenRequest) => boolean;
-  readonly at: HoldAt;
+  readonly matches: (request: ReceivedRequest) => boolean;
+  readonly at: HoldStage;
   readonly released: Promise<void>;
   held: number;
 }
@@ -60,7 +60,7 @@
 
 interface NodePorts {
   readonly api: number;
-  readonly mesh: number;
+  readonly peer: number;
   readonly state: number;
   readonly cloud: number;
 }
@@ -72,7 +72,7 @@
   readonly cloud = new CloudStandIn();
   readonly timeline = new Timeline();
   private readonly holds: Hold[] = [];
-  private readonly refusals = new Set<(request: SeenRequest) => boolean>();
+  private readonly refusals = new Set<(request: ReceivedRequest) => boolean>();
   private readonly servers: Server[] = [];
   private readonly processes = new Map<string, ChildProcess>();
   private readonly ports = new Map<string, NodePorts>();
@@ -81,7 +81,7 @@
   private constructor(private readonly options: LoopbackOptions) {
     this.timeline.watchEventLoop('stand-in');
     this.state.onLeaseEnd = (lease, keys) =>
-      this.timeline.note('store', `lease ${lease} ended: ${keys.join()}`);
+      this.timeline.record('store', `lease ${lease} ended: ${keys.join()}`);
   }
 
   static async start(options: LoopbackOptions): Promise<Loopback> {
@@ -100,7 +100,7 @@
     for (const node of Loopback.nodes) {
       this.ports.set(node, {
         api: await freePort(),
-        mesh: await freePort(),
+        peer: await freePort(),
         state: await freePort(),
         cloud: await freePort(),
       });
@@ -128,22 +128,22 @@
     }
   }
 
-  private async answer(request: SeenRequest): Promise<ServerResponse> {
-    const text = textOfRequest(request);
+  private async answer(request: ReceivedRequest): Promise<ServerResponse> {
+    const requestText = textOfRequest(request);
     for (const refuses of this.refusals) {
       if (!refuses(request)) continue;
-      this.timeline.note(request.node, `-> refused ${text}`);
+      this.timeline.record(request.node, `-> refused ${requestText}`);
       return { status: 503 };
     }
-    this.timeline.note(request.node, `-> ${text}`);
-    await this.wait(request, 'request');
-    const answer = await this.carryOut(request);
-    this.timeline.note(request.node, `carried out ${text}: ${textOfOutcome(answer)}`);
-    await this.wait(request, 'answer');
+    this.timeline.record(request.node, `-> ${requestText}`);
+    await this.waitForHolds(request, 'request');
+    const answer = await this.execute(request);
+    this.timeline.record(request.node, `carried out ${requestText}: ${textOfOutcome(answer)}`);
+    await this.waitForHolds(request, 'answer');
     return answer._tag === 'response' ? { status: answer.status, body: answer.body } : { status: 503 };
   }
 
-  private carryOut({ node, service, call }: SeenRequest): Promise<CallOutcome> {
+  private execute({ node, service, call }: ReceivedRequest): Promise<CallOutcome> {
     const path = call.query === '' ? call.path : `${call.path}?${call.query}`;
     const body = call.body._tag === 'value' ? call.body.value : {};
     return service === 'state'
@@ -151,7 +151,7 @@
       : Promise.resolve(this.cloud.handle(node, call.method, path, body));
   }
 
-  private async wait(request: SeenRequest, at: HoldAt): Promise<void> {
+  private async waitForHolds(request: ReceivedRequest, at: HoldStage): Promise<void> {
     for (const hold of this.holds) {
       if (hold.at !== at || !hold.matches(request)) continue;
       hold.held += 1;
@@ -160,7 +160,7 @@
   }
 
   /** Lets matching requests, or their answers, wait. */
-  hold(at: HoldAt, matches: (request: SeenRequest) => boolean): HeldRequests {
+  hold(at: HoldStage, matches: (request: ReceivedRequest) => boolean): HeldRequests {
     let release = (): void => undefined;
     const released = new Promise<void>((resolve) => {
       release = resolve;
@@ -177,7 +177,7 @@
   }
 
   /** Answers matching requests 503, until the returned function is called. */
-  refuse(matches: (request: SeenRequest) => boolean): () => void {
+  refuse(matches: (request: ReceivedRequest) => boolean): () => void {
     this.refusals.add(matches);
     return () => this.refusals.delete(matches);
   }
@@ -208,7 +208,7 @@
   }
 
   private settings(node: string): object {
-    const { api, mesh, state, cloud } = this.portsOf(node);
+    const { api, peer: mesh, state, cloud } = this.portsOf(node);
     return {
       host_name: node,
       area: 'x',
@@ -219,7 +219,7 @@
         .map((other) => ({
           host_name: other,
           area: 'x',
-          endpoint: `${HOST}:${this.portsOf(other).mesh}`,
+          endpoint: `${HOST}:${this.portsOf(other).peer}`,
         })),
       services: { cloud: `${HOST}:${cloud}`, state: `${HOST}:${state}` },
       facts: {
@@ -243,14 +243,14 @@
   }
 
   /** The process stands still. */
-  freeze(node: string): void {
+  suspend(node: string): void {
     const child = this.child(node);
-    this.timeline.note('signals', `SIGSTOP for ${node}`);
+    this.timeline.record('signals', `SIGSTOP for ${node}`);
     child.kill('SIGSTOP');
-    if (child.pid !== undefined) this.timeline.noteWhenStopped(node, child.pid);
+    if (child.pid !== undefined) this.timeline.recordWhenStopped(node, child.pid);
   }
   resume(node: string): void {
-    this.timeline.note('signals', `SIGCONT for ${node}`);
+    this.timeline.record('signals', `SIGCONT for ${node}`);
     this.child(node).kill('SIGCONT');
   }
   /** Ends the process without notice; the promise resolves when it is gone. */
@@ -267,7 +267,7 @@
     return `${HOST}:${this.portsOf(node).api}`;
   }
 
-  ask(node: string, method: string, path: string, body?: unknown): Promise<CallOutcome> {
+  request(node: string, method: string, path: string, body?: unknown): Promise<CallOutcome> {
     return new PooledHttpClient(parseTarget(this.address(node)), 1).request(method, path, body, 5_000);
   }
 
@@ -278,25 +278,25 @@
     return claim && token > 0 ? { node: claim.n, token } : null;
   }
 
-  async until<T>(what: string, look: () => T | null | false | Promise<T | null | false>): Promise<T> {
+  async waitUntil<T>(what: string, look: () => T | null | false | Promise<T | null | false>): Promise<T> {
     const from = performance.now();
     for (;;) {
       const found = await look();
       if (found !== null && found !== false) return found;
-      if (performance.now() - from > WAIT_MS) throw new Error(`waited in vain for: ${what}`);
-      await pause(LOOK_MS);
+      if (performance.now() - from > MAX_WAIT_MS) throw new Error(`waited in vain for: ${what}`);
+      await pause(POLL_INTERVAL_MS);
     }
   }
 
   /** All controllers are ready and one leads. */
-  async ready(): Promise<{ readonly node: string; readonly token: number }> {
+  async waitUntilReady(): Promise<{ readonly node: string; readonly token: number }> {
     for (const node of Loopback.nodes) {
-      await this.until(`${node} ready`, async () => {
-        const answer = await this.ask(node, 'GET', '/ready');
+      await this.waitUntil(`${node} ready`, async () => {
+        const answer = await this.request(node, 'GET', '/ready');
         return answer._tag === 'response' && answer.status === 200;
       });
     }
-    return this.until('a leader', () => this.leader());
+    return this.waitUntil('a leader', () => this.leader());
   }
 
   async stop(): Promise<void> {
--- a/src/testing/request-text.ts
+++ b/src/testing/request-text.ts
@@ -1,6 +1,6 @@
 /** Requests to the stand-ins, and their outcomes, as one line each of a timeline. No state. */
 import type { CallOutcome } from '../http/model.js';
-import type { SeenRequest } from './loopback.js';
+import type { ReceivedRequest } from './loopback.js';
 
 /** What names the effect of a request: a rental, machines, or the keys of a transaction. */
 interface EffectBody {
@@ -18,7 +18,7 @@
 }
 
 /** A request; of its body only what names its effect. */
-export const textOfRequest = ({ service, call }: SeenRequest): string => {
+export const textOfRequest = ({ service, call }: ReceivedRequest): string => {
   const body: EffectBody = call.body._tag === 'value' ? (call.body.value ?? {}) : {};
   const keys = body.writes?.map((write) => write.write ?? write.remove).join();
   const subject = body.hire ?? body.drovers?.join() ?? keys ?? '';
--- a/src/testing/scale.ts
+++ b/src/testing/scale.ts
@@ -3,7 +3,7 @@
  * `node target/testing/scale.js`. Prints milliseconds of one placement round, one summary for the leader, one
  * plan of the leader's and one takeover.
  */
-import { planSteps } from '../fleet/scaling-plan.js';
+import { planScaling } from '../fleet/scaling-plan.js';
 import type { ShardSummary } from '../fleet/shard-summary.js';
 import type { Catalog, JobSpec } from '../jobs/model.js';
 import {
@@ -64,7 +64,7 @@
 });
 
 /** One share with its machines full but for one in twenty, and a job waiting for every eight machines. */
-const shardOf = (machines: number) => {
+const createShard = (machines: number) => {
   const now = 1_000_000;
   const shardState = new ShardState({ now: () => now, wall: () => now, requestRound: () => undefined });
   const liveness = new MachineLiveness({
@@ -77,7 +77,7 @@
   });
   liveness.loadedAt = 0;
   let jobs = 0;
-  const add = (gang: boolean) => {
+  const addJob = (gang: boolean) => {
     jobs += 1;
     return shardState.applyJobRecord(
       {
@@ -91,8 +91,8 @@
       1,
     );
   };
-  let job = add(false);
-  let next = 0;
+  let job = addJob(false);
+  let nextTask = 0;
   for (let m = 0; m < machines; m += 1) {
     const record = {
       shardId: 0,
@@ -114,18 +114,18 @@
     machine.answeredAt = now;
     if (m % 20 === 0) continue;
     for (let k = 0; k < 8; k += 1) {
-      if (next >= job.spec.tasks) {
-        job = add(false);
-        next = 0;
+      if (nextTask >= job.spec.tasks) {
+        job = addJob(false);
+        nextTask = 0;
       }
-      shardState.apply(shardState.bind(job, next, 1, machine, { _tag: 'bound' }), {
+      shardState.apply(shardState.bind(job, nextTask, 1, machine, { _tag: 'bound' }), {
         _tag: 'reported',
         state: { _tag: 'running' },
       });
-      next += 1;
+      nextTask += 1;
     }
   }
-  for (let k = 0; k < machines / 8; k += 1) add(k % 2 === 0);
+  for (let k = 0; k < machines / 8; k += 1) addJob(k % 2 === 0);
   const view: PlacementView = {
     shardState,
     liveness,
@@ -140,7 +140,7 @@
   return { shardState, view };
 };
 
-const round = (view: PlacementView) => {
+const runRound = (view: PlacementView) => {
   const requests = placementRequests(view);
   const capacities = availableCapacity(view);
   const uses = teamUsage(view.shardState);
@@ -154,7 +154,7 @@
 };
 
 const median = (times: readonly number[]): number => [...times].sort((a, b) => a - b)[times.length >> 1] ?? 0;
-const timed = (work: () => unknown): number =>
+const medianMs = (work: () => unknown): number =>
   median(
     Array.from({ length: 25 }, () => {
       const from = performance.now();
@@ -163,22 +163,22 @@
     }),
   );
 
-const rows = [100, 1_000, 2_000, 4_000, 6_000].map((all) => {
-  const { shardState, view } = shardOf(all / SHARD_COUNT);
+const rows = [100, 1_000, 2_000, 4_000, 6_000].map((machineCount) => {
+  const { shardState, view } = createShard(machineCount / SHARD_COUNT);
   const needs = () => {
-    const { packed, capacities, uses } = round(view);
+    const { packed, capacities, uses: usages } = runRound(view);
     const { objectives, wall } = view;
     return unmetDemand({
       unplaced: packed.unplaced,
       capacities,
       limits,
-      usages: uses,
+      usages: usages,
       catalog,
       objectives,
       wall,
     });
   };
-  const free = spareMachines(
+  const spares = spareMachines(
     [...shardState.machines.values()].filter((machine) => machine.bound.size === 0),
     view.now,
   );
@@ -187,28 +187,28 @@
     claim: 1,
     revision: 1,
     needs: needs(),
-    spares: free.listed,
-    unlisted: free.unlisted,
+    spares: spares.listed,
+    unlisted: spares.unlisted,
   }));
   const records = [...shardState.jobs.values()].map((job) => writeRunRecord(runRecord(job, 0), 0));
-  const roundMs = timed(() => round(view));
+  const roundMs = medianMs(() => runRound(view));
   return {
-    machines: all,
+    machines: machineCount,
     'jobs of a share': shardState.jobs.size,
     'round ms': roundMs.toFixed(2),
-    'summary ms': (timed(needs) - roundMs).toFixed(2),
-    'plan ms': timed(() =>
-      planSteps({
+    'summary ms': (medianMs(needs) - roundMs).toFixed(2),
+    'plan ms': medianMs(() =>
+      planScaling({
         summaries,
         catalog,
         isRefused: () => true,
-        machineCount: () => all / 6,
+        machineCount: () => machineCount / 6,
         reservations: [],
         outdatedShards: new Set(),
         pendingTransfers: [],
       }),
     ).toFixed(2),
-    'takeover ms': timed(() => records.map((record) => readRunRecord(record, 0))).toFixed(2),
+    'takeover ms': medianMs(() => records.map((record) => readRunRecord(record, 0))).toFixed(2),
   };
 });
 console.table(rows);
--- a/src/testing/seeded-random.ts
+++ b/src/testing/seeded-random.ts
@@ -9,7 +9,7 @@
   below(bound: number): number {
     return prand.unsafeUniformIntDistribution(0, bound - 1, this.generator);
   }
-  chance(share: number): boolean {
-    return this.below(1_000_000) < share * 1_000_000;
+  chance(probability: number): boolean {
+    return this.below(1_000_000) < probability * 1_000_000;
   }
 }
--- a/src/testing/smallest-limits.ts
+++ b/src/testing/smallest-limits.ts
@@ -36,7 +36,7 @@
 }
 
 /** A store with the smallest transactions, behind this request function. */
-export const smallestStore = (
+export const storeWithSmallestLimits = (
   request: (path: string, body: unknown) => Promise<CallOutcome>,
 ): KeyValueStore =>
   new KeyValueStore(
@@ -47,9 +47,9 @@
   );
 
 /** A store that keeps nothing but notes the writes of each transaction. */
-export const notingStore = (): { readonly store: KeyValueStore; readonly writes: SentWrite[][] } => {
+export const recordingStore = (): { readonly store: KeyValueStore; readonly writes: SentWrite[][] } => {
   const writes: SentWrite[][] = [];
-  const store = smallestStore((path, body) => {
+  const store = storeWithSmallestLimits((path, body) => {
     if (path !== '/txn') return Promise.resolve({ _tag: 'response', status: 404, body: { epoch: 1 } });
     writes.push((body as { writes: SentWrite[] }).writes);
     return Promise.resolve({ _tag: 'response', status: 200, body: { epoch: 2 } });
--- a/src/testing/submit.ts
+++ b/src/testing/submit.ts
@@ -9,8 +9,8 @@
 import { submission } from './bodies.js';
 
 const POLL_MS = 2_000;
-const ANSWER_MS = 5_000;
-const GIVE_UP_MS = 120_000;
+const REQUEST_TIMEOUT_MS = 5_000;
+const MAX_WAIT_MS = 120_000;
 /** A team that the stand-ins of `load.ts` know. */
 const TEAM = 't0';
 
@@ -18,13 +18,13 @@
   const client = new PooledHttpClient(parseTarget(address), 1);
   const id = `job-${Date.now()}`;
   const body = submission({ uid: id, owner: TEAM, heads: tasks, accelerators: 1, expectedS: 20 });
-  const accepted = await client.request('POST', '/v2/runs', body, ANSWER_MS);
+  const accepted = await client.request('POST', '/v2/runs', body, REQUEST_TIMEOUT_MS);
   console.log(`POST /v2/runs ${id}:`, accepted);
   if (accepted._tag !== 'response' || accepted.status >= 300) return 1;
   let before = '';
-  for (const begun = Date.now(); Date.now() - begun < GIVE_UP_MS;) {
+  for (const begun = Date.now(); Date.now() - begun < MAX_WAIT_MS;) {
     await sleep(POLL_MS);
-    const answer = await client.request('GET', `/v2/runs/${id}`, undefined, ANSWER_MS);
+    const answer = await client.request('GET', `/v2/runs/${id}`, undefined, REQUEST_TIMEOUT_MS);
     const now = JSON.stringify(answer);
     if (now !== before) console.log(`GET /v2/runs/${id}:`, answer);
     before = now;
--- a/src/testing/takeover.ts
+++ b/src/testing/takeover.ts
@@ -14,40 +14,40 @@
   /** ms from the stop until the state service shows another leader. */
   readonly claimedMs: number;
   /** ms from then until the cloud heard from that leader about machines. */
-  readonly actedMs: number;
+  readonly firstActionMs: number;
   /** Writes of the book of rental requests in the whole run. */
   readonly intentWrites: number;
-  readonly rentals: number;
+  readonly provisioningRequests: number;
   readonly lateActions: number;
 }
 
-const once = async (): Promise<Takeover> => {
+const measureTakeover = async (): Promise<Takeover> => {
   let result: Takeover | null = null;
-  await LeaderScenario.play({ features: FEATURES, cloudRps: 4 }, async (scenario) => {
+  await LeaderScenario.run({ features: FEATURES, cloudRps: 4 }, async (scenario) => {
     const { deployment } = scenario;
-    const old = await deployment.ready();
-    await scenario.held(old.node);
+    const old = await deployment.waitUntilReady();
+    await scenario.waitUntilDutyHeld(old.node);
     const held = deployment.hold(
       'request',
       ({ node, call }) => node === old.node && call.path === '/machines' && call.method === 'POST',
     );
     await scenario.submit(1);
-    await deployment.until('a rental under way', () => held.count() > 0);
+    await deployment.waitUntil('a rental under way', () => held.count() > 0);
     const stoppedAt = performance.now();
-    deployment.freeze(old.node);
-    const next = await scenario.successor(old.node);
-    const acted = await deployment.until('its first rental', () => {
+    deployment.suspend(old.node);
+    const next = await scenario.waitForSuccessor(old.node);
+    const firstAction = await deployment.waitUntil('its first rental', () => {
       const first = deployment.cloud.actions.find(({ node }) => node === next.node);
       return first ?? null;
     });
     deployment.resume(old.node);
     held.release();
-    await scenario.aftermath();
+    await scenario.waitForLateEffects();
     result = {
       claimedMs: next.from - stoppedAt,
-      actedMs: acted.at - next.from,
+      firstActionMs: firstAction.at - next.from,
       intentWrites: scenario.intentWrites,
-      rentals: deployment.cloud.actions.filter(({ kind }) => kind === 'rent').length,
+      provisioningRequests: deployment.cloud.actions.filter(({ kind }) => kind === 'rent').length,
       lateActions: scenario.lateActions().length,
     };
   });
@@ -55,17 +55,23 @@
   return result;
 };
 
-const spread = (values: readonly number[]): string => {
+const medianAndRange = (values: readonly number[]): string => {
   const sorted = [...values].sort((a, b) => a - b);
-  const middle = sorted[Math.floor(sorted.length / 2)] ?? 0;
-  return `${middle.toFixed(0)} (${(sorted[0] ?? 0).toFixed(0)} to ${(sorted.at(-1) ?? 0).toFixed(0)})`;
+  const median = sorted[Math.floor(sorted.length / 2)] ?? 0;
+  return `${median.toFixed(0)} (${(sorted[0] ?? 0).toFixed(0)} to ${(sorted.at(-1) ?? 0).toFixed(0)})`;
 };
 
 const results: Takeover[] = [];
-for (let n = 0; n < TIMES; n += 1) results.push(await once());
+for (let n = 0; n < TIMES; n += 1) results.push(await measureTakeover());
 console.log(`${TIMES} changes of leader, ${FEATURES.trim()}; median (least to most)`);
-console.log(`until another leads: ${spread(results.map(({ claimedMs }) => claimedMs))} ms`);
-console.log(`from then to its first rental: ${spread(results.map(({ actedMs }) => actedMs))} ms`);
-console.log(`writes of rental intents in a run: ${spread(results.map(({ intentWrites }) => intentWrites))}`);
-console.log(`rental requests in a run: ${spread(results.map(({ rentals }) => rentals))}`);
+console.log(`until another leads: ${medianAndRange(results.map(({ claimedMs }) => claimedMs))} ms`);
+console.log(
+  `from then to its first rental: ${medianAndRange(results.map(({ firstActionMs: actedMs }) => actedMs))} ms`,
+);
+console.log(
+  `writes of rental intents in a run: ${medianAndRange(results.map(({ intentWrites }) => intentWrites))}`,
+);
+console.log(
+  `rental requests in a run: ${medianAndRange(results.map(({ provisioningRequests: rentals }) => rentals))}`,
+);
 console.log(`late actions: ${results.reduce((sum, { lateActions }) => sum + lateActions, 0)}`);
--- a/src/testing/timeline.ts
+++ b/src/testing/timeline.ts
@@ -9,11 +9,11 @@
 
 const NANOSECONDS_PER_MS = 1_000_000;
 /** ms: pause between two looks at the event loop. */
-const LOOP_CHECK_MS = 10;
+const LOOP_CHECK_INTERVAL_MS = 10;
 /** ms: lateness of such a look from which on it is noted. */
-const NOTED_LOOP_DELAY_MS = 20;
+const MIN_RECORDED_LOOP_DELAY_MS = 20;
 /** ms: pause between two looks at whether a stopped process stands still. */
-const STATE_CHECK_MS = 1;
+const STATE_CHECK_INTERVAL_MS = 1;
 /** Looks after which a process counts as not stopped. */
 const STATE_CHECKS = 2_000;
 /** ms printed before and after the moment that is asked about. */
@@ -76,7 +76,7 @@
   private loopCheck: NodeJS.Timeout | null = null;
 
   /** Notes something that happened now. */
-  note(source: string, text: string): void {
+  record(source: string, text: string): void {
     this.entries.push({ at: hostSteadyMs(), source, text });
   }
 
@@ -84,17 +84,19 @@
   watchEventLoop(source: string): void {
     let last = performance.now();
     this.loopCheck = setInterval(() => {
-      const lateMs = performance.now() - last - LOOP_CHECK_MS;
+      const lateMs = performance.now() - last - LOOP_CHECK_INTERVAL_MS;
       last = performance.now();
-      if (lateMs > NOTED_LOOP_DELAY_MS) this.note(source, `event loop late by ${lateMs.toFixed(1)} ms`);
-    }, LOOP_CHECK_MS);
+      if (lateMs > MIN_RECORDED_LOOP_DELAY_MS)
+        this.record(source, `event loop late by ${lateMs.toFixed(1)} ms`);
+    }, LOOP_CHECK_INTERVAL_MS);
   }
 
   /** Notes when a process that was sent SIGSTOP stands still. */
-  noteWhenStopped(node: string, pid: number, checks = STATE_CHECKS): void {
-    if (stateOf(pid) === 'T') this.note('signals', `${node} stands still`);
-    else if (checks > 0) setTimeout(() => this.noteWhenStopped(node, pid, checks - 1), STATE_CHECK_MS);
-    else this.note('signals', `${node} was not seen to stand still`);
+  recordWhenStopped(node: string, pid: number, checks = STATE_CHECKS): void {
+    if (stateOf(pid) === 'T') this.record('signals', `${node} stands still`);
+    else if (checks > 0)
+      setTimeout(() => this.recordWhenStopped(node, pid, checks - 1), STATE_CHECK_INTERVAL_MS);
+    else this.record('signals', `${node} was not seen to stand still`);
   }
 
   stop(): void {
@@ -107,16 +109,16 @@
    * @param around - ms of `performance.now()` in this process; null: now.
    */
   render(around: number | null, logs: ReadonlyMap<string, string>): string {
-    const middle = around === null ? hostSteadyMs() : around + PERFORMANCE_ORIGIN_MS;
+    const centerMs = around === null ? hostSteadyMs() : around + PERFORMANCE_ORIGIN_MS;
     const logged = [...logs].flatMap(([node, file]) =>
       readFileSync(file, 'utf8')
         .split('\n')
         .flatMap((line) => entryOfLine(node, line) ?? []),
     );
     return [...this.entries, ...logged]
-      .filter(({ at }) => at > middle - PRINTED_BEFORE_MS && at < middle + PRINTED_AFTER_MS)
+      .filter(({ at }) => at > centerMs - PRINTED_BEFORE_MS && at < centerMs + PRINTED_AFTER_MS)
       .sort((a, b) => a.at - b.at)
-      .map(({ at, source, text }) => `${(at - middle).toFixed(1).padStart(9)} ${source.padEnd(8)} ${text}`)
+      .map(({ at, source, text }) => `${(at - centerMs).toFixed(1).padStart(9)} ${source.padEnd(8)} ${text}`)
       .join('\n');
   }
 }
--- a/src/testing/worker-stand-in.ts
+++ b/src/testing/worker-stand-in.ts
@@ -20,14 +20,14 @@
   /** Jobs that have to be done before a task of this one starts. */
   readonly follows?: readonly StandInJob[];
   /** ms that each task runs longer than the one before. */
-  readonly apartMs?: number;
+  readonly taskStaggerMs?: number;
   accepted: boolean;
   cancelledAt: number | null;
-  doneTold: boolean;
+  isFinalStatusReported: boolean;
 }
 
 /** A task on a stand-in machine. */
-export interface OnMachine {
+export interface TaskOnMachine {
   readonly job: StandInJob;
   readonly index: number;
   readonly attempt: number;
@@ -42,28 +42,28 @@
   agentEpoch = 1;
   sequenceNumber = 0;
   token = 0;
-  dead = false;
+  isTerminated = false;
   /** Cut from the controllers: nothing gets in or out. */
-  cut = false;
+  isPartitioned = false;
   /** Its reports arrive, but neither answers nor commands reach it. */
   deaf = false;
   /** It reaches no controller, while direct commands reach it. */
   mute = false;
   /** ms: until then it does nothing; what arrives meanwhile waits. */
   hungUntil = 0;
-  readonly tasks = new Map<string, OnMachine>();
-  readonly cached = new Set<string>();
-  private leaseFrom = Date.now();
-  private target = 0;
+  readonly tasks = new Map<string, TaskOnMachine>();
+  readonly jobsWithCachedImage = new Set<string>();
+  private leaseStartedAt = Date.now();
+  private targetNodeIndex = 0;
 
   constructor(
     readonly id: string,
     readonly zone: string,
     readonly spot: boolean,
-    private readonly world: SimulatedEnvironment,
+    private readonly environment: SimulatedEnvironment,
   ) {}
 
-  report(): WireRecord {
+  nextHeartbeat(): WireRecord {
     this.sequenceNumber += 1;
     return {
       drover: this.id,
@@ -98,15 +98,15 @@
       } else if (!held || held.state === 'exited') {
         if (held?.attempt === attempt) continue;
         const [id, index] = key.split('/') as [string, string];
-        const job = this.world.jobs.get(id);
+        const job = this.environment.jobs.get(id);
         if (!job) throw new Error(`unknown job ${id}`);
-        const task: OnMachine = {
+        const task: TaskOnMachine = {
           job,
           index: Number(index),
           attempt,
           state: 'pulling',
           cause: '',
-          readyAt: Date.now() + (this.cached.has(id) ? 0 : 2_000),
+          readyAt: Date.now() + (this.jobsWithCachedImage.has(id) ? 0 : 2_000),
           startedAt: null,
         };
         const used = [...this.tasks.values()].filter((other) => other.state !== 'exited');
@@ -117,88 +117,96 @@
     return true;
   }
 
-  private exit(task: OnMachine, cause: string): void {
+  private exit(task: TaskOnMachine, cause: string): void {
     task.state = 'exited';
     task.cause = cause;
   }
 
-  get hung(): boolean {
+  get isHung(): boolean {
     return Date.now() < this.hungUntil;
   }
-  async awake(): Promise<void> {
-    while (this.hung) await new Promise((resolve) => setTimeout(resolve, 20));
+  async waitUntilResumed(): Promise<void> {
+    while (this.isHung) await new Promise((resolve) => setTimeout(resolve, 20));
   }
   /** The worker looks at its clock before anything else, also when it resumes. */
   get leaseOver(): boolean {
-    return Date.now() - this.leaseFrom > this.world.leaseMs;
+    return Date.now() - this.leaseStartedAt > this.environment.leaseMs;
   }
-  expire(): void {
+  expireLease(): void {
     if (!this.leaseOver) return;
     this.agentEpoch += 1;
     this.tasks.clear();
-    this.leaseFrom = Date.now();
+    this.leaseStartedAt = Date.now();
   }
 
   /** Called every step of the clock. */
   step(): void {
     const now = Date.now();
-    if (this.dead || this.hung) return;
-    this.expire();
+    if (this.isTerminated || this.isHung) return;
+    this.expireLease();
     for (const task of this.tasks.values()) {
       if (task.state === 'pulling' && now >= task.readyAt) {
-        this.cached.add(task.job.id);
-        this.world.onStart(this, task.job, task.index);
+        this.jobsWithCachedImage.add(task.job.id);
+        this.environment.onTaskStart(this, task.job, task.index);
         task.state = task.job.gang ? 'gathering' : 'running';
         task.startedAt = now;
       }
-      if (task.state === 'gathering' && this.world.gangComplete(task.job, task.attempt)) {
+      if (task.state === 'gathering' && this.environment.isGangComplete(task.job, task.attempt)) {
         task.state = 'running';
         task.startedAt = now;
       }
-      if (task.state === 'running' && task.job.gang && !this.world.gangComplete(task.job, task.attempt))
+      if (
+        task.state === 'running' &&
+        task.job.gang &&
+        !this.environment.isGangComplete(task.job, task.attempt)
+      )
         this.exit(task, 'peers');
       if (
         task.state === 'running' &&
         task.startedAt !== null &&
-        now - task.startedAt >= task.job.runMs + (task.job.apartMs ?? 0) * task.index
+        now - task.startedAt >= task.job.runMs + (task.job.taskStaggerMs ?? 0) * task.index
       ) {
-        this.world.onDone(task.job, task.index);
+        this.environment.onTaskDone(task.job, task.index);
       }
     }
     for (const task of this.tasks.values()) {
-      if (task.state === 'running' && this.world.isDone(task.job, task.index)) this.exit(task, 'done');
+      if (task.state === 'running' && this.environment.isTaskDone(task.job, task.index))
+        this.exit(task, 'done');
     }
   }
 
-  async live(): Promise<void> {
-    while (!this.dead) {
+  async runHeartbeatLoop(): Promise<void> {
+    while (!this.isTerminated) {
       const agentEpoch = this.agentEpoch;
       const sentAt = Date.now();
-      const answer = await this.world.call(
+      const answer = await this.environment.call(
         this.id,
-        this.world.nodes[this.target] ?? '',
+        this.environment.nodes[this.targetNodeIndex] ?? '',
         'POST',
         '/hello',
-        this.report(),
+        this.nextHeartbeat(),
         4_000,
       );
-      await this.awake();
-      this.expire();
-      if (this.dead) return;
+      await this.waitUntilResumed();
+      this.expireLease();
+      if (this.isTerminated) return;
       // An answer that waited with a hung machine is dropped like any that took too long.
       if (Date.now() - sentAt > 4_000) continue;
-      let pause = this.world.reportMs;
+      let pause = this.environment.heartbeatIntervalMs;
       if (answer._tag === 'response' && answer.status === 200) {
         const body = answer.body as { crook: number; calls: WireRecord[] };
         if (agentEpoch === this.agentEpoch && this.execute(body.crook, body.calls))
-          this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+          this.leaseStartedAt = Math.max(this.leaseStartedAt, sentAt);
         if (body.calls.length > 0) pause = 500;
       } else {
         const holderNode =
           answer._tag === 'response' && answer.status === 421 ? readRedirect(answer.body) : undefined;
-        const next = holderNode === undefined ? -1 : this.world.nodes.indexOf(holderNode);
-        pause = next >= 0 && next !== this.target ? 100 : 1_000;
-        this.target = next >= 0 && next !== this.target ? next : (this.target + 1) % this.world.nodes.length;
+        const next = holderNode === undefined ? -1 : this.environment.nodes.indexOf(holderNode);
+        pause = next >= 0 && next !== this.targetNodeIndex ? 100 : 1_000;
+        this.targetNodeIndex =
+          next >= 0 && next !== this.targetNodeIndex
+            ? next
+            : (this.targetNodeIndex + 1) % this.environment.nodes.length;
       }
       await new Promise((resolve) => setTimeout(resolve, pause));
     }
--- a/src/workers/codec.ts
+++ b/src/workers/codec.ts
@@ -118,7 +118,7 @@
 };
 
 /** Writes the answer to a report. */
-export const writeOrders = (token: number, commands: readonly Command[]): object => ({
+export const writeCommands = (token: number, commands: readonly Command[]): object => ({
   crook: token,
   calls: commands.map(writeCommand),
 });
@@ -128,7 +128,7 @@
   token: number,
   agentEpoch: number,
   commands: readonly Command[],
-): object => ({ ...writeOrders(token, commands), stint: agentEpoch });
+): object => ({ ...writeCommands(token, commands), stint: agentEpoch });
 
 /**
  * Writes the answer that sends a worker to the controller that holds its shard; undefined: that one is not
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -5,12 +5,12 @@
  */
 import { readClaim } from '../claims/codec.js';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
-import { MAX_REPORT_ANSWER_DELAY_MS } from '../constants/workers.js';
+import { MAX_HEARTBEAT_RESPONSE_DELAY_MS } from '../constants/workers.js';
 import { readMachineRecord } from '../fleet/machine-record-codec.js';
 import type { ServerResponse } from '../http/model.js';
 import { claimKey, machineKey } from '../kv-store/keys.js';
 import type { WatchCache } from '../kv-store/watch-cache.js';
-import { readWorkerHeartbeat, writeOrders, writeRedirect } from './codec.js';
+import { readWorkerHeartbeat, writeCommands, writeRedirect } from './codec.js';
 import type { Command, WorkerHeartbeat } from './model.js';
 
 /** What the handler needs of a shard. */
@@ -31,7 +31,7 @@
 /** What the handler needs of the rest of the controller. */
 export interface WorkerHeartbeatHandlerDependencies {
   /** Name of this controller. */
-  readonly me: string;
+  readonly ownNode: string;
   readonly cache: WatchCache;
   /** The steady clock, ms. */
   readonly now: () => number;
@@ -49,7 +49,7 @@
 
 const MALFORMED: ServerResponse = { status: 400, body: { error: 'malformed report' } };
 /** The worker reports again soon. */
-const NOT_NOW: ServerResponse = { status: 503 };
+const RETRY_LATER: ServerResponse = { status: 503 };
 
 const redirectTo = (holder: string | undefined): ServerResponse => ({
   status: 421,
@@ -60,7 +60,7 @@
 export class WorkerHeartbeatHandler {
   private readonly misroutedHeartbeats = new Map<string, MisroutedHeartbeat>();
 
-  constructor(private readonly input: WorkerHeartbeatHandlerDependencies) {}
+  constructor(private readonly dependencies: WorkerHeartbeatHandlerDependencies) {}
 
   /**
    * By shard: machines of other controllers' shards that reported here lately, as their holder can't be
@@ -69,7 +69,7 @@
   misroutedCounts(withinMs: number): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const [machine, { shardId, at }] of this.misroutedHeartbeats) {
-      if (this.input.now() - at > withinMs) this.misroutedHeartbeats.delete(machine);
+      if (this.dependencies.now() - at > withinMs) this.misroutedHeartbeats.delete(machine);
       else counts[shardId] = (counts[shardId] ?? 0) + 1;
     }
     return counts;
@@ -79,12 +79,12 @@
   async handle(body: unknown): Promise<ServerResponse> {
     const heartbeat = readWorkerHeartbeat(body);
     if (!heartbeat) return MALFORMED;
-    const entry = this.input.cache.get(machineKey(heartbeat.machine));
+    const entry = this.dependencies.cache.get(machineKey(heartbeat.machine));
     if (!entry) return this.answerUnknownMachine(heartbeat);
     const { shardId } = readMachineRecord(entry.value);
     const holder = this.holder(String(shardId));
-    if (holder !== this.input.me) {
-      this.misroutedHeartbeats.set(heartbeat.machine, { shardId, at: this.input.now() });
+    if (holder !== this.dependencies.ownNode) {
+      this.misroutedHeartbeats.set(heartbeat.machine, { shardId, at: this.dependencies.now() });
       return redirectTo(holder);
     }
     this.misroutedHeartbeats.delete(heartbeat.machine);
@@ -93,23 +93,23 @@
 
   private answerUnknownMachine(heartbeat: WorkerHeartbeat): ServerResponse {
     const leader = this.holder(LEADER_CLAIM);
-    if (this.input.adopt(heartbeat) || leader === this.input.me) return NOT_NOW;
+    if (this.dependencies.adopt(heartbeat) || leader === this.dependencies.ownNode) return RETRY_LATER;
     return redirectTo(leader);
   }
 
   private async answerOwnMachine(shardId: number, heartbeat: WorkerHeartbeat): Promise<ServerResponse> {
-    const received = this.input.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
+    const received = this.dependencies.shard(shardId)?.onHeartbeat(heartbeat) ?? null;
     if (received?.awaitRound)
-      await this.input.shard(shardId)?.nextRound(heartbeat.machine, MAX_REPORT_ANSWER_DELAY_MS);
+      await this.dependencies.shard(shardId)?.nextRound(heartbeat.machine, MAX_HEARTBEAT_RESPONSE_DELAY_MS);
     // Asked again after the wait: the claim may have gone meanwhile.
-    const orders = received ? (this.input.shard(shardId)?.orders(heartbeat) ?? null) : null;
-    if (!orders) return NOT_NOW;
-    return { status: 200, body: writeOrders(orders.token, orders.commands) };
+    const orders = received ? (this.dependencies.shard(shardId)?.orders(heartbeat) ?? null) : null;
+    if (!orders) return RETRY_LATER;
+    return { status: 200, body: writeCommands(orders.token, orders.commands) };
   }
 
   /** The controller that has the claim; undefined: none. */
   private holder(claimName: string): string | undefined {
-    const entry = this.input.cache.get(claimKey(claimName));
+    const entry = this.dependencies.cache.get(claimKey(claimName));
     return entry && readClaim(entry.value).node;
   }
 }
--- a/src/workers/reconcile.test.ts
+++ b/src/workers/reconcile.test.ts
@@ -1,12 +1,12 @@
 /** Tests of what reports mean for bound tasks, of the answers to them, and of reading them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MAX_FORGET_DELAY_MS } from '../constants/workers.js';
+import { MAX_FORGET_COMMAND_DELAY_MS } from '../constants/workers.js';
 import type { Binding, ShardMachine } from '../placement/shard-model.js';
 import { bindingKey } from '../placement/shard-model.js';
 import { nextPhase, type Phase } from '../placement/attempt-phase.js';
 import type { WorkerHeartbeat, ReportedTask, TaskState } from './model.js';
-import { answerCommands, readChanges } from './reconcile.js';
+import { answerCommands, detectPhaseChanges } from './reconcile.js';
 import { readWorkerHeartbeat } from './codec.js';
 
 const bindingOf = (phase: Phase, over: Partial<Binding> = {}): Binding => ({
@@ -171,7 +171,7 @@
           ? null
           : { agentEpoch: 1, sequenceNumber: row.seenSequenceNumber },
     });
-    const changes = readChanges(
+    const changes = detectPhaseChanges(
       { ...machineOf(binding), everConfirmedToken: row.heardUs ?? true },
       row.heartbeat,
       row.token ?? true,
@@ -227,7 +227,7 @@
     name: 'a settled exit is forgotten, after a while in which others may join it',
     binding: null,
     heartbeat: reportOf([task({ _tag: 'exited', cause: 'done', saved: false })]),
-    now: MAX_FORGET_DELAY_MS + 1_000,
+    now: MAX_FORGET_COMMAND_DELAY_MS + 1_000,
     expect: ['forget 3'],
   },
   {
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -6,7 +6,11 @@
  * answer to the one before, or dropped it: so a task missing from a newer report is not there, and no `run`
  * of it is under way.
  */
-import { FORGET_BATCH_EXITS, MAX_FORGET_DELAY_MS, STOP_GRACE_OVERRUN_MS } from '../constants/workers.js';
+import {
+  FORGET_COMMAND_BATCH_SIZE,
+  MAX_FORGET_COMMAND_DELAY_MS,
+  STOP_GRACE_OVERRUN_MS,
+} from '../constants/workers.js';
 import { isOnMachine, type GoneEvidence, type PhaseEvent } from '../placement/attempt-phase.js';
 import { bindingKey, type Binding, type ShardMachine } from '../placement/shard-model.js';
 import type { Command, ReportedTask, TaskAttempt, WorkerHeartbeat } from './model.js';
@@ -17,7 +21,7 @@
   readonly event: PhaseEvent;
 }
 
-const keyOf = ({ job, index, attempt }: TaskAttempt): string => bindingKey(job, index, attempt);
+const attemptKey = ({ job, index, attempt }: TaskAttempt): string => bindingKey(job, index, attempt);
 
 /**
  * Did the worker begin a new session that commands of earlier ones can't reach? Our commands name the session
@@ -49,7 +53,7 @@
  * @param mayBeLate - Can a direct `run` of this attempt still arrive, since the worker has not seen a token
  *   above the one that it carried? Then absence proves nothing.
  */
-export const readChanges = (
+export const detectPhaseChanges = (
   machine: ShardMachine,
   heartbeat: WorkerHeartbeat,
   underToken: boolean,
@@ -58,7 +62,7 @@
   const changes: PhaseChange[] = [];
   const newSession = isNewSession(machine, heartbeat, underToken);
   const how: GoneEvidence = newSession ? { _tag: 'newSession' } : { _tag: 'absent' };
-  const reported = new Map(heartbeat.tasks.map((task) => [keyOf(task), task]));
+  const reported = new Map(heartbeat.tasks.map((task) => [attemptKey(task), task]));
   for (const [key, binding] of machine.bound) {
     if (isOvertaken(binding, heartbeat)) continue;
     const task = reported.get(key);
@@ -72,32 +76,32 @@
   return changes;
 };
 
-const nameOf = ({ job, index, attempt }: TaskAttempt): TaskAttempt => ({
+const attemptOf = ({ job, index, attempt }: TaskAttempt): TaskAttempt => ({
   job,
   index,
   attempt,
 });
 
 /** The `stop` for a task that shows and has not exited; null: it may go on, or is stopping already. */
-const stopOf = (task: ReportedTask, binding: Binding | undefined, now: number): Command | null => {
-  if (!binding) return { _tag: 'stop', ...nameOf(task), graceS: 0 };
+const stopCommandFor = (task: ReportedTask, binding: Binding | undefined, now: number): Command | null => {
+  if (!binding) return { _tag: 'stop', ...attemptOf(task), graceS: 0 };
   if (!binding.stop) return null;
   const { since, graceS } = binding.stop;
   const overdue = now - since > graceS * 1_000 + STOP_GRACE_OVERRUN_MS;
   if (task.state._tag === 'saving' && !overdue && graceS !== 0) return null;
-  return { _tag: 'stop', ...nameOf(task), graceS: overdue ? 0 : graceS };
+  return { _tag: 'stop', ...attemptOf(task), graceS: overdue ? 0 : graceS };
 };
 
 /** Each makes the worker report anew, so they go with other commands or several at once, within bounds. */
-const mayForgetLater = (
+const canDeferForgets = (
   { exitsPendingSince }: ShardMachine,
   commands: readonly Command[],
   forgets: readonly Command[],
   now: number,
 ): boolean =>
   commands.length === 0 &&
-  forgets.length < FORGET_BATCH_EXITS &&
-  (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_DELAY_MS);
+  forgets.length < FORGET_COMMAND_BATCH_SIZE &&
+  (exitsPendingSince === null || now - exitsPendingSince < MAX_FORGET_COMMAND_DELAY_MS);
 
 /**
  * The commands in the answer to a report, after its changes are applied.
@@ -118,20 +122,20 @@
   const forgets: Command[] = [];
   const reported = new Set<string>();
   for (const task of heartbeat.tasks) {
-    const key = keyOf(task);
+    const key = attemptKey(task);
     reported.add(key);
     const binding = machine.bound.get(key);
     if (task.state._tag === 'exited') {
       if (!binding && underToken && settled(key, task.job, task.index))
-        forgets.push({ _tag: 'forget', ...nameOf(task) });
+        forgets.push({ _tag: 'forget', ...attemptOf(task) });
       continue;
     }
-    const stop = stopOf(task, binding, now);
+    const stop = stopCommandFor(task, binding, now);
     if (stop) commands.push(stop);
   }
   for (const [key, binding] of machine.bound) {
     if (reported.has(key) || binding.phase._tag !== 'bound' || binding.stop) continue;
-    commands.push({ _tag: 'run', ...nameOf(binding) });
+    commands.push({ _tag: 'run', ...attemptOf(binding) });
   }
-  return mayForgetLater(machine, commands, forgets, now) ? commands : [...commands, ...forgets];
+  return canDeferForgets(machine, commands, forgets, now) ? commands : [...commands, ...forgets];
 };
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -5,7 +5,7 @@
 import * as http from 'node:http';
 import { DIRECT_COMMAND_TIMEOUT_MS } from '../constants/workers.js';
 import { parseTarget } from '../http/model.js';
-import { decode, encode, oneWrite } from '../http/msgpack.js';
+import { decode, encode, singleWriteArguments } from '../http/msgpack.js';
 import { readWorkerHeartbeat, writeDirectCommands } from './codec.js';
 import type { Command, WorkerHeartbeat } from './model.js';
 
@@ -18,7 +18,7 @@
   | { readonly _tag: 'unknown' };
 
 /** Sends commands to the worker at an address, under a fencing token and to one session. */
-export interface DirectCommands {
+export interface DirectCommandSender {
   send(addr: string, token: number, agentEpoch: number, commands: readonly Command[]): Promise<DirectResult>;
 }
 
@@ -43,7 +43,7 @@
   return REFUSALS.has(status) ? { _tag: 'refused', heartbeat } : UNKNOWN;
 };
 
-const receive = (response: http.IncomingMessage, end: (result: DirectResult) => void): void => {
+const receiveResponse = (response: http.IncomingMessage, end: (result: DirectResult) => void): void => {
   const parts: Buffer[] = [];
   response.on('data', (part: Buffer) => parts.push(part));
   response.on('error', () => end(UNKNOWN));
@@ -57,7 +57,7 @@
  * others until it is given up. So the one that has been idle longest makes way, and a command beyond the
  * bound is refused at once.
  */
-export class WorkerClient implements DirectCommands {
+export class WorkerClient implements DirectCommandSender {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1, maxFreeSockets: 1 });
   /** Requests under way. */
   private open = 0;
@@ -66,7 +66,7 @@
 
   send(addr: string, token: number, agentEpoch: number, commands: readonly Command[]): Promise<DirectResult> {
     if (this.open >= this.maxSockets) return Promise.resolve(NOT_SENT);
-    this.makeRoom();
+    this.closeOldestIdleConnection();
     this.open += 1;
     return new Promise<DirectResult>((resolve) => {
       this.post(addr, encode(writeDirectCommands(token, agentEpoch, commands)), resolve);
@@ -76,7 +76,7 @@
   }
 
   /** Closes the connection that has been idle longest if there is no room for one more. */
-  private makeRoom(): void {
+  private closeOldestIdleConnection(): void {
     const idle = Object.values(this.agent.freeSockets);
     let connections = this.open;
     for (const sockets of idle) connections += sockets?.length ?? 0;
@@ -95,7 +95,7 @@
     const fail = (): void => end(connected ? UNKNOWN : NOT_SENT);
     const request = http.request(
       { host, port, method: 'POST', path: '/commands', agent: this.agent, headers },
-      (response) => receive(response, end),
+      (response) => receiveResponse(response, end),
     );
     const timer = setTimeout(() => {
       fail();
@@ -106,6 +106,6 @@
       else socket.once('connect', () => (connected = true));
     });
     request.on('error', fail);
-    request.end(...oneWrite(payload));
+    request.end(...singleWriteArguments(payload));
   }
 }
