--- a/src/controller/clocks.ts
+++ b/src/controller/clocks.ts
@@ -9,8 +9,8 @@
 /** The clocks of one controller. */
 export interface Clocks {
   /**
-   * The steady clock (ms). It never runs ahead, so it measures evidence that something has ended elsewhere,
-   * such as the lease of a worker.
+   * The steady clock (ms). It never runs ahead of real time, so the controller uses it to conclude that a
+   * period elsewhere, such as the lease of a worker, has ended.
    */
   readonly steady: () => number;
   /**
