--- a/src/constants/cancellation.ts
+++ b/src/constants/cancellation.ts
@@ -3,7 +3,8 @@
  */
 
 /**
- * Time for which a cancellation waits for others, so that one request to the shard's holder carries them all.
+ * Time for which a cancellation waits for other cancellations, so that one request to the shard's
+ * holder carries all of them.
  */
 export const ACKNOWLEDGEMENT_BATCH_DELAY_MS = 20;
 /** Maximum number of cancellations in one such request; it bounds the size of the body. */
--- a/src/constants/fleet.ts
+++ b/src/constants/fleet.ts
@@ -7,8 +7,8 @@
 /** Time after which an ordered transfer that no shard summary shows counts as not carried out. */
 export const TRANSFER_CONFIRMATION_TIMEOUT_MS = 4_000;
 /**
- * Additional weight of a machine in the same zone. It is small, so that it only decides between otherwise
- * equal shards.
+ * Additional weight of a machine in the same zone when the leader selects the shard for an adopted machine.
+ * The weight is small, so that the zone only decides between otherwise equal shards.
  */
 export const SAME_ZONE_WEIGHT = 0.1;
 
@@ -32,9 +32,12 @@
 export const MACHINE_LIST_PAGE_ITEMS = 500;
 /** Minimum age at which a listed machine without a record is adopted, as a multiple of the list's lag. */
 export const UNRECORDED_MACHINE_LAG_FACTOR = 2;
-/** Time added to that age. */
+/** Time added to that minimum age. */
 export const UNRECORDED_MACHINE_SLACK_S = 5;
-/** Multiple of that age for which a released machine may still be listed. */
+/**
+ * Time after a release for which the cloud may still list the machine, as a multiple of the minimum age at
+ * which a listed machine without a record is adopted.
+ */
 export const RELEASED_MACHINE_LISTING_FACTOR = 4;
 
 /** Maximum number of concurrent provisioning requests. The cloud's rate limit bounds them too. */
@@ -53,7 +56,7 @@
  * it.
  */
 export const NO_CAPACITY_BACKOFF_MS = 12_000;
-/** Upper bound of that time; each repeated refusal doubles it. */
+/** Maximum of the time after a refusal for lack of capacity; each repeated refusal doubles that time. */
 export const MAX_NO_CAPACITY_BACKOFF_MS = 60_000;
 
 /** Maximum number of machines in one release request (protocol). */
--- a/src/constants/key-value-store.ts
+++ b/src/constants/key-value-store.ts
@@ -31,7 +31,7 @@
 /** Maximum age of this controller's copy of the keys for answers to users. It is longer than two watches. */
 export const CACHE_FRESHNESS_MS = 10_000;
 
-/** Time for which a user's read waits for others, so that one request confirms them all. */
+/** Time for which a user's read waits for other reads, so that one request confirms all of them. */
 export const LINEARIZABLE_READ_BATCH_DELAY_MS = 250;
 /**
  * Maximum number of conditions in one such request, as a multiple of the maximum number of changes in a
@@ -59,8 +59,8 @@
 /** Fraction of one second's rate by which lease requests and writes of claims may overdraw the rate. */
 export const VITAL_OVERDRAFT_FRACTION = 0.1;
 /**
- * Fraction of one second's rate that must be available before a batch is sent. Later requests wait until the
- * remainder is repaid.
+ * Fraction of one second's rate that must be available before a batch is sent. The batch overdraws the rate by
+ * the remainder, and later requests wait until that is repaid.
  */
 export const BATCH_ADMISSION_FRACTION = 0.25;
 /** Maximum time that a request waits for rate. After that it fails without having been sent. */
--- a/src/constants/leases.ts
+++ b/src/constants/leases.ts
@@ -41,5 +41,8 @@
  * its workers can reach.
  */
 export const UNREACHABLE_WORKERS_REPORT_INTERVALS = 3;
-/** Time for which a controller that lost a shard for that reason is not handed any back. */
+/**
+ * Time for which no shard is handed back to a controller that lost a shard because its workers could not
+ * reach the controller.
+ */
 export const UNREACHABLE_WORKERS_HANDBACK_PAUSE_MS = 45_000;
--- a/src/constants/machines.ts
+++ b/src/constants/machines.ts
@@ -16,8 +16,8 @@
  */
 export const SPOT_SILENCE_REPORT_INTERVALS = 3.3;
 /**
- * Multiple of that time that must have passed since the shard was loaded before a machine is released for
- * missing heartbeats in this way.
+ * Minimum time between the loading of a shard and the release of a silent spot machine, as a multiple of the
+ * time after which such a machine counts as reclaimed.
  */
 export const SHARD_LOAD_GRACE_SPOT_SILENCES = 2;
 /** Time for which a machine that is suspected to be faulty is given no new tasks. */
@@ -52,13 +52,13 @@
  * costs, in time and money.
  */
 export const IDLE_HOLD_BOOT_FACTOR = 1.5;
-/** Number of idle machines of one kind that each shard holds for that time. */
+/** Number of idle machines of one kind that each shard holds for `IDLE_HOLD_BOOT_FACTOR` boot times. */
 export const LONG_IDLE_HOLD_MACHINES = 2;
 /** Time for which the other idle machines of the kind are held, as a multiple of the nominal boot time. */
 export const SURPLUS_IDLE_HOLD_BOOT_FACTOR = 0.5;
 /**
  * Multiple of a class's loosest start target. A machine type that takes longer to boot cannot serve the class
- * unless a machine is already up.
+ * unless a machine has already booted.
  */
 export const BOOT_BOUND_TARGET_FACTOR = 4;
 /**
--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -17,8 +17,8 @@
 /** Minimum pause of the heartbeat loop. */
 export const MIN_HEARTBEAT_PAUSE_MS = HEARTBEAT_NOTIFICATION_INTERVAL_MS / 4;
 /**
- * Maximum age of a heartbeat that is used, and of the last answer of the key-value store for the store to
- * count as reachable.
+ * Maximum age of a heartbeat that a controller uses. The key-value store counts as reachable if its last
+ * answer is at most this old.
  */
 export const HEARTBEAT_FRESHNESS_MS = 2_500;
 /** Maximum gap between two heartbeats of a peer whose connection counts as steady. */
--- a/src/constants/placement.ts
+++ b/src/constants/placement.ts
@@ -29,13 +29,13 @@
 
 /** Waiting time after which on-demand machines are provisioned for work that may use spot machines. */
 export const ON_DEMAND_PROVISIONING_WAIT_S = 180;
-/** Waiting time after which such work may use on-demand machines that are up. */
+/** Waiting time after which work that may use spot machines may also use booted on-demand machines. */
 export const ON_DEMAND_PLACEMENT_WAIT_S = 20;
 /** The same waiting time for work within a team's guarantee, which promises a prompt start. */
 export const GUARANTEED_ON_DEMAND_PLACEMENT_WAIT_S = 5;
 /**
- * Slack before a target below which such work uses an on-demand machine that is up and does not wait for a
- * spot machine.
+ * Slack before a target below which work that may use spot machines uses a booted on-demand machine and does
+ * not wait for a spot machine.
  */
 export const URGENT_PLACEMENT_SLACK_S = 20;
 /**
@@ -51,18 +51,18 @@
 
 /** Number of different machines on which a job's tasks must fail before the job itself counts as faulty. */
 export const JOB_FAULT_MACHINE_THRESHOLD = 3;
-/** First delay of a failing job. Each further failure doubles it. */
+/** Delay of a job after its first failure. Each further failure doubles the delay. */
 export const JOB_BACKOFF_MS = 5_000;
 /** Maximum delay of a failing job. */
 export const MAX_JOB_BACKOFF_MS = 120_000;
 /** Maximum number of doublings of that delay, so that the power stays finite. */
 export const MAX_JOB_BACKOFF_DOUBLINGS = 10;
-/** Delay of a job after a worker had no room for one of its tasks. */
+/** Delay of a job after a worker had no capacity for one of its tasks. */
 export const NO_ROOM_BACKOFF_MS = 1_000;
 
 /**
- * Fraction of a controller's change rate. While the demand for changes is below it, finished tasks are
- * recorded at once.
+ * Fraction of a controller's change rate. While the demand for changes is below this fraction, finished tasks
+ * are recorded without the delay `FLUSH_DELAY_MS`.
  */
 export const IMMEDIATE_FLUSH_RATE_FRACTION = 0.4;
 /** Time for which the record of a finished task otherwise waits for other tasks of its job. */
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -1,6 +1,6 @@
 /**
- * Adopts machines that have no record: machines whose workers report, and machines that the cloud lists. Each
- * is assigned to the shard with the fewest machines of its kind. Called by the leader; the machines wait in
+ * Adopts machines that have no record: machines whose workers send heartbeats, and machines that the cloud
+ * lists. Each machine is assigned to the shard with the fewest machines of its kind. Called by the leader; the machines wait in
  * the `AdoptionQueue`.
  */
 import type { Duty } from '@dalegate/fencing';
--- a/src/fleet/leader.ts
+++ b/src/fleet/leader.ts
@@ -97,7 +97,7 @@
     return this.activeReservations.list;
   }
 
-  /** Adopts the machine of a worker that reported although the machine has no record. */
+  /** Adopts the machine of a worker that sent a heartbeat although the machine has no record. */
   adopt(id: string, type: string, zone: string, spot: boolean): void {
     this.adopter.adopt(id, { type, zone, spot });
   }
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -68,7 +68,7 @@
    * shard withdraws.
    */
   readonly releaseRequestedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    // A request takes as many machines as it can: the cloud's rate is low, and provisioning needs it too.
+    // One request releases as many machines as it may: the cloud's rate is low, and provisioning needs it too.
     const ids = [...this.dependencies.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
     const permit = this.dependencies.duty.begin('release request');
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Deletes records of machines that are gone. A machine whose record could not be deleted is released once
-   * more, which has no effect.
+   * Deletes records of machines that are gone. A machine whose record could not be deleted is released
+   * again, which has no further effect.
    */
   private deleteRecords(permit: Permit, entries: readonly StoredEntry[]): Effect.Effect<void> {
     return Effect.gen({ self: this }, function* () {
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -198,8 +198,8 @@
   }
 
   /**
-   * Settles the requests that an earlier leader left open, before this leader provisions anything. Repeated
-   * until it succeeds.
+   * Settles the requests that an earlier leader left open, before this leader provisions anything. The
+   * leader repeats the settlement until it succeeds.
    */
   readonly settle: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const { duty } = this.dependencies;
@@ -235,7 +235,7 @@
       const result = yield* this.request(permit, intent);
       if (result._tag === 'withheld') return 'withheld';
       if (result._tag !== 'rented') return 'abandoned';
-      // The earlier leader may have recorded some of them: the adopter skips machines that have a record.
+      // The earlier leader may have recorded some machines: the adopter skips machines that have a record.
       for (const { id, record } of newMachines(intent, result.machines, intent.at))
         this.dependencies.adoptionQueue.add(id, record);
       return 'repeated by successor';
--- a/src/fleet/scaling-plan.ts
+++ b/src/fleet/scaling-plan.ts
@@ -49,7 +49,7 @@
 
 /** Number of machines of the offer that are worth provisioning. */
 const machinesToProvision = (demand: UnmetDemand, offer: MachineOffer, missing: number): number => {
-  // For tasks that may use spot machines, an on-demand machine is worth its price only if they fill it.
+  // For tasks that may use spot machines, an on-demand machine is worth its price only if full.
   const fullMachinesOnly = demand.spot && !offer.spot;
   const count = fullMachinesOnly
     ? Math.floor(missing / offer.taskCapacity)
--- a/src/fleet/scarce-types.ts
+++ b/src/fleet/scarce-types.ts
@@ -1,6 +1,6 @@
 /**
  * Machine types that are the only suitable type for some job. Every controller has one set, which grows as
- * jobs are submitted. Jobs with other suitable types leave machines of these types to the jobs without.
+ * jobs are submitted. Jobs that can run on other types leave machines of these types to jobs that cannot.
  */
 import { fitsIn, fittingTypes, type Catalog, type Demand, type JobSpec } from '../jobs/model.js';
 
--- a/src/fleet/spare-pools.ts
+++ b/src/fleet/spare-pools.ts
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Number of tasks of the demand that spare machines of other shards in the zone can run. A demand belongs
-   * to one shard.
+   * Number of tasks of the demand that spare machines of other shards in the zone can run. The cache
+   * is keyed by demand and zone only, because a demand belongs to one shard.
    */
   capacity(demand: UnmetDemand, shardId: number, zone: string): number {
     let zones = this.capacities.get(demand);
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Counts spare machines that the summaries of other shards don't list yet: they will be listed, and
-   * transferred, in the next rounds. Returns the number of tasks that still lack a machine.
+   * Counts spare machines that the summaries of other shards don't list yet: later summaries list these
+   * machines, and the next rounds transfer them. Returns the number of tasks that still lack a machine.
    */
   private takeUnlisted(pool: SparePool, tasks: number, shardId: number, missing: number): number {
     let stillMissing = missing;
--- a/src/fleet/transfer-orders.ts
+++ b/src/fleet/transfer-orders.ts
@@ -33,9 +33,9 @@
 }
 
 /**
- * State: transfers that were ordered, but that no summary reflects yet. Until the summary of the receiving
- * shard shows such a machine, no summary shows it; if the plan did not count it, the job for which it was
- * gathered would be planned in another zone.
+ * State: transfers that were ordered, but that no summary reflects yet. During such a transfer,
+ * no summary contains the machine. If the plan did not count the machine, the plan would choose another zone
+ * for the job for which the machine was gathered.
  */
 export class TransferOrders {
   private readonly orderedTransfers = new Map<string, OrderedTransfer>();
