--- a/src/constants/http.ts
+++ b/src/constants/http.ts
@@ -18,8 +18,8 @@
 /** Fraction of the file descriptors that incoming connections on the API address may use. */
 export const INCOMING_SOCKET_FRACTION = 0.76;
 /**
- * Fraction of the maximum number of incoming connections above which a worker's connection is closed after each response, so that
- * other clients can connect.
+ * Fraction of the maximum number of incoming connections above which a worker's connection is closed after
+ * each response, so that other clients can connect.
  */
 export const WORKER_KEEP_ALIVE_SOCKET_FRACTION = 0.85;
 /** Fraction of the file descriptors that connections to workers may use, including idle ones. */
--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -10,7 +10,10 @@
  * initiates one in place of the first.
  */
 export const HEARTBEAT_RESPONDER_FACTOR = 1.25;
-/** Fraction of that time after which an exchange is due, since timers may fire a little early. */
+/**
+ * Fraction of the time without an exchange that a controller allows before it initiates one. The exchange is
+ * due after this fraction, since timers may fire a little early.
+ */
 export const HEARTBEAT_DUE_FRACTION = 0.9;
 /** Minimum interval between two heartbeats to the leader when a change makes the next one early. */
 export const HEARTBEAT_NOTIFICATION_INTERVAL_MS = 400;
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -1,7 +1,7 @@
 /**
  * Adopts machines that have no record: machines whose workers send heartbeats, and machines that the cloud
- * lists. Each machine is assigned to the shard with the fewest machines of its kind. Called by the leader; the machines wait in
- * the `AdoptionQueue`.
+ * lists. Each machine is assigned to the shard with the fewest machines of its kind. Called by the leader; the
+ * machines wait in the `AdoptionQueue`.
  */
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -41,10 +41,10 @@
   constructor(private readonly dependencies: AdopterDependencies) {}
 
   /**
-   * Queues a machine without a record, whose worker reported or which the cloud lists. `at` is the time of
-   * its provisioning, in ms since the epoch. A report doesn't contain that time, and a late copy of a report
-   * may name a machine that is long gone. With 0 the machine doesn't count as booting, and is released if its
-   * worker doesn't report within a lease.
+   * Queues a machine without a record, whose worker sent a heartbeat or which the cloud lists. `at` is the
+   * time of its provisioning, in ms since the epoch; 0: not known. A heartbeat doesn't contain that time, and
+   * a late copy of a heartbeat may name a machine that is long gone. With 0 the machine doesn't count as
+   * booting, and is released if its worker doesn't send a heartbeat within a lease.
    */
   adopt(id: string, kind: MachineKind, at = 0): void {
     const { cache, queue, scaleIn } = this.dependencies;
@@ -70,7 +70,7 @@
   readonly recordQueuedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const permit = this.dependencies.duty.begin('machine record');
     if (permit === null) return;
-    // Each unknown worker reports to all controllers once a second until its machine is recorded. Therefore
+    // Each unknown worker sends a heartbeat to all controllers once a second until its machine is recorded. So
     // one transaction holds as many records as it can; the rate limiter lets it overdraw the request rate.
     const batch = this.dependencies.queue.take(this.dependencies.store.maxTransactionWrites);
     const unrecorded = batch.filter(({ id }) => this.dependencies.cache.get(machineKey(id)) === undefined);
--- a/src/fleet/adoption-queue.ts
+++ b/src/fleet/adoption-queue.ts
@@ -1,6 +1,7 @@
 /**
  * Machines without a record: their workers send heartbeats, the cloud lists them, or scale-out could not
- * record them. Each machine waits here until the adopter writes its record. Scale-out and the adopter add to the queue.
+ * record them. Each machine waits here until the adopter writes its record. Scale-out and the adopter add to
+ * the queue.
  */
 import { ShardMachineCounts } from './machine-index.js';
 import type { MachineRecord, NewMachine } from './machine-record.js';
--- a/src/fleet/capacity-refusals.ts
+++ b/src/fleet/capacity-refusals.ts
@@ -12,7 +12,10 @@
 interface Pause {
   /** End of the pause, in ms on the steady clock. */
   readonly at: number;
-  /** Half of the length of the next pause if the cloud refuses the kind again, in ms. */
+  /**
+   * If the cloud refuses the kind again, the next pause lasts twice this time, at most
+   * `MAX_NO_CAPACITY_BACKOFF_MS`. In ms.
+   */
   readonly durationMs: number;
 }
 
