--- a/src/constants/key-value-store.ts
+++ b/src/constants/key-value-store.ts
@@ -59,8 +59,8 @@
 /** Fraction of one second's rate by which lease requests and writes of claims may overdraw the rate. */
 export const VITAL_OVERDRAFT_FRACTION = 0.1;
 /**
- * Fraction of one second's rate that must be available before a batch is sent. The batch overdraws the rate by
- * the remainder, and later requests wait until that is repaid.
+ * Fraction of one second's rate that must be available before a batch is sent. The batch overdraws the rate
+ * by the remainder, and later requests wait until that is repaid.
  */
 export const BATCH_ADMISSION_FRACTION = 0.25;
 /** Maximum time that a request waits for rate. After that it fails without having been sent. */
--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -67,8 +67,8 @@
 /** Maximum age of a relayed summary or order that is used. */
 export const RELAY_FRESHNESS_MS = 7_000;
 /**
- * Number of reservations up to which relayed orders that are too large are shortened only by omitting
- * transfers.
+ * Number of reservations up to which relayed orders that are too large lose only transfers, and no
+ * reservations.
  */
 export const MIN_RELAYED_RESERVATIONS = 4;
 /** Maximum number of waiting gangs of one demand class in a relayed summary that had to be shortened. */
--- a/src/fleet/adopter.ts
+++ b/src/fleet/adopter.ts
@@ -1,7 +1,7 @@
 /**
  * Adopts machines that have no record: machines whose workers send heartbeats, and machines that the cloud
- * lists. Each machine is assigned to the shard with the fewest machines of its kind. Called by the leader; the
- * machines wait in the `AdoptionQueue`.
+ * lists. Each machine is assigned to the shard with the fewest machines of its kind. Called by the leader;
+ * the machines wait in the `AdoptionQueue`.
  */
 import type { Duty } from '@dalegate/fencing';
 import * as Effect from 'effect/Effect';
@@ -70,7 +70,7 @@
   readonly recordQueuedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
     const permit = this.dependencies.duty.begin('machine record');
     if (permit === null) return;
-    // Each unknown worker sends a heartbeat to all controllers once a second until its machine is recorded. So
+    // An unknown worker sends a heartbeat to each controller every second until its machine is recorded. So
     // one transaction holds as many records as it can; the rate limiter lets it overdraw the request rate.
     const batch = this.dependencies.queue.take(this.dependencies.store.maxTransactionWrites);
     const unrecorded = batch.filter(({ id }) => this.dependencies.cache.get(machineKey(id)) === undefined);
--- a/src/fleet/leader.test.ts
+++ b/src/fleet/leader.test.ts
@@ -118,7 +118,7 @@
   });
 
   test(`leader: ${machines} machines running at startup are adopted at the change rate of the key-value store`, async () => {
-    // Each worker reports to all controllers once a second until its machine is recorded.
+    // Each worker sends a heartbeat to all controllers once a second until its machine is recorded.
     const { state } = await withLeader(
       [],
       (leader) => {
--- a/src/fleet/machine-record.ts
+++ b/src/fleet/machine-record.ts
@@ -43,7 +43,7 @@
   readonly record: MachineRecord;
 }
 
-/** Creates the record of a machine whose worker has sent no heartbeat yet; `at`: see {@link MachineRecord}. */
+/** Creates the record of a machine whose worker has sent no heartbeat; `at`: see {@link MachineRecord}. */
 export const newMachineRecord = (shardId: number, kind: MachineKind, at: number): MachineRecord => ({
   shardId,
   ...kind,
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -68,7 +68,7 @@
    * shard withdraws.
    */
   readonly releaseRequestedMachines: Effect.Effect<void> = Effect.gen({ self: this }, function* () {
-    // One request releases as many machines as it may: the cloud's rate is low, and provisioning needs it too.
+    // One request releases as many machines as it may: the cloud's rate is low and shared with provisioning.
     const ids = [...this.dependencies.machines.releasing].slice(0, MAX_MACHINES_PER_RELEASE_REQUEST);
     if (ids.length === 0) return;
     const permit = this.dependencies.duty.begin('release request');
