--- a/src/constants/placement.ts
+++ b/src/constants/placement.ts
@@ -51,7 +51,10 @@
 
 /** Number of different machines on which a job's tasks must fail before the job itself counts as faulty. */
 export const JOB_FAULT_MACHINE_THRESHOLD = 3;
-/** Delay of a job after its first failure. Each further failure doubles the delay. */
+/**
+ * First delay of a job that counts as faulty. Each further machine on which a task of the job fails doubles
+ * the delay.
+ */
 export const JOB_BACKOFF_MS = 5_000;
 /** Maximum delay of a failing job. */
 export const MAX_JOB_BACKOFF_MS = 120_000;
