--- a/src/constants/peers.ts
+++ b/src/constants/peers.ts
@@ -10,15 +10,18 @@
  * initiates one in place of the first.
  */
 export const HEARTBEAT_RESPONDER_FACTOR = 1.25;
-/** Fraction of that time after which an exchange is due, since timers may fire a little early. */
+/**
+ * Fraction of the time without an exchange that a controller allows before it initiates one. The exchange is
+ * due after this fraction, since timers may fire a little early.
+ */
 export const HEARTBEAT_DUE_FRACTION = 0.9;
 /** Minimum interval between two heartbeats to the leader when a change makes the next one early. */
 export const HEARTBEAT_NOTIFICATION_INTERVAL_MS = 400;
 /** Minimum pause of the heartbeat loop. */
 export const MIN_HEARTBEAT_PAUSE_MS = HEARTBEAT_NOTIFICATION_INTERVAL_MS / 4;
 /**
- * Maximum age of a heartbeat that is used, and of the last answer of the key-value store for the store to
- * count as reachable.
+ * Maximum age of a heartbeat that a controller uses. The key-value store counts as reachable if its last
+ * answer is at most this old.
  */
 export const HEARTBEAT_FRESHNESS_MS = 2_500;
 /** Maximum gap between two heartbeats of a peer whose connection counts as steady. */
@@ -64,8 +67,8 @@
 /** Maximum age of a relayed summary or order that is used. */
 export const RELAY_FRESHNESS_MS = 7_000;
 /**
- * Number of reservations up to which relayed orders that are too large are shortened only by omitting
- * transfers.
+ * Number of reservations up to which relayed orders that are too large lose only transfers, and no
+ * reservations.
  */
 export const MIN_RELAYED_RESERVATIONS = 4;
 /** Maximum number of waiting gangs of one demand class in a relayed summary that had to be shortened. */
