--- a/packages/fencing/src/audit.ts
+++ b/packages/fencing/src/audit.ts
@@ -2,8 +2,8 @@
  * The audit of a process's duties: which process held which claim in which period, and which effects were
  * refused.
  *
- * State: {@link DutyAudit} owns bounded lists of both, for the administration API; no decision depends on
- * them. `Duty` and the verifier of received orders record refusals; the component that follows the claims in
+ * State: {@link DutyAudit} owns bounded lists of holding periods and refused effects, for the administration
+ * API; no decision depends on them. `Duty` and the verifier of received orders record refusals; the component that follows the claims in
  * the key-value store records holders. The audit also passes each entry to the listener given to its
  * constructor, which logs the entry.
  */
@@ -92,7 +92,7 @@
     this.onEvent({ _tag: 'holderChanged', period });
   }
 
-  /** Ends the current period of a claim, which has no holder any more or another one. */
+  /** Ends the current period of a claim, if there is one: its holder lost the claim. */
   recordHolderEnd(claim: string, reason: string): void {
     const current = this.currentPeriods.get(claim);
     if (!current) return;
--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -1,9 +1,9 @@
 /**
  * A clock for deciding whether a lease may still be valid. The steady clock of a suspended host stops while
  * leases expire elsewhere; the wall clock continues, but an operator may set it. This clock counts time as
- * elapsed if either of the two shows it: a suspension is counted, a forward jump of the wall clock makes a
- * lease look older than it is, which costs at most the duty, and a backward jump does not make it look
- * younger.
+ * elapsed if either of the two shows it, and thus counts suspensions. A forward jump of the wall clock makes a
+ * lease look older than it is; at worst, this process then loses its duty. A backward jump does not make a
+ * lease look younger.
  *
  * Evidence that something has *ended* elsewhere, for example a worker's lease, must not be measured with this
  * clock, since it may run ahead of real time.
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -4,7 +4,7 @@
  *
  * State: {@link GarbageCollector} owns its copy of the shard's tombstone record, the record's revision, and
  * the orphaned keys that have no tombstone yet. The holder of the shard enqueues keys and calls `step`
- * whenever `hasWork` is true; a failed step changes nothing, and a later step or a successor retries it.
+ * whenever `hasWork` is true; a later step or a successor retries a failed step.
  */
 import type { Permit } from './duty.js';
 import type { FencedValue } from './fenced-value.js';
@@ -42,7 +42,7 @@
   /** Returns a permit for one step; null if this process does not hold the duty now. */
   readonly beginStep: () => Permit | null;
   readonly revisionOf: (key: string) => Promise<RevisionOutcome>;
-  /** Returns whether the key belongs to something after all; called immediately before the removal. */
+  /** Returns whether the key is in use after all; called immediately before the removal. */
   readonly inUse: (key: string) => boolean;
   /** Returns the number of keys that one transaction may remove at the current rate. */
   readonly batchSize: () => number;
@@ -81,7 +81,7 @@
     return this.collectableTombstones().length > 0;
   }
 
-  /** Performs one step: reads the record, removes a batch of keys, or marks a batch of keys. */
+  /** Reads the record, removes a batch of keys, or marks a batch of keys; does nothing without a permit. */
   async step(): Promise<void> {
     const permit = this.dependencies.beginStep();
     if (permit === null) return;
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Writes the record and removes keys in the same transaction. Returns false if that failed or was not
-   * answered; a later step retries it, possibly that of a later holder of the duty.
+   * Writes the record and removes keys in the same transaction. Returns false if the transaction failed or was
+   * not answered; a later step of this holder or of a successor retries the work.
    */
   private async write(
     next: TombstoneRecord,
@@ -189,9 +189,9 @@
   }
 
   /**
-   * Handles a write that failed on another revision. If no key to be removed conflicts, the record does: it
-   * is read again. Conflicting keys are not removed; those that still exist and are not in use are marked
-   * again.
+   * Handles a write that failed because the record or a key to be removed has another revision. If only the
+   * record has, the next step reads the record again. Keys with another revision lose their tombstones; those
+   * that still exist and are not in use are enqueued again.
    */
   private async resolveConflict(
     conflicting: ReadonlySet<string>,
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -110,7 +110,7 @@
     });
   }
 
-  /** Records that a request is over; the outcome is written with the next announcement, or after a delay. */
+  /** Records the outcome of a request; the outcome is written with the next announcement, or after a delay. */
   recordOutcome(name: string, outcome: ProvisioningOutcome, machines = 0): void {
     this.openRequestNames.delete(name);
     this.pendingOutcomes.push({ name, outcome, machines, at: this.dependencies.timeOfDay() });
@@ -127,7 +127,8 @@
   }
 
   /**
-   * Writes pending entries, one write at a time, until none is left or the key-value store is unavailable.
+   * Writes pending entries, one write at a time, until none is left, or until a write ends as `unavailable`
+   * and no further announcement is pending.
    */
   private async writePending(): Promise<void> {
     if (this.writing) return;
@@ -167,7 +168,8 @@
   }
 
   /**
-   * Writes all but the last request if they do not fit in one value: the last waits until others are over.
+   * Writes the requests without the last one if they do not all fit in one value. The last request completes
+   * as `unavailable`, so its caller must not send it.
    */
   private writeSmallerBatch(
     announcements: readonly Announcement[],
@@ -180,8 +182,8 @@
   }
 
   /**
-   * Retries a write that is not answered: it may still be applied later. Each attempt has the same condition,
-   * whose failure shows that an earlier attempt may have been applied.
+   * Writes the record, and retries a write that is not answered, since that write may still be applied later.
+   * All attempts have the same condition; if it fails, an earlier attempt may have been applied.
    */
   private async writeWithRetries(
     stored: StoredProvisioningRecord,
@@ -221,8 +223,8 @@
   }
 
   /**
-   * Records that open requests were withheld if their write was given up without an answer and applied late:
-   * they were never sent.
+   * Records the outcome `withheld` for open requests of the record that this process does not count as open.
+   * Their write was given up without an answer and applied late, so they were never sent.
    */
   private withdrawUnsent(): void {
     const at = this.dependencies.timeOfDay();
--- a/packages/fencing/src/provisioning-record-codec.ts
+++ b/packages/fencing/src/provisioning-record-codec.ts
@@ -50,7 +50,7 @@
   readonly t: number;
   /** Open requests. */
   readonly o: readonly StoredIntent[];
-  /** Requests that are over. */
+  /** Requests that have an outcome. */
   readonly d: readonly StoredSettled[];
   /** Malformed entries; omitted if there are none. */
   readonly q?: readonly unknown[];
--- a/packages/fencing/src/provisioning-record.ts
+++ b/packages/fencing/src/provisioning-record.ts
@@ -14,8 +14,8 @@
 
 /**
  * ms: maximum age at which a new holder repeats a request; the demand for an older one is outdated. If the
- * cloud still carries out an older one, its machines are adopted when they report or are listed. Longer than
- * a change of holder takes, shorter than a boot.
+ * cloud still carries out an older one, its machines are adopted when they report or are listed. The
+ * limit is longer than a change of holder takes, and shorter than a boot.
  */
 export const INTENT_REPEAT_WINDOW_MS = 30_000;
 /** Maximum number of outcomes in the record. */
@@ -37,7 +37,7 @@
 export type ProvisioningOutcome =
   'rented' | 'no capacity' | 'refused' | 'withheld' | 'unanswered' | 'abandoned' | 'repeated by successor';
 
-/** A request that is over. */
+/** A request that has an outcome. */
 export interface SettledProvisioning {
   readonly name: string;
   readonly outcome: ProvisioningOutcome;
--- a/src/duties/admin-codec.ts
+++ b/src/duties/admin-codec.ts
@@ -67,7 +67,7 @@
   readonly at: number;
 }
 
-/** A provisioning request that is over. */
+/** A provisioning request that has an outcome. */
 export interface WireSettledRequest {
   readonly name: string;
   readonly outcome: string;
--- a/src/duties/release-without-intent.ts
+++ b/src/duties/release-without-intent.ts
@@ -26,9 +26,9 @@
 }
 
 /**
- * Releases machines at once if the key-value store does not answer. While it answers, the intent in the
- * machine record requests the release, since a later leader reads it too. Returns whether the machines are
- * gone.
+ * Releases machines at once if the key-value store does not answer. While the store answers, the intent in
+ * the machine record requests the release instead, since a later leader reads that intent too. Returns whether
+ * the machines are gone.
  */
 export const releaseWithoutIntent = async (
   dependencies: ReleaseWithoutIntentDependencies,
