--- a/packages/fencing/src/audit.ts
+++ b/packages/fencing/src/audit.ts
@@ -3,9 +3,9 @@
  * refused.
  *
  * State: {@link DutyAudit} owns bounded lists of holding periods and refused effects, for the administration
- * API; no decision depends on them. `Duty` and the verifier of received orders record refusals; the component that follows the claims in
- * the key-value store records holders. The audit also passes each entry to the listener given to its
- * constructor, which logs the entry.
+ * API; no decision depends on them. `Duty` and the verifier of received orders record refusals; the component
+ * that follows the claims in the key-value store records holders. The audit also passes each entry to the
+ * listener given to its constructor, which logs the entry.
  */
 import type { DutyName } from './duty-definitions.js';
 import type { FencingToken } from './token.js';
--- a/packages/fencing/src/clock.ts
+++ b/packages/fencing/src/clock.ts
@@ -1,8 +1,8 @@
 /**
  * A clock for deciding whether a lease may still be valid. The steady clock of a suspended host stops while
  * leases expire elsewhere; the wall clock continues, but an operator may set it. This clock counts time as
- * elapsed if either of the two shows it, and thus counts suspensions. A forward jump of the wall clock makes a
- * lease look older than it is; at worst, this process then loses its duty. A backward jump does not make a
+ * elapsed if either of the two shows it, and thus counts suspensions. A forward jump of the wall clock makes
+ * a lease look older than it is; at worst, this process then loses its duty. A backward jump does not make a
  * lease look younger.
  *
  * Evidence that something has *ended* elsewhere, for example a worker's lease, must not be measured with this
--- a/packages/fencing/src/duty-state.ts
+++ b/packages/fencing/src/duty-state.ts
@@ -9,8 +9,8 @@
   /** This process does not hold the duty, and none of its effects is in flight. */
   | { readonly _tag: 'idle' }
   /**
-   * This process holds the claim, and first settles what an earlier holder left open. `open`, here and below:
-   * the number of effects in flight.
+   * This process holds the claim, and first settles what an earlier holder left open. In this state and those
+   * below, `open` is the number of effects in flight.
    */
   | { readonly _tag: 'acquiring'; readonly token: FencingToken; readonly open: number }
   /** This process is the only current holder. */
--- a/packages/fencing/src/garbage-collector.ts
+++ b/packages/fencing/src/garbage-collector.ts
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Writes the record and removes keys in the same transaction. Returns false if the transaction failed or was
-   * not answered; a later step of this holder or of a successor retries the work.
+   * Writes the record and removes keys in the same transaction. Returns false if the transaction failed or
+   * was not answered; a later step of this holder or of a successor retries the work.
    */
   private async write(
     next: TombstoneRecord,
--- a/packages/fencing/src/history.test.ts
+++ b/packages/fencing/src/history.test.ts
@@ -8,7 +8,7 @@
 import { HistorySimulation, type HistoryStep } from './testing/history.js';
 
 /**
- * Number of histories in CI; `FENCING_HISTORIES` sets the number of a run by hand, and `FENCING_SEED` its
+ * Number of histories in CI. For a manual run, `FENCING_HISTORIES` sets the number, and `FENCING_SEED` the
  * seed.
  */
 const HISTORIES = Number(process.env.FENCING_HISTORIES ?? 400);
--- a/packages/fencing/src/provisioning-journal.ts
+++ b/packages/fencing/src/provisioning-journal.ts
@@ -110,7 +110,7 @@
     });
   }
 
-  /** Records the outcome of a request; the outcome is written with the next announcement, or after a delay. */
+  /** Records the outcome of a request, to be written with the next announcement, or after a delay. */
   recordOutcome(name: string, outcome: ProvisioningOutcome, machines = 0): void {
     this.openRequestNames.delete(name);
     this.pendingOutcomes.push({ name, outcome, machines, at: this.dependencies.timeOfDay() });
--- a/packages/fencing/src/testing/history.ts
+++ b/packages/fencing/src/testing/history.ts
@@ -14,9 +14,9 @@
 
 /** ms: duration of the lease behind the claim, in the key-value store. */
 const LEASE_MS = 5_000;
-/** ms: by how much a holder shortens its lease, to allow for late timers. */
+/** ms: time by which a holder considers its lease shorter than it is, to allow for late timers. */
 const LEASE_SAFETY_MARGIN_MS = 300;
-/** Drift between two clocks, as a fraction of the elapsed time: the bound of the protocol, doubled. */
+/** Drift between two clocks, as a fraction of the elapsed time: twice the bound of the protocol. */
 const CLOCK_DRIFT_FRACTION = 0.001;
 
 /** One step of a history. */
--- a/src/duties/fenced-store.ts
+++ b/src/duties/fenced-store.ts
@@ -41,7 +41,8 @@
 };
 
 /**
- * Returns a key of the key-value store that is written only under a claim; reads have the priority `user`.
+ * Returns access to one key of the key-value store that is written only under a claim. Reads have the
+ * priority `user`.
  */
 export const fencedValue = (
   store: KeyValueStore,
--- a/src/duties/release-without-intent.ts
+++ b/src/duties/release-without-intent.ts
@@ -27,8 +27,8 @@
 
 /**
  * Releases machines at once if the key-value store does not answer. While the store answers, the intent in
- * the machine record requests the release instead, since a later leader reads that intent too. Returns whether
- * the machines are gone.
+ * the machine record requests the release instead, since a later leader reads that intent too. Returns
+ * whether the machines are gone.
  */
 export const releaseWithoutIntent = async (
   dependencies: ReleaseWithoutIntentDependencies,
