--- a/packages/fencing/src/tombstone-record-codec.ts
+++ b/packages/fencing/src/tombstone-record-codec.ts
@@ -113,8 +113,8 @@
 };
 
 /**
- * Returns as many of the first tombstones as fit in `maxBytes` together with the tombstones of the record. The
- * removals of the record are not counted, since they may be dropped.
+ * Returns as many of the first tombstones as fit in `maxBytes` together with the tombstones of the record.
+ * The removals of the record are not counted, since they may be dropped.
  */
 export const tombstonesThatFit = (
   record: TombstoneRecord,
