--- a/src/cli/arguments.ts
+++ b/src/cli/arguments.ts
@@ -44,7 +44,7 @@
       readonly node: string;
       /** Undefined: all duties. */
       readonly duty: string | undefined;
-      /** Whether the controller's answer is printed unchanged, as JSON. */
+      /** Whether the controller's response is printed unchanged, as JSON. */
       readonly json: boolean;
     }
   /** The arguments are invalid; the message includes the usage text. */
--- a/src/cli/duties-command.ts
+++ b/src/cli/duties-command.ts
@@ -1,4 +1,4 @@
-/** `dalegate duties`: requests the duties from a controller and prints the answer. `cli/main.ts` calls it. */
+/** `dalegate duties`: requests the duties from a controller and prints its response. `cli/main.ts` calls it. */
 import * as http from 'node:http';
 import { ADMIN_REQUEST_TIMEOUT_MS, EXIT_FAILED, EXIT_OK } from '../constants/command-line.js';
 import { readDuties } from '../duties/admin-codec.js';
@@ -14,7 +14,7 @@
 type AdminResult =
   ({ readonly _tag: 'answered' } & TextResponse) | { readonly _tag: 'noAnswer'; readonly reason: string };
 
-/** Sends a GET request; rejects if no answer arrives or if `node` is not a valid address. */
+/** Sends a GET request; rejects if no response is received or if `node` is not a valid address. */
 const fetchText = (node: string, path: string): Promise<TextResponse> =>
   new Promise((resolve, reject) => {
     const { host, port } = parseTarget(node);
--- a/src/cli/duties-text.ts
+++ b/src/cli/duties-text.ts
@@ -105,7 +105,7 @@
   ];
 };
 
-/** Formats the answer about one duty or about all duties. Only the answer about all duties has intents. */
+/** Formats the response about one duty or all duties. Only the response about all duties has intents. */
 export const formatDuties = (answer: WireDuties & Partial<WireDutiesOverview>): string => {
   const parts = [
     formatTable(dutyRows(answer.duties)),
--- a/src/http/model.ts
+++ b/src/http/model.ts
@@ -12,7 +12,7 @@
    */
   | { readonly _tag: 'noResponse'; readonly why: string; readonly sent?: false };
 
-/** The outcome of a request that was no longer allowed to be sent when its connection was available. */
+/** The outcome of a request that was not sent because `maySend` returned false. */
 export const WITHHELD: CallOutcome = { _tag: 'noResponse', why: 'withheld', sent: false };
 
 /** Host and port of a server. */
--- a/src/jobs/follows.test.ts
+++ b/src/jobs/follows.test.ts
@@ -118,8 +118,8 @@
     status: 200,
     jobStatus: 'pending',
   },
-  // With an outdated copy, a job could be reported as waiting long after its user was told that a dependency
-  // is cancelled.
+  // With an outdated copy, a job could be reported as waiting long after a response reported to its user
+  // that a dependency is cancelled.
   {
     name: 'a poll while the copy of the shared keys is outdated',
     stored: { 'w/j/job-9': waitingJob },
--- a/src/jobs/job-record-codec.ts
+++ b/src/jobs/job-record-codec.ts
@@ -5,7 +5,10 @@
 import { packIds, unpackIds } from '../pipelines/codec.js';
 import type { FinalRecord, FinalState, JobRecord, JobSpec } from './model.js';
 
-/** The order of a spec's fields in its stored form: a list, a third of the size of an object with names. */
+/**
+ * The order of a spec's fields in its stored form, which is a list without field names: it has a third of the
+ * size of an object with field names.
+ */
 const SPEC_FIELDS = [
   'id',
   'jobClass',
--- a/src/jobs/model.ts
+++ b/src/jobs/model.ts
@@ -34,7 +34,7 @@
   readonly deadlineS: number | null;
 }
 
-/** The durable record of a job that has not ended, written by the controller that receives the request. */
+/** The durable record of a job that has not ended, written first by the controller that accepts it. */
 export interface JobRecord {
   readonly spec: JobSpec;
   /** When the job was accepted, in ms since the epoch by the clock of the accepting controller. */
--- a/src/jobs/new-job-records.ts
+++ b/src/jobs/new-job-records.ts
@@ -17,8 +17,9 @@
 const put = (key: string, value: unknown): Write => ({ _tag: 'put', key, value });
 
 /**
- * Returns the writes of a new job: its record and, if the record would be too large with its dependencies,
- * separate lists of them. Null if the record is too large even so, or if the writes exceed one transaction.
+ * Returns the writes of a new job: its record and, if the record would be too large with its list of
+ * dependencies, the parts of that list under keys of their own. Null if the record is too large even without
+ * the list, or if there are more writes than a transaction may have.
  * `at` is the time of acceptance in ms since the epoch.
  */
 export const newJobRecords = (
--- a/src/jobs/ports.ts
+++ b/src/jobs/ports.ts
@@ -23,7 +23,7 @@
 export interface JobStatusDependencies {
   readonly store: Pick<KeyValueStore, 'compareAndSwap'>;
   readonly pipelines: Pick<Pipelines, 'readiness' | 'resolve'>;
-  /** Whether users may be told of the cancellation that became durable at this revision (`version`). */
+  /** Whether a response may report the cancellation that became durable at this revision (`version`). */
   readonly mayConfirmCancellation: (id: string, team: string, version: number) => Effect.Effect<boolean>;
   /** Largest size of a value that the key-value store accepts now and after an announced change, in bytes. */
   readonly valueBytes: number;
--- a/src/kv-store/change-feed.ts
+++ b/src/kv-store/change-feed.ts
@@ -33,7 +33,8 @@
   | { readonly _tag: 'summaryRelayed'; readonly shardId: number; readonly value: unknown }
   | { readonly _tag: 'ordersRelayed'; readonly shardId: number; readonly value: unknown }
   /**
-   * A change of a key that no subsystem follows, or the deletion of a key that matters only while it exists.
+   * A change that no subsystem acts on: of a key that none follows, or the deletion of a part of a dependency
+   * list, of a relayed summary or of relayed orders.
    */
   | { readonly _tag: 'other' };
 
--- a/src/kv-store/rate-limiter.ts
+++ b/src/kv-store/rate-limiter.ts
@@ -142,8 +142,9 @@
   }
 
   /**
-   * Time in ms until the first request of some queue can be admitted or stops waiting. An earlier check would
-   * find nothing to do.
+   * Time in ms until the next check of the queues: until the first request of some queue can be admitted or
+   * stops waiting, but at least `MIN_RATE_QUEUE_CHECK_INTERVAL_MS` and at most
+   * `MAX_RATE_QUEUE_CHECK_INTERVAL_MS`.
    */
   private nextCheckMs(): number {
     this.refill();
--- a/src/kv-store/watch-cache.ts
+++ b/src/kv-store/watch-cache.ts
@@ -13,7 +13,7 @@
 /** Called for each change after it has been applied to the copy. */
 type WatchListener = (event: WatchEvent) => void;
 
-/** Copy of the shared keys. */
+/** Copy of the shared keys in the key-value store. */
 export class WatchCache {
   /** Entries by kind of key (`w/j/`, `w/m/`, …), so that iterating over one kind visits only its entries. */
   private readonly entriesByKind = new Map<string, Map<string, StoredEntry>>();
@@ -33,7 +33,10 @@
     return this.appliedRevision;
   }
 
-  /** Time in ms of the lease clock; the copy contains every change made before it. */
+  /**
+   * Time in ms of the lease clock before which the copy contains every change; `-Infinity` before the first
+   * load.
+   */
   get confirmedAt(): number {
     return this.confirmedSince;
   }
--- a/src/settings/teams.ts
+++ b/src/settings/teams.ts
@@ -8,7 +8,7 @@
 /**
  * Returns the shard id of each team, by team name. There are as many shards as controllers. Teams are
  * assigned in descending order of their guarantees' weight, each to the shard with the least load so far;
- * ties are broken by team name and by shard id.
+ * of teams with equal weight the first by name precedes, and of shards with equal load the lowest id is taken.
  */
 export const divideTeams = (teams: readonly Team[], shardCount: number): ReadonlyMap<string, number> => {
   const loads = Array.from({ length: shardCount }, () => 0);
