--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -29,7 +29,8 @@
   try {
     return decodeParts(parts);
   } catch {
-    // The status is the outcome of the request; callers validate the values that they need.
+    // A malformed body does not fail the request: the status is its outcome, and callers validate the values
+    // that they need.
     return null;
   }
 };
@@ -61,7 +62,7 @@
   });
 };
 
-/** Sends one request, and resolves once, with its first outcome. */
+/** Sends one request and calls `resolve` once, with the first outcome: response, error or timeout. */
 const exchange = ({ options, payload, timeoutMs, maySend }: Exchange, resolve: OnOutcome): void => {
   let isSettled = false;
   const settle: OnOutcome = (outcome) => {
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -107,7 +107,8 @@
 
 const applyServerLimits = (server: http.Server, maxConnections: number): void => {
   server.maxConnections = maxConnections;
-  // Not needed: `closeIdleConnections` closes idle connections, and the size of requests is limited.
+  // 0 disables both timeouts: `closeIdleConnections` closes idle connections, and the size of requests is
+  // limited.
   server.keepAliveTimeout = 0;
   server.requestTimeout = 0;
   server.headersTimeout = REQUEST_HEAD_TIMEOUT_MS;
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -15,7 +15,7 @@
   readonly version: number;
 }
 
-/** The outcome of looking up a job; `unavailable`: the key-value store did not answer. */
+/** The outcome of looking up a job; `unavailable`: a read of the key-value store failed. */
 export type JobLookupResult =
   | ActiveJob
   | { readonly _tag: 'final'; readonly final: FinalRecord }
--- a/src/jobs/job-record-codec.ts
+++ b/src/jobs/job-record-codec.ts
@@ -52,9 +52,9 @@
 const REMOVED_TEXT = '';
 
 /**
- * Encodes the record of a cancelled job in at most `maxBytes` bytes. The full record of a job that was
- * accepted under larger limits may exceed them; then its class, image, machine types and zone are removed.
- * Only placement reads these, and a cancelled job is never placed again.
+ * Encodes the record of a cancelled job. The full record of a job that was accepted under larger limits may
+ * exceed `maxBytes` bytes; then its class, image, machine types and zone are removed, and the size is not
+ * checked again. Only placement reads these fields, and a cancelled job is never placed again.
  */
 export const writeCancelledRecord = (job: JobRecord, maxBytes: number): unknown => {
   const fullRecord = writeJobRecord(job);
--- a/src/jobs/job-status.ts
+++ b/src/jobs/job-status.ts
@@ -102,7 +102,8 @@
 
   /**
    * Writes a cancellation to the job's record and returns the response with the status after it. Returns
-   * `recordChanged` and writes nothing if the record has changed since `job` was read.
+   * `recordChanged` if the record has changed since `job` was read: then nothing is written. Returns
+   * `RETRY_LATER` if the transaction fails or its outcome is unknown.
    */
   private recordCancellation(id: string, job: ActiveJob): Effect.Effect<ServerResponse | 'recordChanged'> {
     return Effect.gen({ self: this }, function* () {
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -49,7 +49,10 @@
     });
   }
 
-  /** Returns the status response if the job has been accepted before, else `answer`. */
+  /**
+   * Returns the status response if the job has been accepted before, `RETRY_LATER` if its lookup fails, else
+   * `answer`.
+   */
   private answerUnlessAccepted(id: string, answer: ServerResponse): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const found = yield* this.lookup.find(id);
--- a/src/jobs/jobs.test.ts
+++ b/src/jobs/jobs.test.ts
@@ -180,7 +180,8 @@
   { waited: 10, attainableObjective: 0 },
   { waited: 40, attainableObjective: 1 },
   { waited: 90, attainableObjective: 2 },
-  // A job that has waited this long gets the highest rank again, so that no target starves it.
+  // A job that has waited this long gets the highest rank again, so that it does not starve after missing
+  // its targets.
   { waited: 200, attainableObjective: 0 },
 ];
 for (const row of waitCases) {
--- a/src/kv-store/keys.ts
+++ b/src/kv-store/keys.ts
@@ -30,7 +30,7 @@
 export const summaryKey = (shardId: number): string => `${SUMMARY_PREFIX}${shardId}`;
 /** Key of the relayed orders for a shard. */
 export const ordersKey = (shardId: number): string => `${ORDERS_PREFIX}${shardId}`;
-/** Key of a holder's durable acknowledgement that it has seen the shared keys up to a revision. */
+/** Key of the durable acknowledgement by a claim's holder: the revision that its copy has reached. */
 export const acknowledgementKey = (claimName: string): string => `w/k/${claimName}`;
 /** Key of the protocol version that every controller of this deployment is known to support. */
 export const PROTOCOL_VERSION_KEY = 'w/level';
@@ -58,7 +58,7 @@
 /** The id of the machine whose record has this key. */
 export const machineOfKey = (key: string): string => key.slice(MACHINE_PREFIX.length);
 
-/** A parsed shared key; `other`: no subsystem follows its changes. */
+/** A parsed shared key; `other`: a key whose changes no subsystem acts on. */
 export type SharedKey =
   | { readonly _tag: 'claim'; readonly claimName: string }
   | { readonly _tag: 'machine'; readonly machine: string }
--- a/src/kv-store/rate-limiter.ts
+++ b/src/kv-store/rate-limiter.ts
@@ -144,7 +144,7 @@
   /**
    * Time in ms until the next check of the queues: until the first request of some queue can be admitted or
    * stops waiting, but at least `MIN_RATE_QUEUE_CHECK_INTERVAL_MS` and at most
-   * `MAX_RATE_QUEUE_CHECK_INTERVAL_MS`.
+   * `MAX_RATE_QUEUE_CHECK_INTERVAL_MS`. At the current rate, an earlier check would find no such request.
    */
   private nextCheckMs(): number {
     this.refill();
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -43,7 +43,7 @@
       write_rps: Positive,
       value_kb: Positive,
       txn_ops: Count,
-      // Announced limits, which take effect later without notice.
+      // Announced limits, which replace the current limits later without a further notice.
       next: Schema.optional(
         Schema.NullOr(
           Schema.Struct({
