--- a/src/cli/duties-command.ts
+++ b/src/cli/duties-command.ts
@@ -1,4 +1,4 @@
-/** `dalegate duties`: requests the duties from a controller and prints its response. `cli/main.ts` calls it. */
+/** `dalegate duties`: requests the duties from a controller and prints them. `cli/main.ts` calls it. */
 import * as http from 'node:http';
 import { ADMIN_REQUEST_TIMEOUT_MS, EXIT_FAILED, EXIT_OK } from '../constants/command-line.js';
 import { readDuties } from '../duties/admin-codec.js';
--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -15,7 +15,10 @@
 import type { JobSubmissionDependencies } from './ports.js';
 import { RETRY_LATER } from './responses.js';
 
-/** Whether all jobs in a list of dependencies have been accepted, now or earlier. */
+/**
+ * Whether all jobs in a list of dependencies have been accepted. `neverAccepted` names the first job that has
+ * not; `unavailable`: the lookup of a job failed.
+ */
 type DependencyAcceptance =
   | { readonly _tag: 'allAccepted' }
   | { readonly _tag: 'neverAccepted'; readonly id: string }
--- a/src/settings/teams.ts
+++ b/src/settings/teams.ts
@@ -7,8 +7,9 @@
 
 /**
  * Returns the shard id of each team, by team name. There are as many shards as controllers. Teams are
- * assigned in descending order of their guarantees' weight, each to the shard with the least load so far;
- * of teams with equal weight the first by name precedes, and of shards with equal load the lowest id is taken.
+ * assigned in descending order of their guarantees' weight, each to the shard with the least load so far.
+ * Teams of equal weight are assigned in the order of their names; of shards with equal load, the one with the
+ * lowest id gets the team.
  */
 export const divideTeams = (teams: readonly Team[], shardCount: number): ReadonlyMap<string, number> => {
   const loads = Array.from({ length: shardCount }, () => 0);
