--- a/src/jobs/job-submission.ts
+++ b/src/jobs/job-submission.ts
@@ -15,7 +15,10 @@
 import type { JobSubmissionDependencies } from './ports.js';
 import { RETRY_LATER } from './responses.js';
 
-/** Whether all jobs in a list of dependencies have been accepted, now or earlier. */
+/**
+ * Whether all jobs in a list of dependencies have been accepted. `neverAccepted` names the first job that has
+ * not; `unavailable`: the lookup of a job failed.
+ */
 type DependencyAcceptance =
   | { readonly _tag: 'allAccepted' }
   | { readonly _tag: 'neverAccepted'; readonly id: string }
@@ -49,7 +52,10 @@
     });
   }
 
-  /** Returns the status response if the job has been accepted before, else `answer`. */
+  /**
+   * Returns the status response if the job has been accepted before, `RETRY_LATER` if its lookup fails, else
+   * `answer`.
+   */
   private answerUnlessAccepted(id: string, answer: ServerResponse): Effect.Effect<ServerResponse> {
     return Effect.gen({ self: this }, function* () {
       const found = yield* this.lookup.find(id);
