--- a/src/peers/heartbeat.ts
+++ b/src/peers/heartbeat.ts
@@ -45,8 +45,8 @@
   /** Whether workers could not reach the sender recently. */
   readonly workersUnreachable: boolean;
   /**
-   * By shard id: number of machines whose worker recently sent heartbeats to the sender although another
-   * controller holds the machine's shard.
+   * By shard id: number of machines whose worker recently sent heartbeats to the sender although the
+   * sender does not hold the machine's shard.
    */
   readonly misroutedHeartbeats: Readonly<Record<string, number>>;
   /** The sender's demand on the key-value store. */
--- a/src/peers/peer-view.ts
+++ b/src/peers/peer-view.ts
@@ -10,7 +10,7 @@
 
 /** The protocol version of a controller whose heartbeat names none. */
 const UNANNOUNCED_VERSION = 0;
-/** `PeerStatus.steadyMs` of a peer that does not answer. */
+/** `PeerStatus.steadyMs` of a peer whose last heartbeat is not recent. */
 const NOT_STEADY = -1;
 const NO_DEMAND: StoreDemand = { requests: 0, changes: 0 };
 
--- a/src/peers/rate-division.ts
+++ b/src/peers/rate-division.ts
@@ -9,9 +9,9 @@
 import type { StoreDemand } from './heartbeat.js';
 
 /**
- * Returns this controller's part of a rate that all controllers share: the fraction `EVEN_RATE_FRACTION` is
- * divided evenly, the remainder in proportion to the demand. A peer that sends no heartbeats keeps its even
- * part and the part for its last announced demand.
+ * Returns this controller's part of a rate that all controllers share: the fraction
+ * `EVENLY_DIVIDED_RATE_FRACTION` is divided evenly, the remainder in proportion to the demand. A peer that
+ * sends no heartbeats keeps its even part and the part for its last announced demand.
  */
 const divideRate = (totalRate: number, ownDemand: number, peerDemands: readonly number[]): number => {
   const controllers = peerDemands.length + 1;
--- a/src/peers/request-codec.ts
+++ b/src/peers/request-codec.ts
@@ -11,6 +11,6 @@
   transfer: '/move',
   /** An order from the holder of a shard to the leader to release machines at once. */
   release: '/return',
-  /** A request to the holder of a shard to act on cancellations; the answer says on which the holder acts. */
+  /** A request to the holder of a shard to apply cancellations; the answer lists which were applied. */
   acknowledge: '/heed',
 } as const;
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -46,8 +46,8 @@
 const isEmpty = ({ needs, spares }: WireSummary): boolean => needs.length + spares.length === 0;
 
 /**
- * The claim and the numbers of entries of a summary: an empty summary with the digest of the last written one
- * is not written again.
+ * Returns the claim and the numbers of entries of a summary. An empty summary is not written if its digest
+ * equals that of the last written summary.
  */
 const digestOf = ({ claim, needs, spares }: WireSummary): string =>
   `${claim}|${needs.length}|${spares.length}`;
@@ -126,7 +126,7 @@
     const fitted = fitSummary(summary, this.dependencies.valueBytes);
     if (fitted._tag === 'fits') {
       const digest = digestOf(fitted.stored);
-      // A summary without unmet demand and spare machines is written only once under a claim.
+      // An empty summary is not written right after another empty summary under the same claim.
       if (isEmpty(fitted.stored) && this.lastDigest.get(shardId) === digest) return Effect.void;
       this.lastDigest.set(shardId, digest);
     }
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -12,7 +12,7 @@
 } from '../fleet/shard-summary.js';
 import { readEntries } from './wire-values.js';
 
-/** A job that waits as a whole, on the wire. */
+/** A gang whose tasks wait to start together, on the wire. */
 export interface WireWaitingGang {
   readonly job: string;
   readonly tasks: number;
@@ -34,7 +34,7 @@
   readonly priority: number;
   readonly tasks: number;
   readonly gangs: readonly WireWaitingGang[];
-  /** Number of tasks that the shard already has capacity for, by zone. */
+  /** For one-zone gangs: number of tasks that the shard has capacity for, by zone. */
   readonly room: Readonly<Record<string, number>>;
   readonly waitedMs: number;
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -60,7 +60,8 @@
 });
 
 /**
- * State: by machine, the last heartbeat received here although another controller holds the machine's shard.
+ * State: by machine, shard and time of the last heartbeat that this controller received although this
+ * controller does not hold the machine's shard.
  */
 export class WorkerHeartbeatHandler {
   private readonly misroutedHeartbeats = new Map<string, MisroutedHeartbeat>();
@@ -68,8 +69,8 @@
   constructor(private readonly dependencies: WorkerHeartbeatHandlerDependencies) {}
 
   /**
-   * Returns by shard the number of machines in other controllers' shards that sent a heartbeat here within
-   * the last `withinMs`, since they can't reach the holder of their shard.
+   * Returns by shard that this controller does not hold the number of machines that sent a heartbeat to this
+   * controller within the last `withinMs`. Such machines may be unable to reach the holder of their shard.
    */
   misroutedCounts(withinMs: number): Record<string, number> {
     const counts: Record<string, number> = {};
--- a/src/workers/reconcile.ts
+++ b/src/workers/reconcile.ts
@@ -34,7 +34,7 @@
   heartbeat.agentEpoch > machine.agentEpoch &&
   (tokenConfirmed || machine.everConfirmedToken);
 
-/** Whether the answer to a direct command, which is newer than this heartbeat, has already shown the task. */
+/** Whether a newer heartbeat, from the answer to a direct command, has already shown the task. */
 const isOvertaken = ({ lastSeen }: Binding, heartbeat: WorkerHeartbeat): boolean =>
   lastSeen !== null &&
   (lastSeen.agentEpoch > heartbeat.agentEpoch ||
@@ -46,8 +46,8 @@
  */
 const isGone = ({ phase, stop }: Binding, newSession: boolean): boolean => {
   if (isOnMachine(phase)) return true;
-  // Answers may not reach a worker that began a new session: a task that it never started is placed
-  // elsewhere.
+  // An answer with the `run` may not have reached a worker that began a new session: a task that the
+  // worker never started is placed elsewhere.
   return phase._tag === 'bound' && (stop !== null || newSession);
 };
 
@@ -103,9 +103,9 @@
 };
 
 /**
- * Whether the `forget` commands may be sent with a later answer. Each answer with one makes the worker send
- * another heartbeat, so they are sent with other commands, or once `FORGET_BATCH_EXITS` are due or
- * `MAX_FORGET_DELAY_MS` have passed.
+ * Whether the `forget` commands may be sent with a later answer. An answer with a `forget` makes the worker
+ * send another heartbeat, so `forget` commands are sent together with other commands, or once
+ * `FORGET_COMMAND_BATCH_SIZE` of them are due, or `MAX_FORGET_COMMAND_DELAY_MS` after `exitsPendingSince`.
  */
 const canDeferForgets = (
   { exitsPendingSince }: ShardMachine,
--- a/src/workers/worker-client.ts
+++ b/src/workers/worker-client.ts
@@ -75,7 +75,7 @@
     });
   }
 
-  /** Closes the connection that has been idle longest if there is no room for one more. */
+  /** Closes the connection that has been idle longest if `maxSockets` connections are open. */
   private closeOldestIdleConnection(): void {
     const idle = Object.values(this.agent.freeSockets);
     let connections = this.open;
