--- a/src/peers/request-codec.ts
+++ b/src/peers/request-codec.ts
@@ -11,6 +11,9 @@
   transfer: '/move',
   /** An order from the holder of a shard to the leader to release machines at once. */
   release: '/return',
-  /** A request to the holder of a shard to apply cancellations; the answer lists which were applied. */
+  /**
+   * A request to the holder of a shard to apply cancellations; the answer states for each cancellation
+   * whether the holder applied it.
+   */
   acknowledge: '/heed',
 } as const;
--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -43,6 +43,7 @@
   readonly receivedAt: number;
 }
 
+/** Whether a summary has neither unmet demand nor spare machines that are listed one by one. */
 const isEmpty = ({ needs, spares }: WireSummary): boolean => needs.length + spares.length === 0;
 
 /**
--- a/src/peers/summary-codec.ts
+++ b/src/peers/summary-codec.ts
@@ -12,7 +12,7 @@
 } from '../fleet/shard-summary.js';
 import { readEntries } from './wire-values.js';
 
-/** A gang whose tasks wait to start together, on the wire. */
+/** A waiting gang, or another job of which no task has started, on the wire. */
 export interface WireWaitingGang {
   readonly job: string;
   readonly tasks: number;
--- a/src/workers/model.ts
+++ b/src/workers/model.ts
@@ -34,7 +34,7 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Number of the worker's session, which increases each time the worker starts. */
+  /** The agent epoch: number of the worker's session, which increases each time the worker starts. */
   readonly agentEpoch: number;
   /** Number of the heartbeat in its session. */
   readonly sequenceNumber: number;
