--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -1,9 +1,9 @@
 /**
- * The fallback path between the holder of a shard and the leader when their connections are refused:
- * summaries and orders go through the key-value store, few and small. A relayed value grants no authority:
- * the transactions that follow from it are conditional, as in all other cases. Owns the last relayed summary
- * and orders of each shard, and the time at which each key was written. The change dispatcher passes on the
- * values that other controllers wrote; `Transfers` relays orders.
+ * The fallback path between the holder of a shard and the leader while the sender has no recent heartbeat of
+ * the other: summaries and orders go through the key-value store, few and small. A relayed value grants no
+ * authority: the transactions that follow from it are conditional, as in all other cases. Owns the last
+ * relayed summary and orders of each shard, and the time at which each key was written. The change
+ * dispatcher passes on the values that other controllers wrote; `Transfers` relays orders.
  */
 import * as Effect from 'effect/Effect';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
@@ -53,7 +53,7 @@
 const digestOf = ({ claim, needs, spares }: WireSummary): string =>
   `${claim}|${needs.length}|${spares.length}`;
 
-/** Relays summaries and orders through the key-value store where connections are refused. */
+/** Relays summaries and orders through the key-value store to controllers without a recent heartbeat. */
 export class KeyValueStoreRelay {
   private readonly receivedSummaries = new Map<number, Received<ShardSummary>>();
   private readonly receivedOrders = new Map<number, Received<RelayedOrders>>();
