--- a/src/peers/store-relay.ts
+++ b/src/peers/store-relay.ts
@@ -1,9 +1,9 @@
 /**
- * The fallback path between the holder of a shard and the leader when their connections are refused:
- * summaries and orders go through the key-value store, few and small. A relayed value grants no authority:
- * the transactions that follow from it are conditional, as in all other cases. Owns the last relayed summary
- * and orders of each shard, and the time at which each key was written. The change dispatcher passes on the
- * values that other controllers wrote; `Transfers` relays orders.
+ * The fallback path between the holder of a shard and the leader while the sender has no recent heartbeat of
+ * the other: summaries and orders go through the key-value store, few and small. A relayed value grants no
+ * authority: the transactions that follow from it are conditional, as in all other cases. Owns the last
+ * relayed summary and orders of each shard, and the time at which each key was written. The change
+ * dispatcher passes on the values that other controllers wrote; `Transfers` relays orders.
  */
 import * as Effect from 'effect/Effect';
 import { LEADER_CLAIM } from '../claims/claim-decisions.js';
@@ -43,16 +43,17 @@
   readonly receivedAt: number;
 }
 
+/** Whether a summary has neither unmet demand nor spare machines that are listed one by one. */
 const isEmpty = ({ needs, spares }: WireSummary): boolean => needs.length + spares.length === 0;
 
 /**
- * The claim and the numbers of entries of a summary: an empty summary with the digest of the last written one
- * is not written again.
+ * Returns the claim and the numbers of entries of a summary. An empty summary is not written if its digest
+ * equals that of the last written summary.
  */
 const digestOf = ({ claim, needs, spares }: WireSummary): string =>
   `${claim}|${needs.length}|${spares.length}`;
 
-/** Relays summaries and orders through the key-value store where connections are refused. */
+/** Relays summaries and orders through the key-value store to controllers without a recent heartbeat. */
 export class KeyValueStoreRelay {
   private readonly receivedSummaries = new Map<number, Received<ShardSummary>>();
   private readonly receivedOrders = new Map<number, Received<RelayedOrders>>();
@@ -126,7 +127,7 @@
     const fitted = fitSummary(summary, this.dependencies.valueBytes);
     if (fitted._tag === 'fits') {
       const digest = digestOf(fitted.stored);
-      // A summary without unmet demand and spare machines is written only once under a claim.
+      // An empty summary is not written right after another empty summary under the same claim.
       if (isEmpty(fitted.stored) && this.lastDigest.get(shardId) === digest) return Effect.void;
       this.lastDigest.set(shardId, digest);
     }
