--- a/src/controller/router.ts
+++ b/src/controller/router.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Answers a user's call with status 503 if the reply takes longer than `USER_CALL_TIMEOUT_MS`. Uses one timer
- * for each call, since an additional fiber that only waits would cost more than most replies.
+ * Answers a user's call with status 503 if the reply takes longer than `USER_REQUEST_TIMEOUT_MS`. Uses one
+ * timer for each call, since an additional fiber that only waits would cost more than most replies.
  */
 const withinTimeout = (reply: Effect.Effect<ServerResponse>): Promise<ServerResponse> =>
   new Promise((resolve, reject) => {
--- a/src/placement/failure-accounting.ts
+++ b/src/placement/failure-accounting.ts
@@ -1,7 +1,7 @@
 /**
  * Attributes the failures of a job's tasks to the machines. Once tasks of the job have failed on
- * `FAULTY_JOB_MACHINES` machines and none has completed, the job counts as at fault instead. Owns the health
- * of machines and the failure counts and pauses of jobs; `ShardState` reports failures to it.
+ * `JOB_FAULT_MACHINE_THRESHOLD` machines and none has completed, the job counts as at fault instead. Owns the
+ * health of machines and the failure counts and pauses of jobs; `ShardState` reports failures to it.
  */
 import { SUSPECT_MACHINE_PAUSE_MS } from '../constants/machines.js';
 import {
--- a/src/placement/urgency.ts
+++ b/src/placement/urgency.ts
@@ -40,7 +40,7 @@
  * Decides whether work that may use spot machines is urgent enough for on-demand machines. An on-demand
  * machine costs a multiple of a spot machine, so it is worth its price only if it meets a target that would
  * otherwise be missed: not while there is slack to wait for a spot machine, and not once the target is missed
- * anyway. A job without targets is urgent once it has waited for `ON_DEMAND_PROVISIONING_PATIENCE_S`.
+ * anyway. A job without targets is urgent once it has waited for `ON_DEMAND_PROVISIONING_WAIT_S`.
  * `waitedS`: s that the job has waited; `bootS`: s to boot a machine; `fetchS`: s to fetch an image.
  */
 export const urgency = (
